--- a/internal/tier/dataplane/plane.go
+++ b/internal/tier/dataplane/plane.go
@@ -89,15 +89,15 @@
 	var err error
 	p.reports = newReportSpreader(p.base.Client, p.base.Cluster, p.ended)
 	p.proxy, err = proxy.New(proxy.Options{
-		Front: node.Listen.Front, Readiness: node.Listen.Readiness,
-		Stores: p.stores, Logger: p.base.Log, Zone: node.Zone,
-		Seed:          maphash.Comparable(maphash.MakeSeed(), node.Name),
-		LiveProxies:   func() int { return max(1, p.assignment.live()) },
-		Assigned:      p.assignment.assigned,
-		PublishReport: p.reports.spread,
-		BodyMemory:    int64(bodyShare * float64(node.Limits.MemoryMB<<20)),
-		MaxClients:    int(clientShare * float64(node.Limits.MaxFDs)),
-		MaxReceivers:  int(receiverShare * float64(node.Limits.MaxFDs)),
+		ClientAddress: node.Listen.Front, ReadinessAddress: node.Listen.Readiness,
+		Store: p.stores, Logger: p.base.Log, Zone: node.Zone,
+		Seed:                   maphash.Comparable(maphash.MakeSeed(), node.Name),
+		LiveProxyCount:         func() int { return max(1, p.assignment.live()) },
+		PollAssigned:           p.assignment.assigned,
+		PublishReport:          p.reports.spread,
+		MaxBodyMemoryBytes:     int64(bodyShare * float64(node.Limits.MemoryMB<<20)),
+		MaxClientConnections:   int(clientShare * float64(node.Limits.MaxFDs)),
+		MaxReceiverConnections: int(receiverShare * float64(node.Limits.MaxFDs)),
 	})
 	if err != nil {
 		return err
--- a/internal/tier/dataplane/reports.go
+++ b/internal/tier/dataplane/reports.go
@@ -111,7 +111,7 @@
 	if record.Check() != nil || p.assignment.assigned(dispatch.InstanceID(record.Instance)) {
 		return
 	}
-	p.proxy.Report(dispatch.InstanceID(record.Instance), dispatch.Report{
+	p.proxy.HandleReport(dispatch.InstanceID(record.Instance), dispatch.Report{
 		Running: record.Running, Queued: record.Queued, KVUsed: int(record.KVUsed), KVTotal: int(record.KVTotal),
 		Age: time.Duration(record.AgeMillis) * time.Millisecond, Sequence: uint64(record.Sequence),
 	})
--- a/internal/tier/dataplane/status.go
+++ b/internal/tier/dataplane/status.go
@@ -16,7 +16,7 @@
 	}
 	status.Configuration = int64(now.Configuration)
 	status.Proxy = &nodestatus.Proxy{
-		Ready: now.Ready, InHand: now.InHand, Arrived: int64(now.Arrived), Refused: int64(now.Refused),
+		Ready: now.Ready, InHand: now.InFlight, Arrived: int64(now.Arrived), Refused: int64(now.Refused),
 		Figures: figures(now),
 	}
 	return nil
--- a/internal/tier/proxy/admission.go
+++ b/internal/tier/proxy/admission.go
@@ -47,7 +47,7 @@
 
 	// Owned by the goroutine of run.
 	tickets map[dispatch.RequestID]*ticket
-	counts  Counts
+	counts  AdmissionCounters
 	timer   *time.Timer
 }
 
--- a/internal/tier/proxy/attempt.go
+++ b/internal/tier/proxy/attempt.go
@@ -34,7 +34,7 @@
 		return v.failed(send, began, 0, err)
 	}
 	defer answer.Close()
-	if answer.Refused() {
+	if answer.NotExecuted() {
 		io.Copy(io.Discard, io.LimitReader(answer.Body, refusalBody)) // so that its connection is kept
 		v.proxy.admission.answered(send, dispatch.Outcome{
 			Kind: refusalKind(send, answer), RetryAfter: answer.RetryAfter(), Took: time.Since(began),
@@ -56,7 +56,7 @@
 }
 
 // refusalKind tells a receiver that has the address of another from one that is full, or has other weights.
-func refusalKind(send *dispatch.Send, answer *outbound.Answer) dispatch.OutcomeKind {
+func refusalKind(send *dispatch.Send, answer *outbound.Response) dispatch.OutcomeKind {
 	if answer.Status == http.StatusMisdirectedRequest && answer.Header.Get(headerInstance) != string(send.Instance) {
 		return dispatch.Elsewhere
 	}
@@ -68,21 +68,21 @@
 
 // outgoing is the request as this receiver gets it.
 func (v *visit) outgoing(send *dispatch.Send, left time.Duration) *outbound.Request {
-	extra := make([]outbound.Field, 0, 4)
+	extra := make([]outbound.HeaderField, 0, 4)
 	extra = append(extra,
-		outbound.Field{Name: headerDeadline, Value: strconv.FormatInt(left.Milliseconds(), 10)},
-		outbound.Field{Name: headerExpectInstance, Value: string(send.Instance)},
+		outbound.HeaderField{Name: headerDeadline, Value: strconv.FormatInt(left.Milliseconds(), 10)},
+		outbound.HeaderField{Name: headerExpectInstance, Value: string(send.Instance)},
 	)
 	header := v.request.Header
 	if v.engine() != nil && send.Priority != dispatch.DefaultPriority && header.Get(headerPriority) == "" {
-		extra = append(extra, outbound.Field{Name: headerPriority, Value: strconv.Itoa(send.Priority)})
+		extra = append(extra, outbound.HeaderField{Name: headerPriority, Value: strconv.Itoa(send.Priority)})
 	}
 	if v.lastText != "" {
 		header[headerLastEvent] = []string{v.lastText}
 	}
 	return &outbound.Request{
 		ID: v.id, Method: v.request.Method, Target: v.request.RequestURI, Host: v.request.Host,
-		Header: header, Extra: extra, Prefix: v.history, Body: v.body.bytes(), Framed: v.framed,
+		Header: header, ExtraFields: extra, BodyPrefix: v.history, Body: v.body.bytes(), HasBody: v.framed,
 	}
 }
 
@@ -93,7 +93,7 @@
 
 // unusable says why an answer must not be passed on: a success needs its stamp, and a status that promises that nothing
 // ran would make the promise ours, though the receiver does not state it.
-func unusable(answer *outbound.Answer) error {
+func unusable(answer *outbound.Response) error {
 	switch {
 	case answer.Status < 300 && answer.Header.Get(headerStamp) == "":
 		return errNoStamp
@@ -107,7 +107,7 @@
 // visit ends; else the dispatcher decides.
 func (v *visit) failed(send *dispatch.Send, began time.Time, first time.Duration, err error) (ending, bool) {
 	outcome := dispatch.Outcome{Kind: dispatch.Broken, FirstByte: first, Took: time.Since(began)}
-	v.sent = v.sent || outbound.Sent(err)
+	v.sent = v.sent || outbound.MaybeSent(err)
 	switch {
 	case v.clientGone():
 		outcome.Kind = dispatch.Cancelled
@@ -117,9 +117,9 @@
 		outcome.Kind = dispatch.Cancelled
 		v.proxy.admission.finished(send, outcome)
 		return v.expire(), true
-	case errors.Is(err, outbound.ErrFull):
+	case errors.Is(err, outbound.ErrConnectionLimit):
 		outcome.Kind = dispatch.Full
-	case !outbound.Sent(err):
+	case !outbound.MaybeSent(err):
 		outcome.Kind = dispatch.NotConnected
 	case isTimeout(err):
 		outcome.Kind = dispatch.TimedOut
--- a/internal/tier/proxy/bench_test.go
+++ b/internal/tier/proxy/bench_test.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	p, err := New(Options{Front: "127.0.0.1:0", Readiness: "127.0.0.1:0", Stores: newFakeStores(), Logger: &log.Logger{Handler: discard.New()}})
+	p, err := New(Options{ClientAddress: "127.0.0.1:0", ReadinessAddress: "127.0.0.1:0", Store: newFakeStores(), Logger: &log.Logger{Handler: discard.New()}})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/tier/proxy/bounds_test.go
+++ b/internal/tier/proxy/bounds_test.go
@@ -69,7 +69,7 @@
 		inHand := func() int {
 			status, err := p.Status(context.Background())
 			Expect(err).NotTo(HaveOccurred())
-			return status.InHand
+			return status.InFlight
 		}
 		Eventually(inHand).Should(Equal(2))
 		second.Close()
--- a/internal/tier/proxy/doc.go
+++ b/internal/tier/proxy/doc.go
@@ -1,7 +1,9 @@
 // Package proxy is the data plane's runtime: it takes requests of clients, has the dispatcher choose when and where each
 // goes, and passes the receivers' answers on.
 //
-//	plane, err := proxy.New(proxy.Options{Front: "10.1.0.38:8149", Readiness: "10.1.0.38:8141", Stores: stores, Logger: log.Log})
+//	plane, err := proxy.New(proxy.Options{
+//		ClientAddress: "10.1.0.38:8149", ReadinessAddress: "10.1.0.38:8141", Store: store, Logger: log.Log,
+//	})
 //	if err != nil {
 //		return err
 //	}
--- a/internal/tier/proxy/events/events.go
+++ b/internal/tier/proxy/events/events.go
@@ -21,11 +21,11 @@
 
 const (
 	firstBuffer = 2 << 10
-	// MaxEvent bounds one event, in bytes.
-	MaxEvent = 1 << 20
+	// MaxEventBytes bounds one event, in bytes.
+	MaxEventBytes = 1 << 20
 )
 
-// ErrTooLong is given for an event of more than MaxEvent bytes.
+// ErrTooLong is given for an event of more than MaxEventBytes.
 var ErrTooLong = errors.New("an event is too long")
 
 // Event is one event of a stream. Its slices are valid until the next call of Next.
@@ -35,7 +35,7 @@
 	HasData bool
 	ID      uint64
 	HasID   bool   // the event has an id that is a whole number
-	IDText  []byte // the id as it came
+	RawID   []byte // the id as it came
 }
 
 // Reader reads events. It is not safe for concurrent use.
@@ -73,8 +73,8 @@
 	}
 }
 
-// Buffered says whether the next event is here already, whole.
-func (r *Reader) Buffered() bool {
+// NextBuffered says whether the next event is here already, whole.
+func (r *Reader) NextBuffered() bool {
 	return eventLength(r.buffer[r.begin:r.end], 0) > 0
 }
 
@@ -95,7 +95,7 @@
 		r.begin = 0
 	}
 	if r.end == len(r.buffer) {
-		if len(r.buffer) >= MaxEvent {
+		if len(r.buffer) >= MaxEventBytes {
 			return ErrTooLong
 		}
 		r.buffer = append(r.buffer, make([]byte, len(r.buffer))...)
@@ -142,7 +142,7 @@
 		case bytes.Equal(name, dataField):
 			r.addData(&event, value)
 		case bytes.Equal(name, idField):
-			event.IDText = value
+			event.RawID = value
 			number, err := strconv.ParseUint(string(value), 10, 64)
 			event.ID, event.HasID = number, err == nil
 		}
--- a/internal/tier/proxy/events/events_test.go
+++ b/internal/tier/proxy/events/events_test.go
@@ -88,14 +88,14 @@
 		reader := NewReader(strings.NewReader("data: a\n\ndata: b\n\ndata: c"))
 		_, err := reader.Next()
 		Expect(err).NotTo(HaveOccurred())
-		Expect(reader.Buffered()).To(BeTrue())
+		Expect(reader.NextBuffered()).To(BeTrue())
 		_, err = reader.Next()
 		Expect(err).NotTo(HaveOccurred())
-		Expect(reader.Buffered()).To(BeFalse())
+		Expect(reader.NextBuffered()).To(BeFalse())
 	})
 
 	It("refuses an event without end", func() {
-		endless := io.MultiReader(strings.NewReader("data: "), bytes.NewReader(make([]byte, 2*MaxEvent)))
+		endless := io.MultiReader(strings.NewReader("data: "), bytes.NewReader(make([]byte, 2*MaxEventBytes)))
 		_, err := NewReader(endless).Next()
 		Expect(err).To(MatchError(ErrTooLong))
 	})
--- a/internal/tier/proxy/forward_test.go
+++ b/internal/tier/proxy/forward_test.go
@@ -155,7 +155,7 @@
 	})
 
 	It("is refused while no memory is left for its body", func() {
-		p := startPlane(func(o *Options) { o.BodyMemory = 10 })
+		p := startPlane(func(o *Options) { o.MaxBodyMemoryBytes = 10 })
 		p.SetConfiguration(configuration(1, usualLimits))
 		Expect(p.ask("POST /unsafe/x", "more than ten").status).To(Equal(503))
 		Expect(p.memory.used.Load()).To(BeZero())
--- a/internal/tier/proxy/lifecycle_test.go
+++ b/internal/tier/proxy/lifecycle_test.go
@@ -68,7 +68,7 @@
 			r.answer(200, "done")
 		})
 		notice := make(chan struct{})
-		p := startPlane(func(o *Options) { o.Notice, o.notice = time.Hour, notice })
+		p := startPlane(func(o *Options) { o.ShutdownDelay, o.notice = time.Hour, notice })
 		finish := sync.OnceFunc(func() { close(release) })
 		DeferCleanup(finish)
 		p.SetConfiguration(configuration(1, usualLimits))
@@ -163,7 +163,7 @@
 			})
 			DeferCleanup(func() { close(release) })
 			notice := make(chan struct{})
-			p := startPlane(func(o *Options) { o.Notice, o.notice = time.Hour, notice })
+			p := startPlane(func(o *Options) { o.ShutdownDelay, o.notice = time.Hour, notice })
 			p.SetConfiguration(configuration(1, usualLimits))
 			p.SetReceivers(f.listed)
 			p.SetReady(true)
@@ -210,7 +210,7 @@
 
 	// A stop may be begun late: behind the start, or on a machine without processor time.
 	It("counts its notice from the signal, whenever it is begun", func() {
-		p := startPlane(func(o *Options) { o.Notice = time.Hour })
+		p := startPlane(func(o *Options) { o.ShutdownDelay = time.Hour })
 		asked, release := make(chan struct{}), make(chan struct{})
 		f := startFleet("plain", 1, func(_ int, r received) {
 			close(asked)
@@ -319,7 +319,7 @@
 var _ = Describe("A client's connection", func() {
 	It("past the cap is closed with nothing read", func() {
 		f := startFleet("plain", 1, echo)
-		p := startPlane(func(o *Options) { o.MaxClients = 1 })
+		p := startPlane(func(o *Options) { o.MaxClientConnections = 1 })
 		p.SetConfiguration(configuration(1, usualLimits))
 		p.SetReceivers(f.listed)
 		first := p.dial()
--- a/internal/tier/proxy/outbound/doc.go
+++ b/internal/tier/proxy/outbound/doc.go
@@ -1,12 +1,12 @@
 // Package outbound carries requests to receivers over kept HTTP/1.1 connections.
 //
-//	pool := outbound.NewPool(outbound.Options{MaxOpen: 500})
-//	answer, err := pool.Exchange(ctx, address, &outbound.Request{ID: id, Method: "GET", Target: "/a/b?c", Host: host}, deadline)
+//	pool := outbound.NewPool(outbound.Options{MaxConnections: 500})
+//	response, err := pool.Exchange(ctx, address, &outbound.Request{ID: id, Method: "GET", Target: "/a/b?c", Host: host}, deadline)
 //	if err != nil {
-//		return outbound.Sent(err) // true: a part left, the receiver may have run it
+//		return outbound.MaybeSent(err) // true: a part left, the receiver may have run it
 //	}
-//	defer answer.Close()
-//	body, err := io.ReadAll(answer.Body)
+//	defer response.Close()
+//	body, err := io.ReadAll(response.Body)
 //
 // net/http's Transport is not used for the way to receivers: it resends a request on its own when a kept connection
 // breaks, and may then run it twice; it also cannot say whether any byte of a request left.
--- a/internal/tier/proxy/outbound/errors.go
+++ b/internal/tier/proxy/outbound/errors.go
@@ -8,9 +8,9 @@
 
 // Reasons for which nothing was sent.
 var (
-	ErrFull   = errors.New("all connections to the receiver are in use")
-	ErrClosed = errors.New("the pool is closed")
-	errStale  = errors.New("the receiver has ended the kept connection")
+	ErrConnectionLimit = errors.New("all connections to the receiver are in use")
+	ErrClosed          = errors.New("the pool is closed")
+	errStale           = errors.New("the receiver has ended the kept connection")
 )
 
 // Reasons for which an answer is no answer to the request.
@@ -23,9 +23,9 @@
 
 // Error is a failed exchange.
 type Error struct {
-	Address string
-	Sent    bool // a byte of the request may have left: it may have run
-	Cause   error
+	Address   string
+	MaybeSent bool // a byte of the request may have left: it may have run
+	Cause     error
 }
 
 func (e *Error) Error() string { return "receiver " + e.Address + ": " + e.Cause.Error() }
@@ -33,12 +33,12 @@
 // Unwrap gives the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// Sent says whether a failed exchange may have reached the receiver.
-func Sent(err error) bool {
+// MaybeSent says whether a failed exchange may have reached the receiver.
+func MaybeSent(err error) bool {
 	var failure *Error
-	return !errors.As(err, &failure) || failure.Sent
+	return !errors.As(err, &failure) || failure.MaybeSent
 }
 
 func failed(address string, sent bool, cause error) error {
-	return &Error{Address: address, Sent: sent, Cause: eris.Wrap(cause, "exchange")}
+	return &Error{Address: address, MaybeSent: sent, Cause: eris.Wrap(cause, "exchange")}
 }
--- a/internal/tier/proxy/outbound/exchange.go
+++ b/internal/tier/proxy/outbound/exchange.go
@@ -28,12 +28,12 @@
 	freshTries = 8
 )
 
-// Answer is a receiver's answer. Its owner reads Body to io.EOF for the whole, and calls Close once in any case.
-type Answer struct {
-	Status int
-	Header http.Header
-	Length int64 // of the body; -1: not told in advance
-	Body   io.Reader
+// Response is a receiver's answer. Its owner reads Body to io.EOF for the whole, and calls Close once in any case.
+type Response struct {
+	Status        int
+	Header        http.Header
+	ContentLength int64 // of the body; -1: not told in advance
+	Body          io.Reader
 
 	response   *http.Response
 	connection *connection
@@ -44,12 +44,12 @@
 	whole      bool
 }
 
-// Extend gives the rest of the answer until another deadline than the exchange had.
-func (a *Answer) Extend(deadline time.Time) { a.connection.SetDeadline(deadline) }
+// SetDeadline gives the rest of the answer until another deadline than the exchange had.
+func (a *Response) SetDeadline(deadline time.Time) { a.connection.SetDeadline(deadline) }
 
 // Exchange sends the request to the receiver at the address and reads the head of the answer. Until the answer is
-// closed, the end of ctx or the deadline ends its connection. An error says through Sent whether any of it may have left.
-func (p *Pool) Exchange(ctx context.Context, address string, request *Request, deadline time.Time) (*Answer, error) {
+// closed, the end of ctx or the deadline ends its connection. An error says through MaybeSent whether any of it may have left.
+func (p *Pool) Exchange(ctx context.Context, address string, request *Request, deadline time.Time) (*Response, error) {
 	for try := 1; ; try++ {
 		answer, err := p.exchange(ctx, address, request, deadline)
 		if err == nil || !errors.Is(err, errStale) || try == freshTries || ctx.Err() != nil {
@@ -58,7 +58,7 @@
 	}
 }
 
-func (p *Pool) exchange(ctx context.Context, address string, request *Request, deadline time.Time) (*Answer, error) {
+func (p *Pool) exchange(ctx context.Context, address string, request *Request, deadline time.Time) (*Response, error) {
 	c, err := p.get(ctx, address, deadline)
 	if err != nil {
 		return nil, failed(address, false, err)
@@ -76,7 +76,7 @@
 }
 
 // roundTrip writes the request and reads the head of its answer. sent says whether a byte may have left.
-func (c *connection) roundTrip(request *Request) (answer *Answer, sent bool, err error) {
+func (c *connection) roundTrip(request *Request) (answer *Response, sent bool, err error) {
 	c.served++
 	if request.length() > joinedBody {
 		return c.roundTripLarge(request)
@@ -105,7 +105,7 @@
 }
 
 // roundTripLarge writes the body beside the reading, as a receiver may answer without having read it all.
-func (c *connection) roundTripLarge(request *Request) (answer *Answer, sent bool, err error) {
+func (c *connection) roundTripLarge(request *Request) (answer *Response, sent bool, err error) {
 	written := make(chan writeResult, 1)
 	go func() {
 		n, err := c.sendLarge(request)
@@ -138,18 +138,18 @@
 	buffer := heads.Get().(*buffer)
 	defer buffer.recycle()
 	buffer.bytes = request.appendHead(buffer.bytes[:0])
-	buffer.bytes = append(buffer.bytes, request.Prefix...)
+	buffer.bytes = append(buffer.bytes, request.BodyPrefix...)
 	buffer.bytes = append(buffer.bytes, request.Body...)
 	return c.Write(buffer.bytes)
 }
 
 func (c *connection) sendLarge(request *Request) (int64, error) {
-	parts := net.Buffers{request.appendHead(nil), request.Prefix, request.Body}
+	parts := net.Buffers{request.appendHead(nil), request.BodyPrefix, request.Body}
 	return parts.WriteTo(c.Conn)
 }
 
 // receive reads heads until the one of the request's answer.
-func (c *connection) receive(request *Request) (*Answer, error) {
+func (c *connection) receive(request *Request) (*Response, error) {
 	asked := &http.Request{Method: request.Method}
 	foreign, interim := 0, 0
 	for {
@@ -202,23 +202,23 @@
 	return response.ContentLength >= 0 || slices.Contains(response.TransferEncoding, "chunked") || response.Body == http.NoBody
 }
 
-func (c *connection) answer(response *http.Response, tainted bool) *Answer {
-	a := &Answer{
-		Status:     response.StatusCode,
-		Header:     response.Header,
-		Length:     response.ContentLength,
-		response:   response,
-		connection: c,
-		tainted:    tainted || response.Close || response.ProtoMinor == 0,
-		whole:      response.Body == http.NoBody,
-		idleFor:    idleTime(response.Header),
+func (c *connection) answer(response *http.Response, tainted bool) *Response {
+	a := &Response{
+		Status:        response.StatusCode,
+		Header:        response.Header,
+		ContentLength: response.ContentLength,
+		response:      response,
+		connection:    c,
+		tainted:       tainted || response.Close || response.ProtoMinor == 0,
+		whole:         response.Body == http.NoBody,
+		idleFor:       idleTime(response.Header),
 	}
 	a.Body = body{a}
 	return a
 }
 
 // body reads an answer's body and notes its end.
-type body struct{ answer *Answer }
+type body struct{ answer *Response }
 
 func (b body) Read(to []byte) (int, error) {
 	n, err := b.answer.response.Body.Read(to)
@@ -228,12 +228,12 @@
 	return n, err
 }
 
-// Whole says whether the body was read to its proper end.
-func (a *Answer) Whole() bool { return a.whole }
+// Complete says whether the body was read to its proper end.
+func (a *Response) Complete() bool { return a.whole }
 
 // Close keeps the connection if the answer was read whole, and ends it otherwise, which cancels the request. The bytes
 // of the request are not used any more when it returns.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	if a.connection == nil {
 		return
 	}
@@ -251,7 +251,7 @@
 
 // endWrite waits for the writer of a large request. One that is still at it is stopped: its bytes may soon be those of
 // another request.
-func (a *Answer) endWrite(c *connection) {
+func (a *Response) endWrite(c *connection) {
 	var result writeResult
 	select {
 	case result = <-a.written:
@@ -263,11 +263,11 @@
 	a.tainted = a.tainted || result.err != nil
 }
 
-// Refused says whether the receiver states that it did not run the request.
-func (a *Answer) Refused() bool { return refusal(a.response) }
+// NotExecuted says whether the receiver states that it did not run the request.
+func (a *Response) NotExecuted() bool { return refusal(a.response) }
 
 // RetryAfter is the wait that the answer tells, in seconds with fractions; 0: none.
-func (a *Answer) RetryAfter() time.Duration {
+func (a *Response) RetryAfter() time.Duration {
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(a.Header.Get("Retry-After")), 64)
 	if err != nil || !(seconds > 0) {
 		return 0
--- a/internal/tier/proxy/outbound/exchange_test.go
+++ b/internal/tier/proxy/outbound/exchange_test.go
@@ -31,7 +31,7 @@
 		DeferCleanup(pool.Close)
 	})
 
-	exchange := func(r *receiver, request *Request) (*Answer, string, error) {
+	exchange := func(r *receiver, request *Request) (*Response, string, error) {
 		answer, err := pool.Exchange(context.Background(), r.address, request, far())
 		if err != nil {
 			return nil, "", err
@@ -47,9 +47,9 @@
 		})
 		request := &Request{
 			ID: "1", Method: "PUT", Target: "/a//b/../%7e?x=%20&y", Host: "H.example:81",
-			Header: http.Header{"Emberquay-Request-Id": {"1"}, "X-Two": {"a", "b"}},
-			Extra:  []Field{{Name: "Emberquay-Expect-Instance", Value: "i-1"}},
-			Body:   []byte("body"),
+			Header:      http.Header{"Emberquay-Request-Id": {"1"}, "X-Two": {"a", "b"}},
+			ExtraFields: []HeaderField{{Name: "Emberquay-Expect-Instance", Value: "i-1"}},
+			Body:        []byte("body"),
 		}
 		answer, body, err := exchange(r, request)
 		Expect(err).NotTo(HaveOccurred())
@@ -85,7 +85,7 @@
 			Expect(err).NotTo(HaveOccurred())
 			_, _, err = exchange(r, &Request{ID: "2", Method: method, Target: "/second", Host: "h", Header: header, Body: []byte(body)})
 			Expect(err).To(HaveOccurred())
-			Expect(Sent(err)).To(BeTrue())
+			Expect(MaybeSent(err)).To(BeTrue())
 			Expect(r.seen()).To(HaveLen(2))
 			Expect(r.seen()[1].connection).To(Equal(1))
 		},
@@ -155,7 +155,7 @@
 			})
 			_, _, err := exchange(r, get("1"))
 			Expect(err).To(HaveOccurred())
-			Expect(Sent(err)).To(BeTrue())
+			Expect(MaybeSent(err)).To(BeTrue())
 		},
 		Entry("of another id alone", answerTo("2", "x")),
 		Entry("without an id", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"),
@@ -178,7 +178,7 @@
 		answer, body, err := exchange(r, get("1"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(body).To(Equal("body"))
-		Expect(answer.Whole()).To(BeTrue())
+		Expect(answer.Complete()).To(BeTrue())
 
 		read := make(chan struct{})
 		r = startReceiver(func(c net.Conn, _ received) {
@@ -195,7 +195,7 @@
 		close(read)
 		_, err = io.ReadAll(answer.Body)
 		Expect(err).To(MatchError(syscall.ECONNRESET))
-		Expect(answer.Whole()).To(BeFalse())
+		Expect(answer.Complete()).To(BeFalse())
 	})
 
 	It("takes a refusal without an id only where no other request's can stand", func() {
@@ -203,10 +203,10 @@
 		r := startReceiver(say(refusal))
 		answer, _, err := exchange(r, get("1"))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.Refused()).To(BeTrue())
+		Expect(answer.NotExecuted()).To(BeTrue())
 		Expect(answer.RetryAfter()).To(Equal(250 * time.Millisecond))
 		_, _, err = exchange(r, get("2"))
-		Expect(Sent(err)).To(BeTrue())
+		Expect(MaybeSent(err)).To(BeTrue())
 	})
 
 	It("passes over interim answers", func() {
@@ -229,27 +229,27 @@
 			cancel()
 		}()
 		_, err := pool.Exchange(ctx, r.address, get("1"), far())
-		Expect(Sent(err)).To(BeTrue())
+		Expect(MaybeSent(err)).To(BeTrue())
 		Expect(<-gone).To(HaveOccurred())
 		Expect(openOf(pool)).To(BeZero())
 	})
 
 	It("sends nothing where all connections are in use", func() {
 		r := startReceiver(say("HTTP/1.1 200 OK\r\nEmberquay-Request-Id: 1\r\nContent-Length: 5\r\n\r\n"))
-		pool.SetLimits([]Limit{{Address: r.address, Connections: 2}})
+		pool.SetLimits([]AddressLimit{{Address: r.address, MaxConnections: 2}})
 		for range 2 {
 			answer, err := pool.Exchange(context.Background(), r.address, get("1"), far())
 			Expect(err).NotTo(HaveOccurred())
 			DeferCleanup(answer.Close)
 		}
 		_, err := pool.Exchange(context.Background(), r.address, get("1"), far())
-		Expect(errors.Is(err, ErrFull)).To(BeTrue())
-		Expect(Sent(err)).To(BeFalse())
+		Expect(errors.Is(err, ErrConnectionLimit)).To(BeTrue())
+		Expect(MaybeSent(err)).To(BeFalse())
 		Expect(r.seen()).To(HaveLen(2))
 	})
 
 	It("makes room among connections at rest elsewhere", func() {
-		pool = NewPool(Options{MaxOpen: 1})
+		pool = NewPool(Options{MaxConnections: 1})
 		DeferCleanup(pool.Close)
 		a, b := startReceiver(say(answerTo("1", ""))), startReceiver(say(answerTo("1", "")))
 		_, _, err := exchange(a, get("1"))
@@ -267,7 +267,7 @@
 		listener.Close()
 		_, err = pool.Exchange(context.Background(), address, get("1"), far())
 		Expect(err).To(HaveOccurred())
-		Expect(Sent(err)).To(BeFalse())
+		Expect(MaybeSent(err)).To(BeFalse())
 		Expect(openOf(pool)).To(BeZero())
 	})
 
@@ -287,7 +287,7 @@
 		request.Body = make([]byte, 16<<20)
 		answer, err := pool.Exchange(context.Background(), listener.Addr().String(), request, far())
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.Refused()).To(BeTrue())
+		Expect(answer.NotExecuted()).To(BeTrue())
 		answer.Close()
 		Expect(openOf(pool)).To(BeZero())
 	})
@@ -320,7 +320,7 @@
 
 	It("keeps a connection to a crowded receiver for a moment only", func() {
 		r := startReceiver(say(answerTo("1", "")))
-		pool.SetLimits([]Limit{{Address: r.address, Connections: 1, Crowded: true}})
+		pool.SetLimits([]AddressLimit{{Address: r.address, MaxConnections: 1, Contended: true}})
 		_, _, err := exchange(r, get("1"))
 		Expect(err).NotTo(HaveOccurred())
 		pool.mu.Lock()
@@ -333,12 +333,12 @@
 		r := startReceiver(say(answerTo("1", "")))
 		for _, size := range []int{3, joinedBody} {
 			request := get("1")
-			request.Prefix = []byte(strings.Repeat("p", size))
+			request.BodyPrefix = []byte(strings.Repeat("p", size))
 			request.Body = []byte(strings.Repeat("b", size))
 			_, _, err := exchange(r, request)
 			Expect(err).NotTo(HaveOccurred())
 			last := r.seen()[len(r.seen())-1]
-			Expect(last.body == string(request.Prefix)+string(request.Body)).To(BeTrue())
+			Expect(last.body == string(request.BodyPrefix)+string(request.Body)).To(BeTrue())
 		}
 	})
 
@@ -351,7 +351,7 @@
 
 	It("closes what rests to a receiver that is listed no more", func() {
 		r := startReceiver(say(answerTo("1", "")))
-		pool.SetLimits([]Limit{{Address: r.address, Connections: 4}})
+		pool.SetLimits([]AddressLimit{{Address: r.address, MaxConnections: 4}})
 		_, _, err := exchange(r, get("1"))
 		Expect(err).NotTo(HaveOccurred())
 		pool.SetLimits(nil)
--- a/internal/tier/proxy/outbound/pool.go
+++ b/internal/tier/proxy/outbound/pool.go
@@ -25,9 +25,9 @@
 
 // Options of a pool. The zero value of each field stands for its default.
 type Options struct {
-	MaxOpen     int           // connections to all receivers together; default 512
-	DialTimeout time.Duration // default one second
-	Limit       int           // connections to a receiver for which SetLimit has said nothing; default 8
+	MaxConnections      int           // connections to all receivers together; default 512
+	DialTimeout         time.Duration // default one second
+	DefaultAddressLimit int           // connections to a receiver for which SetLimits has said nothing; default 8
 }
 
 // Pool keeps connections to receivers. Its methods may be called from any goroutine.
@@ -56,11 +56,11 @@
 
 // NewPool makes an empty pool.
 func NewPool(options Options) *Pool {
-	if options.MaxOpen <= 0 {
-		options.MaxOpen = 512
+	if options.MaxConnections <= 0 {
+		options.MaxConnections = 512
 	}
-	if options.Limit <= 0 {
-		options.Limit = 8
+	if options.DefaultAddressLimit <= 0 {
+		options.DefaultAddressLimit = 8
 	}
 	if options.DialTimeout <= 0 {
 		options.DialTimeout = defaultDialTimeout
@@ -82,23 +82,23 @@
 	return failed
 }
 
-// Limit is the most connections to an address. Where it is crowded, those at rest take places from others: they are
+// AddressLimit is the most connections to an address. Where it is crowded, those at rest take places from others: they are
 // kept for crowdedIdle only.
-type Limit struct {
-	Address     string
-	Connections int
-	Crowded     bool
+type AddressLimit struct {
+	Address        string
+	MaxConnections int
+	Contended      bool
 }
 
 // SetLimits names all receivers; idle connections to any other address are closed.
-func (p *Pool) SetLimits(limits []Limit) {
+func (p *Pool) SetLimits(limits []AddressLimit) {
 	p.mu.Lock()
 	named := make(map[string]bool, len(limits))
 	for _, limit := range limits {
 		named[limit.Address] = true
 		e := p.endpoint(limit.Address)
-		e.limit = max(leastLimit, limit.Connections)
-		e.crowded = limit.Crowded
+		e.limit = max(leastLimit, limit.MaxConnections)
+		e.crowded = limit.Contended
 	}
 	var gone []*connection
 	for address, e := range p.endpoints {
@@ -132,7 +132,7 @@
 func (p *Pool) endpoint(address string) *endpoint {
 	e := p.endpoints[address]
 	if e == nil {
-		e = &endpoint{pool: p, address: address, limit: p.options.Limit}
+		e = &endpoint{pool: p, address: address, limit: p.options.DefaultAddressLimit}
 		p.endpoints[address] = e
 	}
 	return e
@@ -187,10 +187,10 @@
 		return c, nil
 	}
 	if e.open >= e.limit {
-		return nil, ErrFull
+		return nil, ErrConnectionLimit
 	}
-	if p.open >= p.options.MaxOpen && !p.evict() {
-		return nil, ErrFull
+	if p.open >= p.options.MaxConnections && !p.evict() {
+		return nil, ErrConnectionLimit
 	}
 	e.open++
 	p.open++
--- a/internal/tier/proxy/outbound/request.go
+++ b/internal/tier/proxy/outbound/request.go
@@ -12,21 +12,21 @@
 // Request is what goes to a receiver. Target is the request target as the client sent it. Header holds end-to-end
 // fields only; the framing of the body is written by this package.
 type Request struct {
-	ID     string // its answer must echo it; "" for the system's own questions, whose answers name none
-	Method string
-	Target string
-	Host   string
-	Header http.Header
-	Extra  []Field // written in addition to Header, which may be shared
-	Prefix []byte  // goes in front of Body, as part of the same body
-	Body   []byte
-	Framed bool // a body was announced, even one of no bytes
+	ID          string // its answer must echo it; "" for the system's own questions, whose answers name none
+	Method      string
+	Target      string
+	Host        string
+	Header      http.Header
+	ExtraFields []HeaderField // written in addition to Header, which may be shared
+	BodyPrefix  []byte        // goes in front of Body, as part of the same body
+	Body        []byte
+	HasBody     bool // a body was announced, even one of no bytes
 }
 
-func (r *Request) length() int { return len(r.Prefix) + len(r.Body) }
+func (r *Request) length() int { return len(r.BodyPrefix) + len(r.Body) }
 
-// Field is one header field.
-type Field struct{ Name, Value string }
+// HeaderField is one header field.
+type HeaderField struct{ Name, Value string }
 
 // joinedBody is the size up to which a body is copied behind the head, to leave in one write.
 const joinedBody = 32 << 10
@@ -55,10 +55,10 @@
 			to = appendField(to, name, value)
 		}
 	}
-	for _, field := range r.Extra {
+	for _, field := range r.ExtraFields {
 		to = appendField(to, field.Name, field.Value)
 	}
-	if r.Framed || r.length() > 0 {
+	if r.HasBody || r.length() > 0 {
 		to = append(to, "Content-Length: "...)
 		to = strconv.AppendInt(to, int64(r.length()), 10)
 		to = append(to, "\r\n"...)
--- a/internal/tier/proxy/plain.go
+++ b/internal/tier/proxy/plain.go
@@ -24,11 +24,11 @@
 
 // passPlain passes an answer on once it is here whole, so that one that breaks off is never begun; a long one goes on
 // as it comes.
-func (v *visit) passPlain(send *dispatch.Send, answer *outbound.Answer, began time.Time, first time.Duration) (ending, bool) {
-	body, err := v.proxy.memory.hold(answer.Body, answer.Length, bufferedAnswer)
+func (v *visit) passPlain(send *dispatch.Send, answer *outbound.Response, began time.Time, first time.Duration) (ending, bool) {
+	body, err := v.proxy.memory.hold(answer.Body, answer.ContentLength, bufferedAnswer)
 	defer body.release()
 	switch {
-	case answer.Whole():
+	case answer.Complete():
 		return v.passWhole(send, answer, body.bytes(), began, first)
 	case err == nil:
 		err = io.ErrUnexpectedEOF
@@ -38,10 +38,10 @@
 	return v.failed(send, began, first, err)
 }
 
-func (v *visit) passWhole(send *dispatch.Send, answer *outbound.Answer, body []byte, began time.Time, first time.Duration) (ending, bool) {
+func (v *visit) passWhole(send *dispatch.Send, answer *outbound.Response, body []byte, began time.Time, first time.Duration) (ending, bool) {
 	length := int64(len(body))
 	if v.request.Method == http.MethodHead {
-		length = answer.Length
+		length = answer.ContentLength
 	}
 	kind := answerKind(answer.Status)
 	// The receiver is free: it is told before the client's connection may hold us up.
@@ -66,7 +66,7 @@
 }
 
 // head begins the answer with the receiver's head. The length is of the body; -1: in chunks.
-func (v *visit) head(answer *outbound.Answer, length int64) {
+func (v *visit) head(answer *outbound.Response, length int64) {
 	v.begun = true
 	header := v.writer.Header()
 	passHeader(header, answer.Header)
@@ -78,9 +78,9 @@
 
 // passLong passes on what was read of a body and then the rest. If the receiver breaks off, the client's connection is
 // cut: the announced length or the end of the chunks is missing then.
-func (v *visit) passLong(send *dispatch.Send, answer *outbound.Answer, read []byte, began time.Time, first time.Duration) (ending, bool) {
-	v.head(answer, answer.Length)
-	answer.Extend(v.deadline)
+func (v *visit) passLong(send *dispatch.Send, answer *outbound.Response, read []byte, began time.Time, first time.Duration) (ending, bool) {
+	v.head(answer, answer.ContentLength)
+	answer.SetDeadline(v.deadline)
 	v.proxy.admission.started(v.ticket)
 	v.flusher.SetWriteDeadline(v.deadline.Add(writeSlack))
 	defer v.flusher.SetWriteDeadline(time.Time{})
--- a/internal/tier/proxy/plane_test.go
+++ b/internal/tier/proxy/plane_test.go
@@ -61,7 +61,7 @@
 func startPlane(change func(*Options)) *plane {
 	p := &plane{stores: newFakeStores(), logs: logmemory.New(), ended: make(chan error, 1)}
 	options := Options{
-		Front: "127.0.0.1:0", Readiness: "127.0.0.1:0", Stores: p.stores, Seed: 1, Notice: time.Millisecond,
+		ClientAddress: "127.0.0.1:0", ReadinessAddress: "127.0.0.1:0", Store: p.stores, Seed: 1, ShutdownDelay: time.Millisecond,
 		Logger: &log.Logger{Handler: p.logs, Level: log.InfoLevel},
 	}
 	if change != nil {
--- a/internal/tier/proxy/proxy.go
+++ b/internal/tier/proxy/proxy.go
@@ -53,8 +53,8 @@
 	options.fill()
 	p := &Proxy{
 		options:    options,
-		memory:     memory{limit: options.BodyMemory},
-		pool:       outbound.NewPool(outbound.Options{MaxOpen: options.MaxReceivers}),
+		memory:     memory{limit: options.MaxBodyMemoryBytes},
+		pool:       outbound.NewPool(outbound.Options{MaxConnections: options.MaxReceiverConnections}),
 		spread:     newSpread(options.Seed),
 		failures:   failureLog{logger: options.Logger},
 		configured: make(chan struct{}),
@@ -62,16 +62,16 @@
 	}
 	p.admission = newAdmission(dispatch.New(options.Seed, options.Zone))
 	p.reporter = newReporter(p)
-	listener, err := listenFront(options.Front)
+	listener, err := listenFront(options.ClientAddress)
 	if err != nil {
-		return nil, eris.Wrapf(err, "the clients' address %s", options.Front)
+		return nil, eris.Wrapf(err, "the clients' address %s", options.ClientAddress)
 	}
-	p.readiness, err = net.Listen("tcp", options.Readiness)
+	p.readiness, err = net.Listen("tcp", options.ReadinessAddress)
 	if err != nil {
 		listener.Close()
-		return nil, eris.Wrapf(err, "the readiness address %s", options.Readiness)
+		return nil, eris.Wrapf(err, "the readiness address %s", options.ReadinessAddress)
 	}
-	p.front = newFront(listener, p.handler, &p.clients, options.MaxClients)
+	p.front = newFront(listener, p.handler, &p.clients, options.MaxClientConnections)
 	p.front.setLimits(limitsBefore)
 	return p, nil
 }
@@ -146,14 +146,14 @@
 
 // SetReceivers takes the whole list of receivers, whenever it or the number of proxies changes. The list is kept.
 func (p *Proxy) SetReceivers(receivers []dispatch.Receiver) {
-	proxies := max(1, p.options.LiveProxies())
-	limits := make([]outbound.Limit, 0, len(receivers))
+	proxies := max(1, p.options.LiveProxyCount())
+	limits := make([]outbound.AddressLimit, 0, len(receivers))
 	for _, receiver := range receivers {
 		if receiver.MaxConnections > 0 {
 			share := receiver.MaxConnections / proxies
-			limits = append(limits, outbound.Limit{Address: receiver.Address, Connections: share, Crowded: share < crowdedShare})
+			limits = append(limits, outbound.AddressLimit{Address: receiver.Address, MaxConnections: share, Contended: share < crowdedShare})
 		} else {
-			limits = append(limits, outbound.Limit{Address: receiver.Address, Connections: receiver.Slots + spareConnections})
+			limits = append(limits, outbound.AddressLimit{Address: receiver.Address, MaxConnections: receiver.Slots + spareConnections})
 		}
 	}
 	p.pool.SetLimits(limits)
@@ -161,8 +161,8 @@
 	p.admission.tell(receiverList{receivers: receivers})
 }
 
-// Report takes a receiver's report, own or of another proxy; its Age counts from now on.
-func (p *Proxy) Report(instance dispatch.InstanceID, report dispatch.Report) {
+// HandleReport takes a receiver's report, own or of another proxy; its Age counts from now on.
+func (p *Proxy) HandleReport(instance dispatch.InstanceID, report dispatch.Report) {
 	p.admission.tell(reportTaken{instance: instance, report: report, at: time.Now()})
 }
 
--- a/internal/tier/proxy/reports.go
+++ b/internal/tier/proxy/reports.go
@@ -123,7 +123,7 @@
 		if !used || receiver.Engine == nil || receiver.Draining || r.silent[receiver.ID] || r.asking[receiver.ID] {
 			continue
 		}
-		if len(r.asking) >= reportsAtOnce || !r.proxy.options.Assigned(receiver.ID) {
+		if len(r.asking) >= reportsAtOnce || !r.proxy.options.PollAssigned(receiver.ID) {
 			continue
 		}
 		if r.skip[receiver.ID] > 0 {
@@ -153,7 +153,7 @@
 		return
 	}
 	report.Age = reportLag + time.Since(began)/2
-	r.proxy.Report(receiver.ID, report)
+	r.proxy.HandleReport(receiver.ID, report)
 	r.proxy.options.PublishReport(receiver.ID, report)
 }
 
@@ -170,7 +170,7 @@
 	request := &outbound.Request{
 		Method: http.MethodGet, Target: reportPath, Host: receiver.Address,
 		// Its address may have been given to another since.
-		Extra: []outbound.Field{{Name: headerExpectInstance, Value: string(receiver.ID)}},
+		ExtraFields: []outbound.HeaderField{{Name: headerExpectInstance, Value: string(receiver.ID)}},
 	}
 	answer, err := r.proxy.pool.Exchange(context.Background(), receiver.Address, request, began.Add(reportPatience))
 	if err != nil {
--- a/internal/tier/proxy/reports_test.go
+++ b/internal/tier/proxy/reports_test.go
@@ -80,7 +80,7 @@
 		p := startPlane(func(o *Options) {
 			o.ReportInterval = time.Millisecond
 			o.PublishReport = spread.take
-			o.Assigned = func(instance dispatch.InstanceID) bool { return instance != "model-2" }
+			o.PollAssigned = func(instance dispatch.InstanceID) bool { return instance != "model-2" }
 		})
 		p.SetConfiguration(configuration(1, usualLimits))
 		for i := range models.listed {
--- a/internal/tier/proxy/status.go
+++ b/internal/tier/proxy/status.go
@@ -13,16 +13,16 @@
 type Status struct {
 	Configuration uint64 // version that new requests see; 0: none
 	Ready         bool   // the platform may send clients
-	InHand        int    // requests read and not answered
+	InFlight      int    // requests read and not answered
 	Arrived       uint64 // requests that came to admission since the start
 	Refused       uint64 // of them, those that admission answered
 	Phase         Phase
-	Admission     Counts
+	Admission     AdmissionCounters
 	Dispatch      dispatch.Stats
 }
 
-// Counts are what admission has done since the start.
-type Counts struct {
+// AdmissionCounters are what admission has done since the start.
+type AdmissionCounters struct {
 	Attempts uint64 // calls to receivers
 	Refused  [dispatch.Reasons]uint64
 }
@@ -32,9 +32,9 @@
 
 // The phases.
 const (
-	Serving  Phase = iota
-	Noticing       // told to stop, and still accepting
-	Ending         // no new connections; serving what has been read
+	Serving         Phase = iota
+	ShutdownDelayed       // told to stop, and still accepting
+	Draining              // no new connections; serving what has been read
 )
 
 // phase says how far the stop is.
@@ -43,9 +43,9 @@
 	case stop == nil:
 		return Serving
 	case time.Now().Before(stop.noticeOver):
-		return Noticing
+		return ShutdownDelayed
 	}
-	return Ending
+	return Draining
 }
 
 // ErrStopped: the data plane has ended.
@@ -54,10 +54,10 @@
 // Status looks at the data plane. Errors: the context's, or ErrStopped.
 func (p *Proxy) Status(ctx context.Context) (Status, error) {
 	status := Status{
-		Ready:   p.takesClients(),
-		InHand:  p.clients.requestsInHand(),
-		Arrived: p.admission.issued.Load(),
-		Phase:   p.phase(),
+		Ready:    p.takesClients(),
+		InFlight: p.clients.requestsInHand(),
+		Arrived:  p.admission.issued.Load(),
+		Phase:    p.phase(),
 	}
 	if snapshot := p.snapshot.Load(); snapshot != nil {
 		status.Configuration = snapshot.Version
@@ -72,7 +72,7 @@
 
 // look is what the owner of the dispatcher tells of it.
 type look struct {
-	counts Counts
+	counts AdmissionCounters
 	stats  dispatch.Stats
 }
 
--- a/internal/tier/proxy/status_test.go
+++ b/internal/tier/proxy/status_test.go
@@ -31,11 +31,11 @@
 		c := p.dial()
 		c.send("GET /safe/x", "", "Emberquay-Request-Id: 1")
 		<-asked
-		Expect(statusOf(p)).To(Equal(Status{Configuration: 1, Ready: true, InHand: 1, Arrived: 1,
-			Admission: Counts{Attempts: 1}, Dispatch: dispatch.Stats{Out: 1, Receivers: 1}})) // one is out until the first answer
+		Expect(statusOf(p)).To(Equal(Status{Configuration: 1, Ready: true, InFlight: 1, Arrived: 1,
+			Admission: AdmissionCounters{Attempts: 1}, Dispatch: dispatch.Stats{Out: 1, Receivers: 1}})) // one is out until the first answer
 		finish()
 		Expect(c.result().status).To(Equal(200))
-		Eventually(func() int { return statusOf(p).InHand }).Should(BeZero())
+		Eventually(func() int { return statusOf(p).InFlight }).Should(BeZero())
 	})
 
 	It("tells what came to admission, also without a receiver", func() {
@@ -60,7 +60,7 @@
 		}
 		seen, err := a.look(context.Background())
 		Expect(err).NotTo(HaveOccurred())
-		Expect(seen.counts).To(Equal(Counts{Attempts: 3, Refused: [dispatch.Reasons]uint64{dispatch.Unrepeatable: 3}}))
+		Expect(seen.counts).To(Equal(AdmissionCounters{Attempts: 3, Refused: [dispatch.Reasons]uint64{dispatch.Unrepeatable: 3}}))
 	})
 
 	It("ends with its caller, and with the data plane", func() {
--- a/internal/tier/proxy/stop.go
+++ b/internal/tier/proxy/stop.go
@@ -13,7 +13,7 @@
 // A stop has a timetable, counted from the signal, also where the stop is begun later:
 //
 //	0                       not ready; answers that begin tell their clients to close
-//	Notice                  no new connection; those at rest are closed, others with the end of their answer;
+//	ShutdownDelay           no new connection; those at rest are closed, others with the end of their answer;
 //	                        what still comes is taken only if its deadline lies before the end, else refused
 //	end                     what is held is refused, what is out is answered without its receiver
 //	end + lastAnswersTime   all connections are closed
@@ -59,12 +59,12 @@
 func (p *Proxy) timetable(ctx context.Context, signalled time.Time) *stopTimes {
 	deadline, bounded := ctx.Deadline()
 	if !bounded {
-		return &stopTimes{noticeOver: signalled.Add(p.options.Notice)}
+		return &stopTimes{noticeOver: signalled.Add(p.options.ShutdownDelay)}
 	}
 	whole := max(0, deadline.Sub(signalled))
 	end := deadline.Add(-min(lastAnswersTime, share(whole, lastAnswersShare)))
 	p.admission.tell(stopBegun{end: p.admission.instant(end)})
-	return &stopTimes{noticeOver: signalled.Add(min(p.options.Notice, share(end.Sub(signalled), noticeShare))), end: end}
+	return &stopTimes{noticeOver: signalled.Add(min(p.options.ShutdownDelay, share(end.Sub(signalled), noticeShare))), end: end}
 }
 
 func share(whole time.Duration, part float64) time.Duration {
--- a/internal/tier/proxy/stream.go
+++ b/internal/tier/proxy/stream.go
@@ -12,7 +12,7 @@
 
 // passStream passes events on as each arrives. A stream that is cut off may be taken up at another receiver where its
 // route allows that: then the visit goes on.
-func (v *visit) passStream(send *dispatch.Send, answer *outbound.Answer, began time.Time) (ending, bool) {
+func (v *visit) passStream(send *dispatch.Send, answer *outbound.Response, began time.Time) (ending, bool) {
 	resumed := v.lastText != ""
 	var first time.Duration
 	reader := events.NewReader(answer.Body)
@@ -28,19 +28,19 @@
 			first = time.Since(began)
 			// The attempt was bounded so that another receiver could run the request. One that is at work is no reason to
 			// end the answer sooner than its request.
-			answer.Extend(v.deadline)
+			answer.SetDeadline(v.deadline)
 		}
 		if resumed && event.HasID && event.ID <= v.lastID {
 			continue // it was passed on from the receiver before
 		}
-		if err := v.passEvent(answer, &event, reader.Buffered()); err != nil {
+		if err := v.passEvent(answer, &event, reader.NextBuffered()); err != nil {
 			return v.ended(send, began, first, dispatch.Cancelled, v.unwritten(err))
 		}
 	}
 }
 
 // passEvent writes one event; more follow at once if another is here already.
-func (v *visit) passEvent(answer *outbound.Answer, event *events.Event, more bool) error {
+func (v *visit) passEvent(answer *outbound.Response, event *events.Event, more bool) error {
 	begins := !v.begun
 	if begins {
 		v.flusher.SetWriteDeadline(v.deadline.Add(writeSlack))
@@ -54,7 +54,7 @@
 	}
 	v.unnamed = v.unnamed || !event.HasID
 	if event.HasID {
-		v.lastID, v.lastText = event.ID, string(event.IDText)
+		v.lastID, v.lastText = event.ID, string(event.RawID)
 	}
 	if begins {
 		v.proxy.admission.started(v.ticket)
@@ -67,7 +67,7 @@
 
 // endStream ends the answer after the receiver's stream has ended properly. The end of a retained turn goes out only
 // once the stores hold it.
-func (v *visit) endStream(send *dispatch.Send, answer *outbound.Answer, began time.Time, first time.Duration) (ending, bool) {
+func (v *visit) endStream(send *dispatch.Send, answer *outbound.Response, began time.Time, first time.Duration) (ending, bool) {
 	answer.Close()
 	v.proxy.admission.finished(send, dispatch.Outcome{Kind: dispatch.Success, FirstByte: first, Took: time.Since(began)})
 	if !v.begun {
--- a/internal/tier/proxy/turn.go
+++ b/internal/tier/proxy/turn.go
@@ -12,8 +12,8 @@
 	"emberquay/internal/tier/storeclient"
 )
 
-// Stores keep turns and budgets.
-type Stores interface {
+// TurnStore keep turns and budgets.
+type TurnStore interface {
 	Reserve(ctx context.Context, reservation storeclient.Reservation) storeclient.Verdict
 	// Settle follows each granted reservation, once.
 	Settle(program, turn string, used int64)
@@ -34,7 +34,7 @@
 
 // turn is what a turn of a program needs beyond its request.
 type turn struct {
-	stores   Stores
+	stores   TurnStore
 	id       string
 	program  string
 	previous string
@@ -56,7 +56,7 @@
 func (v *visit) newTurn() (*turn, bool) {
 	header := v.request.Header
 	t := &turn{
-		stores:      v.proxy.options.Stores,
+		stores:      v.proxy.options.Store,
 		id:          v.id,
 		program:     header.Get(headerProgram),
 		previous:    header.Get(headerPrevious),
