--- a/internal/tier/proxy/admission.go
+++ b/internal/tier/proxy/admission.go
@@ -9,7 +9,7 @@
 	"emberquay/admission/dispatch"
 )
 
-// dispatcher is the decision library as this package uses it. It is pure and has one owner.
+// dispatcher is the part of dispatch.Dispatcher that this package uses. It does no I/O and is used by one goroutine only.
 type dispatcher interface {
 	SetReceivers(now dispatch.Instant, receivers []dispatch.Receiver) dispatch.Effects
 	Report(now dispatch.Instant, instance dispatch.InstanceID, report dispatch.Report) dispatch.Effects
@@ -22,22 +22,23 @@
 	Stats(now dispatch.Instant) dispatch.Stats
 }
 
-// commandQueueSize bounds the events that wait for the dispatcher; whoever brings one more waits.
+// commandQueueSize bounds the commands queued for the dispatcher; enqueue blocks when the queue is full.
 const commandQueueSize = 1024
 
-// decision is what the dispatcher wants done with a request: a send, or else a refusal.
+// decision is the dispatcher's decision on a request: a send or, if that is nil, a refusal.
 type decision struct {
 	send    *dispatch.Send
 	refusal dispatch.Refuse
 }
 
-// pendingRequest is a request that the dispatcher knows. Decisions come one at a time: each is answered before the next.
+// pendingRequest is a request known to the dispatcher. It gets one decision at a time: the next one follows only after
+// the outcome of the one before.
 type pendingRequest struct {
 	id        dispatch.RequestID
 	decisions chan decision
 }
 
-// admission owns the dispatcher: one goroutine works through the commands and carries one timer.
+// admission owns the dispatcher: one goroutine applies the commands and holds the wake-up timer.
 type admission struct {
 	dispatcher   dispatcher
 	epoch        time.Time
@@ -45,13 +46,13 @@
 	done         chan struct{}
 	requestCount atomic.Uint64
 
-	// Owned by the goroutine of run.
+	// Owned by run's goroutine.
 	pending map[dispatch.RequestID]*pendingRequest
 	counts  AdmissionCounters
 	timer   *time.Timer
 }
 
-// command is one event for the dispatcher.
+// command is one input to the dispatcher.
 type command interface {
 	apply(a *admission, now dispatch.Instant) dispatch.Effects
 }
@@ -69,7 +70,7 @@
 	return a
 }
 
-// run works until stop.
+// run applies commands and timer ticks until stop.
 func (a *admission) run() {
 	defer a.timer.Stop()
 	for {
@@ -97,7 +98,7 @@
 	}
 }
 
-// deliver hands decisions to the handlers that wait for them.
+// deliver passes decisions to the waiting request handlers and sets the timer.
 func (a *admission) deliver(effects dispatch.Effects) {
 	for i := range effects.Sends {
 		send := effects.Sends[i]
@@ -118,10 +119,10 @@
 	}
 }
 
-// decisionBuffer: one decision is out at a time; the spare place keeps the owner from ever waiting for a handler.
+// decisionBuffer leaves one spare place beside the single outstanding decision, so that run never blocks on a handler.
 const decisionBuffer = 2
 
-// submit brings a request; its id is chosen here, as clients may send one id twice.
+// submit enqueues a request. It assigns a new ID, as clients may use the same one twice.
 func (a *admission) submit(request dispatch.Request) *pendingRequest {
 	request.ID = dispatch.RequestID(strconv.FormatUint(a.requestCount.Add(1), 36))
 	t := &pendingRequest{id: request.ID, decisions: make(chan decision, decisionBuffer)}
@@ -129,7 +130,8 @@
 	return t
 }
 
-// await waits for the next decision; false: ctx ended or the deadline passed first, and the request is withdrawn.
+// await waits for the next decision. It returns false if ctx ended or the deadline passed first, or run was stopped; the
+// request is then withdrawn.
 func (a *admission) await(ctx context.Context, t *pendingRequest, deadline time.Time) (decision, bool) {
 	select {
 	case d := <-t.decisions:
@@ -149,15 +151,15 @@
 	return decision{}, false
 }
 
-// started tells that part of an answer has gone to the client.
+// started reports that part of a response has been written to the client.
 func (a *admission) started(t *pendingRequest) { a.enqueue(startedCommand{request: t.id}) }
 
-// attemptEnded tells the end of an attempt after which another decision is due.
+// attemptEnded reports the outcome of an attempt after which the handler awaits another decision.
 func (a *admission) attemptEnded(send *dispatch.Send, outcome dispatch.Outcome) {
 	a.enqueue(answeredCommand{send: send, outcome: outcome})
 }
 
-// requestEnded tells the end of an attempt that ends the request too.
+// requestEnded reports the outcome of an attempt that also ends the request.
 func (a *admission) requestEnded(send *dispatch.Send, outcome dispatch.Outcome) {
 	a.enqueue(answeredCommand{send: send, outcome: outcome, final: true})
 }
@@ -181,7 +183,7 @@
 type answeredCommand struct {
 	send    *dispatch.Send
 	outcome dispatch.Outcome
-	final   bool // the handler waits for no further decision
+	final   bool // the handler awaits no further decision
 }
 
 func (c answeredCommand) apply(a *admission, now dispatch.Instant) dispatch.Effects {
@@ -191,7 +193,7 @@
 	return a.dispatcher.Answered(now, c.send.Request, c.send.Attempt, c.outcome)
 }
 
-// withdrawCommand comes from a handler that waits no more.
+// withdrawCommand removes a request whose handler has stopped waiting.
 type withdrawCommand struct{ pending *pendingRequest }
 
 func (c withdrawCommand) apply(a *admission, now dispatch.Instant) dispatch.Effects {
@@ -199,7 +201,7 @@
 	effects := a.dispatcher.Withdraw(now, c.pending.id)
 	select {
 	case d := <-c.pending.decisions:
-		if d.send != nil { // it crossed the withdrawal: nothing was sent
+		if d.send != nil { // decided before the withdrawal was applied: nothing was sent
 			a.deliver(effects)
 			notSent := dispatch.Outcome{Kind: dispatch.NotConnected}
 			return a.dispatcher.Answered(now, c.pending.id, d.send.Attempt, notSent)
--- a/internal/tier/proxy/attempt.go
+++ b/internal/tier/proxy/attempt.go
@@ -14,13 +14,13 @@
 	"emberquay/internal/tier/routing"
 )
 
-// headerPriority tells a receiver which of its requests go first.
+// headerPriority tells a receiver in which order to run its requests.
 const headerPriority = "Priority"
 
-// minAttemptTime is the least time that a receiver is given: what it hears rounds to whole milliseconds.
+// minAttemptTime is the least time given to a receiver, as its deadline header is in whole milliseconds.
 const minAttemptTime = time.Millisecond
 
-// attempt sends the request to one receiver and passes its answer on. over: the visit has ended, as told.
+// attempt sends the request to one receiver and forwards its response. If done is true, the request has ended with end.
 func (h *requestHandler) attempt(send *dispatch.Send) (end responseEnd, done bool) {
 	start := time.Now()
 	deadline := earlier(h.deadline, start.Add(send.Timeout))
@@ -35,7 +35,7 @@
 	}
 	defer response.Close()
 	if response.NotExecuted() {
-		io.Copy(io.Discard, io.LimitReader(response.Body, maxRefusalBodyBytes)) // so that its connection is kept
+		io.Copy(io.Discard, io.LimitReader(response.Body, maxRefusalBodyBytes)) // so that the connection can be reused
 		h.proxy.admission.attemptEnded(send, dispatch.Outcome{
 			Kind: refusalOutcome(send, response), RetryAfter: response.RetryAfter(), Took: time.Since(start),
 		})
@@ -49,13 +49,14 @@
 	case h.route.Kind == routing.Streaming && response.Status == http.StatusOK:
 		return h.forwardStream(send, response, start)
 	case h.responseStarted:
-		// A stream goes on only as a stream.
+		// A started stream can be resumed only by a stream.
 		return h.finishAttempt(send, start, firstByte, dispatch.ErrorAnswer, h.abort(abortNotAStream))
 	}
 	return h.forwardResponse(send, response, start, firstByte)
 }
 
-// refusalOutcome tells a receiver that has the address of another from one that is full, or has other weights.
+// refusalOutcome distinguishes a receiver that has taken over another's address from one that is full or has other
+// model weights.
 func refusalOutcome(send *dispatch.Send, response *outbound.Response) dispatch.OutcomeKind {
 	if response.Status == http.StatusMisdirectedRequest && response.Header.Get(headerInstance) != string(send.Instance) {
 		return dispatch.Elsewhere
@@ -63,10 +64,10 @@
 	return dispatch.Full
 }
 
-// maxRefusalBodyBytes is how much of a refusal's body is read away.
+// maxRefusalBodyBytes bounds how much of a refusal's body is read and discarded.
 const maxRefusalBodyBytes = 4 << 10
 
-// outboundRequest is the request as this receiver gets it.
+// outboundRequest returns the request as sent to this receiver.
 func (h *requestHandler) outboundRequest(send *dispatch.Send, remaining time.Duration) *outbound.Request {
 	extra := make([]outbound.HeaderField, 0, 4)
 	extra = append(extra,
@@ -87,12 +88,12 @@
 }
 
 var (
-	errNoStamp            = errors.New("a success without the receiver's stamp")
-	errUnconfirmedRefusal = errors.New("a refusal that does not say that nothing ran")
+	errNoStamp            = errors.New("success response has no server stamp")
+	errUnconfirmedRefusal = errors.New("refusal status without confirmation that the request was not executed")
 )
 
-// checkResponse says why an answer must not be passed on: a success needs its stamp, and a status that promises that nothing
-// ran would make the promise ours, though the receiver does not state it.
+// checkResponse returns why a response must not be forwarded: a success needs the receiver's stamp, and a status that
+// means "not executed" needs the receiver's confirmation, as the client would take it as the proxy's own statement.
 func checkResponse(response *outbound.Response) error {
 	switch {
 	case response.Status < 300 && response.Header.Get(headerStamp) == "":
@@ -103,8 +104,8 @@
 	return nil
 }
 
-// attemptFailed tells the dispatcher of an attempt without a usable answer. Where the client has gone or the time is over, the
-// visit ends; else the dispatcher decides.
+// attemptFailed reports an attempt without a usable response to the dispatcher. If the client has gone, the deadline has
+// passed or the stream cannot be resumed, the request ends; otherwise the dispatcher decides.
 func (h *requestHandler) attemptFailed(send *dispatch.Send, start time.Time, firstByte time.Duration, err error) (responseEnd, bool) {
 	outcome := dispatch.Outcome{Kind: dispatch.Broken, FirstByte: firstByte, Took: time.Since(start)}
 	h.maybeExecuted = h.maybeExecuted || outbound.MaybeSent(err)
@@ -138,13 +139,16 @@
 	return responseComplete, false
 }
 
-// finishAttempt tells the dispatcher of an attempt that ends the visit.
-func (h *requestHandler) finishAttempt(send *dispatch.Send, start time.Time, firstByte time.Duration, kind dispatch.OutcomeKind, end responseEnd) (responseEnd, bool) {
+// finishAttempt reports an attempt that ends the request to the dispatcher.
+func (h *requestHandler) finishAttempt(
+	send *dispatch.Send, start time.Time, firstByte time.Duration, kind dispatch.OutcomeKind, end responseEnd,
+) (responseEnd, bool) {
 	h.proxy.admission.requestEnded(send, dispatch.Outcome{Kind: kind, FirstByte: firstByte, Took: time.Since(start)})
 	return end, true
 }
 
-// isConnectionLost says whether an error means that the other side of a connection has gone.
+// isConnectionLost reports whether an error means that the peer has gone: the connection was closed, reset or timed out,
+// or the request's context was canceled.
 func isConnectionLost(err error) bool {
 	return errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) ||
 		errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ETIMEDOUT) || errors.Is(err, context.Canceled)
--- a/internal/tier/proxy/connections.go
+++ b/internal/tier/proxy/connections.go
@@ -8,39 +8,39 @@
 	"time"
 )
 
-// connectionTracker are those of clients that are open, with the requests in hand: those of which a byte has been read and
-// whose answer is not written yet. A stop waits for them. Its methods may be called from any goroutine.
+// connectionTracker tracks the open client connections and the requests in flight: those of which a byte has been read
+// and whose response is not completely written. A shutdown waits for them. Its methods are safe for concurrent use.
 //
-// Once connections are retired, one without a request in hand is closed, and one with a request when its answer has
-// ended. No request is lost by that: see clientConnection.
+// Once it is draining, idle connections are closed, and the others at the end of their response. No request is lost by
+// that: see clientConnection.
 type connectionTracker struct {
 	mu           sync.Mutex
 	open         map[*clientConnection]struct{}
 	inFlight     int
 	draining     bool
-	lateRequests int           // requests whose head was read while retiring
-	stopped      bool          // nothing may be passed on any more
-	drained      chan struct{} // closed when nothing is in hand; nil while nobody waits
+	lateRequests int           // requests whose head was read while draining
+	stopped      bool          // no request may be forwarded any more
+	drained      chan struct{} // closed once no request is in flight; nil while nobody waits
 }
 
-// clientConnection is one of a client. One that is retired is ended by a read deadline in the past rather than by a
-// close: a read gives the bytes that it got or that its time is over, never both, so a connection whose request has been
-// read goes on, and one that is closed has its request unread and its client may send it elsewhere. net/http's own ways
-// to close connections at rest leave a gap between reading a request and noting that it was read.
+// clientConnection is a client's connection. While draining, an idle one is ended by a read deadline in the past, not by
+// Close: a read returns either bytes or a timeout, never both. So a connection whose request has been read stays open, and
+// one that is closed has its request unread, so its client can send it to another proxy. The ways in which net/http
+// closes idle connections leave a gap between reading a request and marking its connection active.
 type clientConnection struct {
 	net.Conn
 	tracker *connectionTracker
 
-	// Guarded by the lock of all.
-	inFlight     bool      // a request of it is in hand
-	requestStart time.Time // its first byte was read
-	readDeadline time.Time // as net/http wants it
+	// Guarded by tracker.mu.
+	inFlight     bool      // a request on it is in flight
+	requestStart time.Time // when the first byte of that request was read
+	readDeadline time.Time // as set by net/http
 }
 
-// pastDeadline is a read deadline that has passed.
+// pastDeadline is a deadline in the past, which makes reads fail at once.
 var pastDeadline = time.Unix(1, 0)
 
-// Read notes the first bytes of a request.
+// Read reads from the connection and marks its request as in flight.
 func (c *clientConnection) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
@@ -49,7 +49,7 @@
 	return n, err
 }
 
-// SetReadDeadline sets the deadline, unless the connection is retired and no request of it is in hand.
+// SetReadDeadline sets the read deadline; while draining, an idle connection keeps pastDeadline.
 func (c *clientConnection) SetReadDeadline(deadline time.Time) error {
 	c.tracker.mu.Lock()
 	defer c.tracker.mu.Unlock()
@@ -60,16 +60,16 @@
 	return c.Conn.SetReadDeadline(deadline)
 }
 
-// connectionCounts is what is open at an instant.
+// connectionCounts holds the numbers of open connections and requests at one time.
 type connectionCounts struct {
 	inFlight     int
-	idle         int // connections without a request in hand
-	lateRequests int // requests whose head was read while retiring
-	// oldestAge and youngest are the times since the first bytes of the requests in hand; 0 without any.
+	idle         int // connections without a request in flight
+	lateRequests int // requests whose head was read while draining
+	// oldestAge and youngestAge are the times since the first bytes of the requests in flight; 0 without any.
 	oldestAge, youngestAge time.Duration
 }
 
-// add takes a connection in, unless there are as many as there may be.
+// add tracks a connection. It returns false if maxConnections are open.
 func (t *connectionTracker) add(raw net.Conn, maxConnections int) (*clientConnection, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -84,29 +84,29 @@
 	return c, true
 }
 
-// remove forgets a connection that has ended.
+// remove stops tracking a connection that was not handed to a server.
 func (t *connectionTracker) remove(c *clientConnection) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.open, c)
 }
 
-// bytesRead notes that bytes of a request were read.
+// bytesRead marks a request of the connection as in flight.
 func (t *connectionTracker) bytesRead(c *clientConnection) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.beginRequest(c)
 }
 
-// stateChanged is net/http's hook. It tells of a request when its head has been read, and of the end of its answer when the
-// last byte was written, which is after its handler has returned.
+// stateChanged is the ConnState hook of net/http. It is called when the head of a request has been read, and when the
+// last byte of its response has been written, which is after its handler has returned.
 func (t *connectionTracker) stateChanged(raw net.Conn, state http.ConnState) {
 	c := raw.(*clientConnection)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch state {
 	case http.StateActive:
-		t.beginRequest(c) // sent behind the one before, it was read with that
+		t.beginRequest(c) // a pipelined request was read together with the previous one
 		if t.draining {
 			t.lateRequests++
 		}
@@ -127,7 +127,7 @@
 	}
 	c.inFlight, c.requestStart = true, time.Now()
 	t.inFlight++
-	if t.draining { // its bytes were there before its time was over
+	if t.draining { // its bytes were read before pastDeadline took effect
 		c.Conn.SetReadDeadline(c.readDeadline)
 	}
 }
@@ -145,7 +145,7 @@
 	}
 }
 
-// drain closes what is at rest, and from now on each connection as it comes to rest.
+// drain closes idle connections, and from now on each connection that becomes idle.
 func (t *connectionTracker) drain() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -157,21 +157,21 @@
 	}
 }
 
-// inFlightRequests is how many there are now.
+// inFlightRequests returns the number of requests in flight.
 func (t *connectionTracker) inFlightRequests() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.inFlight
 }
 
-// isStopped says that the process ends, and that nothing may be passed on any more.
+// isStopped reports whether the shutdown has ended, so that no request may be forwarded any more.
 func (t *connectionTracker) isStopped() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.stopped
 }
 
-// count looks at what is open.
+// count returns the current counts.
 func (t *connectionTracker) count() connectionCounts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -190,7 +190,7 @@
 	return c
 }
 
-// waitDrained waits until no request is in hand, from where on nothing is passed on; false: ctx ended first.
+// waitDrained waits until no request is in flight; from then on none is forwarded. It returns false if ctx ends first.
 func (t *connectionTracker) waitDrained(ctx context.Context) bool {
 	drained := t.drainedSignal()
 	select {
@@ -201,7 +201,7 @@
 	}
 }
 
-// drainedSignal gives what is closed once nothing is in hand.
+// drainedSignal returns a channel that is closed once no request is in flight.
 func (t *connectionTracker) drainedSignal() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -218,7 +218,7 @@
 	return drained
 }
 
-// stop has nothing passed on any more.
+// stop prevents any further request from being forwarded.
 func (t *connectionTracker) stop() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/tier/proxy/doc.go
+++ b/internal/tier/proxy/doc.go
@@ -1,22 +1,24 @@
-// Package proxy is the data plane's runtime: it takes requests of clients, has the dispatcher choose when and where each
-// goes, and passes the receivers' answers on.
+// Package proxy implements the data plane's reverse proxy: it accepts client requests, lets the dispatcher choose when
+// and to which receiver each is sent, and forwards the receivers' responses.
 //
-//	plane, err := proxy.New(proxy.Options{
+//	p, err := proxy.New(proxy.Options{
 //		ClientAddress: "10.1.0.38:8149", ReadinessAddress: "10.1.0.38:8141", Store: store, Logger: log.Log,
 //	})
 //	if err != nil {
 //		return err
 //	}
-//	go plane.Run()
-//	plane.SetConfiguration(snapshot)
-//	plane.SetReceivers(receivers)
-//	plane.SetReady(true)
+//	go p.Run()
+//	p.SetConfiguration(snapshot)
+//	p.SetReceivers(receivers)
+//	p.SetReady(true)
 //	...
-//	plane.Shutdown(ctx, signalled) // serves what has been read, then Run returns
+//	p.Shutdown(ctx, signalled) // completes requests already read; then Run returns
 //
-// Invariants: a request sees one configuration, taken as it arrives, and none older than one that was used before. What
-// may have run is never refused, and is sent again only where its route allows that. An answer goes out as complete only
-// if the receiver's was whole. A retained turn ends for its client only once the stores hold it.
+// Invariants:
+//   - A request uses one configuration snapshot, taken on arrival and never older than one already used.
+//   - A request that may have run is never answered as not executed, and is retried only where its route allows it.
+//   - A response is completed to the client only if the receiver's response was complete.
+//   - The response of a retained turn is completed only once the stores hold the turn.
 //
-// The dispatcher's state is owned by one goroutine (admission.go); a request belongs to the goroutine of its handler.
+// One goroutine owns the dispatcher's state (admission.go); a request belongs to the goroutine of its handler.
 package proxy
--- a/internal/tier/proxy/failurelog.go
+++ b/internal/tier/proxy/failurelog.go
@@ -7,25 +7,25 @@
 	"github.com/apex/log"
 )
 
-// failureLogInterval is the time between two lines of one kind: a receiver or a store in trouble would fill the log.
+// failureLogInterval is the least time between two log lines of one kind: a failing receiver or store would fill the log.
 const failureLogInterval = time.Second
 
-// failureLog tells of attempts that broke and of answers that were cut, one line of each a second at most. Its methods
-// may be called from any goroutine.
+// failureLog logs failed attempts and aborted responses, at most one line of each kind per failureLogInterval. Its
+// methods are safe for concurrent use.
 type failureLog struct {
 	logger   log.Interface
 	attempts rateLimiter
 	answers  rateLimiter
 }
 
-// rateLimiter lets a line through now and then, and counts those between.
+// rateLimiter allows one log line per failureLogInterval and counts the skipped ones.
 type rateLimiter struct {
 	mu          sync.Mutex
 	nextAllowed time.Time
 	skipped     int
 }
 
-// allow says whether a line may be written now, and how many were not since the last one.
+// allow reports whether a line may be logged now, and how many were skipped since the last one.
 func (l *rateLimiter) allow(now time.Time) (skipped int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -38,7 +38,7 @@
 	return skipped, true
 }
 
-// attemptFailed notes an attempt that may have run and has no usable answer.
+// attemptFailed logs an attempt that may have run the request but gave no usable response.
 func (l *failureLog) attemptFailed(instance, request string, cause error) {
 	skipped, ok := l.attempts.allow(time.Now())
 	if !ok {
@@ -46,24 +46,24 @@
 	}
 	l.logger.WithFields(log.Fields{
 		"receiver": instance, "request": request, "cause": cause.Error(), "more": skipped,
-	}).Warn("an attempt broke")
+	}).Warn("attempt failed; the request may have run")
 }
 
-// abortCause is why a client's connection is closed without a complete answer.
+// abortCause is why a client's connection is closed without a complete response.
 type abortCause string
 
 const (
 	abortDeadlineExceeded abortCause = "the request's time is over"
 	abortShutdown         abortCause = "the process ends"
-	abortNotResumed       abortCause = "no receiver goes on with the stream"
-	abortNotResumable     abortCause = "events without an id: no other receiver could go on"
-	abortNotAStream       abortCause = "the receiver that was to go on with the stream sent none"
-	abortReceiverFailed   abortCause = "the receiver broke off a long answer"
+	abortNotResumed       abortCause = "no receiver resumed the stream"
+	abortNotResumable     abortCause = "the stream cannot be resumed: it has events without an id"
+	abortNotAStream       abortCause = "the receiver chosen to resume the stream did not send one"
+	abortReceiverFailed   abortCause = "the receiver did not complete a long response"
 	abortNotCommitted     abortCause = "the stores did not keep the turn"
-	abortWriteTimeout     abortCause = "the client did not read the answer in time"
+	abortWriteTimeout     abortCause = "the client did not read the response in time"
 )
 
-// responseAborted notes an answer that ends before it is complete though its client still waits.
+// responseAborted logs a response that ends before it is complete while its client still waits.
 func (l *failureLog) responseAborted(h *requestHandler, cause abortCause) {
 	now := time.Now()
 	skipped, ok := l.answers.allow(now)
--- a/internal/tier/proxy/headers.go
+++ b/internal/tier/proxy/headers.go
@@ -24,14 +24,14 @@
 	headerLastEvent      = "Last-Event-Id"
 )
 
-// hopByHopFields concern a single connection and are never passed on.
+// hopByHopFields apply to a single connection and are never forwarded.
 var hopByHopFields = [...]string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length",
 }
 
-// removeHopByHopFields takes out what concerns a single connection: the fields above and those that Connection names.
-// The length of a body goes with them, as each side frames bodies anew.
+// removeHopByHopFields removes hopByHopFields and the fields named in Connection. Content-Length is among them, as each
+// connection has its own framing of the body.
 func removeHopByHopFields(header http.Header) {
 	for _, line := range header["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
@@ -45,17 +45,18 @@
 	}
 }
 
-// prepareRequestHeader leaves what goes to a receiver. The id is kept even where Connection names it.
+// prepareRequestHeader removes the fields that are not forwarded to receivers. The request id is kept even if Connection
+// names it.
 func prepareRequestHeader(header http.Header, id string) {
 	removeHopByHopFields(header)
 	delete(header, headerDeadline)
 	delete(header, headerExpectInstance)
-	delete(header, "Expect") // the body was read: nobody waits to send it
+	delete(header, "Expect") // the body has been read
 	header[headerRequestID] = []string{id}
 }
 
-// copyResponseHeader copies an answer's end-to-end fields. net/http adds a date and a type of its own where there are none,
-// unless their entries are nil.
+// copyResponseHeader copies the end-to-end fields of a receiver's response. It keeps net/http from adding Date and
+// Content-Type where the receiver sent none.
 func copyResponseHeader(to, from http.Header) {
 	removeHopByHopFields(from)
 	for name, values := range from {
@@ -64,6 +65,7 @@
 	suppressDefaultHeaders(to)
 }
 
+// suppressDefaultHeaders sets missing Date and Content-Type entries to nil, so that net/http does not add its own.
 func suppressDefaultHeaders(header http.Header) {
 	for _, name := range [...]string{"Date", "Content-Type"} {
 		if _, given := header[name]; !given {
--- a/internal/tier/proxy/memory.go
+++ b/internal/tier/proxy/memory.go
@@ -9,18 +9,18 @@
 )
 
 var (
-	errTooLarge    = errors.New("the body is too long")
-	errMemoryLimit = errors.New("no memory left for bodies")
+	errTooLarge    = errors.New("body exceeds its size limit")
+	errMemoryLimit = errors.New("memory limit for bodies reached")
 )
 
 const (
-	// maxPooledBufferBytes is the largest buffer that is kept for another body.
+	// maxPooledBufferBytes is the largest buffer that is returned to the pool.
 	maxPooledBufferBytes = 64 << 10
-	// readStepBytes is by how much a body of unknown length is let grow at a time.
+	// readStepBytes is how much memory is reserved at a time for a body of unknown length.
 	readStepBytes = 32 << 10
 )
 
-// memoryBudget bounds the bytes of all bodies in hand.
+// memoryBudget bounds the total size of all buffered bodies.
 type memoryBudget struct {
 	limitBytes int64
 	usedBytes  atomic.Int64
@@ -38,7 +38,7 @@
 
 var bufferPool = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// bufferedBody is a body in memory; release gives its memory back, after which its bytes are no longer valid.
+// bufferedBody is a body in memory. Its bytes are invalid after release.
 type bufferedBody struct {
 	budget        *memoryBudget
 	buffer        *bytes.Buffer
@@ -64,8 +64,8 @@
 	b.buffer, b.reservedBytes = nil, 0
 }
 
-// readBody reads a body of at most limit bytes; length is what was announced, or -1. What was read of a body that fails
-// stays held, as a long answer is passed on from there.
+// readBody reads a body of at most limit bytes; length is the announced length, or -1. After an error the part that was
+// read remains buffered, as a long response is forwarded from there.
 func (b *memoryBudget) readBody(from io.Reader, length, limit int64) (bufferedBody, error) {
 	body := bufferedBody{budget: b}
 	if length == 0 {
@@ -86,7 +86,7 @@
 		return errMemoryLimit
 	}
 	b.reservedBytes = length
-	// A spare MinRead lets the reader find the end without growing the buffer.
+	// The spare MinRead bytes let ReadFrom reach EOF without growing the buffer.
 	b.buffer.Grow(int(length) + bytes.MinRead)
 	n, err := b.buffer.ReadFrom(from)
 	if err == nil && n != length {
--- a/internal/tier/proxy/options.go
+++ b/internal/tier/proxy/options.go
@@ -10,38 +10,39 @@
 
 // Options configures a Proxy. ClientAddress, ReadinessAddress, Store and Logger are required.
 type Options struct {
-	ClientAddress    string // address for clients, host:port
-	ReadinessAddress string // address for the platform's question
+	ClientAddress    string // host:port on which clients are accepted
+	ReadinessAddress string // host:port of the platform's readiness check
 
 	Store  TurnStore
 	Logger log.Interface
-	Zone   string // receivers of the own zone are preferred
-	Seed   uint64 // of chance: the choice among targets, the dispatcher
+	Zone   string // receivers in this zone are preferred
+	Seed   uint64 // of the random choices of route targets and of the dispatcher
 
-	// LiveProxyCount is how many proxies share the receivers' connections, this one among them; nil: one.
+	// LiveProxyCount returns how many proxies share the receivers' connections, including this one; nil: one.
 	LiveProxyCount func() int
-	// PollAssigned says whether this proxy is the one that asks a receiver for its report; nil: always.
+	// PollAssigned reports whether this proxy polls the receiver for its report; nil: always.
 	PollAssigned func(dispatch.InstanceID) bool
-	// PublishReport spreads a report that this proxy took; nil: nobody else wants it. It must not block.
+	// PublishReport sends a report polled by this proxy to other proxies; nil: none. It must not block.
 	PublishReport func(dispatch.InstanceID, dispatch.Report)
 
-	ReportInterval   time.Duration   // between two reports of a receiver; default 250 ms
-	ShutdownDelay    time.Duration   // how long a stopping process goes on accepting; default 2.3 s
-	endShutdownDelay <-chan struct{} // ends the notice early; for tests
-	// configurationWait is how long a request that comes before any configuration is held for one; default 200 ms. For tests.
+	ReportInterval   time.Duration   // between two polls of a receiver; default 250 ms
+	ShutdownDelay    time.Duration   // how long a stopping proxy still accepts connections; default 2.3 s
+	endShutdownDelay <-chan struct{} // ends the delay early; for tests
+	// configurationWait bounds the wait for the first configuration; default 200 ms. Set by tests.
 	configurationWait time.Duration
 
-	MaxBodyMemoryBytes     int64 // bytes of bodies in hand; default 32 MiB
-	MaxClientConnections   int   // connections of clients; default 2048
-	MaxReceiverConnections int   // connections to all receivers; default 1024
+	MaxBodyMemoryBytes     int64 // memory for buffered bodies; default 32 MiB
+	MaxClientConnections   int   // default 2048
+	MaxReceiverConnections int   // to all receivers together; default 1024
 }
 
 const (
 	defaultReportInterval = 250 * time.Millisecond
-	// defaultShutdownDelay: the platform asks every second and stops sending connections after two misses.
+	// defaultShutdownDelay allows for the platform, which checks readiness every second and stops sending connections after
+	// two failures.
 	defaultShutdownDelay = 2300 * time.Millisecond
-	// defaultConfigurationWait: a process that starts knows the configuration after some 100 ms. A refusal in that time would
-	// use up a try of clients that have found nobody else.
+	// defaultConfigurationWait exceeds the 100 ms or so that a starting process needs to learn the configuration. A refusal
+	// in that time would use up an attempt of clients that found no other proxy.
 	defaultConfigurationWait      = 200 * time.Millisecond
 	defaultMaxBodyMemoryBytes     = 32 << 20
 	defaultMaxClientConnections   = 2048
--- a/internal/tier/proxy/plain.go
+++ b/internal/tier/proxy/plain.go
@@ -12,18 +12,19 @@
 )
 
 const (
-	// maxBufferedResponseBytes is the longest body that is read whole before the head of its answer goes out.
+	// maxBufferedResponseBytes is the longest body that is read completely before the head of its response is written.
 	maxBufferedResponseBytes = 1 << 20
-	// copyBufferBytes is for longer ones.
+	// copyBufferBytes is the size of the copy buffer for longer bodies.
 	copyBufferBytes = 32 << 10
-	// writeDeadlineThresholdBytes is the size from which a client that does not read may hold us up.
+	// writeDeadlineThresholdBytes is the body size above which a client that does not read can block the write, which
+	// therefore needs a deadline.
 	writeDeadlineThresholdBytes = 16 << 10
-	// writeGrace is granted past the deadline for the last bytes of an answer.
+	// writeGrace extends the deadline for writing the end of a response.
 	writeGrace = 200 * time.Millisecond
 )
 
-// forwardResponse passes an answer on once it is here whole, so that one that breaks off is never begun; a long one goes on
-// as it comes.
+// forwardResponse forwards a response once it has been read completely, so that a truncated one is never started. A long
+// one is forwarded as it arrives.
 func (h *requestHandler) forwardResponse(send *dispatch.Send, response *outbound.Response, start time.Time, firstByte time.Duration) (responseEnd, bool) {
 	body, err := h.proxy.bodyMemory.readBody(response.Body, response.ContentLength, maxBufferedResponseBytes)
 	defer body.release()
@@ -44,7 +45,7 @@
 		length = response.ContentLength
 	}
 	kind := statusOutcome(response.Status)
-	// The receiver is free: it is told before the client's connection may hold us up.
+	// The receiver is free: the dispatcher is told before the write to the client, which may block.
 	response.Close()
 	h.proxy.admission.requestEnded(send, dispatch.Outcome{Kind: kind, FirstByte: firstByte, Took: time.Since(start)})
 	h.startResponse(response, length)
@@ -65,7 +66,7 @@
 	return dispatch.Success
 }
 
-// startResponse begins the answer with the receiver's head. The length is of the body; -1: in chunks.
+// startResponse writes the head of the receiver's response. length is the body's length; -1: chunked.
 func (h *requestHandler) startResponse(response *outbound.Response, length int64) {
 	h.responseStarted = true
 	header := h.writer.Header()
@@ -76,8 +77,8 @@
 	h.writeHead(response.Status)
 }
 
-// forwardUnbuffered passes on what was read of a body and then the rest. If the receiver breaks off, the client's connection is
-// cut: the announced length or the end of the chunks is missing then.
+// forwardUnbuffered forwards the part of a body that was read and then the rest. If the receiver's connection breaks, the
+// response is aborted: the client misses part of the announced length or the last chunk.
 func (h *requestHandler) forwardUnbuffered(send *dispatch.Send, response *outbound.Response, prefix []byte, start time.Time, firstByte time.Duration) (responseEnd, bool) {
 	h.startResponse(response, response.ContentLength)
 	response.SetDeadline(h.deadline)
@@ -102,7 +103,7 @@
 	}
 }
 
-// bodyFailureOutcome says how an answer broke that had begun.
+// bodyFailureOutcome returns how the body of a started response failed.
 func (h *requestHandler) bodyFailureOutcome(err error) dispatch.OutcomeKind {
 	switch {
 	case h.request.Context().Err() != nil:
--- a/internal/tier/proxy/proxy.go
+++ b/internal/tier/proxy/proxy.go
@@ -15,7 +15,7 @@
 	"emberquay/internal/tier/routing"
 )
 
-// Proxy is a running data plane. Its methods may be called from any goroutine.
+// Proxy is the reverse proxy of a data plane. Its methods are safe for concurrent use.
 type Proxy struct {
 	options           Options
 	bodyMemory        memoryBudget
@@ -27,20 +27,20 @@
 	readinessListener net.Listener
 
 	routeSequences *routeSequences
-	configMu       sync.Mutex // over changes of the configuration
+	configMu       sync.Mutex // serializes SetConfiguration
 	snapshot       atomic.Pointer[routing.Snapshot]
-	configured     chan struct{} // closed with the first configuration
+	configured     chan struct{} // closed once the first configuration is set
 
 	ready     atomic.Bool
 	clients   connectionTracker
 	closed    chan struct{}
 	closeOnce sync.Once
 
-	stopping atomic.Bool                      // the process has been told to stop
-	schedule atomic.Pointer[shutdownSchedule] // nil: it has not
+	stopping atomic.Bool                      // Shutdown has been called
+	schedule atomic.Pointer[shutdownSchedule] // nil before Shutdown
 }
 
-// initialLimits hold until a configuration is known.
+// initialLimits apply until the first configuration is set.
 var initialLimits = routing.Limits{
 	MaxHeaderBytes: 16 << 10,
 	MaxBodyBytes:   4 << 20,
@@ -48,7 +48,8 @@
 	IdleTimeout:    15 * time.Second,
 }
 
-// New opens the listeners. Until a configuration is known requests are held for a moment, then answered with 503.
+// New opens the listeners. Until the first configuration is set, a request waits for up to configurationWait and is then
+// answered with 503.
 func New(options Options) (*Proxy, error) {
 	options.setDefaults()
 	p := &Proxy{
@@ -64,26 +65,26 @@
 	p.reportPoller = newReportPoller(p)
 	listener, err := listenClients(options.ClientAddress)
 	if err != nil {
-		return nil, eris.Wrapf(err, "the clients' address %s", options.ClientAddress)
+		return nil, eris.Wrapf(err, "listen for clients on %s", options.ClientAddress)
 	}
 	p.readinessListener, err = net.Listen("tcp", options.ReadinessAddress)
 	if err != nil {
 		listener.Close()
-		return nil, eris.Wrapf(err, "the readiness address %s", options.ReadinessAddress)
+		return nil, eris.Wrapf(err, "listen for readiness checks on %s", options.ReadinessAddress)
 	}
 	p.frontend = newFrontend(listener, p.handler, &p.clients, options.MaxClientConnections)
 	p.frontend.setLimits(initialLimits)
 	return p, nil
 }
 
-// Run serves until Shutdown has done its work.
+// Run serves until Shutdown has completed.
 func (p *Proxy) Run() error {
 	go p.admission.run()
 	readiness := p.readinessServer()
 	go readiness.Serve(p.readinessListener)
 	err := p.frontend.accept()
 	if err != nil {
-		err = eris.Wrap(err, "accept clients")
+		err = eris.Wrap(err, "accept client connections")
 		p.closeAll()
 	}
 	<-p.closed
@@ -91,7 +92,7 @@
 	return err
 }
 
-// closeAll ends all that runs, once.
+// closeAll closes the listeners, connections and background work, once.
 func (p *Proxy) closeAll() {
 	p.closeOnce.Do(func() {
 		p.frontend.stopAccepting()
@@ -103,10 +104,10 @@
 	})
 }
 
-// SetReady says whether the platform may send clients here.
+// SetReady sets whether the readiness check succeeds, and so whether the platform routes clients here.
 func (p *Proxy) SetReady(ready bool) { p.ready.Store(ready) }
 
-// SetConfiguration puts a configuration in force. One that is older than the present one is not used.
+// SetConfiguration applies a configuration. It ignores one that is not newer than the current one.
 func (p *Proxy) SetConfiguration(snapshot *routing.Snapshot) {
 	p.configMu.Lock()
 	defer p.configMu.Unlock()
@@ -122,7 +123,8 @@
 	}
 }
 
-// configuration gives the one in force. While there is none a request is held for a moment; nil: none came.
+// configuration returns the current configuration. Before the first one it waits for up to configurationWait, and returns
+// nil if none was set in that time.
 func (p *Proxy) configuration(ctx context.Context) *routing.Snapshot {
 	if snapshot := p.snapshot.Load(); snapshot != nil {
 		return snapshot
@@ -138,13 +140,15 @@
 	return p.snapshot.Load()
 }
 
-// spareConnections go beyond a receiver's slots where it tells no bound: for its report, and one that is being closed.
+// spareConnections are allowed beyond a receiver's slots if it announces no connection limit: one for polling its report
+// and one for a connection that is being closed.
 const spareConnections = 2
 
-// contendedShare is the number of connections for each proxy below which those at rest could use a receiver's up.
+// contendedShare is the number of connections per proxy below which idle connections could use up a receiver's limit.
 const contendedShare = 3
 
-// SetReceivers takes the whole list of receivers, whenever it or the number of proxies changes. The list is kept.
+// SetReceivers replaces the list of receivers. Call it whenever the list or the number of proxies changes. The slice is
+// retained.
 func (p *Proxy) SetReceivers(receivers []dispatch.Receiver) {
 	proxies := max(1, p.options.LiveProxyCount())
 	limits := make([]outbound.AddressLimit, 0, len(receivers))
@@ -161,16 +165,16 @@
 	p.admission.enqueue(receiversCommand{receivers: receivers})
 }
 
-// HandleReport takes a receiver's report, own or of another proxy; its Age counts from now on.
+// HandleReport applies a receiver's report, polled by this proxy or by another. Its Age is as of the call.
 func (p *Proxy) HandleReport(instance dispatch.InstanceID, report dispatch.Report) {
 	p.admission.enqueue(reportCommand{instance: instance, report: report, receivedAt: time.Now()})
 }
 
-// handler answers the clients of one generation of the server.
+// handler returns the HTTP handler of one server generation.
 func (p *Proxy) handler(isCurrent func() bool) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if p.clients.isStopped() {
-			panic(http.ErrAbortHandler) // nothing of it was passed on: the client sends it again
+			panic(http.ErrAbortHandler) // nothing was sent to a receiver, so the client can retry
 		}
 		arrived := time.Now()
 		snapshot := p.configuration(r.Context())
@@ -189,11 +193,11 @@
 	})
 }
 
-// serveWithRecover serves a visit. A panic there ends its connection only, with a line in the log.
+// serveWithRecover serves a request. A panic in it is logged and closes only that request's connection.
 func (p *Proxy) serveWithRecover(h *requestHandler) (end responseEnd) {
 	defer func() {
 		if reason := recover(); reason != nil {
-			p.options.Logger.WithField("request", h.id).WithField("reason", reason).Error("a handler panicked")
+			p.options.Logger.WithField("request", h.id).WithField("reason", reason).Error("request handler panicked")
 			end = responseAborted
 		}
 	}()
--- a/internal/tier/proxy/readiness.go
+++ b/internal/tier/proxy/readiness.go
@@ -7,13 +7,14 @@
 
 const (
 	readinessPath = "/api/readiness"
-	// The platform asks once a second, maybe on one connection.
+	// The platform checks once a second, possibly on one kept connection.
 	readinessIdleTimeout    = 10 * time.Second
 	readinessHeaderTimeout  = 2 * time.Second
 	readinessMaxHeaderBytes = 8 << 10
 )
 
-// readinessServer answers the platform, which sends clients only to a sender that calls itself ready.
+// readinessServer returns the server for the platform's readiness checks; the platform routes clients only to ready
+// proxies.
 func (p *Proxy) readinessServer() *http.Server {
 	return &http.Server{
 		Handler:           http.HandlerFunc(p.serveReadiness),
@@ -38,5 +39,5 @@
 	}
 }
 
-// isReady says whether the platform may send clients.
+// isReady reports whether the platform may route clients here.
 func (p *Proxy) isReady() bool { return p.ready.Load() && !p.stopping.Load() }
--- a/internal/tier/proxy/reports.go
+++ b/internal/tier/proxy/reports.go
@@ -16,31 +16,31 @@
 
 const (
 	reportPath = "/api/report"
-	// reportedStateAge is how old the state is that a receiver reports.
+	// reportedStateAge is how old the state in a receiver's report is when it is sent.
 	reportedStateAge = 300 * time.Millisecond
-	// reportTimeout bounds one question.
+	// reportTimeout bounds one poll.
 	reportTimeout = 500 * time.Millisecond
-	// trafficWindow is how long a service counts as used after a request: reports are priced like probes.
+	// trafficWindow is how long a service is polled after its last request: reports are charged like probes.
 	trafficWindow = 2 * time.Second
-	// idlePollIntervals is how many intervals lie between two reports of a receiver that has most of its slots free: its
-	// allowance decides nothing then. Even so a report is renewed before the dispatcher drops it.
+	// idlePollIntervals is the number of intervals between two polls of a receiver with most of its slots free: its
+	// allowance decides nothing then. The report is still renewed before the dispatcher discards it.
 	idlePollIntervals = 2
 	// maxReportBytes bounds a report's body.
 	maxReportBytes = 64 << 10
-	// maxConcurrentPolls bounds the questions that are out.
+	// maxConcurrentPolls bounds the polls in flight.
 	maxConcurrentPolls = 8
 )
 
-// reportPoller asks receivers of model services for their reports while there is traffic for them.
+// reportPoller polls the receivers of model services for their reports while the services get requests.
 type reportPoller struct {
 	proxy *Proxy
 
 	mu          sync.Mutex
 	receivers   []dispatch.Receiver
-	lastRequest map[string]time.Time // by service: its last request
+	lastRequest map[string]time.Time // time of the last request, by service
 	unsupported map[dispatch.InstanceID]bool
 	polling     map[dispatch.InstanceID]bool
-	skipRounds  map[dispatch.InstanceID]int // rounds that pass before the next question
+	skipRounds  map[dispatch.InstanceID]int // rounds to skip before the next poll
 	timer       *time.Timer
 	running     bool
 	stopped     atomic.Bool
@@ -56,7 +56,7 @@
 	}
 }
 
-// setReceivers takes the whole list.
+// setReceivers replaces the list of receivers.
 func (r *reportPoller) setReceivers(receivers []dispatch.Receiver) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,7 +77,7 @@
 	}
 }
 
-// noteRequest notes a request for a model service and starts the round if none is due.
+// noteRequest records a request for a model service and starts the rounds of polls unless they are running.
 func (r *reportPoller) noteRequest(service string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,7 +95,7 @@
 
 func (r *reportPoller) stop() { r.stopped.Store(true) }
 
-// pollRound asks each receiver that is due, and goes on while there is traffic.
+// pollRound polls each receiver that is due, and schedules the next round while there is traffic.
 func (r *reportPoller) pollRound() {
 	now := time.Now()
 	r.mu.Lock()
@@ -115,7 +115,7 @@
 	}
 }
 
-// due lists the receivers to ask and counts them as asked. Under the lock.
+// due returns the receivers to poll and marks them as being polled. The caller holds mu.
 func (r *reportPoller) due() []dispatch.Receiver {
 	var due []dispatch.Receiver
 	for _, receiver := range r.receivers {
@@ -136,14 +136,14 @@
 	return due
 }
 
-// poll takes one report and hands it on.
+// poll fetches a receiver's report, applies it and publishes it.
 func (r *reportPoller) poll(receiver dispatch.Receiver) {
 	start := time.Now()
 	report, status := r.fetch(receiver, start)
 	r.mu.Lock()
 	delete(r.polling, receiver.ID)
 	if status == http.StatusNotFound {
-		r.unsupported[receiver.ID] = true // it has none, and will have none
+		r.unsupported[receiver.ID] = true // it has no reports, and will have none
 	}
 	if status == http.StatusOK {
 		r.skipRounds[receiver.ID] = roundsToSkip(report, receiver.Slots)
@@ -157,7 +157,7 @@
 	r.proxy.options.PublishReport(receiver.ID, report)
 }
 
-// roundsToSkip is how many rounds a receiver that reported this is left alone.
+// roundsToSkip returns for how many rounds a receiver is not polled after this report.
 func roundsToSkip(report dispatch.Report, slots int) int {
 	if 2*(report.Running+report.Queued) < slots {
 		return idlePollIntervals - 1
@@ -165,11 +165,11 @@
 	return 0
 }
 
-// fetch gives a report, or a status other than 200; 0: no answer.
+// fetch requests a report. It returns the status of the response, or 0 if there is no valid one.
 func (r *reportPoller) fetch(receiver dispatch.Receiver, start time.Time) (dispatch.Report, int) {
 	request := &outbound.Request{
 		Method: http.MethodGet, Target: reportPath, Host: receiver.Address,
-		// Its address may have been given to another since.
+		// The address may have been reassigned to another receiver.
 		ExtraFields: []outbound.HeaderField{{Name: headerExpectInstance, Value: string(receiver.ID)}},
 	}
 	response, err := r.proxy.pool.Exchange(context.Background(), receiver.Address, request, start.Add(reportTimeout))
--- a/internal/tier/proxy/server.go
+++ b/internal/tier/proxy/server.go
@@ -17,31 +17,31 @@
 )
 
 const (
-	// clientUserTimeout ends a client's connection whose peer acknowledges nothing that was sent.
+	// clientUserTimeout is TCP_USER_TIMEOUT of client connections: how long sent data may stay unacknowledged.
 	clientUserTimeout = 10 * time.Second
-	// minHeaderBytes is let through whatever the configuration says: the fields of the protocol need it.
+	// minHeaderBytes is accepted whatever the configuration says: the protocol's header fields need it.
 	minHeaderBytes = 16 << 10
 )
 
-// discardLog takes net/http's lines: clients that break off are no event, and lines cost processor time.
+// discardLog drops net/http's log lines: dropped client connections are normal, and logging them costs CPU time.
 var discardLog = log.New(io.Discard, "", 0)
 
-// generation is a server with the limits of one configuration. net/http fixes a server's limits for all of its
-// connections, so a change of limits takes a new one; connections of older generations are asked to leave.
+// generation is an http.Server with the limits of one configuration. net/http fixes a server's limits for all of its
+// connections, so changed limits need a new server; responses of older generations carry Connection: close.
 type generation struct {
 	limits   routing.Limits
 	server   *http.Server
 	listener *channelListener
 }
 
-// frontend is the clients' listener with its generations.
+// frontend accepts client connections and hands them to the current server generation.
 type frontend struct {
 	listener       net.Listener
 	handler        func(current func() bool) http.Handler
 	clients        *connectionTracker
-	maxConnections int // connections of clients
+	maxConnections int
 
-	// baseContext is the context of all requests; giveUp ends them.
+	// baseContext is the parent context of all requests; cancelRequests cancels it.
 	baseContext    context.Context
 	cancelRequests context.CancelCauseFunc
 
@@ -51,8 +51,8 @@
 	stopped     bool
 }
 
-// listenClients opens the clients' listener. Accepted connections take over its TCP_USER_TIMEOUT: a client behind a cut
-// says nothing and would hold its connection for minutes.
+// listenClients opens the client listener. Accepted connections inherit its TCP_USER_TIMEOUT: a client behind a network
+// partition sends nothing and would otherwise hold its connection for minutes.
 func listenClients(address string) (net.Listener, error) {
 	config := net.ListenConfig{KeepAlive: -1, Control: func(_, _ string, raw syscall.RawConn) error {
 		var failed error
@@ -72,7 +72,7 @@
 	return &frontend{listener: listener, handler: handler, clients: clients, maxConnections: maxConnections, baseContext: base, cancelRequests: cancelRequests}
 }
 
-// setLimits begins a new generation if the limits differ.
+// setLimits starts a new server generation if the server limits differ.
 func (f *frontend) setLimits(limits routing.Limits) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -91,14 +91,14 @@
 		DisableGeneralOptionsHandler: true,
 	}
 	if f.current != nil {
-		f.current.listener.Close() // its server serves on, without new connections
+		f.current.listener.Close() // its server keeps serving its open connections
 	}
 	f.current = g
 	f.generations = append(f.generations, g)
 	go g.server.Serve(g.listener)
 }
 
-// sameServerLimits compares what a server fixes for its connections.
+// sameServerLimits compares the limits that an http.Server fixes for its connections.
 func sameServerLimits(a, b routing.Limits) bool {
 	return a.MaxHeaderBytes == b.MaxHeaderBytes && a.HeaderTimeout == b.HeaderTimeout && a.IdleTimeout == b.IdleTimeout
 }
@@ -109,7 +109,7 @@
 	return f.current
 }
 
-// accept hands each new connection to the present generation until the listener is closed.
+// accept admits new connections until the listener is closed.
 func (f *frontend) accept() error {
 	for {
 		connection, err := f.listener.Accept()
@@ -126,8 +126,8 @@
 	}
 }
 
-// admit hands a connection to the present generation. Past the cap it is closed with nothing read: its client may go to
-// another sender at once.
+// admit hands a connection to the current generation. Beyond maxConnections it closes the connection without reading
+// from it, so that the client can try another proxy at once.
 func (f *frontend) admit(connection net.Conn) {
 	client, admitted := f.clients.add(connection, f.maxConnections)
 	if !admitted {
@@ -149,7 +149,7 @@
 	return f.stopped
 }
 
-// acceptRetryDelay is waited where no descriptor is left.
+// acceptRetryDelay is the pause after a temporary accept error, such as a lack of file descriptors.
 const acceptRetryDelay = 20 * time.Millisecond
 
 func isTemporary(err error) bool {
@@ -157,7 +157,7 @@
 		errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM)
 }
 
-// stopAccepting closes the listener; connections go on.
+// stopAccepting closes the listener; open connections are still served.
 func (f *frontend) stopAccepting() {
 	f.mu.Lock()
 	f.stopped = true
@@ -165,7 +165,7 @@
 	f.listener.Close()
 }
 
-// close ends all connections.
+// close closes all client connections.
 func (f *frontend) close() {
 	f.mu.Lock()
 	generations := f.generations
@@ -176,7 +176,7 @@
 	}
 }
 
-// channelListener is a listener whose connections are accepted elsewhere.
+// channelListener is a net.Listener for connections that another listener has accepted.
 type channelListener struct {
 	address net.Addr
 	conns   chan net.Conn
@@ -188,7 +188,7 @@
 	return &channelListener{address: address, conns: make(chan net.Conn), done: make(chan struct{})}
 }
 
-// deliver hands a connection over; false: this listener is closed.
+// deliver passes a connection to Accept. It returns false if the listener is closed.
 func (l *channelListener) deliver(connection net.Conn) bool {
 	select {
 	case l.conns <- connection:
@@ -198,7 +198,7 @@
 	}
 }
 
-// Accept gives the next connection.
+// Accept returns the next delivered connection.
 func (l *channelListener) Accept() (net.Conn, error) {
 	select {
 	case connection := <-l.conns:
@@ -208,11 +208,11 @@
 	}
 }
 
-// Close ends Accept.
+// Close makes Accept and deliver return.
 func (l *channelListener) Close() error {
 	l.once.Do(func() { close(l.done) })
 	return nil
 }
 
-// Addr is the address of the listener.
+// Addr returns the address of the accepting listener.
 func (l *channelListener) Addr() net.Addr { return l.address }
--- a/internal/tier/proxy/spread.go
+++ b/internal/tier/proxy/spread.go
@@ -8,24 +8,24 @@
 	"emberquay/internal/tier/routing"
 )
 
-// goldenRatioStep is the step of the additive sequence with the least discrepancy: after any number of steps the points lie
-// about evenly (Knuth, The Art of Computer Programming, volume 3, 6.4).
+// goldenRatioStep is the step of the additive sequence with the least discrepancy: after any number of steps its points
+// are about evenly distributed (Knuth, The Art of Computer Programming, volume 3, 6.4).
 const goldenRatioStep = 0.6180339887498949
 
-// routeSequences gives each route points in [0, 1) that lie evenly over any stretch, so that the parts of a route get their shares
-// also of few requests; drawn each for itself, shares would stray by the square root of the number. Each route begins at a
-// point of this proxy's own, so that proxies do not follow one another.
+// routeSequences yields for each route a low-discrepancy sequence in [0, 1), so that the targets of a route get their
+// shares even of few requests; with independent random points the counts would deviate by the square root of the number
+// of requests. Each route starts at a random point, so that the proxies' sequences differ.
 type routeSequences struct {
 	mu     sync.Mutex
 	random *rand.Rand
-	points map[string]float64 // by route, the latest
+	points map[string]float64 // the last point by route
 }
 
 func newRouteSequences(seed uint64) *routeSequences {
 	return &routeSequences{random: rand.New(rand.NewPCG(seed, 0)), points: make(map[string]float64)}
 }
 
-// next gives the route's next point.
+// next returns the route's next point.
 func (s *routeSequences) next(route string) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -38,7 +38,7 @@
 	return point
 }
 
-// retain forgets all routes but those that are named.
+// retain drops the sequences of all routes for which isNamed returns false.
 func (s *routeSequences) retain(isNamed func(route string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,7 +49,7 @@
 	}
 }
 
-// chooseService picks the service for a request on a route, by the weights of its targets.
+// chooseService returns the service for a request on a route, chosen by the weights of the route's targets.
 func (p *Proxy) chooseService(route *routing.Route) string {
 	if len(route.Targets) == 1 {
 		return route.Targets[0].Service
--- a/internal/tier/proxy/status.go
+++ b/internal/tier/proxy/status.go
@@ -9,35 +9,35 @@
 	"emberquay/admission/dispatch"
 )
 
-// Status is what a data plane has to do with its clients.
+// Status is a snapshot of a proxy's state and counters.
 type Status struct {
-	Configuration uint64 // version that new requests see; 0: none
-	Ready         bool   // the platform may send clients
-	InFlight      int    // requests read and not answered
-	Arrived       uint64 // requests that came to admission since the start
-	Refused       uint64 // of them, those that admission answered
+	Configuration uint64 // version used for new requests; 0: none
+	Ready         bool   // the readiness check succeeds
+	InFlight      int    // requests read and not completely answered
+	Arrived       uint64 // requests submitted to admission since the start
+	Refused       uint64 // of these, requests refused by admission
 	Phase         Phase
 	Admission     AdmissionCounters
 	Dispatch      dispatch.Stats
 }
 
-// AdmissionCounters are what admission has done since the start.
+// AdmissionCounters count what admission has done since the start.
 type AdmissionCounters struct {
-	Attempts uint64 // calls to receivers
+	Attempts uint64 // sends to receivers
 	Refused  [dispatch.Reasons]uint64
 }
 
-// Phase is how far a data plane is with its stop.
+// Phase is the phase of a proxy's shutdown.
 type Phase int
 
-// The phases.
+// The phases in their order.
 const (
 	Serving         Phase = iota
-	ShutdownDelayed       // told to stop, and still accepting
-	Draining              // no new connections; serving what has been read
+	ShutdownDelayed       // readiness fails; connections are still accepted
+	Draining              // no new connections; requests already read are completed
 )
 
-// phase says how far the stop is.
+// phase returns the current phase of the shutdown.
 func (p *Proxy) phase() Phase {
 	switch schedule := p.schedule.Load(); {
 	case schedule == nil:
@@ -48,10 +48,10 @@
 	return Draining
 }
 
-// ErrStopped: the data plane has ended.
+// ErrStopped is returned once the proxy has stopped.
 var ErrStopped = eris.New("proxy: stopped")
 
-// Status looks at the data plane. Errors: the context's, or ErrStopped.
+// Status returns the current status. Its error is that of the context, or ErrStopped.
 func (p *Proxy) Status(ctx context.Context) (Status, error) {
 	status := Status{
 		Ready:    p.isReady(),
@@ -70,13 +70,13 @@
 	return status, err
 }
 
-// admissionState is what the owner of the dispatcher tells of it.
+// admissionState holds the counters of admission and of the dispatcher.
 type admissionState struct {
 	counts AdmissionCounters
 	stats  dispatch.Stats
 }
 
-// state asks the owner of the dispatcher.
+// state requests the counters from the goroutine that owns the dispatcher.
 func (a *admission) state(ctx context.Context) (admissionState, error) {
 	reply := make(chan admissionState, 1)
 	select {
--- a/internal/tier/proxy/stop.go
+++ b/internal/tier/proxy/stop.go
@@ -10,34 +10,35 @@
 	"emberquay/admission/dispatch"
 )
 
-// A stop has a timetable, counted from the signal, also where the stop is begun later:
+// A shutdown has phases, timed from the signal even if Shutdown is called later:
 //
-//	0                       not ready; answers that begin tell their clients to close
-//	ShutdownDelay           no new connection; those at rest are closed, others with the end of their answer;
-//	                        what still comes is taken only if its deadline lies before the end, else refused
-//	end                     what is held is refused, what is out is answered without its receiver
-//	end + lastAnswersTime   all connections are closed
+//	0                              readiness fails; responses that start carry Connection: close
+//	ShutdownDelay                  no new connections; idle ones are closed, others at the end of their response;
+//	                               a new request is served only if its deadline is before drainEnd, else refused
+//	drainEnd                       queued requests are refused; sent ones are answered without their receiver
+//	drainEnd + finalResponseTime   all connections are closed
 //
-// So nothing is passed on that the end of the process would cut. A stop that waited for a moment without requests and
-// served what came until then had no such moment under load, and cut what it had just taken.
+// So no request is forwarded that the end of the process would abort. An earlier version waited for a moment without
+// requests and served new ones until then; under load there was no such moment, and it aborted requests just accepted.
 
 const (
-	// finalResponseTime is what remains of a stop's time for answers to what has not ended by itself.
+	// finalResponseTime is reserved at the end of a shutdown for answering requests that are still in flight.
 	finalResponseTime = 200 * time.Millisecond
-	// finalResponseShare and noticeShare are the most of a stop's time that the last answers and the notice take where the
-	// grace is short.
+	// finalResponseShare and shutdownDelayShare bound finalResponseTime and the shutdown delay, as shares of the time
+	// available, where the grace period is short.
 	finalResponseShare = 1.0 / 24
 	shutdownDelayShare = 0.6
-	// stoppingRetryAfter is told to clients whose request this process has no time for: others take them at once.
+	// stoppingRetryAfter is the Retry-After value for requests that this process has no time for: other proxies accept
+	// them at once.
 	stoppingRetryAfter = 20 * time.Millisecond
 )
 
-// errShuttingDown is the cause with which requests are given up at the end of a stop.
-var errShuttingDown = errors.New("the proxy stops")
+// errShuttingDown is the cancellation cause of requests still in flight at drainEnd.
+var errShuttingDown = errors.New("proxy is shutting down")
 
-// Shutdown stops the data plane: it is not ready at once, goes on accepting until the platform has noticed, and serves
-// what has been read. It returns when nothing is left in hand, or when ctx ends; Run returns then. The process was told to
-// stop at the instant signalled.
+// Shutdown stops the proxy: readiness fails at once, connections are accepted until the shutdown delay is over, and
+// requests already read are completed. It returns when no request is in flight or when ctx ends; Run returns then. The
+// schedule counts from signalled, the time at which the process was told to stop.
 func (p *Proxy) Shutdown(ctx context.Context, signalled time.Time) {
 	p.stopping.Store(true)
 	p.schedule.Store(p.newShutdownSchedule(ctx, signalled))
@@ -49,13 +50,13 @@
 	p.closeAll()
 }
 
-// shutdownSchedule are the instants of a stop.
+// shutdownSchedule holds the times at which the phases of a shutdown end.
 type shutdownSchedule struct {
 	delayEnd time.Time
-	drainEnd time.Time // when what is in hand has to have ended; the zero time: never
+	drainEnd time.Time // requests in flight are canceled then; zero: never
 }
 
-// newShutdownSchedule fixes the instants of a stop, and tells the dispatcher of its end.
+// newShutdownSchedule computes the schedule and passes drainEnd to the dispatcher.
 func (p *Proxy) newShutdownSchedule(ctx context.Context, signalled time.Time) *shutdownSchedule {
 	deadline, bounded := ctx.Deadline()
 	if !bounded {
@@ -71,7 +72,7 @@
 	return time.Duration(fraction * float64(total))
 }
 
-// awaitShutdownDelay waits until the platform has noticed that no clients should come.
+// awaitShutdownDelay waits until the platform has had time to see that readiness fails.
 func (p *Proxy) awaitShutdownDelay(ctx context.Context) {
 	timer := time.NewTimer(time.Until(p.schedule.Load().delayEnd))
 	defer timer.Stop()
@@ -83,7 +84,7 @@
 	p.endShutdownDelay()
 }
 
-// endShutdownDelay has the notice over by now.
+// endShutdownDelay moves the end of the delay to the present if it is still ahead.
 func (p *Proxy) endShutdownDelay() {
 	schedule := *p.schedule.Load()
 	if now := time.Now(); now.Before(schedule.delayEnd) {
@@ -92,14 +93,14 @@
 	}
 }
 
-// canFinishBy says whether a request with that deadline is sure to have ended before the process does. It looks at the
-// clock: on a machine without processor time the end of the notice may be late to be acted on.
+// canFinishBy reports whether a request with this deadline is sure to end before the process does. It compares times
+// instead of tracking the phase: without CPU time the end of the shutdown delay may be acted on late.
 func (p *Proxy) canFinishBy(deadline time.Time) bool {
 	schedule := p.schedule.Load()
 	return schedule == nil || schedule.drainEnd.IsZero() || time.Now().Before(schedule.delayEnd) || !deadline.After(schedule.drainEnd)
 }
 
-// drain serves what is in hand until the end, and then gives it up.
+// drain serves the requests in flight until drainEnd and then cancels them.
 func (p *Proxy) drain(ctx context.Context) {
 	drainCtx, cancel := ctx, context.CancelFunc(func() {})
 	if end := p.schedule.Load().drainEnd; !end.IsZero() {
@@ -118,7 +119,7 @@
 	p.clients.stop()
 }
 
-// connectionLog has what is open to clients: what a stop waits for, and what it gives up.
+// connectionLog returns a log entry with the open connections and requests: those that a shutdown waits for or cancels.
 func (p *Proxy) connectionLog() log.Interface {
 	c := p.clients.count()
 	return p.options.Logger.WithFields(log.Fields{
@@ -127,17 +128,17 @@
 	})
 }
 
-// canceledByShutdown says whether the end of the process has ended the visit.
+// canceledByShutdown reports whether the end of a shutdown canceled the request.
 func (h *requestHandler) canceledByShutdown() bool {
 	return context.Cause(h.request.Context()) == errShuttingDown
 }
 
-// clientGone says whether its client has ended the visit.
+// clientGone reports whether the client canceled the request by closing its connection.
 func (h *requestHandler) clientGone() bool {
 	return h.request.Context().Err() != nil && !h.canceledByShutdown()
 }
 
-// endByCommand tells the dispatcher when the process ends.
+// endByCommand passes the end of the shutdown's drain phase to the dispatcher.
 type endByCommand struct{ end dispatch.Instant }
 
 func (c endByCommand) apply(a *admission, now dispatch.Instant) dispatch.Effects {
--- a/internal/tier/proxy/stream.go
+++ b/internal/tier/proxy/stream.go
@@ -10,8 +10,8 @@
 	"emberquay/internal/tier/proxy/outbound"
 )
 
-// forwardStream passes events on as each arrives. A stream that is cut off may be taken up at another receiver where its
-// route allows that: then the visit goes on.
+// forwardStream forwards each event as it arrives. If the stream breaks, it may be resumed at another receiver where its
+// route allows that: then the request continues.
 func (h *requestHandler) forwardStream(send *dispatch.Send, response *outbound.Response, start time.Time) (responseEnd, bool) {
 	resumed := h.lastEventRawID != ""
 	var firstByte time.Duration
@@ -26,12 +26,12 @@
 		}
 		if firstByte == 0 {
 			firstByte = time.Since(start)
-			// The attempt was bounded so that another receiver could run the request. One that is at work is no reason to
-			// end the answer sooner than its request.
+			// The attempt's timeout leaves time to try another receiver. Once this one sends events, only the request's
+			// deadline applies.
 			response.SetDeadline(h.deadline)
 		}
 		if resumed && event.HasID && event.ID <= h.lastEventID {
-			continue // it was passed on from the receiver before
+			continue // already forwarded from the previous receiver
 		}
 		if err := h.forwardEvent(response, &event, reader.NextBuffered()); err != nil {
 			return h.finishAttempt(send, start, firstByte, dispatch.Cancelled, h.writeFailed(err))
@@ -39,7 +39,7 @@
 	}
 }
 
-// forwardEvent writes one event; more follow at once if another is here already.
+// forwardEvent writes one event. If more is true, the next one is already buffered and the write is not flushed yet.
 func (h *requestHandler) forwardEvent(response *outbound.Response, event *events.Event, more bool) error {
 	first := !h.responseStarted
 	if first {
@@ -65,8 +65,8 @@
 	return h.flusher.Flush()
 }
 
-// completeStream ends the answer after the receiver's stream has ended properly. The end of a retained turn goes out only
-// once the stores hold it.
+// completeStream completes the response after the end of the receiver's stream. That of a retained turn is completed
+// only once the stores hold the turn.
 func (h *requestHandler) completeStream(send *dispatch.Send, response *outbound.Response, start time.Time, firstByte time.Duration) (responseEnd, bool) {
 	response.Close()
 	h.proxy.admission.requestEnded(send, dispatch.Outcome{Kind: dispatch.Success, FirstByte: firstByte, Took: time.Since(start)})
@@ -81,7 +81,7 @@
 }
 
 func (h *requestHandler) commitTurn() bool {
-	// The route's time-out holds for the wait as well; at its end the client must not be left waiting.
+	// The route's timeout also covers the commit: the client must not wait longer.
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(h.request.Context()), h.deadline.Add(commitGrace))
 	defer cancel()
 	return h.turn.commit(ctx, h.route.Retention)
--- a/internal/tier/proxy/turn.go
+++ b/internal/tier/proxy/turn.go
@@ -12,27 +12,27 @@
 	"emberquay/internal/tier/storeclient"
 )
 
-// TurnStore keep turns and budgets.
+// TurnStore keeps turns and accounts for the budgets of programs.
 type TurnStore interface {
 	Reserve(ctx context.Context, reservation storeclient.Reservation) storeclient.Verdict
-	// Settle follows each granted reservation, once.
+	// Settle is called once for each granted reservation.
 	Settle(program, turn string, used int64)
 	History(ctx context.Context, previous string) (storeclient.History, storeclient.Verdict)
 	Commit(ctx context.Context, turn storeclient.Turn) error // nil once durable
 }
 
 const (
-	// storePrepareTimeout bounds how long a turn waits for the stores before it may run.
+	// storePrepareTimeout bounds how long a turn waits for its reservation and history before it is sent.
 	storePrepareTimeout = 1200 * time.Millisecond
-	// commitGrace is granted beyond the request's deadline: the answer is whole, only its end is missing.
+	// commitGrace extends the request's deadline for the commit: only the end of the response is still missing.
 	commitGrace = 200 * time.Millisecond
-	// storeRetryAfter is told to clients while the stores cannot answer.
+	// storeRetryAfter is the Retry-After value sent while the stores do not answer.
 	storeRetryAfter = 300 * time.Millisecond
-	// maxOutputBytes bounds what is kept of one turn's answer.
+	// maxOutputBytes bounds the stored output of a turn.
 	maxOutputBytes = 2 << 20
 )
 
-// turn is what a turn of a program needs beyond its request.
+// turn is the state of a request that is a turn of a program with a budget or with retained output.
 type turn struct {
 	stores         TurnStore
 	id             string
@@ -42,7 +42,7 @@
 	retained       bool
 	input          []byte
 	output         []byte
-	outputOverflow bool // the output outgrew its bound
+	outputOverflow bool // the output exceeded maxOutputBytes
 
 	budgeted        bool
 	budget          int64
@@ -52,7 +52,8 @@
 	dataEvents      int64 // events with data that were written to the client
 }
 
-// newTurn reads a turn's fields; nil: the request is no turn. A number that is missing or wrong gives false.
+// newTurn parses a turn's header fields. It returns nil if the request has neither a budget nor a retained route, and
+// false if a number is missing or invalid.
 func (h *requestHandler) newTurn() (*turn, bool) {
 	header := h.request.Header
 	t := &turn{
@@ -82,7 +83,7 @@
 	return t, err == nil && number >= 0 && h.usage.known
 }
 
-// engine is how the receivers of the chosen service run models; nil: they do not.
+// engine returns the model engine of the chosen service, or nil if the service has none.
 func (h *requestHandler) engine() *routing.Engine {
 	service := h.snapshot.Services[h.service]
 	if service == nil {
@@ -91,7 +92,8 @@
 	return service.Engine
 }
 
-// prepare asks the stores for what the turn needs before anything is sent. A status other than 0 is the answer.
+// prepare reserves the turn's budget and reads its history before anything is sent. If it returns a status other than 0,
+// the request is answered with it.
 func (h *requestHandler) prepare(t *turn) int {
 	ctx, cancel := context.WithDeadline(h.request.Context(), earlier(h.deadline, time.Now().Add(storePrepareTimeout)))
 	defer cancel()
@@ -129,7 +131,7 @@
 	return t.stores.Reserve(ctx, storeclient.Reservation{Program: t.program, Turn: t.id, Budget: t.budget, Most: t.maxOutputTokens})
 }
 
-// prependHistory puts the history in front of the new input.
+// prependHistory sets the history to be sent in front of the new input. It returns 503 if the memory budget is used up.
 func (h *requestHandler) prependHistory(history []byte) int {
 	size := int64(len(history))
 	if !h.proxy.bodyMemory.reserve(size) {
@@ -141,7 +143,7 @@
 	return 0
 }
 
-// record keeps an event's data as part of the turn's output.
+// record counts an event with data, and appends the data to the output of a retained turn.
 func (t *turn) record(data []byte, hasData bool) {
 	if !hasData {
 		return
@@ -158,8 +160,8 @@
 	t.output = append(t.output, '\n')
 }
 
-// commit makes the turn durable; false: its answer must not end as complete. The input is copied, as its memory goes
-// back with the request while the stores keep the turn.
+// commit makes the turn durable. If it returns false, the response must not be completed. The input is copied, as its
+// buffer is reused once the request ends while the store may still hold the turn.
 func (t *turn) commit(ctx context.Context, retention time.Duration) bool {
 	if t.outputOverflow {
 		return false
@@ -170,10 +172,10 @@
 	}) == nil
 }
 
-// usedTokens is what the client was sent, in tokens.
+// usedTokens returns the number of tokens sent to the client.
 func (t *turn) usedTokens() int64 { return min(t.dataEvents*t.chunkTokens, t.maxOutputTokens) }
 
-// settle tells the stores what the turn used of its budget.
+// settle reports to the store, once, the tokens used of a granted reservation.
 func (t *turn) settle() {
 	if t == nil || !t.reserved {
 		return
--- a/internal/tier/proxy/usage.go
+++ b/internal/tier/proxy/usage.go
@@ -9,16 +9,16 @@
 	"emberquay/admission/dispatch"
 )
 
-// maxPrefixParts bounds what is taken of a prompt's description.
+// maxPrefixParts bounds the number of prompt prefix parts that are used.
 const maxPrefixParts = 256
 
-// tokenUsage is what a request says of its tokens.
+// tokenUsage holds the token numbers announced by a request.
 type tokenUsage struct {
-	promptTokens, maxOutputTokens int // of the prompt; the most that is generated
+	promptTokens, maxOutputTokens int
 	known                         bool
 }
 
-// parseTokenUsage reads "IN,OUT".
+// parseTokenUsage parses "IN,OUT".
 func parseTokenUsage(text string) tokenUsage {
 	in, out, two := strings.Cut(text, ",")
 	if !two {
@@ -32,7 +32,7 @@
 	return tokenUsage{promptTokens: inNumber, maxOutputTokens: outNumber, known: true}
 }
 
-// parsePromptPrefix reads "ID:TOKENS,ID:TOKENS", ids in hex. It ends at the first part that makes no sense.
+// parsePromptPrefix parses "ID:TOKENS,ID:TOKENS" with hexadecimal ids. It stops at the first invalid part.
 func parsePromptPrefix(text string) []dispatch.PrefixPart {
 	if text == "" {
 		return nil
@@ -50,7 +50,8 @@
 	return parts
 }
 
-// parseMilliseconds reads a field of whole or fractional milliseconds; false: there is none that makes sense.
+// parseMilliseconds parses a header field of whole or fractional milliseconds. It returns false if the field is missing
+// or invalid.
 func parseMilliseconds(header http.Header, name string) (time.Duration, bool) {
 	text := header.Get(name)
 	if text == "" {
--- a/internal/tier/proxy/visit.go
+++ b/internal/tier/proxy/visit.go
@@ -12,45 +12,45 @@
 	"emberquay/internal/tier/routing"
 )
 
-// requestHandler is one request of a client on its way. It belongs to the goroutine of its handler.
+// requestHandler handles one client request. It is used only by the goroutine of its HTTP handler.
 type requestHandler struct {
 	proxy           *Proxy
 	writer          http.ResponseWriter
 	flusher         *http.ResponseController
 	request         *http.Request
-	closeConnection bool // the client is asked to come on another connection next
+	closeConnection bool // the response carries Connection: close
 	snapshot        *routing.Snapshot
 	route           *routing.Route
 	service         string
 
 	id       string
 	arrived  time.Time
-	deadline time.Time // of the client or the route, whichever is sooner
+	deadline time.Time // of the client or the route, whichever is earlier
 	usage    tokenUsage
 
 	body         bufferedBody
-	history      []byte // in front of the body, for receivers
-	hasBody      bool   // a body was announced
-	historyBytes int64  // bytes of memory taken for history
+	history      []byte // sent to receivers in front of the body
+	hasBody      bool   // the client announced a body, possibly empty
+	historyBytes int64  // reserved for history in the memory budget
 	turn         *turn
 
 	pending         *pendingRequest
-	maybeExecuted   bool   // a receiver may have run it
-	responseStarted bool   // part of an answer has gone to the client
-	lastEventID     uint64 // of the events passed on
-	lastEventRawID  string // the same as it came; "" before the first
-	eventWithoutID  bool   // an event without an id was passed on: no other receiver could go on behind it
+	maybeExecuted   bool   // a receiver may have run the request
+	responseStarted bool   // the response head has been written to the client
+	lastEventID     uint64 // of the events forwarded
+	lastEventRawID  string // the same as received; "" before the first
+	eventWithoutID  bool   // an event without an id was forwarded
 }
 
-// responseEnd is how a visit ends for its client's connection.
+// responseEnd says how the response ended.
 type responseEnd int
 
 const (
 	responseComplete responseEnd = iota
-	responseAborted              // the connection is closed, so that nothing looks complete
+	responseAborted              // the connection must be closed, so that the response does not look complete
 )
 
-// serve carries the request from its head to the end of its answer.
+// serve handles the request to the end of its response.
 func (h *requestHandler) serve() responseEnd {
 	if status := h.readRequest(); status != 0 {
 		if status == statusClientClosed {
@@ -65,19 +65,21 @@
 	return h.forward()
 }
 
-// unavailableRetryAfter is told to clients that come before a configuration is known, or while no memory is left.
+// unavailableRetryAfter is the Retry-After value sent before the first configuration, or while the memory for bodies is
+// used up.
 const unavailableRetryAfter = 300 * time.Millisecond
 
-// statusClientClosed stands for a client that broke off.
+// statusClientClosed stands for a request whose client closed the connection; nothing is answered.
 const statusClientClosed = -1
 
-// readRequest takes in the request up to the end of its body. A status other than 0 is the answer.
+// readRequest matches the request to a route and reads its body. If it returns a status other than 0, the request is
+// answered with it.
 func (h *requestHandler) readRequest() int {
 	if h.snapshot == nil {
 		return http.StatusServiceUnavailable
 	}
 	if !h.request.ProtoAtLeast(1, 1) {
-		// An answer of unknown length ends there with the connection: one that is cut would look complete.
+		// In HTTP/1.0 the end of the connection ends a response of unknown length: an aborted one would look complete.
 		return http.StatusHTTPVersionNotSupported
 	}
 	route, ok := h.snapshot.Match(h.request.Host, rawPath(h.request.RequestURI))
@@ -99,13 +101,13 @@
 	return h.readBody()
 }
 
-// rawPath is the path as the client sent it.
+// rawPath returns the undecoded path of a request target.
 func rawPath(target string) string {
 	path, _, _ := strings.Cut(target, "?")
 	if strings.HasPrefix(path, "/") {
 		return path
 	}
-	// The absolute form, which servers must take (RFC 9112, 3.2.2).
+	// The absolute form, which servers must accept (RFC 9112, 3.2.2).
 	if _, rest, ok := strings.Cut(path, "://"); ok {
 		if slash := strings.IndexByte(rest, '/'); slash >= 0 {
 			return rest[slash:]
@@ -123,14 +125,14 @@
 	}
 	h.flusher.SetReadDeadline(h.deadline)
 	body, err := h.proxy.bodyMemory.readBody(r.Body, r.ContentLength, int64(h.snapshot.Limits.MaxBodyBytes))
-	// A deadline that is left standing would end the watch for a client that goes.
+	// A remaining read deadline would end net/http's background read, which detects that the client has gone.
 	h.flusher.SetReadDeadline(time.Time{})
 	h.body = body
 	if err == nil {
 		return 0
 	}
 	h.body.release()
-	h.closeConnection = true // the rest of the body is still to come
+	h.closeConnection = true // the rest of the body is unread
 	switch {
 	case errors.Is(err, errTooLarge):
 		return http.StatusRequestEntityTooLarge
@@ -144,7 +146,7 @@
 	return http.StatusBadRequest
 }
 
-// release gives back what the request holds.
+// release settles the turn and releases the memory of the request.
 func (h *requestHandler) release() {
 	h.turn.settle()
 	h.body.release()
@@ -153,7 +155,7 @@
 	}
 }
 
-// forward has the request answered by a receiver, or refuses it.
+// forward sends the request to receivers as the dispatcher decides, until it is answered.
 func (h *requestHandler) forward() responseEnd {
 	if status, wait := h.prepareTurn(); status != 0 {
 		return h.respond(status, wait)
@@ -179,11 +181,11 @@
 	}
 }
 
-// resumeTimeout is how long a stream that has begun waits for another receiver. Its client gives it up after two seconds of
-// silence; cut before, it comes back and may find another sender with a free receiver.
+// resumeTimeout is how long a started stream waits for another receiver. Clients give up after two seconds without
+// data; a client whose stream is aborted earlier retries and may find another proxy with a free receiver.
 const resumeTimeout = time.Second
 
-// decisionDeadline is how long the dispatcher's next decision is worth waiting for.
+// decisionDeadline returns until when to wait for the dispatcher's next decision.
 func (h *requestHandler) decisionDeadline() time.Time {
 	if h.responseStarted {
 		return earlier(h.deadline, time.Now().Add(resumeTimeout))
@@ -191,7 +193,8 @@
 	return h.deadline
 }
 
-// prepareTurn does what a turn needs before it is sent. A status other than 0 is the answer, with its wait.
+// prepareTurn prepares a request that is a turn. If it returns a status other than 0, the request is answered with it and
+// with wait as its Retry-After.
 func (h *requestHandler) prepareTurn() (status int, wait time.Duration) {
 	if h.route.Kind != routing.Streaming {
 		return 0, 0
@@ -203,7 +206,7 @@
 	case t == nil:
 		return 0, 0
 	case t.retained && h.request.Header.Get(headerLastEvent) != "":
-		// The first part of such an answer went out under another id: this one alone would be kept as the turn.
+		// The first part of the output was sent under another request id; committing would store only the rest of the turn.
 		return http.StatusServiceUnavailable, storeRetryAfter
 	}
 	h.turn = t
@@ -213,7 +216,7 @@
 	return status, wait
 }
 
-// dispatchRequest is what the dispatcher decides by.
+// dispatchRequest returns the properties of the request that the dispatcher decides by.
 func (h *requestHandler) dispatchRequest() dispatch.Request {
 	header := h.request.Header
 	finish, _ := parseMilliseconds(header, headerFinish)
@@ -248,7 +251,7 @@
 	return dispatch.Unsafe
 }
 
-// respondExpired ends a request whose time, or that of the process, is over.
+// respondExpired answers a request whose deadline has passed, or that the end of the shutdown canceled.
 func (h *requestHandler) respondExpired() responseEnd {
 	if h.maybeExecuted {
 		return h.respond(http.StatusGatewayTimeout, 0)
@@ -259,7 +262,7 @@
 	return h.respond(http.StatusServiceUnavailable, 0)
 }
 
-// resumeFailureCause is why a stream that has begun ends without another receiver.
+// resumeFailureCause returns why a started stream was not resumed at another receiver.
 func (h *requestHandler) resumeFailureCause() abortCause {
 	if cause := h.bodyFailureCause(); cause != abortReceiverFailed {
 		return cause
@@ -267,7 +270,8 @@
 	return abortNotResumed
 }
 
-// respondRefused answers as the dispatcher says, but never promises that nothing ran where something may have.
+// respondRefused answers with the dispatcher's refusal. If the request may have run, a status that would state the
+// opposite is replaced by 502.
 func (h *requestHandler) respondRefused(refusal dispatch.Refuse) responseEnd {
 	status := refusal.Status
 	if (h.maybeExecuted || refusal.Executed) && claimsNotExecuted(status) {
@@ -276,7 +280,7 @@
 	return h.respond(status, refusal.RetryAfter)
 }
 
-// claimsNotExecuted says whether a status states that the request has not run and never will.
+// claimsNotExecuted reports whether a status states that the request has not run and never will.
 func claimsNotExecuted(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -285,7 +289,7 @@
 	return false
 }
 
-// abort ends the answer before it is complete, for a reason that is logged where the client still waits.
+// abort ends the response before it is complete, and logs the cause if the client is still connected.
 func (h *requestHandler) abort(cause abortCause) responseEnd {
 	if !h.clientGone() {
 		h.proxy.failures.responseAborted(h, cause)
@@ -293,7 +297,7 @@
 	return responseAborted
 }
 
-// writeFailed ends an answer that could not be written: the client has gone, or did not read in time.
+// writeFailed ends a response that could not be written: the client has gone, or did not read in time.
 func (h *requestHandler) writeFailed(err error) responseEnd {
 	if isTimeout(err) {
 		return h.abort(abortWriteTimeout)
@@ -301,7 +305,7 @@
 	return responseAborted
 }
 
-// bodyFailureCause is why an answer that has begun cannot go on, and no other receiver may take it up.
+// bodyFailureCause returns why a started response that cannot be resumed has ended.
 func (h *requestHandler) bodyFailureCause() abortCause {
 	switch {
 	case h.canceledByShutdown():
@@ -312,7 +316,8 @@
 	return abortReceiverFailed
 }
 
-// respond gives an answer of our own. Where part of a receiver's answer has gone out, only the cut is left.
+// respond answers the request with a status of the proxy's own. If a receiver's response has been started, it can only
+// be aborted.
 func (h *requestHandler) respond(status int, retryAfter time.Duration) responseEnd {
 	if h.responseStarted {
 		return h.abort(h.resumeFailureCause())
@@ -328,7 +333,7 @@
 	return responseComplete
 }
 
-// writeHead ends the head of the answer.
+// writeHead writes the head of the response, with Connection: close where the client should reconnect.
 func (h *requestHandler) writeHead(status int) {
 	if h.closeConnection || h.proxy.stopping.Load() {
 		h.writer.Header()["Connection"] = []string{"close"}
