--- a/internal/tier/proxy/bench_test.go
+++ b/internal/tier/proxy/bench_test.go
@@ -17,7 +17,7 @@
 
 // startBenchReceiver starts a receiver that answers each request with the same bytes. It allocates next to nothing, so
 // that the benchmark measures the proxy and two loopback connections.
-func startBenchReceiver(b *testing.B, answer []byte) string {
+func startBenchReceiver(b *testing.B, response []byte) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -38,7 +38,7 @@
 						return
 					}
 					if n += read; bytes.HasSuffix(buffer[:n], []byte("\r\n\r\nbody")) {
-						connection.Write(answer)
+						connection.Write(response)
 						n = 0
 					}
 				}
@@ -48,8 +48,8 @@
 	return listener.Addr().String()
 }
 
-func startBenchProxy(b *testing.B, answer string) *Proxy {
-	address := startBenchReceiver(b, []byte(answer))
+func startBenchProxy(b *testing.B, response string) *Proxy {
+	address := startBenchReceiver(b, []byte(response))
 	body := fmt.Sprintf(`{"version":1,"routes":[
 		{"name":"plain","authority":%q,"path_prefix":"/plain/","route_type":"unsafe","timeout_ms":5000,"target_latency_ms":500,"priority":0,"service":"s","max_attempts":1},
 		{"name":"stream","authority":%q,"path_prefix":"/stream/","route_type":"streaming","timeout_ms":5000,"target_latency_ms":500,"priority":0,"service":"s","max_attempts":1}],
@@ -70,8 +70,8 @@
 }
 
 // benchmarkForward sends requests sequentially on one connection.
-func benchmarkForward(b *testing.B, path, answer, end string) {
-	p := startBenchProxy(b, answer)
+func benchmarkForward(b *testing.B, path, response, end string) {
+	p := startBenchProxy(b, response)
 	connection, err := net.Dial("tcp", p.frontend.listener.Addr().String())
 	if err != nil {
 		b.Fatal(err)
--- a/internal/tier/proxy/events/events.go
+++ b/internal/tier/proxy/events/events.go
@@ -1,15 +1,15 @@
-// Package events cuts a text/event-stream into its events, so that only whole ones are passed on.
+// Package events splits a text/event-stream into its events, so that only complete ones are forwarded.
 //
 //	reader := events.NewReader(body)
 //	for {
 //		event, err := reader.Next()
 //		if err != nil {
-//			break // io.EOF: the body ended properly
+//			break // io.EOF: the body ended regularly
 //		}
 //		out.Write(event.Raw)
 //	}
 //
-// The bytes of an event are passed on as they came; id and data are read beside that.
+// The bytes of an event are returned unchanged, with its id and data parsed in addition.
 package events
 
 import (
@@ -20,52 +20,52 @@
 )
 
 const (
-	firstBuffer = 2 << 10
-	// MaxEventBytes bounds one event, in bytes.
+	initialBufferBytes = 2 << 10
+	// MaxEventBytes bounds the size of an event.
 	MaxEventBytes = 1 << 20
 )
 
-// ErrTooLong is given for an event of more than MaxEventBytes.
-var ErrTooLong = errors.New("an event is too long")
+// ErrTooLong is returned for an event of more than MaxEventBytes.
+var ErrTooLong = errors.New("event is too long")
 
-// Event is one event of a stream. Its slices are valid until the next call of Next.
+// Event is an event of a stream. Its slices are valid until the next call of Next.
 type Event struct {
-	Raw     []byte // all bytes, with the blank line that ends it
-	Data    []byte // the values of its data fields, with a line feed between two
+	Raw     []byte // all bytes, including the terminating blank line
+	Data    []byte // the values of its data fields, joined by line feeds
 	HasData bool
 	ID      uint64
-	HasID   bool   // the event has an id that is a whole number
-	RawID   []byte // the id as it came
+	HasID   bool   // the event has an id that is an unsigned integer
+	RawID   []byte // the id as received
 }
 
 // Reader reads events. It is not safe for concurrent use.
 type Reader struct {
 	from   io.Reader
 	buffer []byte
-	begin  int // of what is not handed out yet
+	start  int // of the bytes not yet returned
 	end    int
-	data   []byte // for events of several data fields
+	data   []byte // for events with several data fields
 	err    error
 }
 
-// NewReader reads events from a body whose proper end is io.EOF.
+// NewReader returns a Reader of a body whose regular end is io.EOF.
 func NewReader(from io.Reader) *Reader {
-	return &Reader{from: from, buffer: make([]byte, firstBuffer)}
+	return &Reader{from: from, buffer: make([]byte, initialBufferBytes)}
 }
 
-// Next gives the next whole event. After the last one it gives the body's error; bytes of an event that was cut off
-// are dropped unless the body ended properly, when they come as an event without a blank line.
+// Next returns the next complete event, and after the last one the body's error. Bytes of an incomplete last event are
+// dropped, unless the body ended regularly: then they are returned as an event without a blank line.
 func (r *Reader) Next() (Event, error) {
 	scanned := 0
 	for {
-		if length := eventLength(r.buffer[r.begin:r.end], scanned); length > 0 {
-			raw := r.buffer[r.begin : r.begin+length]
-			r.begin += length
+		if length := eventLength(r.buffer[r.start:r.end], scanned); length > 0 {
+			raw := r.buffer[r.start : r.start+length]
+			r.start += length
 			return r.parse(raw), nil
 		}
-		scanned = r.end - r.begin
+		scanned = r.end - r.start
 		if r.err != nil {
-			return r.rest()
+			return r.remainder()
 		}
 		if err := r.fill(); err != nil {
 			return Event{}, err
@@ -73,26 +73,26 @@
 	}
 }
 
-// NextBuffered says whether the next event is here already, whole.
+// NextBuffered reports whether the complete next event is already buffered.
 func (r *Reader) NextBuffered() bool {
-	return eventLength(r.buffer[r.begin:r.end], 0) > 0
+	return eventLength(r.buffer[r.start:r.end], 0) > 0
 }
 
-func (r *Reader) rest() (Event, error) {
-	raw := r.buffer[r.begin:r.end]
-	r.begin = r.end
+func (r *Reader) remainder() (Event, error) {
+	raw := r.buffer[r.start:r.end]
+	r.start = r.end
 	if r.err == io.EOF && len(raw) > 0 {
 		return r.parse(raw), nil
 	}
 	return Event{}, r.err
 }
 
-// fill reads on, in place of what is handed out already.
+// fill reads more bytes, reusing the space of those already returned.
 func (r *Reader) fill() error {
-	if r.begin > 0 {
-		copy(r.buffer, r.buffer[r.begin:r.end])
-		r.end -= r.begin
-		r.begin = 0
+	if r.start > 0 {
+		copy(r.buffer, r.buffer[r.start:r.end])
+		r.end -= r.start
+		r.start = 0
 	}
 	if r.end == len(r.buffer) {
 		if len(r.buffer) >= MaxEventBytes {
@@ -106,16 +106,16 @@
 	return nil
 }
 
-// eventLength is the length of the event at the start of the bytes, with its blank line; 0: it has not ended. The
-// first scanned bytes are known to hold no end.
+// eventLength returns the length of the event at the start of stream, with its blank line, or 0 if it is incomplete. The
+// first scanned bytes are known not to contain its end.
 func eventLength(stream []byte, scanned int) int {
 	at := max(0, scanned-2)
 	for {
-		feed := bytes.IndexByte(stream[at:], '\n')
-		if feed < 0 {
+		newline := bytes.IndexByte(stream[at:], '\n')
+		if newline < 0 {
 			return 0
 		}
-		at += feed + 1
+		at += newline + 1
 		switch {
 		case at < len(stream) && stream[at] == '\n':
 			return at + 1
@@ -140,7 +140,7 @@
 		value = bytes.TrimPrefix(value, []byte{' '})
 		switch {
 		case bytes.Equal(name, dataField):
-			r.addData(&event, value)
+			r.appendData(&event, value)
 		case bytes.Equal(name, idField):
 			event.RawID = value
 			number, err := strconv.ParseUint(string(value), 10, 64)
@@ -150,7 +150,7 @@
 	return event
 }
 
-func (r *Reader) addData(event *Event, value []byte) {
+func (r *Reader) appendData(event *Event, value []byte) {
 	if !event.HasData {
 		event.Data, event.HasData = value, true
 		return
--- a/internal/tier/proxy/events/fuzz_test.go
+++ b/internal/tier/proxy/events/fuzz_test.go
@@ -10,8 +10,8 @@
 	"emberquay/internal/tier/proxy/events"
 )
 
-// cut gives the events of a body, and the error behind the last one.
-func cut(body io.Reader) (raws, datas [][]byte, err error) {
+// readEvents returns the events of a body and the error after the last one.
+func readEvents(body io.Reader) (raws, datas [][]byte, err error) {
 	reader := events.NewReader(body)
 	for {
 		event, err := reader.Next()
@@ -23,7 +23,8 @@
 	}
 }
 
-// FuzzNext: whatever comes, nothing of it is lost or made up, and how it is cut into packets changes nothing.
+// FuzzNext checks that no byte of a body is lost or added, that the size of reads makes no difference, and that no
+// incomplete event is returned if the body breaks.
 func FuzzNext(f *testing.F) {
 	for _, seed := range []string{
 		"id: 1\ndata: a\n\nid: 2\ndata: b\n\n",
@@ -35,29 +36,29 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		raws, datas, err := cut(bytes.NewReader(body))
+		raws, datas, err := readEvents(bytes.NewReader(body))
 		if !errors.Is(err, io.EOF) {
-			t.Fatalf("a whole body ends with %v", err)
+			t.Fatalf("a complete body ends with %v", err)
 		}
 		if !bytes.Equal(bytes.Join(raws, nil), body) {
-			t.Fatalf("%q comes out as %q", body, raws)
+			t.Fatalf("the events of %q are %q", body, raws)
 		}
-		apart, datasApart, err := cut(iotest.OneByteReader(bytes.NewReader(body)))
+		apart, datasApart, err := readEvents(iotest.OneByteReader(bytes.NewReader(body)))
 		if !errors.Is(err, io.EOF) || len(apart) != len(raws) {
-			t.Fatalf("byte by byte there are %d events, else %d: %v", len(apart), len(raws), err)
+			t.Fatalf("%d events from single-byte reads, want %d: %v", len(apart), len(raws), err)
 		}
 		for at := range raws {
 			if !bytes.Equal(apart[at], raws[at]) || !bytes.Equal(datasApart[at], datas[at]) {
-				t.Fatalf("byte by byte event %d is %q with data %q, else %q with %q", at, apart[at], datasApart[at], raws[at], datas[at])
+				t.Fatalf("event %d from single-byte reads is %q with data %q, want %q with %q", at, apart[at], datasApart[at], raws[at], datas[at])
 			}
 		}
-		broken, _, err := cut(io.MultiReader(bytes.NewReader(body), iotest.ErrReader(io.ErrUnexpectedEOF)))
+		broken, _, err := readEvents(io.MultiReader(bytes.NewReader(body), iotest.ErrReader(io.ErrUnexpectedEOF)))
 		if !errors.Is(err, io.ErrUnexpectedEOF) {
-			t.Fatalf("a body that breaks off ends with %v", err)
+			t.Fatalf("a truncated body ends with %v", err)
 		}
 		for _, raw := range broken {
 			if !bytes.HasSuffix(raw, []byte("\n\n")) && !bytes.HasSuffix(raw, []byte("\n\r\n")) {
-				t.Fatalf("%q is passed on though its body broke off", raw)
+				t.Fatalf("incomplete event %q is returned from a truncated body", raw)
 			}
 		}
 	})
--- a/internal/tier/proxy/failurelog.go
+++ b/internal/tier/proxy/failurelog.go
@@ -13,9 +13,9 @@
 // failureLog logs failed attempts and aborted responses, at most one line of each kind per failureLogInterval. Its
 // methods are safe for concurrent use.
 type failureLog struct {
-	logger   log.Interface
-	attempts rateLimiter
-	answers  rateLimiter
+	logger    log.Interface
+	attempts  rateLimiter
+	responses rateLimiter
 }
 
 // rateLimiter allows one log line per failureLogInterval and counts the skipped ones.
@@ -66,7 +66,7 @@
 // responseAborted logs a response that ends before it is complete while its client still waits.
 func (l *failureLog) responseAborted(h *requestHandler, cause abortCause) {
 	now := time.Now()
-	skipped, ok := l.answers.allow(now)
+	skipped, ok := l.responses.allow(now)
 	if !ok {
 		return
 	}
--- a/internal/tier/proxy/lifecycle_test.go
+++ b/internal/tier/proxy/lifecycle_test.go
@@ -20,10 +20,10 @@
 	Expect(err).NotTo(HaveOccurred())
 	defer connection.Close()
 	fmt.Fprintf(connection, "GET %s HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", path)
-	answer, err := io.ReadAll(connection)
+	response, err := io.ReadAll(connection)
 	Expect(err).NotTo(HaveOccurred())
 	var status int
-	_, err = fmt.Sscanf(string(answer), "HTTP/1.1 %d", &status)
+	_, err = fmt.Sscanf(string(response), "HTTP/1.1 %d", &status)
 	Expect(err).NotTo(HaveOccurred())
 	return status
 }
--- a/internal/tier/proxy/outbound/connection.go
+++ b/internal/tier/proxy/outbound/connection.go
@@ -12,61 +12,61 @@
 )
 
 const (
-	// readBuffer is enough for the heads and small bodies of receivers.
-	readBuffer = 4 << 10
-	// maxHead bounds an answer's head, as a receiver in trouble may send bytes without end.
-	maxHead = 64 << 10
-	// shortIdle is how long a connection may rest whose receiver names no time: it closes within a second.
-	shortIdle = 400 * time.Millisecond
-	// longestIdle bounds the rest of a connection whatever the receiver allows.
-	longestIdle = 60 * time.Second
-	// idleMargin is how much earlier than the receiver we stop using a connection: a close must not cross a request.
-	idleMargin = 400 * time.Millisecond
+	// readBufferBytes is enough for the heads and small bodies of responses.
+	readBufferBytes = 4 << 10
+	// maxHeadBytes bounds the head of a response, as a faulty receiver may send bytes without end.
+	maxHeadBytes = 64 << 10
+	// defaultIdleTimeout applies if the receiver sends no Keep-Alive timeout; such receivers close within a second.
+	defaultIdleTimeout = 400 * time.Millisecond
+	// maxIdleTimeout bounds the idle timeout whatever the receiver allows.
+	maxIdleTimeout = 60 * time.Second
+	// idleTimeoutMargin is subtracted from the receiver's timeout, so that its close does not cross a request on the way.
+	idleTimeoutMargin = 400 * time.Millisecond
 )
 
-// connection is one kept connection to a receiver. One exchange uses it at a time.
+// connection is a pooled connection to a receiver. One exchange uses it at a time.
 type connection struct {
 	net.Conn
-	home     *endpoint
-	reader   *bufio.Reader
-	served   int       // exchanges begun
-	idleFrom time.Time // end of the last exchange
-	idleFor  time.Duration
-	headLeft int // bytes that the present head may still take; negative: not reading a head
-	closed   atomic.Bool
+	endpoint      *endpoint
+	reader        *bufio.Reader
+	exchanges     int       // number of exchanges started
+	idleSince     time.Time // end of the last exchange
+	idleTimeout   time.Duration
+	headBytesLeft int // bytes left for the head being read; negative: not reading a head
+	closed        atomic.Bool
 }
 
-func newConnection(raw net.Conn, home *endpoint) *connection {
-	c := &connection{Conn: raw, home: home, headLeft: -1}
-	c.reader = bufio.NewReaderSize(c, readBuffer)
+func newConnection(raw net.Conn, e *endpoint) *connection {
+	c := &connection{Conn: raw, endpoint: e, headBytesLeft: -1}
+	c.reader = bufio.NewReaderSize(c, readBufferBytes)
 	return c
 }
 
-// Read bounds what is read for a head.
+// Read reads from the connection, at most headBytesLeft bytes of a head; the last read may exceed that.
 func (c *connection) Read(to []byte) (int, error) {
-	if c.headLeft == 0 {
+	if c.headBytesLeft == 0 {
 		return 0, errHeadTooLong
 	}
 	n, err := c.Conn.Read(to)
-	if c.headLeft > 0 {
-		c.headLeft = max(0, c.headLeft-n)
+	if c.headBytesLeft > 0 {
+		c.headBytesLeft = max(0, c.headBytesLeft-n)
 	}
 	return n, err
 }
 
-// close ends the connection and takes it out of the pool's count, once.
+// close closes the connection and removes it from the pool's counts, once.
 func (c *connection) close() {
 	if c.closed.CompareAndSwap(false, true) {
-		c.home.pool.ended(c)
+		c.endpoint.pool.release(c)
 		c.Conn.Close()
 	}
 }
 
-// expired says whether the connection has rested too long to be used.
-func (c *connection) expired(now time.Time) bool { return now.Sub(c.idleFrom) >= c.idleFor }
+// expired reports whether the connection has been idle for too long to be reused.
+func (c *connection) expired(now time.Time) bool { return now.Sub(c.idleSince) >= c.idleTimeout }
 
-// stale says whether the receiver has ended the connection, or sent what nobody asked for. What is written to such a
-// connection counts as a request that may have run.
+// stale reports whether the receiver has closed the idle connection or sent unexpected bytes. It is checked before a
+// request is written, as a request written to such a connection counts as one that may have run.
 func (c *connection) stale() bool {
 	if c.reader.Buffered() > 0 {
 		return true
@@ -79,22 +79,22 @@
 	if err != nil {
 		return true
 	}
-	quiet := false
+	alive := false
 	err = raw.Control(func(descriptor uintptr) {
 		var one [1]byte
 		_, _, err := syscall.Recvfrom(int(descriptor), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = err == syscall.EAGAIN || err == syscall.EINTR
+		alive = err == syscall.EAGAIN || err == syscall.EINTR
 	})
-	return err != nil || !quiet
+	return err != nil || !alive
 }
 
-// idleTime is how long a connection may rest after an answer with such a head; 0: it is not kept.
-func idleTime(header http.Header) time.Duration {
+// parseKeepAlive returns how long a connection may stay idle after a response with this header; 0: it is not reused.
+func parseKeepAlive(header http.Header) time.Duration {
 	keepAlive := header.Get("Keep-Alive")
 	if keepAlive == "" {
-		return shortIdle
+		return defaultIdleTimeout
 	}
-	allowed := shortIdle
+	allowed := defaultIdleTimeout
 	for part := range strings.SplitSeq(keepAlive, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		number, err := strconv.Atoi(strings.Trim(value, `" `))
@@ -103,8 +103,8 @@
 		}
 		switch strings.ToLower(strings.TrimSpace(name)) {
 		case "timeout":
-			allowed = min(time.Duration(min(number, 3600))*time.Second, longestIdle)
-			allowed -= min(idleMargin, allowed/2)
+			allowed = min(time.Duration(min(number, 3600))*time.Second, maxIdleTimeout)
+			allowed -= min(idleTimeoutMargin, allowed/2)
 		case "max":
 			if number == 0 {
 				return 0
--- a/internal/tier/proxy/outbound/errors.go
+++ b/internal/tier/proxy/outbound/errors.go
@@ -6,39 +6,40 @@
 	"github.com/rotisserie/eris"
 )
 
-// Reasons for which nothing was sent.
+// Errors of exchanges in which nothing was sent.
 var (
 	ErrConnectionLimit = errors.New("all connections to the receiver are in use")
-	ErrClosed          = errors.New("the pool is closed")
-	errStale           = errors.New("the receiver has ended the kept connection")
+	ErrClosed          = errors.New("connection pool is closed")
+	errStale           = errors.New("receiver closed the idle connection")
 )
 
-// Reasons for which an answer is no answer to the request.
+// Errors of responses that cannot be attributed to the request.
 var (
-	errForeign      = errors.New("the answer belongs to another request")
-	errUnidentified = errors.New("the answer names no request")
-	errHeadTooLong  = errors.New("the answer's head is too long")
-	errUpgrade      = errors.New("the receiver switched protocols")
+	errWrongRequestID    = errors.New("response carries the id of another request")
+	errNoRequestID       = errors.New("response has no request id")
+	errHeadTooLong       = errors.New("response head is too long")
+	errUnexpectedInterim = errors.New("receiver switched protocols or sent too many interim responses")
 )
 
 // Error is a failed exchange.
 type Error struct {
 	Address   string
-	MaybeSent bool // a byte of the request may have left: it may have run
+	MaybeSent bool // a byte of the request may have been sent: it may have run
 	Cause     error
 }
 
 func (e *Error) Error() string { return "receiver " + e.Address + ": " + e.Cause.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// MaybeSent says whether a failed exchange may have reached the receiver.
+// MaybeSent reports whether the request of a failed exchange may have reached the receiver. It is true for errors of
+// other types.
 func MaybeSent(err error) bool {
 	var failure *Error
 	return !errors.As(err, &failure) || failure.MaybeSent
 }
 
-func failed(address string, sent bool, cause error) error {
-	return &Error{Address: address, MaybeSent: sent, Cause: eris.Wrap(cause, "exchange")}
+func newError(address string, maybeSent bool, cause error) error {
+	return &Error{Address: address, MaybeSent: maybeSent, Cause: eris.Wrap(cause, "exchange")}
 }
--- a/internal/tier/proxy/outbound/exchange.go
+++ b/internal/tier/proxy/outbound/exchange.go
@@ -14,46 +14,47 @@
 )
 
 const (
-	// maxForeign is how many answers to earlier requests are read away before the one that is due.
-	maxForeign = 2
-	// maxForeignBody bounds the body of each.
-	maxForeignBody = 64 << 10
-	// maxInterim is how many 1xx answers may come before the final one.
-	maxInterim = 4
-	// earlyAnswerWait is how long an answer is waited for after the receiver stopped reading the request.
-	earlyAnswerWait = 250 * time.Millisecond
-	// maxRetryAfter bounds the wait that a receiver may tell.
+	// maxSkippedResponses bounds how many responses to earlier requests are discarded before the expected one.
+	maxSkippedResponses = 2
+	// maxSkippedBodyBytes bounds the body of each discarded response.
+	maxSkippedBodyBytes = 64 << 10
+	// maxInterimResponses bounds how many 1xx responses may precede the final one.
+	maxInterimResponses = 4
+	// earlyResponseTimeout bounds the wait for a response after the receiver stopped reading the request.
+	earlyResponseTimeout = 250 * time.Millisecond
+	// maxRetryAfter bounds the Retry-After of a receiver.
 	maxRetryAfter = time.Minute
-	// freshTries bounds how often a connection is taken that turns out to be over before a byte of the request left.
-	freshTries = 8
+	// maxConnectionTries bounds the tries with connections that turn out to be closed before any byte was sent.
+	maxConnectionTries = 8
 )
 
-// Response is a receiver's answer. Its owner reads Body to io.EOF for the whole, and calls Close once in any case.
+// Response is a receiver's response. Its owner reads Body up to io.EOF for the complete body, and must call Close.
 type Response struct {
 	Status        int
 	Header        http.Header
-	ContentLength int64 // of the body; -1: not told in advance
+	ContentLength int64 // -1: unknown
 	Body          io.Reader
 
-	response   *http.Response
-	connection *connection
-	written    <-chan writeResult // of a request that may still be written; nil: it is
-	detach     func() bool        // ends the watch over the context; false: it has closed the connection
-	idleFor    time.Duration
-	tainted    bool // the connection is not kept
-	whole      bool
+	response          *http.Response
+	connection        *connection
+	writeDone         <-chan writeResult // result of a write still in progress; nil: none
+	stopCancel        func() bool        // stops the context's AfterFunc; false: it has closed the connection
+	idleTimeout       time.Duration
+	discardConnection bool // the connection must not be reused
+	complete          bool
 }
 
-// SetDeadline gives the rest of the answer until another deadline than the exchange had.
-func (a *Response) SetDeadline(deadline time.Time) { a.connection.SetDeadline(deadline) }
+// SetDeadline replaces the deadline of the exchange for the rest of the response.
+func (r *Response) SetDeadline(deadline time.Time) { r.connection.SetDeadline(deadline) }
 
-// Exchange sends the request to the receiver at the address and reads the head of the answer. Until the answer is
-// closed, the end of ctx or the deadline ends its connection. An error says through MaybeSent whether any of it may have left.
+// Exchange sends the request to the receiver at the address and reads the head of the response. Until the response is
+// closed, the end of ctx closes its connection, and the deadline bounds its reads and writes. MaybeSent of the error
+// tells whether any of the request may have been sent.
 func (p *Pool) Exchange(ctx context.Context, address string, request *Request, deadline time.Time) (*Response, error) {
 	for try := 1; ; try++ {
-		answer, err := p.exchange(ctx, address, request, deadline)
-		if err == nil || !errors.Is(err, errStale) || try == freshTries || ctx.Err() != nil {
-			return answer, err
+		response, err := p.exchange(ctx, address, request, deadline)
+		if err == nil || !errors.Is(err, errStale) || try == maxConnectionTries || ctx.Err() != nil {
+			return response, err
 		}
 	}
 }
@@ -61,81 +62,82 @@
 func (p *Pool) exchange(ctx context.Context, address string, request *Request, deadline time.Time) (*Response, error) {
 	c, err := p.get(ctx, address, deadline)
 	if err != nil {
-		return nil, failed(address, false, err)
+		return nil, newError(address, false, err)
 	}
 	c.SetDeadline(deadline)
-	detach := context.AfterFunc(ctx, c.close)
-	answer, sent, err := c.roundTrip(request)
+	stopCancel := context.AfterFunc(ctx, c.close)
+	response, maybeSent, err := c.roundTrip(request)
 	if err != nil {
-		detach()
+		stopCancel()
 		c.close()
-		return nil, failed(address, sent, err)
+		return nil, newError(address, maybeSent, err)
 	}
-	answer.detach = detach
-	return answer, nil
+	response.stopCancel = stopCancel
+	return response, nil
 }
 
-// roundTrip writes the request and reads the head of its answer. sent says whether a byte may have left.
-func (c *connection) roundTrip(request *Request) (answer *Response, sent bool, err error) {
-	c.served++
-	if request.length() > joinedBody {
+// roundTrip writes the request and reads the head of its response. maybeSent tells whether a byte may have been sent.
+func (c *connection) roundTrip(request *Request) (response *Response, maybeSent bool, err error) {
+	c.exchanges++
+	if request.bodyLength() > maxJoinedBodyBytes {
 		return c.roundTripLarge(request)
 	}
-	n, err := c.send(request)
+	n, err := c.writeJoined(request)
 	if err != nil && n == 0 {
-		return nil, false, c.unsent(err)
+		return nil, false, c.unsentError(err)
 	}
 	if err != nil {
-		c.SetReadDeadline(time.Now().Add(earlyAnswerWait))
+		c.SetReadDeadline(time.Now().Add(earlyResponseTimeout))
 	}
-	answer, failure := c.receive(request)
-	if failure != nil {
-		return nil, true, cmp.Or(err, failure)
+	response, readErr := c.readResponse(request)
+	if readErr != nil {
+		return nil, true, cmp.Or(err, readErr)
 	}
-	answer.tainted = answer.tainted || err != nil
-	return answer, true, nil
+	response.discardConnection = response.discardConnection || err != nil
+	return response, true, nil
 }
 
-// unsent is the reason for which no byte left. A kept connection was ended by the receiver meanwhile: another may do.
-func (c *connection) unsent(err error) error {
-	if c.served > 1 {
+// unsentError returns the error for a write that sent nothing. A reused connection was closed by the receiver meanwhile,
+// so that another connection may work: errStale makes Exchange try again.
+func (c *connection) unsentError(err error) error {
+	if c.exchanges > 1 {
 		return errStale
 	}
 	return err
 }
 
-// roundTripLarge writes the body beside the reading, as a receiver may answer without having read it all.
-func (c *connection) roundTripLarge(request *Request) (answer *Response, sent bool, err error) {
+// roundTripLarge writes the body while reading, as a receiver may respond without having read all of it.
+func (c *connection) roundTripLarge(request *Request) (response *Response, maybeSent bool, err error) {
 	written := make(chan writeResult, 1)
 	go func() {
-		n, err := c.sendLarge(request)
+		n, err := c.writeLarge(request)
 		if err != nil {
-			c.SetReadDeadline(time.Now().Add(earlyAnswerWait))
+			c.SetReadDeadline(time.Now().Add(earlyResponseTimeout))
 		}
 		written <- writeResult{bytes: n, err: err}
 	}()
-	answer, err = c.receive(request)
+	response, err = c.readResponse(request)
 	if err != nil {
 		c.close()
 		result := <-written
 		if result.err != nil && result.bytes == 0 {
-			return nil, false, c.unsent(result.err)
+			return nil, false, c.unsentError(result.err)
 		}
 		return nil, true, cmp.Or(result.err, err)
 	}
-	answer.written = written
-	return answer, true, nil
+	response.writeDone = written
+	return response, true, nil
 }
 
-// writeResult is how far the write of a request came.
+// writeResult is the result of writing a request.
 type writeResult struct {
 	bytes int64
 	err   error
 }
 
-// send writes head and body in one write.
-func (c *connection) send(request *Request) (int, error) {
-	buffer := heads.Get().(*buffer)
+// writeJoined sends head and body in one write.
+func (c *connection) writeJoined(request *Request) (int, error) {
+	buffer := headBuffers.Get().(*buffer)
 	defer buffer.recycle()
 	buffer.bytes = request.appendHead(buffer.bytes[:0])
 	buffer.bytes = append(buffer.bytes, request.BodyPrefix...)
@@ -143,140 +145,140 @@
 	return c.Write(buffer.bytes)
 }
 
-func (c *connection) sendLarge(request *Request) (int64, error) {
+func (c *connection) writeLarge(request *Request) (int64, error) {
 	parts := net.Buffers{request.appendHead(nil), request.BodyPrefix, request.Body}
 	return parts.WriteTo(c.Conn)
 }
 
-// receive reads heads until the one of the request's answer.
-func (c *connection) receive(request *Request) (*Response, error) {
-	asked := &http.Request{Method: request.Method}
-	foreign, interim := 0, 0
+// readResponse reads response heads up to that of the request's final response.
+func (c *connection) readResponse(request *Request) (*Response, error) {
+	httpRequest := &http.Request{Method: request.Method}
+	skipped, interim := 0, 0
 	for {
-		c.headLeft = maxHead
-		response, err := http.ReadResponse(c.reader, asked)
-		c.headLeft = -1
+		c.headBytesLeft = maxHeadBytes
+		response, err := http.ReadResponse(c.reader, httpRequest)
+		c.headBytesLeft = -1
 		if err != nil {
-			return nil, noEOF(err)
+			return nil, unexpectedEOF(err)
 		}
 		if response.StatusCode < 200 {
 			interim++
-			if response.StatusCode == http.StatusSwitchingProtocols || interim > maxInterim {
-				return nil, errUpgrade
+			if response.StatusCode == http.StatusSwitchingProtocols || interim > maxInterimResponses {
+				return nil, errUnexpectedInterim
 			}
 			continue
 		}
 		echoed := response.Header.Get(requestIDHeader)
 		if echoed != "" && echoed != request.ID {
-			foreign++
-			if foreign > maxForeign || !skip(response) {
-				return nil, errForeign
+			skipped++
+			if skipped > maxSkippedResponses || !discardResponse(response) {
+				return nil, errWrongRequestID
 			}
 			continue
 		}
-		if echoed == "" && request.ID != "" && !(refusal(response) && c.served == 1 && foreign == 0) {
-			return nil, errUnidentified
+		if echoed == "" && request.ID != "" && !(statesNotExecuted(response) && c.exchanges == 1 && skipped == 0) {
+			return nil, errNoRequestID
 		}
-		return c.answer(response, foreign > 0), nil
+		return c.newResponse(response, skipped > 0), nil
 	}
 }
 
-// refusal says whether an answer states that the request was not run. Only such a one may lack the request's id, and
-// only as the first answer on its connection, where no other request's can stand.
-func refusal(response *http.Response) bool {
+// statesNotExecuted reports whether a response states that the request was not run. Only such a response may lack the
+// request id, and only as the first one on its connection, where it cannot belong to another request.
+func statesNotExecuted(response *http.Response) bool {
 	return response.StatusCode == http.StatusMisdirectedRequest || response.Header.Get("Emberquay-Not-Executed") != ""
 }
 
-// skip reads away the whole of an answer to an earlier request.
-func skip(response *http.Response) bool {
-	if !bounded(response) {
+// discardResponse reads and discards a response to an earlier request. It returns false if that is not possible.
+func discardResponse(response *http.Response) bool {
+	if !isFramed(response) {
 		return false
 	}
-	n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxForeignBody+1))
-	return err == nil && n <= maxForeignBody
+	n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxSkippedBodyBytes+1))
+	return err == nil && n <= maxSkippedBodyBytes
 }
 
-// bounded says whether the head tells where the body ends. One that does not ends with its connection: whole if that is
-// closed, broken off if it is reset.
-func bounded(response *http.Response) bool {
+// isFramed reports whether the head determines the end of the body. Otherwise the body ends with the connection: it is
+// complete if that is closed, truncated if it is reset.
+func isFramed(response *http.Response) bool {
 	return response.ContentLength >= 0 || slices.Contains(response.TransferEncoding, "chunked") || response.Body == http.NoBody
 }
 
-func (c *connection) answer(response *http.Response, tainted bool) *Response {
-	a := &Response{
-		Status:        response.StatusCode,
-		Header:        response.Header,
-		ContentLength: response.ContentLength,
-		response:      response,
-		connection:    c,
-		tainted:       tainted || response.Close || response.ProtoMinor == 0,
-		whole:         response.Body == http.NoBody,
-		idleFor:       idleTime(response.Header),
+func (c *connection) newResponse(response *http.Response, discardConnection bool) *Response {
+	r := &Response{
+		Status:            response.StatusCode,
+		Header:            response.Header,
+		ContentLength:     response.ContentLength,
+		response:          response,
+		connection:        c,
+		discardConnection: discardConnection || response.Close || response.ProtoMinor == 0,
+		complete:          response.Body == http.NoBody,
+		idleTimeout:       parseKeepAlive(response.Header),
 	}
-	a.Body = body{a}
-	return a
+	r.Body = responseBody{r}
+	return r
 }
 
-// body reads an answer's body and notes its end.
-type body struct{ answer *Response }
+// responseBody reads a response's body and records that it has been read completely.
+type responseBody struct{ response *Response }
 
-func (b body) Read(to []byte) (int, error) {
-	n, err := b.answer.response.Body.Read(to)
+func (b responseBody) Read(to []byte) (int, error) {
+	n, err := b.response.response.Body.Read(to)
 	if err == io.EOF {
-		b.answer.whole = true
+		b.response.complete = true
 	}
 	return n, err
 }
 
-// Complete says whether the body was read to its proper end.
-func (a *Response) Complete() bool { return a.whole }
+// Complete reports whether the body was read to its regular end.
+func (r *Response) Complete() bool { return r.complete }
 
-// Close keeps the connection if the answer was read whole, and ends it otherwise, which cancels the request. The bytes
-// of the request are not used any more when it returns.
-func (a *Response) Close() {
-	if a.connection == nil {
+// Close returns the connection to the pool if the response was read completely, and otherwise closes it, which cancels
+// the request. The bytes of the request are no longer used once Close has returned.
+func (r *Response) Close() {
+	if r.connection == nil {
 		return
 	}
-	c := a.connection
-	a.connection = nil
-	if a.written != nil {
-		a.endWrite(c)
+	c := r.connection
+	r.connection = nil
+	if r.writeDone != nil {
+		r.finishWrite(c)
 	}
-	if !a.detach() || !a.whole || a.tainted || a.idleFor == 0 || c.reader.Buffered() > 0 {
+	if !r.stopCancel() || !r.complete || r.discardConnection || r.idleTimeout == 0 || c.reader.Buffered() > 0 {
 		c.close()
 		return
 	}
-	c.home.pool.put(c, a.idleFor)
+	c.endpoint.pool.put(c, r.idleTimeout)
 }
 
-// endWrite waits for the writer of a large request. One that is still at it is stopped: its bytes may soon be those of
-// another request.
-func (a *Response) endWrite(c *connection) {
+// finishWrite waits for the goroutine that writes a large request. It interrupts an unfinished write by closing the
+// connection, as the buffer of the body may soon be reused for another request.
+func (r *Response) finishWrite(c *connection) {
 	var result writeResult
 	select {
-	case result = <-a.written:
+	case result = <-r.writeDone:
 	default:
-		a.tainted = true
+		r.discardConnection = true
 		c.close()
-		result = <-a.written
+		result = <-r.writeDone
 	}
-	a.tainted = a.tainted || result.err != nil
+	r.discardConnection = r.discardConnection || result.err != nil
 }
 
-// NotExecuted says whether the receiver states that it did not run the request.
-func (a *Response) NotExecuted() bool { return refusal(a.response) }
+// NotExecuted reports whether the receiver states that it did not run the request.
+func (r *Response) NotExecuted() bool { return statesNotExecuted(r.response) }
 
-// RetryAfter is the wait that the answer tells, in seconds with fractions; 0: none.
-func (a *Response) RetryAfter() time.Duration {
-	seconds, err := strconv.ParseFloat(strings.TrimSpace(a.Header.Get("Retry-After")), 64)
+// RetryAfter returns the value of the Retry-After field, in seconds with fractions; 0: none.
+func (r *Response) RetryAfter() time.Duration {
+	seconds, err := strconv.ParseFloat(strings.TrimSpace(r.Header.Get("Retry-After")), 64)
 	if err != nil || !(seconds > 0) {
 		return 0
 	}
 	return time.Duration(min(seconds, maxRetryAfter.Seconds()) * float64(time.Second))
 }
 
-// noEOF names the end of a connection in place of an answer for what it is.
-func noEOF(err error) error {
+// unexpectedEOF replaces io.EOF in place of a response by io.ErrUnexpectedEOF.
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
--- a/internal/tier/proxy/outbound/pool.go
+++ b/internal/tier/proxy/outbound/pool.go
@@ -11,50 +11,50 @@
 )
 
 const (
-	// defaultDialTimeout is how long a receiver may take to accept: a dead machine says nothing.
+	// defaultDialTimeout bounds the connection attempt: a dead machine does not answer it.
 	defaultDialTimeout = time.Second
-	// unackedTimeout ends a connection whose peer acknowledges nothing that was sent.
-	unackedTimeout = 5 * time.Second
-	// sweepEvery is how often connections are looked for that have rested too long.
-	sweepEvery = 2 * time.Second
-	// crowdedIdle is how long a connection rests at a receiver that has few places for each of its callers.
-	crowdedIdle = 500 * time.Millisecond
-	// leastLimit is the least number of connections to one receiver.
-	leastLimit = 2
+	// tcpUserTimeout is TCP_USER_TIMEOUT of connections: how long sent data may stay unacknowledged.
+	tcpUserTimeout = 5 * time.Second
+	// sweepInterval is the time between two searches for expired idle connections.
+	sweepInterval = 2 * time.Second
+	// contendedIdleTimeout is the idle timeout for a receiver that allows few connections per proxy.
+	contendedIdleTimeout = 500 * time.Millisecond
+	// minAddressLimit is the least limit of connections to one receiver.
+	minAddressLimit = 2
 )
 
-// Options of a pool. The zero value of each field stands for its default.
+// Options configures a Pool. The zero value of each field selects its default.
 type Options struct {
-	MaxConnections      int           // connections to all receivers together; default 512
+	MaxConnections      int           // to all receivers together; default 512
 	DialTimeout         time.Duration // default one second
-	DefaultAddressLimit int           // connections to a receiver for which SetLimits has said nothing; default 8
+	DefaultAddressLimit int           // connections to a receiver without a limit from SetLimits; default 8
 }
 
-// Pool keeps connections to receivers. Its methods may be called from any goroutine.
+// Pool pools connections to receivers. Its methods are safe for concurrent use.
 type Pool struct {
 	options Options
 	dialer  net.Dialer
 
-	mu        sync.Mutex
-	endpoints map[string]*endpoint // by address
-	open      int
-	idle      int
-	sweeper   *time.Timer
-	sweeping  bool
-	closed    bool
+	mu             sync.Mutex
+	endpoints      map[string]*endpoint // by address
+	openCount      int
+	idleCount      int
+	sweepTimer     *time.Timer
+	sweepScheduled bool
+	closed         bool
 }
 
-// endpoint is what the pool knows of one address. Its fields are under the pool's lock.
+// endpoint is the pool's state for one address. Its fields are guarded by the pool's mutex.
 type endpoint struct {
-	pool    *Pool
-	address string
-	limit   int
-	crowded bool
-	open    int
-	idle    []*connection // the latest used last
+	pool      *Pool
+	address   string
+	limit     int
+	contended bool
+	openCount int
+	idle      []*connection // the most recently used last
 }
 
-// NewPool makes an empty pool.
+// NewPool returns an empty pool.
 func NewPool(options Options) *Pool {
 	if options.MaxConnections <= 0 {
 		options.MaxConnections = 512
@@ -66,15 +66,15 @@
 		options.DialTimeout = defaultDialTimeout
 	}
 	p := &Pool{options: options, endpoints: make(map[string]*endpoint)}
-	p.dialer = net.Dialer{Timeout: options.DialTimeout, KeepAlive: -1, Control: boundUnacked}
+	p.dialer = net.Dialer{Timeout: options.DialTimeout, KeepAlive: -1, Control: setUserTimeout}
 	return p
 }
 
-// boundUnacked sets TCP_USER_TIMEOUT: behind a cut, writes would else hang for minutes.
-func boundUnacked(_, _ string, raw syscall.RawConn) error {
+// setUserTimeout sets TCP_USER_TIMEOUT: during a network partition writes would otherwise hang for minutes.
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var failed error
 	err := raw.Control(func(descriptor uintptr) {
-		failed = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
+		failed = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
@@ -82,51 +82,51 @@
 	return failed
 }
 
-// AddressLimit is the most connections to an address. Where it is crowded, those at rest take places from others: they are
-// kept for crowdedIdle only.
+// AddressLimit is the connection limit of an address. If it is contended, idle connections take connections away from
+// other proxies, so they are kept for contendedIdleTimeout only.
 type AddressLimit struct {
 	Address        string
 	MaxConnections int
 	Contended      bool
 }
 
-// SetLimits names all receivers; idle connections to any other address are closed.
+// SetLimits sets the limits of all receivers. Idle connections to any other address are closed.
 func (p *Pool) SetLimits(limits []AddressLimit) {
 	p.mu.Lock()
-	named := make(map[string]bool, len(limits))
+	listed := make(map[string]bool, len(limits))
 	for _, limit := range limits {
-		named[limit.Address] = true
+		listed[limit.Address] = true
 		e := p.endpoint(limit.Address)
-		e.limit = max(leastLimit, limit.MaxConnections)
-		e.crowded = limit.Contended
+		e.limit = max(minAddressLimit, limit.MaxConnections)
+		e.contended = limit.Contended
 	}
-	var gone []*connection
+	var toClose []*connection
 	for address, e := range p.endpoints {
-		if named[address] {
+		if listed[address] {
 			continue
 		}
-		gone = append(gone, p.takeIdle(e, len(e.idle))...)
-		if e.open == 0 {
+		toClose = append(toClose, p.removeIdle(e, len(e.idle))...)
+		if e.openCount == 0 {
 			delete(p.endpoints, address)
 		}
 	}
 	p.mu.Unlock()
-	closeAll(gone)
+	closeAll(toClose)
 }
 
-// Close closes idle connections, now and as exchanges end.
+// Close closes the idle connections, and the others as their exchanges end.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
-	if p.sweeper != nil {
-		p.sweeper.Stop()
+	if p.sweepTimer != nil {
+		p.sweepTimer.Stop()
 	}
-	var gone []*connection
+	var toClose []*connection
 	for _, e := range p.endpoints {
-		gone = append(gone, p.takeIdle(e, len(e.idle))...)
+		toClose = append(toClose, p.removeIdle(e, len(e.idle))...)
 	}
 	p.mu.Unlock()
-	closeAll(gone)
+	closeAll(toClose)
 }
 
 func (p *Pool) endpoint(address string) *endpoint {
@@ -138,13 +138,14 @@
 	return e
 }
 
-// takeIdle takes the n connections out that have rested longest. Under the lock; the caller closes them after it.
-func (p *Pool) takeIdle(e *endpoint, n int) []*connection {
-	taken := make([]*connection, n)
-	copy(taken, e.idle)
+// removeIdle removes the n connections that have been idle longest. The caller holds mu and closes them after releasing
+// it.
+func (p *Pool) removeIdle(e *endpoint, n int) []*connection {
+	removed := make([]*connection, n)
+	copy(removed, e.idle)
 	e.idle = append(e.idle[:0], e.idle[n:]...)
-	p.idle -= n
-	return taken
+	p.idleCount -= n
+	return removed
 }
 
 func closeAll(connections []*connection) {
@@ -153,10 +154,10 @@
 	}
 }
 
-// get gives a kept connection to the address that seems alive, or a new one.
+// get returns an idle connection to the address that seems alive, or a new one.
 func (p *Pool) get(ctx context.Context, address string, deadline time.Time) (*connection, error) {
 	for {
-		c, err := p.reuse(address)
+		c, err := p.takeIdleOrReserve(address)
 		if err != nil {
 			return nil, err
 		}
@@ -171,8 +172,9 @@
 	return p.dial(ctx, address, deadline)
 }
 
-// reuse takes the latest used idle connection, or counts a new one: then it gives neither a connection nor an error.
-func (p *Pool) reuse(address string) (*connection, error) {
+// takeIdleOrReserve removes and returns the most recently used idle connection. If there is none, it counts a new one, to
+// be dialed by the caller, and returns nil without an error.
+func (p *Pool) takeIdleOrReserve(address string) (*connection, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
@@ -183,35 +185,35 @@
 		c := e.idle[last]
 		e.idle[last] = nil
 		e.idle = e.idle[:last]
-		p.idle--
+		p.idleCount--
 		return c, nil
 	}
-	if e.open >= e.limit {
+	if e.openCount >= e.limit {
 		return nil, ErrConnectionLimit
 	}
-	if p.open >= p.options.MaxConnections && !p.evict() {
+	if p.openCount >= p.options.MaxConnections && !p.evict() {
 		return nil, ErrConnectionLimit
 	}
-	e.open++
-	p.open++
+	e.openCount++
+	p.openCount++
 	return nil, nil
 }
 
-// evict makes room by closing the connection that has rested longest. Under the lock.
+// evict makes room by closing the connection that has been idle longest. The caller holds mu.
 func (p *Pool) evict() bool {
 	var from *endpoint
 	for _, e := range p.endpoints {
-		if len(e.idle) > 0 && (from == nil || e.idle[0].idleFrom.Before(from.idle[0].idleFrom)) {
+		if len(e.idle) > 0 && (from == nil || e.idle[0].idleSince.Before(from.idle[0].idleSince)) {
 			from = e
 		}
 	}
 	if from == nil {
 		return false
 	}
-	gone := p.takeIdle(from, 1)[0]
-	gone.closed.Store(true)
-	p.forget(from)
-	go gone.Conn.Close()
+	evicted := p.removeIdle(from, 1)[0]
+	evicted.closed.Store(true)
+	p.uncount(from)
+	go evicted.Conn.Close()
 	return true
 }
 
@@ -222,7 +224,7 @@
 	p.mu.Lock()
 	e := p.endpoint(address)
 	if err != nil {
-		p.forget(e)
+		p.uncount(e)
 	}
 	p.mu.Unlock()
 	if err != nil {
@@ -231,31 +233,31 @@
 	return newConnection(raw, e), nil
 }
 
-// ended uncounts a connection.
-func (p *Pool) ended(c *connection) {
+// release removes a closed connection from the counts.
+func (p *Pool) release(c *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.forget(c.home)
+	p.uncount(c.endpoint)
 }
 
-func (p *Pool) forget(e *endpoint) {
-	e.open--
-	p.open--
+func (p *Pool) uncount(e *endpoint) {
+	e.openCount--
+	p.openCount--
 }
 
-// put keeps a connection whose exchange has ended well.
-func (p *Pool) put(c *connection, idleFor time.Duration) {
-	c.idleFrom = time.Now()
-	c.idleFor = idleFor
+// put returns a connection to the pool after a successful exchange.
+func (p *Pool) put(c *connection, idleTimeout time.Duration) {
+	c.idleSince = time.Now()
+	c.idleTimeout = idleTimeout
 	p.mu.Lock()
-	if c.home.crowded {
-		c.idleFor = min(c.idleFor, crowdedIdle)
+	if c.endpoint.contended {
+		c.idleTimeout = min(c.idleTimeout, contendedIdleTimeout)
 	}
-	kept := !p.closed && p.endpoints[c.home.address] == c.home && c.home.open <= c.home.limit
+	kept := !p.closed && p.endpoints[c.endpoint.address] == c.endpoint && c.endpoint.openCount <= c.endpoint.limit
 	if kept {
-		c.home.idle = append(c.home.idle, c)
-		p.idle++
-		p.armSweep()
+		c.endpoint.idle = append(c.endpoint.idle, c)
+		p.idleCount++
+		p.scheduleSweep()
 	}
 	p.mu.Unlock()
 	if !kept {
@@ -263,35 +265,35 @@
 	}
 }
 
-// armSweep starts the timer if it does not run. Under the lock.
-func (p *Pool) armSweep() {
-	if p.sweeping {
+// scheduleSweep starts the timer unless it is running. The caller holds mu.
+func (p *Pool) scheduleSweep() {
+	if p.sweepScheduled {
 		return
 	}
-	p.sweeping = true
-	if p.sweeper == nil {
-		p.sweeper = time.AfterFunc(sweepEvery, p.sweep)
+	p.sweepScheduled = true
+	if p.sweepTimer == nil {
+		p.sweepTimer = time.AfterFunc(sweepInterval, p.sweep)
 		return
 	}
-	p.sweeper.Reset(sweepEvery)
+	p.sweepTimer.Reset(sweepInterval)
 }
 
-// sweep closes connections that have rested too long, and goes on while any is idle.
+// sweep closes expired idle connections, and schedules the next sweep while any is idle.
 func (p *Pool) sweep() {
 	now := time.Now()
-	var gone []*connection
+	var toClose []*connection
 	p.mu.Lock()
 	for _, e := range p.endpoints {
 		n := 0
 		for n < len(e.idle) && e.idle[n].expired(now) {
 			n++
 		}
-		gone = append(gone, p.takeIdle(e, n)...)
+		toClose = append(toClose, p.removeIdle(e, n)...)
 	}
-	p.sweeping = false
-	if p.idle > 0 && !p.closed {
-		p.armSweep()
+	p.sweepScheduled = false
+	if p.idleCount > 0 && !p.closed {
+		p.scheduleSweep()
 	}
 	p.mu.Unlock()
-	closeAll(gone)
+	closeAll(toClose)
 }
--- a/internal/tier/proxy/outbound/receiver_test.go
+++ b/internal/tier/proxy/outbound/receiver_test.go
@@ -11,24 +11,24 @@
 	. "github.com/onsi/gomega"
 )
 
-// received is one request as a receiver got it.
-type received struct {
+// receivedRequest is one request as a receiver got it.
+type receivedRequest struct {
 	connection int // counted from 1
-	head       *http.Request
+	request    *http.Request
 	body       string
 }
 
-// receiver is a listener that answers each request with what its script writes.
+// receiver is a listener that calls its script for each request.
 type receiver struct {
 	address string
-	script  func(connection net.Conn, request received)
+	script  func(connection net.Conn, request receivedRequest)
 
 	mu       sync.Mutex
-	requests []received
+	requests []receivedRequest
 	accepted []net.Conn
 }
 
-func startReceiver(script func(net.Conn, received)) *receiver {
+func startReceiver(script func(net.Conn, receivedRequest)) *receiver {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	r := &receiver{address: listener.Addr().String(), script: script}
@@ -70,7 +70,7 @@
 		if err != nil {
 			return
 		}
-		request := received{connection: number, head: head, body: string(body)}
+		request := receivedRequest{connection: number, request: head, body: string(body)}
 		r.mu.Lock()
 		r.requests = append(r.requests, request)
 		r.mu.Unlock()
@@ -78,10 +78,10 @@
 	}
 }
 
-func (r *receiver) seen() []received {
+func (r *receiver) received() []receivedRequest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]received(nil), r.requests...)
+	return append([]receivedRequest(nil), r.requests...)
 }
 
 func (r *receiver) connections() int {
@@ -90,13 +90,13 @@
 	return len(r.accepted)
 }
 
-// say writes an answer as given.
-func say(text string) func(net.Conn, received) {
-	return func(connection net.Conn, _ received) { io.WriteString(connection, text) }
+// respondWith returns a script that writes the text.
+func respondWith(text string) func(net.Conn, receivedRequest) {
+	return func(connection net.Conn, _ receivedRequest) { io.WriteString(connection, text) }
 }
 
-// answerTo is a whole answer with the id of its request.
-func answerTo(id, body string) string {
+// responseTo returns a complete response with the id of its request.
+func responseTo(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nEmberquay-Request-Id: " + id + "\r\nKeep-Alive: timeout=5\r\nContent-Length: " +
 		itoa(len(body)) + "\r\n\r\n" + body
 }
--- a/internal/tier/proxy/outbound/request.go
+++ b/internal/tier/proxy/outbound/request.go
@@ -6,44 +6,44 @@
 	"sync"
 )
 
-// requestIDHeader names the request; receivers echo it in their answers.
+// requestIDHeader carries the request id; receivers echo it in their responses.
 const requestIDHeader = "Emberquay-Request-Id"
 
-// Request is what goes to a receiver. Target is the request target as the client sent it. Header holds end-to-end
-// fields only; the framing of the body is written by this package.
+// Request is a request to a receiver. Target is the request target as the client sent it. Header holds end-to-end
+// fields only; this package writes the framing of the body.
 type Request struct {
-	ID          string // its answer must echo it; "" for the system's own questions, whose answers name none
+	ID          string // the response must echo it; "" for the proxy's own requests, whose responses carry no id
 	Method      string
 	Target      string
 	Host        string
 	Header      http.Header
 	ExtraFields []HeaderField // written in addition to Header, which may be shared
-	BodyPrefix  []byte        // goes in front of Body, as part of the same body
+	BodyPrefix  []byte        // sent in front of Body, as part of the same body
 	Body        []byte
-	HasBody     bool // a body was announced, even one of no bytes
+	HasBody     bool // Content-Length is sent even if the body is empty
 }
 
-func (r *Request) length() int { return len(r.BodyPrefix) + len(r.Body) }
+func (r *Request) bodyLength() int { return len(r.BodyPrefix) + len(r.Body) }
 
-// HeaderField is one header field.
+// HeaderField is a header field.
 type HeaderField struct{ Name, Value string }
 
-// joinedBody is the size up to which a body is copied behind the head, to leave in one write.
-const joinedBody = 32 << 10
+// maxJoinedBodyBytes is the size up to which a body is copied after the head, to be sent in one write.
+const maxJoinedBodyBytes = 32 << 10
 
 type buffer struct{ bytes []byte }
 
-var heads = sync.Pool{New: func() any { return &buffer{bytes: make([]byte, 0, 2<<10)} }}
+var headBuffers = sync.Pool{New: func() any { return &buffer{bytes: make([]byte, 0, 2<<10)} }}
 
-// recycle gives a buffer back unless it grew past what is worth keeping.
+// recycle returns a buffer to the pool unless it has grown too large.
 func (b *buffer) recycle() {
-	if cap(b.bytes) <= joinedBody*2 {
+	if cap(b.bytes) <= maxJoinedBodyBytes*2 {
 		b.bytes = b.bytes[:0]
-		heads.Put(b)
+		headBuffers.Put(b)
 	}
 }
 
-// appendHead writes the request's head. Fields come as net/http's server read them, which refuses line breaks.
+// appendHead appends the request's head. The fields were read by net/http's server, which rejects line breaks in them.
 func (r *Request) appendHead(to []byte) []byte {
 	to = append(to, r.Method...)
 	to = append(to, ' ')
@@ -58,9 +58,9 @@
 	for _, field := range r.ExtraFields {
 		to = appendField(to, field.Name, field.Value)
 	}
-	if r.HasBody || r.length() > 0 {
+	if r.HasBody || r.bodyLength() > 0 {
 		to = append(to, "Content-Length: "...)
-		to = strconv.AppendInt(to, int64(r.length()), 10)
+		to = strconv.AppendInt(to, int64(r.bodyLength()), 10)
 		to = append(to, "\r\n"...)
 	}
 	return append(to, "\r\n"...)
