--- a/internal/tier/proxy/admission.go
+++ b/internal/tier/proxy/admission.go
@@ -102,16 +102,16 @@
 func (a *admission) deliver(effects dispatch.Effects) {
 	for i := range effects.Sends {
 		send := effects.Sends[i]
-		if t := a.pending[send.Request]; t != nil {
+		if pending := a.pending[send.Request]; pending != nil {
 			a.counts.Attempts++
-			t.decisions <- decision{send: &send}
+			pending.decisions <- decision{send: &send}
 		}
 	}
 	for _, refuse := range effects.Refusals {
-		if t := a.pending[refuse.Request]; t != nil {
+		if pending := a.pending[refuse.Request]; pending != nil {
 			delete(a.pending, refuse.Request)
 			a.counts.Refused[refuse.Reason]++
-			t.decisions <- decision{refusal: refuse}
+			pending.decisions <- decision{refusal: refuse}
 		}
 	}
 	if effects.Wake > 0 {
@@ -125,34 +125,34 @@
 // submit enqueues a request. It assigns a new ID, as clients may use the same one twice.
 func (a *admission) submit(request dispatch.Request) *pendingRequest {
 	request.ID = dispatch.RequestID(strconv.FormatUint(a.requestCount.Add(1), 36))
-	t := &pendingRequest{id: request.ID, decisions: make(chan decision, decisionBuffer)}
-	a.enqueue(arriveCommand{request: request, pending: t})
-	return t
+	pending := &pendingRequest{id: request.ID, decisions: make(chan decision, decisionBuffer)}
+	a.enqueue(arriveCommand{request: request, pending: pending})
+	return pending
 }
 
 // await waits for the next decision. It returns false if ctx ended or the deadline passed first, or run was stopped; the
 // request is then withdrawn.
-func (a *admission) await(ctx context.Context, t *pendingRequest, deadline time.Time) (decision, bool) {
+func (a *admission) await(ctx context.Context, pending *pendingRequest, deadline time.Time) (decision, bool) {
 	select {
-	case d := <-t.decisions:
+	case d := <-pending.decisions:
 		return d, true
 	default:
 	}
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	select {
-	case d := <-t.decisions:
+	case d := <-pending.decisions:
 		return d, true
 	case <-ctx.Done():
 	case <-timer.C:
 	case <-a.done:
 	}
-	a.enqueue(withdrawCommand{pending: t})
+	a.enqueue(withdrawCommand{pending: pending})
 	return decision{}, false
 }
 
 // started reports that part of a response has been written to the client.
-func (a *admission) started(t *pendingRequest) { a.enqueue(startedCommand{request: t.id}) }
+func (a *admission) started(pending *pendingRequest) { a.enqueue(startedCommand{request: pending.id}) }
 
 // attemptEnded reports the outcome of an attempt after which the handler awaits another decision.
 func (a *admission) attemptEnded(send *dispatch.Send, outcome dispatch.Outcome) {
--- a/internal/tier/proxy/events/fuzz_test.go
+++ b/internal/tier/proxy/events/fuzz_test.go
@@ -43,20 +43,20 @@
 		if !bytes.Equal(bytes.Join(raws, nil), body) {
 			t.Fatalf("the events of %q are %q", body, raws)
 		}
-		apart, datasApart, err := readEvents(iotest.OneByteReader(bytes.NewReader(body)))
-		if !errors.Is(err, io.EOF) || len(apart) != len(raws) {
-			t.Fatalf("%d events from single-byte reads, want %d: %v", len(apart), len(raws), err)
+		byteRaws, byteDatas, err := readEvents(iotest.OneByteReader(bytes.NewReader(body)))
+		if !errors.Is(err, io.EOF) || len(byteRaws) != len(raws) {
+			t.Fatalf("%d events from single-byte reads, want %d: %v", len(byteRaws), len(raws), err)
 		}
 		for at := range raws {
-			if !bytes.Equal(apart[at], raws[at]) || !bytes.Equal(datasApart[at], datas[at]) {
-				t.Fatalf("event %d from single-byte reads is %q with data %q, want %q with %q", at, apart[at], datasApart[at], raws[at], datas[at])
+			if !bytes.Equal(byteRaws[at], raws[at]) || !bytes.Equal(byteDatas[at], datas[at]) {
+				t.Fatalf("event %d from single-byte reads is %q with data %q, want %q with %q", at, byteRaws[at], byteDatas[at], raws[at], datas[at])
 			}
 		}
-		broken, _, err := readEvents(io.MultiReader(bytes.NewReader(body), iotest.ErrReader(io.ErrUnexpectedEOF)))
+		truncated, _, err := readEvents(io.MultiReader(bytes.NewReader(body), iotest.ErrReader(io.ErrUnexpectedEOF)))
 		if !errors.Is(err, io.ErrUnexpectedEOF) {
 			t.Fatalf("a truncated body ends with %v", err)
 		}
-		for _, raw := range broken {
+		for _, raw := range truncated {
 			if !bytes.HasSuffix(raw, []byte("\n\n")) && !bytes.HasSuffix(raw, []byte("\n\r\n")) {
 				t.Fatalf("incomplete event %q is returned from a truncated body", raw)
 			}
--- a/internal/tier/proxy/lifecycle_test.go
+++ b/internal/tier/proxy/lifecycle_test.go
@@ -253,7 +253,10 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 15*time.Second) // less than a route's timeout
 		defer cancel()
 		go p.Shutdown(ctx, time.Now())
-		Eventually(func() bool { stop := p.schedule.Load(); return stop != nil && !time.Now().Before(stop.delayEnd) }).Should(BeTrue())
+		Eventually(func() bool {
+			schedule := p.schedule.Load()
+			return schedule != nil && !time.Now().Before(schedule.delayEnd)
+		}).Should(BeTrue())
 		rest := "/unsafe/x HTTP/1.1\r\nHost: " + host + "\r\nEmberquay-Request-Id: %d\r\nEmberquay-Deadline-Ms: %d\r\nContent-Length: 1\r\n\r\nx"
 		fmt.Fprintf(long, rest, 2, 20000)
 		refused := long.result()
@@ -286,7 +289,7 @@
 		stream, sent, queued := p.dial(), p.dial(), p.dial()
 		stream.send("POST /stream/x", "body", "Emberquay-Request-Id: 1")
 		<-requested
-		begun := stream.readHead()
+		streamResponse := stream.readHead()
 		sent.send("POST /unsafe/x", "body", "Emberquay-Request-Id: 2")
 		<-requested
 		queued.send("POST /unsafe/x", "body", "Emberquay-Request-Id: 3")
@@ -296,7 +299,7 @@
 		cancel()
 		p.Shutdown(ctx, time.Now())
 		Expect(<-p.runErr).NotTo(HaveOccurred())
-		_, err := io.ReadAll(begun.Body)
+		_, err := io.ReadAll(streamResponse.Body)
 		Expect(err).To(HaveOccurred(), "an aborted stream must not look complete")
 		Expect(sent.result().status).To(Equal(504), "it may have run")
 		refused := queued.result()
--- a/internal/tier/proxy/options.go
+++ b/internal/tier/proxy/options.go
@@ -38,8 +38,8 @@
 
 const (
 	defaultReportInterval = 250 * time.Millisecond
-	// defaultShutdownDelay allows for the platform, which checks readiness every second and stops sending connections after
-	// two failures.
+	// defaultShutdownDelay leaves time for the platform, which checks readiness every second and stops sending connections
+	// after two failures.
 	defaultShutdownDelay = 2300 * time.Millisecond
 	// defaultConfigurationWait exceeds the 100 ms or so that a starting process needs to learn the configuration. A refusal
 	// in that time would use up an attempt of clients that found no other proxy.
--- a/internal/tier/proxy/outbound/exchange.go
+++ b/internal/tier/proxy/outbound/exchange.go
@@ -183,7 +183,7 @@
 	}
 }
 
-// statesNotExecuted reports whether a response states that the request was not run. Only such a response may lack the
+// statesNotExecuted reports whether a response states that the request has not run. Only such a response may lack the
 // request id, and only as the first one on its connection, where it cannot belong to another request.
 func statesNotExecuted(response *http.Response) bool {
 	return response.StatusCode == http.StatusMisdirectedRequest || response.Header.Get("Emberquay-Not-Executed") != ""
--- a/internal/tier/proxy/plain.go
+++ b/internal/tier/proxy/plain.go
@@ -25,7 +25,9 @@
 
 // forwardResponse forwards a response once it has been read completely, so that a truncated one is never started. A long
 // one is forwarded as it arrives.
-func (h *requestHandler) forwardResponse(send *dispatch.Send, response *outbound.Response, start time.Time, firstByte time.Duration) (responseEnd, bool) {
+func (h *requestHandler) forwardResponse(
+	send *dispatch.Send, response *outbound.Response, start time.Time, firstByte time.Duration,
+) (responseEnd, bool) {
 	body, err := h.proxy.bodyMemory.readBody(response.Body, response.ContentLength, maxBufferedResponseBytes)
 	defer body.release()
 	switch {
@@ -39,7 +41,9 @@
 	return h.attemptFailed(send, start, firstByte, err)
 }
 
-func (h *requestHandler) forwardBuffered(send *dispatch.Send, response *outbound.Response, body []byte, start time.Time, firstByte time.Duration) (responseEnd, bool) {
+func (h *requestHandler) forwardBuffered(
+	send *dispatch.Send, response *outbound.Response, body []byte, start time.Time, firstByte time.Duration,
+) (responseEnd, bool) {
 	length := int64(len(body))
 	if h.request.Method == http.MethodHead {
 		length = response.ContentLength
@@ -79,7 +83,9 @@
 
 // forwardUnbuffered forwards the part of a body that was read and then the rest. If the receiver's connection breaks, the
 // response is aborted: the client misses part of the announced length or the last chunk.
-func (h *requestHandler) forwardUnbuffered(send *dispatch.Send, response *outbound.Response, prefix []byte, start time.Time, firstByte time.Duration) (responseEnd, bool) {
+func (h *requestHandler) forwardUnbuffered(
+	send *dispatch.Send, response *outbound.Response, prefix []byte, start time.Time, firstByte time.Duration,
+) (responseEnd, bool) {
 	h.startResponse(response, response.ContentLength)
 	response.SetDeadline(h.deadline)
 	h.proxy.admission.started(h.pending)
--- a/internal/tier/proxy/server.go
+++ b/internal/tier/proxy/server.go
@@ -68,8 +68,11 @@
 }
 
 func newFrontend(listener net.Listener, handler func(func() bool) http.Handler, clients *connectionTracker, maxConnections int) *frontend {
-	base, cancelRequests := context.WithCancelCause(context.Background())
-	return &frontend{listener: listener, handler: handler, clients: clients, maxConnections: maxConnections, baseContext: base, cancelRequests: cancelRequests}
+	baseContext, cancelRequests := context.WithCancelCause(context.Background())
+	return &frontend{
+		listener: listener, handler: handler, clients: clients, maxConnections: maxConnections,
+		baseContext: baseContext, cancelRequests: cancelRequests,
+	}
 }
 
 // setLimits starts a new server generation if the server limits differ.
--- a/internal/tier/proxy/stream.go
+++ b/internal/tier/proxy/stream.go
@@ -67,7 +67,9 @@
 
 // completeStream completes the response after the end of the receiver's stream. That of a retained turn is completed
 // only once the stores hold the turn.
-func (h *requestHandler) completeStream(send *dispatch.Send, response *outbound.Response, start time.Time, firstByte time.Duration) (responseEnd, bool) {
+func (h *requestHandler) completeStream(
+	send *dispatch.Send, response *outbound.Response, start time.Time, firstByte time.Duration,
+) (responseEnd, bool) {
 	response.Close()
 	h.proxy.admission.requestEnded(send, dispatch.Outcome{Kind: dispatch.Success, FirstByte: firstByte, Took: time.Since(start)})
 	if !h.responseStarted {
--- a/internal/tier/proxy/visit.go
+++ b/internal/tier/proxy/visit.go
@@ -37,7 +37,7 @@
 	pending         *pendingRequest
 	maybeExecuted   bool   // a receiver may have run the request
 	responseStarted bool   // the response head has been written to the client
-	lastEventID     uint64 // of the events forwarded
+	lastEventID     uint64 // of the last event forwarded
 	lastEventRawID  string // the same as received; "" before the first
 	eventWithoutID  bool   // an event without an id was forwarded
 }
@@ -194,8 +194,8 @@
 }
 
 // prepareTurn prepares a request that is a turn. If it returns a status other than 0, the request is answered with it and
-// with wait as its Retry-After.
-func (h *requestHandler) prepareTurn() (status int, wait time.Duration) {
+// with retryAfter.
+func (h *requestHandler) prepareTurn() (status int, retryAfter time.Duration) {
 	if h.route.Kind != routing.Streaming {
 		return 0, 0
 	}
@@ -211,9 +211,9 @@
 	}
 	h.turn = t
 	if status = h.prepare(t); status == http.StatusServiceUnavailable {
-		wait = storeRetryAfter
+		retryAfter = storeRetryAfter
 	}
-	return status, wait
+	return status, retryAfter
 }
 
 // dispatchRequest returns the properties of the request that the dispatcher decides by.
