--- a/admission/dispatch/beginning.go
+++ b/admission/dispatch/beginning.go
@@ -80,7 +80,7 @@
 
 // admits places a request and says whether it is taken in at arrival. Only a program that begins is refused.
 func (d *Dispatcher) admits(s *service, q *request) bool {
-	if !q.Turn || q.programKey == 0 {
+	if !q.IsTurn || q.programKey == 0 {
 		return true
 	}
 	if known, underWay := d.underWay.get(q.programKey); underWay {
@@ -93,7 +93,7 @@
 	draw := float64(q.programKey>>11) / (1 << 53)
 	placed, admitted := s.admit.place(draw, d.reachesFar(s))
 	q.placed = placed
-	return admitted || q.Begun
+	return admitted || q.ProgramStarted
 }
 
 // reachesFar: the service has receivers in other zones than the sender's, beside some in it.
@@ -116,7 +116,7 @@
 
 // observeStart takes how long after its arrival a turn began to be answered.
 func (d *Dispatcher) observeStart(s *service, q *request) {
-	if !q.Turn {
+	if !q.IsTurn {
 		return
 	}
 	d.underWay.add(d.now, q.programKey, q.placed)
@@ -132,7 +132,7 @@
 
 // observeEnd takes the end of a turn that was never answered: by then it is as late as one that begins.
 func (d *Dispatcher) observeEnd(s *service, q *request) {
-	if q.Turn && !q.started && !q.judged && q.startsLate(d.now) {
+	if q.IsTurn && !q.started && !q.judged && q.startsLate(d.now) {
 		s.admit.late(d.servedAt(q))
 		q.judged = true
 	}
--- a/admission/dispatch/beginning_test.go
+++ b/admission/dispatch/beginning_test.go
@@ -12,7 +12,7 @@
 var _ = ginkgo.Describe("programs that begin", func() {
 	turn := func(program string) func(*Request) {
 		return func(r *Request) {
-			r.Kind, r.Turn, r.Program, r.TargetLatency, r.Priority = Streaming, true, program, 200*ms, 1
+			r.Kind, r.IsTurn, r.Program, r.TargetLatency, r.Priority = Streaming, true, program, 200*ms, 1
 		}
 	}
 	// crowded has two engines whose places are taken, but for a few.
@@ -32,7 +32,7 @@
 				refused[name] = true
 				continue
 			}
-			s.take(s.Withdraw(s.now, RequestID(name)))
+			s.take(s.Cancel(s.now, RequestID(name)))
 			if slices.Contains(s.order(), RequestID(name)) {
 				s.end(RequestID(name), Outcome{Kind: Cancelled})
 			}
@@ -50,7 +50,7 @@
 		s.arrive("1", turn("p"))
 		Expect(s.refusal("1").Status).To(Equal(StatusServiceUnavailable))
 		Expect(s.refusal("1").RetryAfter).To(BeNumerically(">=", defaultPause))
-		Expect(s.refusal("1").Executed).To(BeFalse())
+		Expect(s.refusal("1").MayHaveRun).To(BeFalse())
 	})
 	ginkgo.It("are the same ones at every sender", func() {
 		one, two := crowded(), crowded()
@@ -70,10 +70,10 @@
 	ginkgo.It("are those of which no turn is known: neither from the client nor from before", func() {
 		s := crowded()
 		s.services[pool].admit = admitShares{}
-		s.arrive("1", turn("p"), func(r *Request) { r.Begun = true })
+		s.arrive("1", turn("p"), func(r *Request) { r.ProgramStarted = true })
 		Expect(s.refusals).To(BeEmpty())
-		s.take(s.Started(s.now, "1"))
-		s.end("1", Outcome{Kind: Success, FirstByte: 20 * ms, Took: 50 * ms})
+		s.take(s.ResponseStarted(s.now, "1"))
+		s.end("1", Outcome{Kind: Success, TimeToFirstByte: 20 * ms, Duration: 50 * ms})
 		s.services[pool].admit = admitShares{}
 		s.arrive("2", turn("p"))
 		Expect(s.refusals).To(BeEmpty())
@@ -91,14 +91,14 @@
 	observed := func(after time.Duration, begins bool) float64 {
 		s := crowded()
 		before := s.services[pool].admit.near
-		s.arrive("1", turn("p"), func(r *Request) { r.Begun = true })
+		s.arrive("1", turn("p"), func(r *Request) { r.ProgramStarted = true })
 		s.now = s.now.Add(after)
 		if begins {
-			s.take(s.Started(s.now, "1"))
-			s.end("1", Outcome{Kind: Success, FirstByte: after, Took: after})
+			s.take(s.ResponseStarted(s.now, "1"))
+			s.end("1", Outcome{Kind: Success, TimeToFirstByte: after, Duration: after})
 		} else {
-			s.take(s.Withdraw(s.now, "1"))
-			s.end("1", Outcome{Kind: Cancelled, Took: after})
+			s.take(s.Cancel(s.now, "1"))
+			s.end("1", Outcome{Kind: Cancelled, Duration: after})
 		}
 		return s.services[pool].admit.near - before
 	}
@@ -144,8 +144,8 @@
 		prompt := func(r *Request) { r.Prefix = []PrefixPart{{ID: 1, Tokens: 3000}} }
 		s.arrive("1", turn("p"), prompt)
 		Expect(s.last("1").Instance).NotTo(Equal(InstanceID("a")))
-		s.take(s.Started(s.now, "1"))
-		s.end("1", Outcome{Kind: Success, FirstByte: 20 * ms, Took: 50 * ms})
+		s.take(s.ResponseStarted(s.now, "1"))
+		s.end("1", Outcome{Kind: Success, TimeToFirstByte: 20 * ms, Duration: 50 * ms})
 		s.services[pool].admit = admitShares{near: 1}
 		s.arrive("2", turn("p"), prompt)
 		Expect(s.last("2").Instance).To(Equal(s.last("1").Instance))
--- a/admission/dispatch/choice.go
+++ b/admission/dispatch/choice.go
@@ -74,10 +74,10 @@
 	reading := missing / prefillTokensPerMs
 	cost := reading*(1+load) + float64(b.unread)/prefillTokensPerMs
 	cost += load * (s.fresh/prefillTokensPerMs + batchStep*usual)
-	if total := float64(b.reading.KVTotal); total > 0 && b.reading.told {
-		filled := (float64(b.reading.KVUsed) + missing + float64(q.TokensOut)) / total
+	if total := float64(b.reading.KVTotalTokens); total > 0 && b.reading.told {
+		filled := (float64(b.reading.KVUsedTokens) + missing + float64(q.MaxOutputTokens)) / total
 		pressure := max(0, filled-memoryAmple) / (1 - memoryAmple)
-		cost += pressure * (float64(q.TokensIn)/prefillTokensPerMs + usual)
+		cost += pressure * (float64(q.InputTokens)/prefillTokensPerMs + usual)
 	}
 	return cost
 }
@@ -145,7 +145,7 @@
 // urgent for a program that has little of its time left, as all of its turns are lost with this one.
 func (d *Dispatcher) priority(s *service, q *request) int {
 	priority := min(DefaultPriority-1+q.Priority, 8)
-	if q.Begun && q.Finish > 0 && q.Finish < 2*d.usual(s, q).whole() {
+	if q.ProgramStarted && q.ProgramTimeLeft > 0 && q.ProgramTimeLeft < 2*d.usual(s, q).whole() {
 		priority--
 	}
 	return max(0, priority)
--- a/admission/dispatch/choice_test.go
+++ b/admission/dispatch/choice_test.go
@@ -10,10 +10,10 @@
 
 func prompt(parts ...PrefixPart) func(*Request) {
 	return func(r *Request) {
-		r.Kind, r.Prefix, r.TokensOut = Streaming, parts, 100
-		r.TokensIn = 0
+		r.Kind, r.Prefix, r.MaxOutputTokens = Streaming, parts, 100
+		r.InputTokens = 0
 		for _, p := range parts {
-			r.TokensIn += p.Tokens
+			r.InputTokens += p.Tokens
 		}
 	}
 }
@@ -101,8 +101,8 @@
 	})
 	ginkgo.It("prefers memory that does not run out", func() {
 		s := engines(2)
-		s.told("a", Report{Running: 4, KVUsed: 199_000, KVTotal: 200_000})
-		s.told("b", Report{Running: 4, KVUsed: 20_000, KVTotal: 200_000})
+		s.told("a", Report{Running: 4, KVUsedTokens: 199_000, KVTotalTokens: 200_000})
+		s.told("b", Report{Running: 4, KVUsedTokens: 20_000, KVTotalTokens: 200_000})
 		for i := range 6 {
 			id := RequestID(fmt.Sprint(i))
 			s.arrive(id, prompt(PrefixPart{ID: uint64(100 + i), Tokens: 2000}))
@@ -131,7 +131,7 @@
 			id := RequestID(fmt.Sprint(i))
 			s.arrive(id)
 			used[s.last(id).Instance]++
-			s.end(id, Outcome{Kind: Success, Took: 50 * ms})
+			s.end(id, Outcome{Kind: Success, Duration: 50 * ms})
 		}
 		Expect(used).To(HaveLen(3))
 		Expect(used).To(HaveEach(BeNumerically(">", 8)))
@@ -139,7 +139,7 @@
 	ginkgo.DescribeTable("the priority that receivers are told",
 		func(route int, begun bool, finish time.Duration, told int) {
 			s := newScript(plain("a", 8)).warm(100 * ms)
-			s.arrive("0", priority(route), func(r *Request) { r.Begun, r.Finish = begun, finish })
+			s.arrive("0", priority(route), func(r *Request) { r.ProgramStarted, r.ProgramTimeLeft = begun, finish })
 			Expect(s.last("0").Priority).To(Equal(told))
 		},
 		ginkgo.Entry("the most urgent route", 0, false, time.Duration(0), 4),
--- a/admission/dispatch/conformance_test.go
+++ b/admission/dispatch/conformance_test.go
@@ -107,7 +107,7 @@
 		s.arrive("1")
 		Expect(s.sends).To(HaveLen(1))
 		s.pass(5 * ms)
-		s.take(s.Started(s.now, "0"))
+		s.take(s.ResponseStarted(s.now, "0"))
 		Expect(s.sends).To(HaveLen(2))
 	}),
 	ginkgo.Entry("and then calls in flight follow the allowance left", func() {
@@ -164,7 +164,7 @@
 		Expect(s.refusal("1")).NotTo(BeNil())
 		Expect(s.refusal("1").Status).To(Equal(StatusServiceUnavailable))
 		Expect(s.refusal("1").RetryAfter).To(BeNumerically(">=", 400*ms))
-		Expect(s.refusal("1").Executed).To(BeFalse())
+		Expect(s.refusal("1").MayHaveRun).To(BeFalse())
 		Expect(s.refusal("0")).To(BeNil())
 	}),
 	ginkgo.Entry("and at each release", func() {
@@ -181,9 +181,9 @@
 		s := newScript(plain("a", 1)).warm(100 * ms)
 		s.arrive("0")
 		s.arrive("1", deadline(s, time.Minute))
-		s.take(s.EndBy(s.now, s.now.Add(150*ms))) // a usual call after that of 0 would end at 200 ms
+		s.take(s.StopBy(s.now, s.now.Add(150*ms))) // a usual call after that of 0 would end at 200 ms
 		Expect(s.refusal("1")).NotTo(BeNil())
-		Expect(s.refusal("1").Executed).To(BeFalse())
+		Expect(s.refusal("1").MayHaveRun).To(BeFalse())
 		s.arrive("2", deadline(s, time.Minute))
 		Expect(s.refusal("2")).NotTo(BeNil())
 		s.serve("0", 10*ms)
@@ -205,13 +205,13 @@
 		s.arrive("0", kind(Unsafe, 3))
 		s.arrive("1", kind(Unsafe, 3))
 		s.arrive("2", kind(Streaming, 3))
-		s.end("0", Outcome{Kind: Broken})
+		s.end("0", Outcome{Kind: TransportError})
 		s.end("1", Outcome{Kind: TimedOut})
-		s.end("2", Outcome{Kind: Broken})
+		s.end("2", Outcome{Kind: TransportError})
 		Expect(s.sends).To(HaveLen(3))
-		Expect(*s.refusal("0")).To(Equal(Refuse{Request: "0", Status: StatusBadGateway, Executed: true, Reason: Unrepeatable}))
-		Expect(*s.refusal("1")).To(Equal(Refuse{Request: "1", Status: StatusGatewayTimeout, Executed: true, Reason: Unrepeatable}))
-		Expect(*s.refusal("2")).To(Equal(Refuse{Request: "2", Status: StatusBadGateway, Executed: true, Reason: Unrepeatable}))
+		Expect(*s.refusal("0")).To(Equal(Refusal{Request: "0", Status: StatusBadGateway, MayHaveRun: true, Reason: Unrepeatable}))
+		Expect(*s.refusal("1")).To(Equal(Refusal{Request: "1", Status: StatusGatewayTimeout, MayHaveRun: true, Reason: Unrepeatable}))
+		Expect(*s.refusal("2")).To(Equal(Refusal{Request: "2", Status: StatusBadGateway, MayHaveRun: true, Reason: Unrepeatable}))
 	}),
 )
 
@@ -220,7 +220,7 @@
 		s := newScript(plain("a", 4), plain("b", 4), plain("c", 4)).warm(10 * ms)
 		s.arrive("0", change)
 		if started {
-			s.take(s.Started(s.now, "0"))
+			s.take(s.ResponseStarted(s.now, "0"))
 		}
 		s.end("0", o)
 		Expect(s.sends).To(HaveLen(sends))
@@ -229,19 +229,19 @@
 			Expect(s.refusals).To(BeEmpty())
 		}
 	},
-	ginkgo.Entry("unsafe, broken: no", kind(Unsafe, 3), Outcome{Kind: Broken}, false, 1),
+	ginkgo.Entry("unsafe, broken: no", kind(Unsafe, 3), Outcome{Kind: TransportError}, false, 1),
 	ginkgo.Entry("unsafe, timed out: no", kind(Unsafe, 3), Outcome{Kind: TimedOut}, false, 1),
 	ginkgo.Entry("unsafe, not connected: yes", kind(Unsafe, 1), Outcome{Kind: NotConnected}, false, 2),
-	ginkgo.Entry("unsafe, elsewhere: yes", kind(Unsafe, 1), Outcome{Kind: Elsewhere}, false, 2),
+	ginkgo.Entry("unsafe, elsewhere: yes", kind(Unsafe, 1), Outcome{Kind: Misdirected}, false, 2),
 	ginkgo.Entry("unsafe, full: yes", kind(Unsafe, 1), full(time.Second), false, 2),
-	ginkgo.Entry("safe, broken: yes", kind(Safe, 2), Outcome{Kind: Broken}, false, 2),
+	ginkgo.Entry("safe, broken: yes", kind(Safe, 2), Outcome{Kind: TransportError}, false, 2),
 	ginkgo.Entry("safe, timed out: yes", kind(Safe, 2), Outcome{Kind: TimedOut}, false, 2),
-	ginkgo.Entry("safe, broken, with one attempt: no", kind(Safe, 1), Outcome{Kind: Broken}, false, 1),
-	ginkgo.Entry("safe, broken after part of the answer went: no", kind(Safe, 2), Outcome{Kind: Broken}, true, 1),
-	ginkgo.Entry("stream, broken: no", kind(Streaming, 2), Outcome{Kind: Broken}, false, 1),
-	ginkgo.Entry("resumable stream, broken: yes", resumable, Outcome{Kind: Broken}, false, 2),
-	ginkgo.Entry("resumable stream, broken midway: yes", resumable, Outcome{Kind: Broken}, true, 2),
-	ginkgo.Entry("an error answer is the answer", kind(Safe, 2), Outcome{Kind: ErrorAnswer}, false, 1),
+	ginkgo.Entry("safe, broken, with one attempt: no", kind(Safe, 1), Outcome{Kind: TransportError}, false, 1),
+	ginkgo.Entry("safe, broken after part of the answer went: no", kind(Safe, 2), Outcome{Kind: TransportError}, true, 1),
+	ginkgo.Entry("stream, broken: no", kind(Streaming, 2), Outcome{Kind: TransportError}, false, 1),
+	ginkgo.Entry("resumable stream, broken: yes", resumable, Outcome{Kind: TransportError}, false, 2),
+	ginkgo.Entry("resumable stream, broken midway: yes", resumable, Outcome{Kind: TransportError}, true, 2),
+	ginkgo.Entry("an error answer is the answer", kind(Safe, 2), Outcome{Kind: ErrorResponse}, false, 1),
 	ginkgo.Entry("called off: no", kind(Safe, 2), Outcome{Kind: Cancelled}, false, 1),
 )
 
@@ -293,7 +293,7 @@
 	ginkgo.It("of whom another instance has the address get nothing until the list moves them", func() {
 		s := newScript(plain("a", 1)).warm(10 * ms)
 		s.arrive("0", objective(2*time.Second))
-		s.end("0", Outcome{Kind: Elsewhere})
+		s.end("0", Outcome{Kind: Misdirected})
 		s.list(plain("a", 1))
 		Expect(s.sends).To(HaveLen(1))
 		s.list(plain("a", 1, func(r *Receiver) { r.Address = "10.0.0.2:1" }))
@@ -320,12 +320,12 @@
 		s := newScript(plain("a", 1)).warm(10 * ms)
 		s.arrive("0", kind(Safe, 2), objective(time.Second))
 		s.list(plain("b", 1, draining))
-		s.end("0", Outcome{Kind: Broken})
+		s.end("0", Outcome{Kind: TransportError})
 		s.pass(100 * ms)
 		s.list(plain("b", 1, draining)) // a is forgotten
 		s.list(plain("a", 1), plain("b", 1, draining))
 		Expect(s.sends).To(HaveLen(1))
-		Expect(s.refusal("0").Executed).To(BeTrue())
+		Expect(s.refusal("0").MayHaveRun).To(BeTrue())
 	})
 	ginkgo.It("rest after two failures in a row, longer each time, and come back with one call", func() {
 		s := newScript(plain("a", 4), plain("b", 4), plain("c", 4)).warm(10 * ms)
@@ -399,7 +399,7 @@
 		s := newScript(plain("a", 1)).warm(10 * ms)
 		s.arrive("0")
 		s.arrive("1")
-		s.take(s.Withdraw(s.now, "1"))
+		s.take(s.Cancel(s.now, "1"))
 		s.serve("0", 10*ms)
 		Expect(s.order()).To(Equal([]RequestID{"0"}))
 		Expect(s.requests).To(BeEmpty())
@@ -408,7 +408,7 @@
 		s := newScript(plain("a", 1)).warm(10 * ms)
 		s.arrive("0")
 		s.arrive("1")
-		s.take(s.Withdraw(s.now, "0"))
+		s.take(s.Cancel(s.now, "0"))
 		Expect(s.sends).To(HaveLen(1))
 		s.end("0", Outcome{Kind: Cancelled})
 		Expect(s.order()).To(Equal([]RequestID{"0", "1"}))
@@ -417,8 +417,8 @@
 	ginkgo.It("drops news of an attempt that is not the one out", func() {
 		s := newScript(plain("a", 4)).warm(10 * ms)
 		s.arrive("0", kind(Safe, 3))
-		s.take(s.Answered(s.now, "0", 2, Outcome{Kind: Broken}))
-		s.take(s.Answered(s.now, "unknown", 1, Outcome{Kind: Broken}))
+		s.take(s.AttemptEnded(s.now, "0", 2, Outcome{Kind: TransportError}))
+		s.take(s.AttemptEnded(s.now, "unknown", 1, Outcome{Kind: TransportError}))
 		Expect(s.sends).To(HaveLen(1))
 		Expect(s.refusals).To(BeEmpty())
 	})
@@ -450,7 +450,7 @@
 		s.told("a", Report{Running: 4})
 		s.arrive("0")
 		s.now = s.wake.Add(time.Millisecond) // the tick is late
-		s.take(s.Arrive(s.now, Request{ID: "x", Service: "other", Deadline: s.now.Add(time.Second)}))
+		s.take(s.Submit(s.now, Request{ID: "x", Service: "other", Deadline: s.now.Add(time.Second)}))
 		Expect(s.order()).To(ContainElement(RequestID("0")))
 	})
 })
--- a/admission/dispatch/cost_test.go
+++ b/admission/dispatch/cost_test.go
@@ -30,11 +30,11 @@
 				}
 				id := ids[i%len(ids)]
 				now = now.Add(time.Millisecond)
-				e := d.Arrive(now, Request{ID: id, Service: pool, Route: "r", Kind: Streaming, MaxAttempts: 1,
-					Deadline: now.Add(5 * time.Second), TargetLatency: 200 * ms, Prefix: prefix, TokensIn: 4000, TokensOut: 100})
+				e := d.Submit(now, Request{ID: id, Service: pool, Route: "r", Kind: Streaming, MaxAttempts: 1,
+					Deadline: now.Add(5 * time.Second), TargetLatency: 200 * ms, Prefix: prefix, InputTokens: 4000, MaxOutputTokens: 100})
 				send := e.Sends[0]
-				d.Started(now.Add(50*ms), id)
-				d.Answered(now.Add(200*ms), id, send.Attempt, Outcome{Kind: Success, FirstByte: 50 * ms, Took: 200 * ms})
+				d.ResponseStarted(now.Add(50*ms), id)
+				d.AttemptEnded(now.Add(200*ms), id, send.Attempt, Outcome{Kind: Success, TimeToFirstByte: 50 * ms, Duration: 200 * ms})
 				i++
 			}
 		})
--- a/admission/dispatch/dispatch.go
+++ b/admission/dispatch/dispatch.go
@@ -5,13 +5,13 @@
 // One goroutine owns a Dispatcher, tells it what happens and carries out what it returns:
 //
 //	d := dispatch.New(seed, zone)
-//	d.SetReceivers(now, list)                  // whole, whenever it changes
-//	d.Report(now, instance, report)            // as reports come
-//	effects := d.Arrive(now, request)          // each Send is passed on, each Refuse answered at once
-//	effects = d.Started(now, id)               // the first byte or event of the answer has come
-//	effects = d.Answered(now, id, attempt, o)  // once for each Send
-//	effects = d.Tick(now)                      // at the instant that Effects.Wake named last
-//	effects = d.EndBy(now, end)                // the process stops; nothing is begun that would pass its end
+//	d.SetReceivers(now, list)                      // the whole list, whenever it changes
+//	d.ApplyReport(now, instance, report)           // for each report of a receiver
+//	effects := d.Submit(now, request)              // forward each Send, answer each Refusal at once
+//	effects = d.ResponseStarted(now, id)           // the first byte or event of the response arrived
+//	effects = d.AttemptEnded(now, id, attempt, o)  // exactly once for each Send
+//	effects = d.Tick(now)                          // at the most recent Effects.WakeAt
+//	effects = d.StopBy(now, end)                   // the process stops at end; no call is started that would outlast it
 //
 // The ordinary path is the design's: one bucket a receiver endpoint, whose allowance is its slots less what
 // it last reported and own calls sent since; requests held in order of arrival; nothing during a told wait;
@@ -57,7 +57,7 @@
 	}
 	if d.wake < math.MaxInt64 && (d.wakeAt == 0 || d.wake < d.wakeAt) {
 		d.wakeAt = d.wake
-		d.effects.Wake = d.wake
+		d.effects.WakeAt = d.wake
 	}
 	return d.effects
 }
@@ -112,8 +112,8 @@
 	}
 }
 
-// Report takes what a receiver told of itself.
-func (d *Dispatcher) Report(now Instant, instance InstanceID, told Report) Effects {
+// ApplyReport takes what a receiver told of itself.
+func (d *Dispatcher) ApplyReport(now Instant, instance InstanceID, told Report) Effects {
 	d.begin(now)
 	if b := d.buckets[instance]; b != nil && b.report(d.now, told) {
 		d.settle(d.service(b.Service))
@@ -121,8 +121,8 @@
 	return d.done()
 }
 
-// Arrive takes a request in; it has exactly one end. The id must not be one of an unfinished request.
-func (d *Dispatcher) Arrive(now Instant, r Request) Effects {
+// Submit takes a request in; it has exactly one end. The id must not be one of an unfinished request.
+func (d *Dispatcher) Submit(now Instant, r Request) Effects {
 	d.begin(now)
 	if d.requests[r.ID] != nil {
 		panic(fmt.Sprintf("dispatch: request %q arrived while one of that id is unfinished", r.ID))
@@ -145,7 +145,7 @@
 	for _, p := range r.Prefix {
 		q.prompt += p.Tokens
 	}
-	q.prompt = max(q.prompt, r.TokensIn)
+	q.prompt = max(q.prompt, r.InputTokens)
 	if r.Program != "" {
 		q.programKey = xxhash.Sum64String(r.Program)
 	}
@@ -168,8 +168,8 @@
 func (d *Dispatcher) bears(q *request) Instant {
 	least := q.TargetLatency / heldFree
 	switch {
-	case q.Finish > 0:
-		return d.now.Add(max(least, q.Finish/finishShare))
+	case q.ProgramTimeLeft > 0:
+		return d.now.Add(max(least, q.ProgramTimeLeft/finishShare))
 	case q.TargetLatency > 0:
 		start := d.usual(d.service(q.Service), q).start()
 		return d.now.Add(max(least, q.TargetLatency-start))
@@ -193,8 +193,8 @@
 		Address: b.Address, Timeout: d.timeout(s, q), Priority: d.priority(s, q)})
 }
 
-// Started notes the first byte or event of an answer, which has gone to the client.
-func (d *Dispatcher) Started(now Instant, id RequestID) Effects {
+// ResponseStarted notes the first byte or event of an answer, which has gone to the client.
+func (d *Dispatcher) ResponseStarted(now Instant, id RequestID) Effects {
 	d.begin(now)
 	if q := d.requests[id]; q != nil && q.to != nil {
 		q.started = true
@@ -207,9 +207,9 @@
 	return d.done()
 }
 
-// Withdraw notes that the client waits no more. A call that is out is called off by the caller, and its end
-// told with Answered like any other.
-func (d *Dispatcher) Withdraw(now Instant, id RequestID) Effects {
+// Cancel notes that the client waits no more. A call that is out is called off by the caller, and its end
+// told with AttemptEnded like any other.
+func (d *Dispatcher) Cancel(now Instant, id RequestID) Effects {
 	d.begin(now)
 	if q := d.requests[id]; q != nil {
 		s := d.service(q.Service)
@@ -224,9 +224,9 @@
 	return d.done()
 }
 
-// EndBy tells that the sender's process ends at an instant. It is a deadline of every request from then on: what is
+// StopBy tells that the sender's process ends at an instant. It is a deadline of every request from then on: what is
 // held is refused once its wait plus a usual call would pass it.
-func (d *Dispatcher) EndBy(now, end Instant) Effects {
+func (d *Dispatcher) StopBy(now, end Instant) Effects {
 	d.begin(now)
 	d.endBy = end
 	for _, q := range d.requests {
--- a/admission/dispatch/drawn_test.go
+++ b/admission/dispatch/drawn_test.go
@@ -79,13 +79,13 @@
 	}
 	id := rapid.SampledFrom(ids).Draw(w.t, "reporter")
 	r := Report{Running: rapid.IntRange(0, 4).Draw(w.t, "running"), Queued: rapid.IntRange(0, 1).Draw(w.t, "queued"),
-		KVUsed: rapid.IntRange(0, 5000).Draw(w.t, "used"), KVTotal: 5000,
+		KVUsedTokens: rapid.IntRange(0, 5000).Draw(w.t, "used"), KVTotalTokens: 5000,
 		Age: time.Duration(rapid.IntRange(0, 1200).Draw(w.t, "age")) * time.Millisecond}
 	p := w.places[id]
 	if at := w.now.Add(-r.Age); r.Age < time.Second && (p.told == nil || at > p.toldAt) {
 		p.told, p.toldAt = &r, at
 	}
-	w.take(w.d.Report(w.now, id, r))
+	w.take(w.d.ApplyReport(w.now, id, r))
 }
 
 func (w *drawn) arrive() {
@@ -93,15 +93,15 @@
 	r := Request{ID: RequestID(fmt.Sprint("q", w.arrived)), Service: rapid.SampledFrom(drawnServices).Draw(w.t, "service"),
 		Kind: rapid.SampledFrom([]Kind{Unsafe, Safe, Streaming}).Draw(w.t, "kind"), Resumable: rapid.Bool().Draw(w.t, "resumable"),
 		Priority: rapid.IntRange(0, 2).Draw(w.t, "priority"), MaxAttempts: rapid.IntRange(0, 3).Draw(w.t, "attempts"),
-		Deadline:      w.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(w.t, "deadline")) * time.Millisecond),
-		TargetLatency: time.Duration(rapid.IntRange(0, 500).Draw(w.t, "objective")) * time.Millisecond,
-		Finish:        time.Duration(rapid.IntRange(0, 1).Draw(w.t, "finish")) * time.Second,
-		Begun:         rapid.Bool().Draw(w.t, "begun")}
+		Deadline:        w.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(w.t, "deadline")) * time.Millisecond),
+		TargetLatency:   time.Duration(rapid.IntRange(0, 500).Draw(w.t, "objective")) * time.Millisecond,
+		ProgramTimeLeft: time.Duration(rapid.IntRange(0, 1).Draw(w.t, "finish")) * time.Second,
+		ProgramStarted:  rapid.Bool().Draw(w.t, "begun")}
 	for range rapid.IntRange(0, 3).Draw(w.t, "parts") {
 		r.Prefix = append(r.Prefix, PrefixPart{ID: rapid.Uint64Range(0, 5).Draw(w.t, "part"), Tokens: 500})
 	}
 	w.requests[r.ID] = &drawnRequest{Request: r, seq: w.arrived}
-	w.take(w.d.Arrive(w.now, r))
+	w.take(w.d.Submit(w.now, r))
 }
 
 func (w *drawn) outstanding() []RequestID {
@@ -120,14 +120,14 @@
 		q := w.requests[rapid.SampledFrom(out).Draw(w.t, "started")]
 		q.wentOn = true
 		w.places[q.to].answered = true
-		w.take(w.d.Started(w.now, q.ID))
+		w.take(w.d.ResponseStarted(w.now, q.ID))
 	}
 }
 
 func (w *drawn) answer() {
 	if out := w.outstanding(); len(out) > 0 {
 		q := w.requests[rapid.SampledFrom(out).Draw(w.t, "answered")]
-		o := Outcome{Kind: OutcomeKind(rapid.IntRange(int(Success), int(Cancelled)).Draw(w.t, "outcome")), Took: w.now.Sub(q.sent)}
+		o := Outcome{Kind: OutcomeKind(rapid.IntRange(int(Success), int(Cancelled)).Draw(w.t, "outcome")), Duration: w.now.Sub(q.sent)}
 		if o.Kind == Full {
 			o.RetryAfter = time.Duration(rapid.IntRange(0, 400).Draw(w.t, "retry after")) * time.Millisecond
 		}
@@ -146,17 +146,17 @@
 			wait = time.Second
 		}
 		p.waitUntil = max(p.waitUntil, w.now.Add(wait))
-	case Success, ErrorAnswer:
+	case Success, ErrorResponse:
 		p.answered = true
 	}
 	if o.Kind.MayHaveRun() {
 		q.ran = append(q.ran, q.to)
 	}
 	q.to = ""
-	if q.over || o.Kind == Success || o.Kind == ErrorAnswer || o.Kind == Cancelled {
+	if q.over || o.Kind == Success || o.Kind == ErrorResponse || o.Kind == Cancelled {
 		q.ended = true
 	}
-	w.take(w.d.Answered(w.now, q.ID, q.attempt, o))
+	w.take(w.d.AttemptEnded(w.now, q.ID, q.attempt, o))
 }
 
 func (w *drawn) withdraw() {
@@ -170,7 +170,7 @@
 	if len(wanted) > 0 {
 		q := w.requests[rapid.SampledFrom(wanted).Draw(w.t, "withdrawn")]
 		q.over, q.ended = true, q.to == ""
-		w.take(w.d.Withdraw(w.now, q.ID))
+		w.take(w.d.Cancel(w.now, q.ID))
 	}
 }
 
@@ -189,11 +189,11 @@
 
 // take checks what is asked for.
 func (w *drawn) take(e Effects) {
-	if e.Wake != 0 {
-		if e.Wake <= w.now {
-			w.t.Fatalf("a wake at %v, which is past %v", e.Wake, w.now)
+	if e.WakeAt != 0 {
+		if e.WakeAt <= w.now {
+			w.t.Fatalf("a wake at %v, which is past %v", e.WakeAt, w.now)
 		}
-		w.wake = e.Wake
+		w.wake = e.WakeAt
 	}
 	for _, s := range e.Sends {
 		w.checkSend(s)
@@ -266,14 +266,14 @@
 	}
 }
 
-func (w *drawn) checkRefusal(r Refuse) {
+func (w *drawn) checkRefusal(r Refusal) {
 	q := w.requests[r.Request]
 	ran := len(q.ran) > 0
 	switch {
 	case q.ended || q.over || q.to != "":
 		w.t.Fatalf("%s is refused after its end or with a call out", q.ID)
-	case r.Executed != ran || (r.Status == StatusServiceUnavailable) == ran:
-		w.t.Fatalf("%s is refused with %d (executed: %v), and ran at %v", q.ID, r.Status, r.Executed, q.ran)
+	case r.MayHaveRun != ran || (r.Status == StatusServiceUnavailable) == ran:
+		w.t.Fatalf("%s is refused with %d (executed: %v), and ran at %v", q.ID, r.Status, r.MayHaveRun, q.ran)
 	case !ran && r.RetryAfter <= 0:
 		w.t.Fatalf("%s is refused without a time to come back", q.ID)
 	}
@@ -284,7 +284,7 @@
 func (w *drawn) finish() {
 	for range 100 {
 		for _, id := range w.outstanding() {
-			w.end(w.requests[id], Outcome{Kind: Success, Took: time.Millisecond})
+			w.end(w.requests[id], Outcome{Kind: Success, Duration: time.Millisecond})
 		}
 		w.passFor(100 * time.Millisecond)
 	}
@@ -336,7 +336,7 @@
 			s.arrive(id, kind(Kind(i%3), 2), objective(100*ms), priority(i%4), prompt(PrefixPart{ID: uint64(i % 7), Tokens: 300}))
 			if i%2 == 1 {
 				old := s.sends[len(s.sends)/2]
-				s.take(s.Answered(s.now, old.Request, old.Attempt, Outcome{Kind: OutcomeKind(i % 7), Took: 20 * ms}))
+				s.take(s.AttemptEnded(s.now, old.Request, old.Attempt, Outcome{Kind: OutcomeKind(i % 7), Duration: 20 * ms}))
 			}
 			s.pass(7 * ms)
 		}
--- a/admission/dispatch/helper_test.go
+++ b/admission/dispatch/helper_test.go
@@ -18,7 +18,7 @@
 	*Dispatcher
 	now      Instant
 	sends    []Send
-	refusals []Refuse
+	refusals []Refusal
 	wake     Instant
 }
 
@@ -32,8 +32,8 @@
 func (s *script) take(e Effects) {
 	s.sends = append(s.sends, e.Sends...)
 	s.refusals = append(s.refusals, e.Refusals...)
-	if e.Wake > 0 {
-		s.wake = e.Wake
+	if e.WakeAt > 0 {
+		s.wake = e.WakeAt
 	}
 }
 
@@ -49,7 +49,7 @@
 
 func (s *script) list(receivers ...Receiver) { s.take(s.SetReceivers(s.now, receivers)) }
 
-func (s *script) told(id InstanceID, r Report) { s.take(s.Report(s.now, id, r)) }
+func (s *script) told(id InstanceID, r Report) { s.take(s.ApplyReport(s.now, id, r)) }
 
 // arrive hands requests in that wait for five seconds, changed as told.
 func (s *script) arrive(id RequestID, change ...func(*Request)) {
@@ -57,19 +57,19 @@
 	for _, f := range change {
 		f(&r)
 	}
-	s.take(s.Arrive(s.now, r))
+	s.take(s.Submit(s.now, r))
 }
 
 // end tells the end of the call that is out for a request.
 func (s *script) end(id RequestID, o Outcome) {
 	last := s.last(id)
-	s.take(s.Answered(s.now, id, last.Attempt, o))
+	s.take(s.AttemptEnded(s.now, id, last.Attempt, o))
 }
 
 // serve answers a request's call after a span.
 func (s *script) serve(id RequestID, took time.Duration) {
 	s.pass(took)
-	s.end(id, Outcome{Kind: Success, FirstByte: took / 2, Took: took})
+	s.end(id, Outcome{Kind: Success, TimeToFirstByte: took / 2, Duration: took})
 }
 
 // last gives the last call of a request.
@@ -93,7 +93,7 @@
 }
 
 // refusal gives how a request was refused; nil if it was not.
-func (s *script) refusal(id RequestID) *Refuse {
+func (s *script) refusal(id RequestID) *Refusal {
 	for _, r := range s.refusals {
 		if r.Request == id {
 			return &r
@@ -136,7 +136,7 @@
 		}
 		s.pass(took)
 		for _, id := range round {
-			s.end(id, Outcome{Kind: Success, FirstByte: took / 2, Took: took})
+			s.end(id, Outcome{Kind: Success, TimeToFirstByte: took / 2, Duration: took})
 		}
 	}
 	s.pass(2 * time.Second)
--- a/admission/dispatch/illness_test.go
+++ b/admission/dispatch/illness_test.go
@@ -16,7 +16,7 @@
 		s.arrive(id)
 		at := s.last(id).Instance
 		s.pass(2 * ms)
-		s.end(id, Outcome{Kind: Broken})
+		s.end(id, Outcome{Kind: TransportError})
 		return at
 	}
 	// choices counts who gets so many calls that are answered at once.
--- a/admission/dispatch/messages.go
+++ b/admission/dispatch/messages.go
@@ -41,8 +41,8 @@
 
 // Report is what a receiver last told of itself.
 type Report struct {
-	Running, Queued int
-	KVUsed, KVTotal int // tokens; total 0: not told
+	Running, Queued             int
+	KVUsedTokens, KVTotalTokens int // tokens; total 0: not told
 	// Age is how old the told state is, with the receiver's own lag. When unsure tell it too old: a call is then
 	// counted twice for a moment rather than not at all.
 	Age time.Duration
@@ -81,14 +81,14 @@
 	TargetLatency time.Duration // within which an answer earns its full worth; 0: none
 	MaxAttempts   int           // receivers that may run it; less than 1 counts as 1
 
-	Prefix    []PrefixPart // kept until the request ends
-	TokensIn  int
-	TokensOut int // at most
+	Prefix          []PrefixPart // kept until the request ends
+	InputTokens     int
+	MaxOutputTokens int // at most
 
 	Program, Session string
-	Begun            bool          // its program is under way: more is lost with it than with one that begins
-	Finish           time.Duration // left of the program's objective; 0: none
-	Turn             bool          // a turn of a program, not a call of a tool
+	ProgramStarted   bool          // its program is under way: more is lost with it than with one that begins
+	ProgramTimeLeft  time.Duration // left of the program's objective; 0: none
+	IsTurn           bool          // a turn of a program, not a call of a tool
 }
 
 // OutcomeKind says how an attempt ended.
@@ -96,28 +96,28 @@
 
 // The outcomes. Only Full, Elsewhere and NotConnected prove that the receiver did not run the request.
 const (
-	Success      OutcomeKind = iota // the whole answer went to the client
-	ErrorAnswer                     // the receiver's own failure (5xx) went to the client
-	Full                            // 503 or 429 with Emberquay-Not-Executed
-	Elsewhere                       // 421: another instance has the address
-	NotConnected                    // certain that no byte of the request was sent
-	Broken                          // the connection or the answer broke: it may have run
-	TimedOut                        // the attempt's timeout passed: it may have run
-	Cancelled                       // called off by this side: it may have run
+	Success        OutcomeKind = iota // the whole answer went to the client
+	ErrorResponse                     // the receiver's own failure (5xx) went to the client
+	Full                              // 503 or 429 with Emberquay-Not-Executed
+	Misdirected                       // 421: another instance has the address
+	NotConnected                      // certain that no byte of the request was sent
+	TransportError                    // the connection or the answer broke: it may have run
+	TimedOut                          // the attempt's timeout passed: it may have run
+	Cancelled                         // called off by this side: it may have run
 )
 
 // Outcome is the end of an attempt.
 type Outcome struct {
-	Kind       OutcomeKind
-	RetryAfter time.Duration // told with Full; 0: untold
-	FirstByte  time.Duration // from sending to the first byte or event of the answer; 0: none came
-	Took       time.Duration // from sending to the end
+	Kind            OutcomeKind
+	RetryAfter      time.Duration // told with Full; 0: untold
+	TimeToFirstByte time.Duration // from sending to the first byte or event of the answer; 0: none came
+	Duration        time.Duration // from sending to the end
 }
 
 // MayHaveRun: the outcome does not prove that the request was not run.
-func (k OutcomeKind) MayHaveRun() bool { return k != Full && k != Elsewhere && k != NotConnected }
+func (k OutcomeKind) MayHaveRun() bool { return k != Full && k != Misdirected && k != NotConnected }
 
-// Send asks to pass a request on to a receiver. Its end is told with Answered.
+// Send asks to pass a request on to a receiver. Report its end with AttemptEnded.
 type Send struct {
 	Request  RequestID
 	Attempt  int // counts all sends of the request, from 1
@@ -127,13 +127,13 @@
 	Priority int           // for the receiver: 0 first, 9 last, DefaultPriority if nothing is to be gained
 }
 
-// Refuse asks to answer a request at once; the dispatcher has forgotten it. Where part of an answer has gone
+// Refusal asks to answer a request at once; the dispatcher has forgotten it. Where part of an answer has gone
 // to the client, only the cut of it is left.
-type Refuse struct {
+type Refusal struct {
 	Request    RequestID
 	Status     int // 503 where it has not run and never will; 502 or 504 where it may have run
 	RetryAfter time.Duration
-	Executed   bool // it may have run
+	MayHaveRun bool // it may have run
 	Reason     Reason
 }
 
@@ -146,7 +146,7 @@
 	Overloaded                 // its kind, or a more urgent one, would wait longer than its objective bears
 	NotAdmitted                // a program that begins, beyond the share that is admitted
 	Unrepeatable               // its last call failed, and it may not go again
-	Reasons                    // their number
+	ReasonCount                // their number
 )
 
 // String is the reason as metrics have it.
@@ -164,6 +164,6 @@
 // Effects is what an event calls for. Its slices are valid until the dispatcher is next called.
 type Effects struct {
 	Sends    []Send
-	Refusals []Refuse
-	Wake     Instant // call Tick at this instant at the latest; 0: as asked before
+	Refusals []Refusal
+	WakeAt   Instant // call Tick at this instant at the latest; 0: as asked before
 }
--- a/admission/dispatch/outcome.go
+++ b/admission/dispatch/outcome.go
@@ -35,8 +35,8 @@
 	return !q.mayHaveRun || q.idempotent()
 }
 
-// Answered tells the end of an attempt; news of any but the one that is out is dropped.
-func (d *Dispatcher) Answered(now Instant, id RequestID, attempt int, o Outcome) Effects {
+// AttemptEnded tells the end of an attempt; news of any but the one that is out is dropped.
+func (d *Dispatcher) AttemptEnded(now Instant, id RequestID, attempt int, o Outcome) Effects {
 	d.begin(now)
 	q := d.requests[id]
 	if q == nil || q.to == nil || q.attempt != attempt {
@@ -47,12 +47,12 @@
 	s.out--
 	b.returned(d.now, q)
 	d.learn(s, q, b, o)
-	if o.Kind.MayHaveRun() && o.Kind != ErrorAnswer {
+	if o.Kind.MayHaveRun() && o.Kind != ErrorResponse {
 		d.observeEnd(s, q)
 	}
 	q.note(b, o.Kind)
 	switch {
-	case q.over || o.Kind == Success || o.Kind == ErrorAnswer || o.Kind == Cancelled:
+	case q.over || o.Kind == Success || o.Kind == ErrorResponse || o.Kind == Cancelled:
 		d.forget(q)
 	case q.mayGoAgain():
 		s.hold(q)
@@ -72,7 +72,7 @@
 		q.ran = append(q.ran, b.ID)
 	}
 	switch kind {
-	case Broken:
+	case TransportError:
 		q.failure = StatusBadGateway
 	case TimedOut:
 		q.failure = StatusGatewayTimeout
@@ -93,15 +93,15 @@
 		b.window.Answered()
 		d.learnUsual(s, q, o)
 		if usual := d.usual(s, q).whole(); usual > 0 {
-			admission.Smooth(&b.slowness, float64(o.Took)/float64(usual))
+			admission.Smooth(&b.slowness, float64(o.Duration)/float64(usual))
 		}
-	case ErrorAnswer:
+	case ErrorResponse:
 		b.lives(d.now)
 		b.fails = 0
 		b.sick(d.now)
 	case Full:
 		b.refused(d.now, q.sent, o.RetryAfter, time.Duration(d.chance.Unit()*float64(usual)))
-	case Elsewhere:
+	case Misdirected:
 		b.elsewhere = true
 	case Cancelled:
 		if q.hangs(d.now) { // its client has given up what the receiver never began to answer
--- a/admission/dispatch/overdue_test.go
+++ b/admission/dispatch/overdue_test.go
@@ -46,7 +46,7 @@
 	ginkgo.It("gets calls again once the answer has come", func() {
 		at := hang()
 		s.pass(overdue + 100*ms)
-		s.end("hangs", Outcome{Kind: Success, FirstByte: overdue, Took: overdue})
+		s.end("hangs", Outcome{Kind: Success, TimeToFirstByte: overdue, Duration: overdue})
 		by := map[InstanceID]int{}
 		for i := range 2 * slots { // more than the other takes at once
 			id := RequestID("after-" + string(rune('a'+i)))
@@ -59,7 +59,7 @@
 	ginkgo.It("counts as failing where the client gave the call up", func() {
 		at := hang()
 		s.pass(overdue + 100*ms)
-		s.take(s.Withdraw(s.now, "hangs"))
+		s.take(s.Cancel(s.now, "hangs"))
 		s.end("hangs", Outcome{Kind: Cancelled})
 		Expect(s.Dispatcher.buckets[at].fails).To(Equal(1))
 	})
@@ -67,7 +67,7 @@
 	ginkgo.It("counts for nothing where the client gave it up in the usual time", func() {
 		at := hang()
 		s.pass(5 * ms)
-		s.take(s.Withdraw(s.now, "hangs"))
+		s.take(s.Cancel(s.now, "hangs"))
 		s.end("hangs", Outcome{Kind: Cancelled})
 		Expect(s.Dispatcher.buckets[at].fails).To(Equal(0))
 	})
--- a/admission/dispatch/overload_test.go
+++ b/admission/dispatch/overload_test.go
@@ -44,7 +44,7 @@
 	})
 	ginkgo.It("keeps those of programs under way", func() {
 		s := overloaded()
-		begun := func(r *Request) { r.Begun = true }
+		begun := func(r *Request) { r.ProgramStarted = true }
 		s.arrive("new", objective(300*ms))
 		for i := range 4 {
 			s.arrive(RequestID(fmt.Sprint(i)), objective(300*ms), begun)
@@ -56,7 +56,7 @@
 	ginkgo.It("holds those of a program for a part of what it has left", func() {
 		s := overloaded()
 		for i := range 12 {
-			s.arrive(RequestID(fmt.Sprint(i)), objective(300*ms), func(r *Request) { r.Finish = 3 * time.Second })
+			s.arrive(RequestID(fmt.Sprint(i)), objective(300*ms), func(r *Request) { r.ProgramTimeLeft = 3 * time.Second })
 		}
 		Expect(s.refusals).To(BeEmpty())
 	})
@@ -80,7 +80,7 @@
 		s := newScript(plain("a", 1), plain("b", 1)).warm(100 * ms)
 		s.arrive("ran", objective(150*ms), kind(Safe, 2), priority(9))
 		s.arrive("out")
-		s.end("ran", Outcome{Kind: Broken})
+		s.end("ran", Outcome{Kind: TransportError})
 		s.pass(ms)
 		for i := range 3 {
 			s.arrive(RequestID(fmt.Sprint(i)), objective(150*ms))
--- a/admission/dispatch/programs_test.go
+++ b/admission/dispatch/programs_test.go
@@ -214,9 +214,9 @@
 
 func (p *programProxy) carry(e Effects) {
 	sends, refusals := slices.Clone(e.Sends), slices.Clone(e.Refusals)
-	if e.Wake > 0 {
+	if e.WakeAt > 0 {
 		d, life := p.d, p.life
-		p.m.after(e.Wake.Sub(p.m.now), func() {
+		p.m.after(e.WakeAt.Sub(p.m.now), func() {
 			if p.life == life {
 				p.carry(d.Tick(p.m.now))
 			}
@@ -235,7 +235,7 @@
 // answered tells the dispatcher of an end unless the proxy has lost it meanwhile.
 func (p *programProxy) answered(life int, send Send, o Outcome) {
 	if p.life == life {
-		p.carry(p.d.Answered(p.m.now, send.Request, send.Attempt, o))
+		p.carry(p.d.AttemptEnded(p.m.now, send.Request, send.Attempt, o))
 	}
 }
 
@@ -252,7 +252,7 @@
 	c.first = func() {
 		if p.life == life && !t.over {
 			first, t.started = m.now.Sub(t.sent), true
-			p.carry(p.d.Started(m.now, send.Request))
+			p.carry(p.d.ResponseStarted(m.now, send.Request))
 		}
 	}
 	c.done = func() {
@@ -261,7 +261,7 @@
 		}
 		t.over = true
 		delete(p.tries, t.id)
-		p.answered(life, send, Outcome{Kind: Success, FirstByte: first, Took: m.now.Sub(t.sent)})
+		p.answered(life, send, Outcome{Kind: Success, TimeToFirstByte: first, Duration: m.now.Sub(t.sent)})
 		m.served(t.program)
 	}
 	m.after(programWay, func() {
@@ -299,10 +299,10 @@
 	p.tries[t.id] = t
 	r := Request{ID: t.id, Service: pool, Route: fmt.Sprint(a.priority), Kind: Streaming, MaxAttempts: 1, Priority: a.priority,
 		Deadline: m.now.Add(programDeadline), Timeout: programDeadline, TargetLatency: programObjective, Prefix: a.parts,
-		TokensOut: 3 * a.turns[a.turn].output, Program: a.id, Begun: a.turn > 0 && a.priority > 0, Turn: true,
-		Finish: max(time.Millisecond, a.begun.Add(a.aim).Sub(m.now))}
+		MaxOutputTokens: 3 * a.turns[a.turn].output, Program: a.id, ProgramStarted: a.turn > 0 && a.priority > 0, IsTurn: true,
+		ProgramTimeLeft: max(time.Millisecond, a.begun.Add(a.aim).Sub(m.now))}
 	for _, part := range a.parts {
-		r.TokensIn += part.Tokens
+		r.InputTokens += part.Tokens
 	}
 	life := p.life
 	m.after(programSilence, func() {
@@ -315,7 +315,7 @@
 			p.abandon(t)
 		}
 	})
-	p.carry(p.d.Arrive(m.now, r))
+	p.carry(p.d.Submit(m.now, r))
 }
 
 // sameZone gives some proxy of the zone of one.
@@ -331,16 +331,16 @@
 func (p *programProxy) abandon(t *programTry) {
 	t.over = true
 	delete(p.tries, t.id)
-	p.carry(p.d.Withdraw(p.m.now, t.id))
+	p.carry(p.d.Cancel(p.m.now, t.id))
 	if t.call != nil {
 		t.call.gone = true
-		p.answered(p.life, t.send, Outcome{Kind: Cancelled, Took: p.m.now.Sub(t.sent)})
+		p.answered(p.life, t.send, Outcome{Kind: Cancelled, Duration: p.m.now.Sub(t.sent)})
 	}
 	p.m.failed(t.program)
 }
 
 // refused is a client that was told to come back; it does so once.
-func (m *programs) refused(t *programTry, r Refuse) {
+func (m *programs) refused(t *programTry, r Refusal) {
 	t.over = true
 	if t.again || r.Status != StatusServiceUnavailable {
 		m.failed(t.program)
@@ -440,11 +440,11 @@
 
 func (m *programs) reports() {
 	for _, e := range m.engines {
-		told := Report{Running: len(e.running), Queued: len(e.queued), KVUsed: e.used(), KVTotal: programMemory, Age: programLag}
+		told := Report{Running: len(e.running), Queued: len(e.queued), KVUsedTokens: e.used(), KVTotalTokens: programMemory, Age: programLag}
 		m.after(programLag, func() {
 			for _, p := range m.proxies {
 				if p.d != nil && p.zone == e.zone {
-					p.carry(p.d.Report(m.now, e.id, told))
+					p.carry(p.d.ApplyReport(m.now, e.id, told))
 				}
 			}
 		})
--- a/admission/dispatch/queue.go
+++ b/admission/dispatch/queue.go
@@ -210,8 +210,8 @@
 	if c := cmp.Compare(o.Priority, q.Priority); c != 0 {
 		return c
 	}
-	if q.Begun != o.Begun {
-		if o.Begun {
+	if q.ProgramStarted != o.ProgramStarted {
+		if o.ProgramStarted {
 			return -1
 		}
 		return 1
@@ -223,7 +223,7 @@
 // that it has not.
 func (d *Dispatcher) giveUp(s *service, q *request, wait time.Duration, reason Reason) {
 	s.unhold(q)
-	refusal := Refuse{Request: q.ID, Status: q.failure, Executed: q.mayHaveRun, Reason: reason}
+	refusal := Refusal{Request: q.ID, Status: q.failure, MayHaveRun: q.mayHaveRun, Reason: reason}
 	if !q.mayHaveRun {
 		refusal.Status = StatusServiceUnavailable
 		spread := 1 + retrySpread*d.chance.Unit()
--- a/admission/dispatch/sim_test.go
+++ b/admission/dispatch/sim_test.go
@@ -188,8 +188,8 @@
 }
 
 func (p *simProxy) carry(e Effects) {
-	if e.Wake > 0 {
-		p.tick(e.Wake)
+	if e.WakeAt > 0 {
+		p.tick(e.WakeAt)
 	}
 	for _, r := range slices.Clone(e.Refusals) {
 		t := p.arrived[r.Request]
@@ -214,20 +214,20 @@
 		if p.s.now.Sub(t.at) <= simObjective {
 			p.s.result.inTime++
 		}
-		p.carry(p.d.Started(p.s.now, send.Request))
+		p.carry(p.d.ResponseStarted(p.s.now, send.Request))
 	}
 	c.done = func() {
 		p.s.result.served[t.priority]++
 		p.s.result.took = append(p.s.result.took, p.s.now.Sub(t.at))
-		o := Outcome{Kind: Success, FirstByte: first, Took: p.s.now.Sub(t.sent)}
-		p.carry(p.d.Answered(p.s.now, send.Request, send.Attempt, o))
+		o := Outcome{Kind: Success, TimeToFirstByte: first, Duration: p.s.now.Sub(t.sent)}
+		p.carry(p.d.AttemptEnded(p.s.now, send.Request, send.Attempt, o))
 		p.s.next(p, t)
 	}
 	p.s.after(simWay, func() {
 		if !e.take(c) {
 			p.s.result.full++
 			p.s.after(simWay, func() {
-				p.carry(p.d.Answered(p.s.now, send.Request, send.Attempt, Outcome{Kind: Full, RetryAfter: 200 * time.Millisecond}))
+				p.carry(p.d.AttemptEnded(p.s.now, send.Request, send.Attempt, Outcome{Kind: Full, RetryAfter: 200 * time.Millisecond}))
 			})
 		}
 	})
@@ -251,14 +251,14 @@
 	id := RequestID(fmt.Sprint(t.session, ".", t.turn))
 	p.arrived[id] = t
 	r := Request{ID: id, Service: pool, Kind: Streaming, MaxAttempts: 1, Priority: t.priority,
-		Deadline: s.now.Add(5 * time.Second), TargetLatency: simObjective, Begun: t.turn > 0}
+		Deadline: s.now.Add(5 * time.Second), TargetLatency: simObjective, ProgramStarted: t.turn > 0}
 	if s.known {
-		r.Prefix, r.TokensOut = t.parts, t.tokens
+		r.Prefix, r.MaxOutputTokens = t.parts, t.tokens
 		for _, part := range t.parts {
-			r.TokensIn += part.Tokens
+			r.InputTokens += part.Tokens
 		}
 	}
-	p.carry(p.d.Arrive(s.now, r))
+	p.carry(p.d.Submit(s.now, r))
 }
 
 // sessions begin at a rate a second for all proxies together, for a span.
@@ -282,11 +282,11 @@
 func (s *simulation) reports() {
 	for _, id := range s.ids {
 		e := s.engines[id]
-		told := Report{Running: len(e.running), Queued: len(e.queued), KVUsed: 4000 * len(e.running), KVTotal: simMemory,
+		told := Report{Running: len(e.running), Queued: len(e.queued), KVUsedTokens: 4000 * len(e.running), KVTotalTokens: simMemory,
 			Age: simReportLag}
 		s.after(simReportLag, func() {
 			for _, p := range s.proxies {
-				p.carry(p.d.Report(s.now, id, told))
+				p.carry(p.d.ApplyReport(s.now, id, told))
 			}
 		})
 	}
--- a/admission/dispatch/stats.go
+++ b/admission/dispatch/stats.go
@@ -3,7 +3,7 @@
 // Stats is what a dispatcher holds at a moment.
 type Stats struct {
 	Queued    int // requests that are held
-	Out       int // calls that are out
+	InFlight  int // calls that are out
 	Receivers int // listed
 	Allowance int // calls that all receivers together may get now
 }
@@ -13,7 +13,7 @@
 	var stats Stats
 	for _, s := range d.services {
 		stats.Queued += len(s.queue)
-		stats.Out += s.out
+		stats.InFlight += s.out
 		stats.Receivers += len(s.buckets)
 		for _, b := range s.buckets {
 			stats.Allowance += b.allowance(now)
--- a/admission/dispatch/stats_test.go
+++ b/admission/dispatch/stats_test.go
@@ -14,11 +14,11 @@
 		for _, id := range []RequestID{"0", "1", "2"} {
 			s.arrive(id)
 		}
-		Expect(s.Stats(s.now)).To(Equal(Stats{Out: 3, Receivers: 2, Allowance: 2}))
+		Expect(s.Stats(s.now)).To(Equal(Stats{InFlight: 3, Receivers: 2, Allowance: 2}))
 		for _, id := range []RequestID{"3", "4", "5", "6"} {
 			s.arrive(id)
 		}
-		Expect(s.Stats(s.now)).To(Equal(Stats{Queued: 2, Out: 5, Receivers: 2}))
+		Expect(s.Stats(s.now)).To(Equal(Stats{Queued: 2, InFlight: 5, Receivers: 2}))
 	})
 
 	ginkgo.DescribeTable("names why a request was refused", func(reason Reason, refused func(s *script)) {
@@ -39,15 +39,15 @@
 		}),
 		ginkgo.Entry("its call failed and may have run", Unrepeatable, func(s *script) {
 			s.arrive("x", kind(Unsafe, 3))
-			s.end("x", Outcome{Kind: Broken})
+			s.end("x", Outcome{Kind: TransportError})
 		}),
 	)
 
 	ginkgo.It("has a name for each reason", func() {
 		names := map[string]bool{}
-		for reason := range Reasons {
+		for reason := range ReasonCount {
 			names[reason.String()] = true
 		}
-		Expect(names).To(HaveLen(int(Reasons)))
+		Expect(names).To(HaveLen(int(ReasonCount)))
 	})
 })
--- a/admission/dispatch/usual.go
+++ b/admission/dispatch/usual.go
@@ -57,11 +57,11 @@
 		d.usuals[u.key] = u
 	}
 	u.used = d.arrivals
-	admission.Smooth(&u.took, float64(o.Took))
-	if o.FirstByte > 0 {
-		admission.Smooth(&u.first, float64(o.FirstByte))
+	admission.Smooth(&u.took, float64(o.Duration))
+	if o.TimeToFirstByte > 0 {
+		admission.Smooth(&u.first, float64(o.TimeToFirstByte))
 	}
-	admission.Smooth(&s.took, float64(o.Took))
+	admission.Smooth(&s.took, float64(o.Duration))
 }
 
 func (d *Dispatcher) forgetUsual() {
@@ -83,5 +83,5 @@
 }
 
 func keyOf(r *Request) usualKey {
-	return usualKey{r.Service, r.Route, bits.Len(uint(max(0, r.TokensIn+outputWeight*r.TokensOut)))}
+	return usualKey{r.Service, r.Route, bits.Len(uint(max(0, r.InputTokens+outputWeight*r.MaxOutputTokens)))}
 }
--- a/internal/tier/dataplane/reports.go
+++ b/internal/tier/dataplane/reports.go
@@ -44,8 +44,8 @@
 // spread sends a report to other live proxies. It does not wait for them.
 func (s *reportSpreader) spread(id dispatch.InstanceID, report dispatch.Report) {
 	record := records.ReportRecord{
-		Instance: string(id), Running: report.Running, Queued: report.Queued, KVUsed: int64(report.KVUsed),
-		KVTotal: int64(report.KVTotal), AgeMillis: report.Age.Milliseconds(), Sequence: int64(report.Sequence),
+		Instance: string(id), Running: report.Running, Queued: report.Queued, KVUsed: int64(report.KVUsedTokens),
+		KVTotal: int64(report.KVTotalTokens), AgeMillis: report.Age.Milliseconds(), Sequence: int64(report.Sequence),
 	}
 	for _, address := range reportAddresses(s.cluster.Nodes(), s.cluster.Self(), rand.Uint64()) {
 		s.send(address, record)
@@ -112,7 +112,7 @@
 		return
 	}
 	p.proxy.HandleReport(dispatch.InstanceID(record.Instance), dispatch.Report{
-		Running: record.Running, Queued: record.Queued, KVUsed: int(record.KVUsed), KVTotal: int(record.KVTotal),
+		Running: record.Running, Queued: record.Queued, KVUsedTokens: int(record.KVUsed), KVTotalTokens: int(record.KVTotal),
 		Age: time.Duration(record.AgeMillis) * time.Millisecond, Sequence: uint64(record.Sequence),
 	})
 }
--- a/internal/tier/dataplane/status.go
+++ b/internal/tier/dataplane/status.go
@@ -24,7 +24,7 @@
 
 func figures(now proxy.Status) *nodestatus.ProxyFigures {
 	figures := &nodestatus.ProxyFigures{
-		Attempts: int64(now.Admission.Attempts), Queued: now.Dispatch.Queued, Out: now.Dispatch.Out,
+		Attempts: int64(now.Admission.Attempts), Queued: now.Dispatch.Queued, Out: now.Dispatch.InFlight,
 		Allowance: now.Dispatch.Allowance, StopPhase: int(now.Phase),
 	}
 	for reason, count := range now.Admission.Refused {
--- a/internal/tier/proxy/admission.go
+++ b/internal/tier/proxy/admission.go
@@ -12,13 +12,13 @@
 // dispatcher is the part of dispatch.Dispatcher that this package uses. It does no I/O and is used by one goroutine only.
 type dispatcher interface {
 	SetReceivers(now dispatch.Instant, receivers []dispatch.Receiver) dispatch.Effects
-	Report(now dispatch.Instant, instance dispatch.InstanceID, report dispatch.Report) dispatch.Effects
-	Arrive(now dispatch.Instant, request dispatch.Request) dispatch.Effects
-	Started(now dispatch.Instant, request dispatch.RequestID) dispatch.Effects
-	Answered(now dispatch.Instant, request dispatch.RequestID, attempt int, outcome dispatch.Outcome) dispatch.Effects
-	Withdraw(now dispatch.Instant, request dispatch.RequestID) dispatch.Effects
+	ApplyReport(now dispatch.Instant, instance dispatch.InstanceID, report dispatch.Report) dispatch.Effects
+	Submit(now dispatch.Instant, request dispatch.Request) dispatch.Effects
+	ResponseStarted(now dispatch.Instant, request dispatch.RequestID) dispatch.Effects
+	AttemptEnded(now dispatch.Instant, request dispatch.RequestID, attempt int, outcome dispatch.Outcome) dispatch.Effects
+	Cancel(now dispatch.Instant, request dispatch.RequestID) dispatch.Effects
 	Tick(now dispatch.Instant) dispatch.Effects
-	EndBy(now, end dispatch.Instant) dispatch.Effects
+	StopBy(now, end dispatch.Instant) dispatch.Effects
 	Stats(now dispatch.Instant) dispatch.Stats
 }
 
@@ -28,7 +28,7 @@
 // decision is the dispatcher's decision on a request: a send or, if that is nil, a refusal.
 type decision struct {
 	send    *dispatch.Send
-	refusal dispatch.Refuse
+	refusal dispatch.Refusal
 }
 
 // pendingRequest is a request known to the dispatcher. It gets one decision at a time: the next one follows only after
@@ -114,8 +114,8 @@
 			pending.decisions <- decision{refusal: refuse}
 		}
 	}
-	if effects.Wake > 0 {
-		a.timer.Reset(max(0, effects.Wake.Sub(a.now())))
+	if effects.WakeAt > 0 {
+		a.timer.Reset(max(0, effects.WakeAt.Sub(a.now())))
 	}
 }
 
@@ -171,13 +171,13 @@
 
 func (c arriveCommand) apply(a *admission, now dispatch.Instant) dispatch.Effects {
 	a.pending[c.request.ID] = c.pending
-	return a.dispatcher.Arrive(now, c.request)
+	return a.dispatcher.Submit(now, c.request)
 }
 
 type startedCommand struct{ request dispatch.RequestID }
 
 func (c startedCommand) apply(a *admission, now dispatch.Instant) dispatch.Effects {
-	return a.dispatcher.Started(now, c.request)
+	return a.dispatcher.ResponseStarted(now, c.request)
 }
 
 type answeredCommand struct {
@@ -190,7 +190,7 @@
 	if c.final {
 		delete(a.pending, c.send.Request)
 	}
-	return a.dispatcher.Answered(now, c.send.Request, c.send.Attempt, c.outcome)
+	return a.dispatcher.AttemptEnded(now, c.send.Request, c.send.Attempt, c.outcome)
 }
 
 // withdrawCommand removes a request whose handler has stopped waiting.
@@ -198,13 +198,13 @@
 
 func (c withdrawCommand) apply(a *admission, now dispatch.Instant) dispatch.Effects {
 	delete(a.pending, c.pending.id)
-	effects := a.dispatcher.Withdraw(now, c.pending.id)
+	effects := a.dispatcher.Cancel(now, c.pending.id)
 	select {
 	case d := <-c.pending.decisions:
 		if d.send != nil { // decided before the withdrawal was applied: nothing was sent
 			a.deliver(effects)
 			notSent := dispatch.Outcome{Kind: dispatch.NotConnected}
-			return a.dispatcher.Answered(now, c.pending.id, d.send.Attempt, notSent)
+			return a.dispatcher.AttemptEnded(now, c.pending.id, d.send.Attempt, notSent)
 		}
 	default:
 	}
@@ -225,5 +225,5 @@
 
 func (c reportCommand) apply(a *admission, now dispatch.Instant) dispatch.Effects {
 	c.report.Age += now.Sub(a.instant(c.receivedAt))
-	return a.dispatcher.Report(now, c.instance, c.report)
+	return a.dispatcher.ApplyReport(now, c.instance, c.report)
 }
--- a/internal/tier/proxy/admission_test.go
+++ b/internal/tier/proxy/admission_test.go
@@ -25,24 +25,24 @@
 	return dispatch.Effects{}
 }
 
-func (s *scriptedDispatcher) Report(dispatch.Instant, dispatch.InstanceID, dispatch.Report) dispatch.Effects {
+func (s *scriptedDispatcher) ApplyReport(dispatch.Instant, dispatch.InstanceID, dispatch.Report) dispatch.Effects {
 	return dispatch.Effects{}
 }
 
-func (s *scriptedDispatcher) Arrive(_ dispatch.Instant, r dispatch.Request) dispatch.Effects {
+func (s *scriptedDispatcher) Submit(_ dispatch.Instant, r dispatch.Request) dispatch.Effects {
 	return dispatch.Effects{Sends: []dispatch.Send{{Request: r.ID, Attempt: 1, Instance: "i"}}}
 }
 
-func (s *scriptedDispatcher) Started(dispatch.Instant, dispatch.RequestID) dispatch.Effects {
+func (s *scriptedDispatcher) ResponseStarted(dispatch.Instant, dispatch.RequestID) dispatch.Effects {
 	return dispatch.Effects{}
 }
 
-func (s *scriptedDispatcher) Answered(_ dispatch.Instant, id dispatch.RequestID, _ int, o dispatch.Outcome) dispatch.Effects {
+func (s *scriptedDispatcher) AttemptEnded(_ dispatch.Instant, id dispatch.RequestID, _ int, o dispatch.Outcome) dispatch.Effects {
 	s.outcomes = append(s.outcomes, o)
-	return dispatch.Effects{Refusals: []dispatch.Refuse{{Request: id, Status: 503, Reason: dispatch.Unrepeatable}}}
+	return dispatch.Effects{Refusals: []dispatch.Refusal{{Request: id, Status: 503, Reason: dispatch.Unrepeatable}}}
 }
 
-func (s *scriptedDispatcher) Withdraw(_ dispatch.Instant, id dispatch.RequestID) dispatch.Effects {
+func (s *scriptedDispatcher) Cancel(_ dispatch.Instant, id dispatch.RequestID) dispatch.Effects {
 	s.withdrawn = append(s.withdrawn, id)
 	return dispatch.Effects{}
 }
@@ -54,7 +54,7 @@
 
 func (s *scriptedDispatcher) Stats(dispatch.Instant) dispatch.Stats { return dispatch.Stats{} }
 
-func (s *scriptedDispatcher) EndBy(dispatch.Instant, dispatch.Instant) dispatch.Effects {
+func (s *scriptedDispatcher) StopBy(dispatch.Instant, dispatch.Instant) dispatch.Effects {
 	return dispatch.Effects{}
 }
 
--- a/internal/tier/proxy/attempt.go
+++ b/internal/tier/proxy/attempt.go
@@ -37,7 +37,7 @@
 	if response.NotExecuted() {
 		io.Copy(io.Discard, io.LimitReader(response.Body, maxRefusalBodyBytes)) // so that the connection can be reused
 		h.proxy.admission.attemptEnded(send, dispatch.Outcome{
-			Kind: refusalOutcome(send, response), RetryAfter: response.RetryAfter(), Took: time.Since(start),
+			Kind: refusalOutcome(send, response), RetryAfter: response.RetryAfter(), Duration: time.Since(start),
 		})
 		return responseComplete, false
 	}
@@ -50,7 +50,7 @@
 		return h.forwardStream(send, response, start)
 	case h.responseStarted:
 		// A started stream can be resumed only by a stream.
-		return h.finishAttempt(send, start, firstByte, dispatch.ErrorAnswer, h.abort(abortNotAStream))
+		return h.finishAttempt(send, start, firstByte, dispatch.ErrorResponse, h.abort(abortNotAStream))
 	}
 	return h.forwardResponse(send, response, start, firstByte)
 }
@@ -59,7 +59,7 @@
 // model weights.
 func refusalOutcome(send *dispatch.Send, response *outbound.Response) dispatch.OutcomeKind {
 	if response.Status == http.StatusMisdirectedRequest && response.Header.Get(headerInstance) != string(send.Instance) {
-		return dispatch.Elsewhere
+		return dispatch.Misdirected
 	}
 	return dispatch.Full
 }
@@ -107,7 +107,7 @@
 // attemptFailed reports an attempt without a usable response to the dispatcher. If the client has gone, the deadline has
 // passed or the stream cannot be resumed, the request ends; otherwise the dispatcher decides.
 func (h *requestHandler) attemptFailed(send *dispatch.Send, start time.Time, firstByte time.Duration, err error) (responseEnd, bool) {
-	outcome := dispatch.Outcome{Kind: dispatch.Broken, FirstByte: firstByte, Took: time.Since(start)}
+	outcome := dispatch.Outcome{Kind: dispatch.TransportError, TimeToFirstByte: firstByte, Duration: time.Since(start)}
 	h.maybeExecuted = h.maybeExecuted || outbound.MaybeSent(err)
 	switch {
 	case h.clientGone():
@@ -143,7 +143,7 @@
 func (h *requestHandler) finishAttempt(
 	send *dispatch.Send, start time.Time, firstByte time.Duration, kind dispatch.OutcomeKind, end responseEnd,
 ) (responseEnd, bool) {
-	h.proxy.admission.requestEnded(send, dispatch.Outcome{Kind: kind, FirstByte: firstByte, Took: time.Since(start)})
+	h.proxy.admission.requestEnded(send, dispatch.Outcome{Kind: kind, TimeToFirstByte: firstByte, Duration: time.Since(start)})
 	return end, true
 }
 
--- a/internal/tier/proxy/plain.go
+++ b/internal/tier/proxy/plain.go
@@ -51,7 +51,7 @@
 	kind := statusOutcome(response.Status)
 	// The receiver is free: the dispatcher is told before the write to the client, which may block.
 	response.Close()
-	h.proxy.admission.requestEnded(send, dispatch.Outcome{Kind: kind, FirstByte: firstByte, Took: time.Since(start)})
+	h.proxy.admission.requestEnded(send, dispatch.Outcome{Kind: kind, TimeToFirstByte: firstByte, Duration: time.Since(start)})
 	h.startResponse(response, length)
 	if len(body) > writeDeadlineThresholdBytes {
 		h.flusher.SetWriteDeadline(h.deadline.Add(writeGrace))
@@ -65,7 +65,7 @@
 
 func statusOutcome(status int) dispatch.OutcomeKind {
 	if status >= http.StatusInternalServerError {
-		return dispatch.ErrorAnswer
+		return dispatch.ErrorResponse
 	}
 	return dispatch.Success
 }
@@ -117,5 +117,5 @@
 	case isTimeout(err):
 		return dispatch.TimedOut
 	}
-	return dispatch.Broken
+	return dispatch.TransportError
 }
--- a/internal/tier/proxy/reports.go
+++ b/internal/tier/proxy/reports.go
@@ -196,9 +196,9 @@
 		return dispatch.Report{}, 0
 	}
 	return dispatch.Report{
-		Running: int(values[0].Int()),
-		Queued:  int(values[1].Int()),
-		KVUsed:  int(values[2].Int()),
-		KVTotal: int(values[3].Int()),
+		Running:       int(values[0].Int()),
+		Queued:        int(values[1].Int()),
+		KVUsedTokens:  int(values[2].Int()),
+		KVTotalTokens: int(values[3].Int()),
 	}, status
 }
--- a/internal/tier/proxy/reports_test.go
+++ b/internal/tier/proxy/reports_test.go
@@ -99,7 +99,7 @@
 		report, _ := published.get("model-1")
 		Expect(report.Age).To(BeNumerically(">=", reportedStateAge))
 		report.Age = 0
-		Expect(report).To(Equal(dispatch.Report{Running: 12, Queued: 1, KVUsed: 41000, KVTotal: 90000}))
+		Expect(report).To(Equal(dispatch.Report{Running: 12, Queued: 1, KVUsedTokens: 41000, KVTotalTokens: 90000}))
 	})
 
 	DescribeTable("that are invalid are ignored",
--- a/internal/tier/proxy/status.go
+++ b/internal/tier/proxy/status.go
@@ -24,7 +24,7 @@
 // AdmissionCounters count what admission has done since the start.
 type AdmissionCounters struct {
 	Attempts uint64 // sends to receivers
-	Refused  [dispatch.Reasons]uint64
+	Refused  [dispatch.ReasonCount]uint64
 }
 
 // Phase is the phase of a proxy's shutdown.
--- a/internal/tier/proxy/status_test.go
+++ b/internal/tier/proxy/status_test.go
@@ -32,7 +32,7 @@
 		c.send("GET /safe/x", "", "Emberquay-Request-Id: 1")
 		<-requested
 		Expect(statusOf(p)).To(Equal(Status{Configuration: 1, Ready: true, InFlight: 1, Arrived: 1,
-			Admission: AdmissionCounters{Attempts: 1}, Dispatch: dispatch.Stats{Out: 1, Receivers: 1}})) // one request is sent until the first response
+			Admission: AdmissionCounters{Attempts: 1}, Dispatch: dispatch.Stats{InFlight: 1, Receivers: 1}})) // one request is sent until the first response
 		releaseOnce()
 		Expect(c.result().status).To(Equal(200))
 		Eventually(func() int { return statusOf(p).InFlight }).Should(BeZero())
@@ -60,7 +60,7 @@
 		}
 		state, err := a.state(context.Background())
 		Expect(err).NotTo(HaveOccurred())
-		Expect(state.counts).To(Equal(AdmissionCounters{Attempts: 3, Refused: [dispatch.Reasons]uint64{dispatch.Unrepeatable: 3}}))
+		Expect(state.counts).To(Equal(AdmissionCounters{Attempts: 3, Refused: [dispatch.ReasonCount]uint64{dispatch.Unrepeatable: 3}}))
 	})
 
 	It("is not available once the context has ended or the proxy has stopped", func() {
--- a/internal/tier/proxy/stop.go
+++ b/internal/tier/proxy/stop.go
@@ -145,5 +145,5 @@
 type endByCommand struct{ end dispatch.Instant }
 
 func (c endByCommand) apply(a *admission, now dispatch.Instant) dispatch.Effects {
-	return a.dispatcher.EndBy(now, c.end)
+	return a.dispatcher.StopBy(now, c.end)
 }
--- a/internal/tier/proxy/stream.go
+++ b/internal/tier/proxy/stream.go
@@ -71,7 +71,7 @@
 	send *dispatch.Send, response *outbound.Response, start time.Time, firstByte time.Duration,
 ) (responseEnd, bool) {
 	response.Close()
-	h.proxy.admission.requestEnded(send, dispatch.Outcome{Kind: dispatch.Success, FirstByte: firstByte, Took: time.Since(start)})
+	h.proxy.admission.requestEnded(send, dispatch.Outcome{Kind: dispatch.Success, TimeToFirstByte: firstByte, Duration: time.Since(start)})
 	if !h.responseStarted {
 		h.startResponse(response, -1)
 	}
--- a/internal/tier/proxy/stream_test.go
+++ b/internal/tier/proxy/stream_test.go
@@ -184,8 +184,8 @@
 
 const attemptTimeout = 50 * time.Millisecond
 
-func (d shortAttemptDispatcher) Arrive(now dispatch.Instant, r dispatch.Request) dispatch.Effects {
-	effects := d.dispatcher.Arrive(now, r)
+func (d shortAttemptDispatcher) Submit(now dispatch.Instant, r dispatch.Request) dispatch.Effects {
+	effects := d.dispatcher.Submit(now, r)
 	for i := range effects.Sends {
 		effects.Sends[i].Timeout = attemptTimeout
 	}
--- a/internal/tier/proxy/visit.go
+++ b/internal/tier/proxy/visit.go
@@ -221,23 +221,23 @@
 	header := h.request.Header
 	finish, _ := parseMilliseconds(header, headerFinish)
 	return dispatch.Request{
-		Service:       h.service,
-		Route:         h.route.Name,
-		Kind:          dispatchKind(h.route.Kind),
-		Resumable:     h.route.Resumable,
-		Priority:      h.route.Priority,
-		Deadline:      h.proxy.admission.instant(h.deadline),
-		Timeout:       h.route.Timeout,
-		TargetLatency: h.route.TargetLatency,
-		MaxAttempts:   h.route.MaxAttempts,
-		Prefix:        parsePromptPrefix(header.Get(headerPromptPrefix)),
-		TokensIn:      h.usage.promptTokens,
-		TokensOut:     h.usage.maxOutputTokens,
-		Program:       header.Get(headerProgram),
-		Session:       header.Get(headerSession),
-		Begun:         header.Get(headerPrevious) != "" || h.route.Kind != routing.Streaming && header.Get(headerProgram) != "",
-		Finish:        finish,
-		Turn:          h.route.Kind == routing.Streaming && header.Get(headerProgram) != "",
+		Service:         h.service,
+		Route:           h.route.Name,
+		Kind:            dispatchKind(h.route.Kind),
+		Resumable:       h.route.Resumable,
+		Priority:        h.route.Priority,
+		Deadline:        h.proxy.admission.instant(h.deadline),
+		Timeout:         h.route.Timeout,
+		TargetLatency:   h.route.TargetLatency,
+		MaxAttempts:     h.route.MaxAttempts,
+		Prefix:          parsePromptPrefix(header.Get(headerPromptPrefix)),
+		InputTokens:     h.usage.promptTokens,
+		MaxOutputTokens: h.usage.maxOutputTokens,
+		Program:         header.Get(headerProgram),
+		Session:         header.Get(headerSession),
+		ProgramStarted:  header.Get(headerPrevious) != "" || h.route.Kind != routing.Streaming && header.Get(headerProgram) != "",
+		ProgramTimeLeft: finish,
+		IsTurn:          h.route.Kind == routing.Streaming && header.Get(headerProgram) != "",
 	}
 }
 
@@ -272,9 +272,9 @@
 
 // respondRefused answers with the dispatcher's refusal. If the request may have run, a status that would state the
 // opposite is replaced by 502.
-func (h *requestHandler) respondRefused(refusal dispatch.Refuse) responseEnd {
+func (h *requestHandler) respondRefused(refusal dispatch.Refusal) responseEnd {
 	status := refusal.Status
-	if (h.maybeExecuted || refusal.Executed) && claimsNotExecuted(status) {
+	if (h.maybeExecuted || refusal.MayHaveRun) && claimsNotExecuted(status) {
 		status = http.StatusBadGateway
 	}
 	return h.respond(status, refusal.RetryAfter)
