--- a/admission/dispatch/beginning.go
+++ b/admission/dispatch/beginning.go
@@ -19,63 +19,65 @@
 	admitIncrease = 0.01
 	// overflowDecrease is admitDecrease for programs that go to other zones: these serve their own first.
 	overflowDecrease = 0.2
-	// firstAdmitShare is each share before anything is observed: a sender that starts does not know what the pool bears.
-	firstAdmitShare = 0.3
-	// leastAdmitShare is admitted whatever is observed, as what is not tried is never seen to go well again.
-	leastAdmitShare = 0.05
+	// initialAdmitShare is each share before anything is observed: a sender that starts does not know what the pool bears.
+	initialAdmitShare = 0.3
+	// minAdmitShare is admitted whatever is observed, as what is not tried is never seen to go well again.
+	minAdmitShare = 0.05
 	// lightLoad is the part of a service's places up to which every program is admitted.
 	lightLoad = 1.0 / 3
-	// startMargin is the part of the objective within which a turn begins in time: one that uses all of it leaves its
+	// onTimeFraction is the part of the objective within which a turn begins in time: one that uses all of it leaves its
 	// program nothing for the turns to come.
-	startMargin = 0.5
-	// programKept is for how long a program counts as under way after its last turn, up to twice that, unless more than
+	onTimeFraction = 0.5
+	// programRetention is for how long a program counts as under way after its last turn, up to twice that, unless more than
 	// mostPrograms come meanwhile.
-	programKept  = 30 * time.Second
-	mostPrograms = 4096
+	programRetention = 30 * time.Second
+	maxPrograms      = 4096
 )
 
 // admitShares are the shares of a service's programs that begin while places are scarce.
 type admitShares struct {
-	near, far float64 // far goes on where near ends
+	local, remote float64 // far goes on where near ends
 }
 
-func newAdmitShares() admitShares { return admitShares{near: firstAdmitShare, far: firstAdmitShare} }
+func newAdmitShares() admitShares {
+	return admitShares{local: initialAdmitShare, remote: initialAdmitShare}
+}
 
 // place says where a program that draws a number from 0 to 1 is served, and false if it is refused. The draw is of the
 // program's name, so that all senders that know the same decide alike, and none is admitted late by coming again.
-func (a admitShares) place(draw float64, elsewhere bool) (placement, bool) {
+func (a admitShares) place(draw float64, hasRemote bool) (placement, bool) {
 	switch {
-	case draw < a.near:
-		return placedNear, true
-	case elsewhere && draw < a.near+a.far:
-		return placedFar, true
+	case draw < a.local:
+		return localZone, true
+	case hasRemote && draw < a.local+a.remote:
+		return remoteZone, true
 	}
-	return placedNear, false
+	return localZone, false
 }
 
-// late and inTime take how a turn began that was served in a zone.
-func (a *admitShares) late(at placement) {
-	if at == placedFar {
-		a.far = max(leastAdmitShare, a.far*(1-overflowDecrease))
+// recordLate and inTime take how a turn began that was served in a zone.
+func (a *admitShares) recordLate(at placement) {
+	if at == remoteZone {
+		a.remote = max(minAdmitShare, a.remote*(1-overflowDecrease))
 		return
 	}
-	a.near = max(leastAdmitShare, a.near*(1-admitDecrease))
+	a.local = max(minAdmitShare, a.local*(1-admitDecrease))
 }
 
-func (a *admitShares) inTime(at placement) {
-	if at == placedFar {
-		a.far = min(1, a.far+admitIncrease)
+func (a *admitShares) recordOnTime(at placement) {
+	if at == remoteZone {
+		a.remote = min(1, a.remote+admitIncrease)
 		return
 	}
-	a.near = min(1, a.near+admitIncrease)
+	a.local = min(1, a.local+admitIncrease)
 }
 
 // placement says in which zones a program's receivers are looked for first.
 type placement bool
 
 const (
-	placedNear placement = false // the sender's own
-	placedFar  placement = true  // the others
+	localZone  placement = false // the sender's own
+	remoteZone placement = true  // the others
 )
 
 // admits places a request and says whether it is taken in at arrival. Only a program that begins is refused.
@@ -83,35 +85,35 @@
 	if !q.IsTurn || q.programKey == 0 {
 		return true
 	}
-	if known, underWay := d.underWay.get(q.programKey); underWay {
-		q.placed = known
+	if placed, active := d.activePrograms.get(q.programKey); active {
+		q.placement = placed
 		return true
 	}
-	if s.admit.near >= 1 || s.lightlyLoaded(d.now) {
+	if s.admit.local >= 1 || s.lightlyLoaded(d.now) {
 		return true
 	}
 	draw := float64(q.programKey>>11) / (1 << 53)
-	placed, admitted := s.admit.place(draw, d.reachesFar(s))
-	q.placed = placed
+	placed, admitted := s.admit.place(draw, d.hasRemoteReceivers(s))
+	q.placement = placed
 	return admitted || q.ProgramStarted
 }
 
-// reachesFar: the service has receivers in other zones than the sender's, beside some in it.
-func (d *Dispatcher) reachesFar(s *service) bool {
-	near, far := false, false
-	for _, b := range s.buckets {
-		if b.usable() && b.Engine != nil {
-			near = near || b.Zone == d.zone
-			far = far || b.Zone != d.zone
+// hasRemoteReceivers: the service has receivers in other zones than the sender's, beside some in it.
+func (d *Dispatcher) hasRemoteReceivers(s *service) bool {
+	local, remote := false, false
+	for _, e := range s.endpoints {
+		if e.usable() && e.Engine != nil {
+			local = local || e.Zone == d.zone
+			remote = remote || e.Zone != d.zone
 		}
 	}
-	return near && far
+	return local && remote
 }
 
 // lightlyLoaded: so few places are taken that nothing speaks against a program more.
 func (s *service) lightlyLoaded(now Instant) bool {
-	taken, limits := s.places(now)
-	return taken < lightLoad*float64(limits)
+	used, total := s.slotUsage(now)
+	return used < lightLoad*float64(total)
 }
 
 // observeStart takes how long after its arrival a turn began to be answered.
@@ -119,56 +121,56 @@
 	if !q.IsTurn {
 		return
 	}
-	d.underWay.add(d.now, q.programKey, q.placed)
+	d.activePrograms.add(d.now, q.programKey, q.placement)
 	switch {
-	case q.judged:
+	case q.startCounted:
 	case q.startsLate(d.now):
-		s.admit.late(d.servedAt(q))
+		s.admit.recordLate(d.servedZone(q))
 	default:
-		s.admit.inTime(d.servedAt(q))
+		s.admit.recordOnTime(d.servedZone(q))
 	}
-	q.judged = true
+	q.startCounted = true
 }
 
 // observeEnd takes the end of a turn that was never answered: by then it is as late as one that begins.
 func (d *Dispatcher) observeEnd(s *service, q *request) {
-	if q.IsTurn && !q.started && !q.judged && q.startsLate(d.now) {
-		s.admit.late(d.servedAt(q))
-		q.judged = true
+	if q.IsTurn && !q.responseStarted && !q.startCounted && q.startsLate(d.now) {
+		s.admit.recordLate(d.servedZone(q))
+		q.startCounted = true
 	}
 }
 
-// servedAt is where a turn was served; where it was to be if it was not.
-func (d *Dispatcher) servedAt(q *request) placement {
-	if q.to == nil {
-		return q.placed
+// servedZone is where a turn was served; where it was to be if it was not.
+func (d *Dispatcher) servedZone(q *request) placement {
+	if q.endpoint == nil {
+		return q.placement
 	}
-	return placement(q.to.Zone != d.zone)
+	return placement(q.endpoint.Zone != d.zone)
 }
 
 // startsLate: an answer that begins now is late.
 func (q *request) startsLate(now Instant) bool {
-	return q.TargetLatency > 0 && now.Sub(q.arrived) > time.Duration(startMargin*float64(q.TargetLatency))
+	return q.TargetLatency > 0 && now.Sub(q.submittedAt) > time.Duration(onTimeFraction*float64(q.TargetLatency))
 }
 
 // programSet remembers where the programs are placed that were seen of late, by the hash of their names, in two
 // generations: the older one is dropped when the younger is full, or old enough itself.
 type programSet struct {
-	young, old map[uint64]placement
-	since      Instant // when the young generation began
+	current, previous map[uint64]placement
+	currentSince      Instant // when the young generation began
 }
 
 func (p *programSet) get(program uint64) (placement, bool) {
-	if placed, young := p.young[program]; young {
+	if placed, found := p.current[program]; found {
 		return placed, true
 	}
-	placed, old := p.old[program]
-	return placed, old
+	placed, found := p.previous[program]
+	return placed, found
 }
 
 func (p *programSet) add(now Instant, program uint64, placed placement) {
-	if p.young == nil || len(p.young) >= mostPrograms || now.Sub(p.since) >= programKept {
-		p.old, p.young, p.since = p.young, map[uint64]placement{}, now
+	if p.current == nil || len(p.current) >= maxPrograms || now.Sub(p.currentSince) >= programRetention {
+		p.previous, p.current, p.currentSince = p.current, map[uint64]placement{}, now
 	}
-	p.young[program] = placed
+	p.current[program] = placed
 }
--- a/admission/dispatch/beginning_test.go
+++ b/admission/dispatch/beginning_test.go
@@ -16,25 +16,25 @@
 		}
 	}
 	// crowded has two engines whose places are taken, but for a few.
-	crowded := func() *script {
-		s := newScript(engine("a"), engine("b")).warm(50 * ms)
-		s.told("a", Report{Running: 20})
-		s.told("b", Report{Running: 20})
+	crowded := func() *driver {
+		s := newDriver(engine("a"), engine("b")).warmUp(50 * ms)
+		s.report("a", Report{Running: 20})
+		s.report("b", Report{Running: 20})
 		return s
 	}
 	// begin has programs come until so many were refused, or a hundred have come, and gives those that were refused.
-	begin := func(s *script, count int) map[string]bool {
+	begin := func(s *driver, count int) map[string]bool {
 		refused := map[string]bool{}
 		for i := range count {
 			name := fmt.Sprint("program-", i)
-			s.arrive(RequestID(name), turn(name))
+			s.submit(RequestID(name), turn(name))
 			if s.refusal(RequestID(name)) != nil {
 				refused[name] = true
 				continue
 			}
-			s.take(s.Cancel(s.now, RequestID(name)))
-			if slices.Contains(s.order(), RequestID(name)) {
-				s.end(RequestID(name), Outcome{Kind: Cancelled})
+			s.collect(s.Cancel(s.now, RequestID(name)))
+			if slices.Contains(s.sendOrder(), RequestID(name)) {
+				s.endAttempt(RequestID(name), Outcome{Kind: Cancelled})
 			}
 		}
 		return refused
@@ -42,19 +42,19 @@
 
 	ginkgo.It("are refused in part by a sender that knows nothing yet, where places are scarce", func() {
 		refused := begin(crowded(), 200)
-		Expect(len(refused)).To(BeNumerically("~", 200*(1-firstAdmitShare), 25))
+		Expect(len(refused)).To(BeNumerically("~", 200*(1-initialAdmitShare), 25))
 	})
 	ginkgo.It("are told when to come back, at once", func() {
 		s := crowded()
 		s.services[pool].admit = admitShares{}
-		s.arrive("1", turn("p"))
+		s.submit("1", turn("p"))
 		Expect(s.refusal("1").Status).To(Equal(StatusServiceUnavailable))
 		Expect(s.refusal("1").RetryAfter).To(BeNumerically(">=", defaultPause))
 		Expect(s.refusal("1").MayHaveRun).To(BeFalse())
 	})
 	ginkgo.It("are the same ones at every sender", func() {
 		one, two := crowded(), crowded()
-		two.services[pool].admit.near = 0.6
+		two.services[pool].admit.local = 0.6
 		few, more := begin(two, 100), begin(one, 100)
 		Expect(len(few)).To(BeNumerically("<", len(more)))
 		for name := range few {
@@ -62,110 +62,110 @@
 		}
 	})
 	ginkgo.It("are all admitted while few places are taken", func() {
-		s := newScript(engine("a"), engine("b")).warm(50 * ms)
-		s.told("a", Report{Running: 7})
-		s.told("b", Report{Running: 7})
+		s := newDriver(engine("a"), engine("b")).warmUp(50 * ms)
+		s.report("a", Report{Running: 7})
+		s.report("b", Report{Running: 7})
 		Expect(begin(s, 50)).To(BeEmpty())
 	})
 	ginkgo.It("are those of which no turn is known: neither from the client nor from before", func() {
 		s := crowded()
 		s.services[pool].admit = admitShares{}
-		s.arrive("1", turn("p"), func(r *Request) { r.ProgramStarted = true })
+		s.submit("1", turn("p"), func(r *Request) { r.ProgramStarted = true })
 		Expect(s.refusals).To(BeEmpty())
-		s.take(s.ResponseStarted(s.now, "1"))
-		s.end("1", Outcome{Kind: Success, TimeToFirstByte: 20 * ms, Duration: 50 * ms})
+		s.collect(s.ResponseStarted(s.now, "1"))
+		s.endAttempt("1", Outcome{Kind: Success, TimeToFirstByte: 20 * ms, Duration: 50 * ms})
 		s.services[pool].admit = admitShares{}
-		s.arrive("2", turn("p"))
+		s.submit("2", turn("p"))
 		Expect(s.refusals).To(BeEmpty())
-		s.arrive("3", turn("q"))
+		s.submit("3", turn("q"))
 		Expect(s.refusal("3")).NotTo(BeNil())
 	})
 	ginkgo.It("are not those that are no turns", func() {
 		s := crowded()
 		s.services[pool].admit = admitShares{}
-		s.arrive("1", func(r *Request) { r.Kind, r.TargetLatency = Streaming, 200*ms })
+		s.submit("1", func(r *Request) { r.Kind, r.TargetLatency = Streaming, 200*ms })
 		Expect(s.refusals).To(BeEmpty())
 	})
 
 	// observed has one turn under way that begins after a span, or is given up then.
 	observed := func(after time.Duration, begins bool) float64 {
 		s := crowded()
-		before := s.services[pool].admit.near
-		s.arrive("1", turn("p"), func(r *Request) { r.ProgramStarted = true })
+		before := s.services[pool].admit.local
+		s.submit("1", turn("p"), func(r *Request) { r.ProgramStarted = true })
 		s.now = s.now.Add(after)
 		if begins {
-			s.take(s.ResponseStarted(s.now, "1"))
-			s.end("1", Outcome{Kind: Success, TimeToFirstByte: after, Duration: after})
+			s.collect(s.ResponseStarted(s.now, "1"))
+			s.endAttempt("1", Outcome{Kind: Success, TimeToFirstByte: after, Duration: after})
 		} else {
-			s.take(s.Cancel(s.now, "1"))
-			s.end("1", Outcome{Kind: Cancelled, Duration: after})
+			s.collect(s.Cancel(s.now, "1"))
+			s.endAttempt("1", Outcome{Kind: Cancelled, Duration: after})
 		}
-		return s.services[pool].admit.near - before
+		return s.services[pool].admit.local - before
 	}
 	ginkgo.DescribeTable("are admitted by how turns begin",
 		func(after time.Duration, begins bool, change float64) {
 			Expect(observed(after, begins)).To(BeNumerically("~", change, 1e-9))
 		},
 		ginkgo.Entry("in time", 100*ms, true, admitIncrease),
-		ginkgo.Entry("late", 101*ms, true, -admitDecrease*firstAdmitShare),
-		ginkgo.Entry("given up late", 2*time.Second, false, -admitDecrease*firstAdmitShare),
+		ginkgo.Entry("late", 101*ms, true, -admitDecrease*initialAdmitShare),
+		ginkgo.Entry("given up late", 2*time.Second, false, -admitDecrease*initialAdmitShare),
 		ginkgo.Entry("given up early, which says nothing", 50*ms, false, 0.0),
 	)
 	ginkgo.It("are never all refused, nor admitted by more than all", func() {
-		for _, at := range []placement{placedNear, placedFar} {
+		for _, at := range []placement{localZone, remoteZone} {
 			a := newAdmitShares()
 			for range 1000 {
-				a.late(at)
+				a.recordLate(at)
 			}
-			Expect(min(a.near, a.far)).To(Equal(leastAdmitShare))
+			Expect(min(a.local, a.remote)).To(Equal(minAdmitShare))
 			for range 1000 {
-				a.inTime(at)
+				a.recordOnTime(at)
 			}
-			Expect(max(a.near, a.far)).To(Equal(1.0))
+			Expect(max(a.local, a.remote)).To(Equal(1.0))
 		}
 	})
 	ginkgo.DescribeTable("are placed by what they draw",
 		func(draw float64, elsewhere bool, placed placement, admitted bool) {
-			at, ok := admitShares{near: 0.5, far: 0.3}.place(draw, elsewhere)
+			at, ok := admitShares{local: 0.5, remote: 0.3}.place(draw, elsewhere)
 			Expect(ok).To(Equal(admitted))
 			Expect(at).To(Equal(placed))
 		},
-		ginkgo.Entry("within the share of the own zone", 0.49, true, placedNear, true),
-		ginkgo.Entry("beyond it", 0.51, true, placedFar, true),
-		ginkgo.Entry("beyond it where there is no other zone", 0.51, false, placedNear, false),
-		ginkgo.Entry("beyond both", 0.81, true, placedNear, false),
+		ginkgo.Entry("within the share of the own zone", 0.49, true, localZone, true),
+		ginkgo.Entry("beyond it", 0.51, true, remoteZone, true),
+		ginkgo.Entry("beyond it where there is no other zone", 0.51, false, localZone, false),
+		ginkgo.Entry("beyond both", 0.81, true, localZone, false),
 	)
 	ginkgo.It("go to a home in another zone when placed there, and stay", func() {
-		s := newScript(engine("a"), engine("b", zone("there")), engine("c", zone("there"))).warm(50 * ms)
+		s := newDriver(engine("a"), engine("b", zone("there")), engine("c", zone("there"))).warmUp(50 * ms)
 		for _, id := range []InstanceID{"a", "b", "c"} {
-			s.told(id, Report{Running: 20})
+			s.report(id, Report{Running: 20})
 		}
-		s.services[pool].admit = admitShares{far: 1}
+		s.services[pool].admit = admitShares{remote: 1}
 		prompt := func(r *Request) { r.Prefix = []PrefixPart{{ID: 1, Tokens: 3000}} }
-		s.arrive("1", turn("p"), prompt)
-		Expect(s.last("1").Instance).NotTo(Equal(InstanceID("a")))
-		s.take(s.ResponseStarted(s.now, "1"))
-		s.end("1", Outcome{Kind: Success, TimeToFirstByte: 20 * ms, Duration: 50 * ms})
-		s.services[pool].admit = admitShares{near: 1}
-		s.arrive("2", turn("p"), prompt)
-		Expect(s.last("2").Instance).To(Equal(s.last("1").Instance))
+		s.submit("1", turn("p"), prompt)
+		Expect(s.lastSend("1").Instance).NotTo(Equal(InstanceID("a")))
+		s.collect(s.ResponseStarted(s.now, "1"))
+		s.endAttempt("1", Outcome{Kind: Success, TimeToFirstByte: 20 * ms, Duration: 50 * ms})
+		s.services[pool].admit = admitShares{local: 1}
+		s.submit("2", turn("p"), prompt)
+		Expect(s.lastSend("2").Instance).To(Equal(s.lastSend("1").Instance))
 	})
 	ginkgo.It("are remembered within bounds, and forgotten after a time", func() {
 		var p programSet
-		for i := range uint64(10 * mostPrograms) {
-			p.add(start, i, placedFar)
+		for i := range uint64(10 * maxPrograms) {
+			p.add(start, i, remoteZone)
 		}
-		Expect(len(p.young) + len(p.old)).To(BeNumerically("<=", 2*mostPrograms))
-		Expect(has(&p, 10*mostPrograms-1)).To(BeTrue())
-		Expect(has(&p, 1)).To(BeFalse())
-		p.add(start.Add(programKept), 1, placedNear)
-		Expect(has(&p, 10*mostPrograms-1)).To(BeTrue())
-		p.add(start.Add(2*programKept), 2, placedNear)
-		Expect(has(&p, 10*mostPrograms-1)).To(BeFalse())
+		Expect(len(p.current) + len(p.previous)).To(BeNumerically("<=", 2*maxPrograms))
+		Expect(contains(&p, 10*maxPrograms-1)).To(BeTrue())
+		Expect(contains(&p, 1)).To(BeFalse())
+		p.add(start.Add(programRetention), 1, localZone)
+		Expect(contains(&p, 10*maxPrograms-1)).To(BeTrue())
+		p.add(start.Add(2*programRetention), 2, localZone)
+		Expect(contains(&p, 10*maxPrograms-1)).To(BeFalse())
 	})
 })
 
-func has(p *programSet, program uint64) bool {
+func contains(p *programSet, program uint64) bool {
 	_, some := p.get(program)
 	return some
 }
--- a/admission/dispatch/choice_test.go
+++ b/admission/dispatch/choice_test.go
@@ -22,65 +22,65 @@
 	shared := PrefixPart{ID: 1, Tokens: 2500}
 	turn := func(id uint64) PrefixPart { return PrefixPart{ID: id, Tokens: 500} }
 
-	engines := func(n int) *script {
+	engines := func(n int) *driver {
 		var list []Receiver
 		for i := range n {
 			list = append(list, engine(InstanceID(rune('a'+i))))
 		}
-		s := newScript(list...)
-		for _, b := range s.buckets {
-			b.known = true
+		s := newDriver(list...)
+		for _, e := range s.endpoints {
+			e.probed = true
 		}
 		return s
 	}
 
 	ginkgo.It("goes where the session's prompt is kept", func() {
 		s := engines(8)
-		s.arrive("0", prompt(shared, turn(2)))
-		first := s.last("0").Instance
-		s.serve("0", 200*ms)
+		s.submit("0", prompt(shared, turn(2)))
+		first := s.lastSend("0").Instance
+		s.complete("0", 200*ms)
 		for i := range 5 {
 			id := RequestID(fmt.Sprint("next-", i))
-			s.arrive(id, prompt(shared, turn(2), turn(3)))
-			Expect(s.last(id).Instance).To(Equal(first))
-			s.serve(id, 200*ms)
+			s.submit(id, prompt(shared, turn(2), turn(3)))
+			Expect(s.lastSend(id).Instance).To(Equal(first))
+			s.complete(id, 200*ms)
 		}
 	})
 	ginkgo.It("leaves it where it has no allowance", func() {
 		s := engines(4)
-		s.arrive("0", prompt(shared, turn(2)))
-		first := s.last("0").Instance
-		s.serve("0", 200*ms)
-		s.told(first, Report{Running: 24})
-		s.arrive("1", prompt(shared, turn(2), turn(3)))
-		Expect(s.last("1").Instance).NotTo(Equal(first))
+		s.submit("0", prompt(shared, turn(2)))
+		first := s.lastSend("0").Instance
+		s.complete("0", 200*ms)
+		s.report(first, Report{Running: 24})
+		s.submit("1", prompt(shared, turn(2), turn(3)))
+		Expect(s.lastSend("1").Instance).NotTo(Equal(first))
 	})
 	ginkgo.It("leaves it where so many run that reading the prompt anew is sooner done", func() {
 		s := engines(4)
-		s.arrive("0", prompt(shared, turn(2)))
-		first := s.last("0").Instance
-		s.serve("0", 200*ms)
-		s.told(first, Report{Running: 20})
-		s.arrive("1", prompt(shared, turn(2), turn(3)))
-		Expect(s.last("1").Instance).NotTo(Equal(first))
+		s.submit("0", prompt(shared, turn(2)))
+		first := s.lastSend("0").Instance
+		s.complete("0", 200*ms)
+		s.report(first, Report{Running: 20})
+		s.submit("1", prompt(shared, turn(2), turn(3)))
+		Expect(s.lastSend("1").Instance).NotTo(Equal(first))
 	})
 	ginkgo.It("spreads prompts that share nothing", func() {
 		s := engines(8)
 		used := map[InstanceID]bool{}
 		for i := range 8 {
 			id := RequestID(fmt.Sprint(i))
-			s.arrive(id, prompt(PrefixPart{ID: uint64(100 + i), Tokens: 2000}))
-			used[s.last(id).Instance] = true
+			s.submit(id, prompt(PrefixPart{ID: uint64(100 + i), Tokens: 2000}))
+			used[s.lastSend(id).Instance] = true
 		}
 		Expect(used).To(HaveLen(8))
 	})
 	ginkgo.It("counts a part only after the parts that it came after", func() {
 		var c prefixCache
 		c.add(start, []PrefixPart{shared, turn(2)}, 100_000)
-		Expect(c.kept(start, []PrefixPart{shared, turn(2), turn(3)})).To(Equal(3000))
-		Expect(c.kept(start, []PrefixPart{shared, turn(3), turn(2)})).To(Equal(2500))
-		Expect(c.kept(start, []PrefixPart{turn(2)})).To(BeZero())
-		Expect(c.kept(start.Add(partLife+1), []PrefixPart{shared})).To(BeZero())
+		Expect(c.cachedTokens(start, []PrefixPart{shared, turn(2), turn(3)})).To(Equal(3000))
+		Expect(c.cachedTokens(start, []PrefixPart{shared, turn(3), turn(2)})).To(Equal(2500))
+		Expect(c.cachedTokens(start, []PrefixPart{turn(2)})).To(BeZero())
+		Expect(c.cachedTokens(start.Add(cachedPartLifetime+1), []PrefixPart{shared})).To(BeZero())
 	})
 	ginkgo.It("forgets the parts longest unused, the last of a prompt first", func() {
 		var c prefixCache
@@ -89,58 +89,58 @@
 		c.add(start, []PrefixPart{shared, turn(4)}, 4000)
 		c.add(start, []PrefixPart{shared, turn(5)}, 4000)
 		Expect(c.tokens).To(Equal(4000))
-		Expect(c.kept(start, []PrefixPart{shared, turn(2)})).To(Equal(2500))
-		Expect(c.kept(start, []PrefixPart{shared, turn(5)})).To(Equal(3000))
+		Expect(c.cachedTokens(start, []PrefixPart{shared, turn(2)})).To(Equal(2500))
+		Expect(c.cachedTokens(start, []PrefixPart{shared, turn(5)})).To(Equal(3000))
 	})
 	ginkgo.It("bounds the parts that are remembered", func() {
 		var c prefixCache
-		for i := range uint64(3 * partsKept) {
+		for i := range uint64(3 * maxCachedParts) {
 			c.add(start, []PrefixPart{{ID: i, Tokens: 1}}, 1_000_000)
 		}
-		Expect(c.parts).To(HaveLen(partsKept))
+		Expect(c.parts).To(HaveLen(maxCachedParts))
 	})
 	ginkgo.It("prefers memory that does not run out", func() {
 		s := engines(2)
-		s.told("a", Report{Running: 4, KVUsedTokens: 199_000, KVTotalTokens: 200_000})
-		s.told("b", Report{Running: 4, KVUsedTokens: 20_000, KVTotalTokens: 200_000})
+		s.report("a", Report{Running: 4, KVUsedTokens: 199_000, KVTotalTokens: 200_000})
+		s.report("b", Report{Running: 4, KVUsedTokens: 20_000, KVTotalTokens: 200_000})
 		for i := range 6 {
 			id := RequestID(fmt.Sprint(i))
-			s.arrive(id, prompt(PrefixPart{ID: uint64(100 + i), Tokens: 2000}))
-			Expect(s.last(id).Instance).To(Equal(InstanceID("b")))
-			s.serve(id, 5*ms)
+			s.submit(id, prompt(PrefixPart{ID: uint64(100 + i), Tokens: 2000}))
+			Expect(s.lastSend(id).Instance).To(Equal(InstanceID("b")))
+			s.complete(id, 5*ms)
 		}
 	})
 	ginkgo.It("prefers its own zone among equals, but not a full one", func() {
-		s := newScript(plain("far", 8, zone("there")), plain("near", 8)).warm(50 * ms)
-		s.arrive("0")
-		Expect(s.last("0").Instance).To(Equal(InstanceID("near")))
-		s.told("near", Report{Running: 7})
-		s.arrive("1")
-		Expect(s.last("1").Instance).To(Equal(InstanceID("far")))
+		s := newDriver(plain("far", 8, zone("there")), plain("near", 8)).warmUp(50 * ms)
+		s.submit("0")
+		Expect(s.lastSend("0").Instance).To(Equal(InstanceID("near")))
+		s.report("near", Report{Running: 7})
+		s.submit("1")
+		Expect(s.lastSend("1").Instance).To(Equal(InstanceID("far")))
 	})
 	ginkgo.It("prefers the quicker of two plain receivers", func() {
-		s := newScript(plain("a", 8), plain("b", 8)).warm(50 * ms)
-		s.buckets["a"].slowness = 2
-		s.arrive("0")
-		Expect(s.last("0").Instance).To(Equal(InstanceID("b")))
+		s := newDriver(plain("a", 8), plain("b", 8)).warmUp(50 * ms)
+		s.endpoints["a"].relativeDuration = 2
+		s.submit("0")
+		Expect(s.lastSend("0").Instance).To(Equal(InstanceID("b")))
 	})
 	ginkgo.It("draws among equals", func() {
-		s := newScript(plain("a", 8), plain("b", 8), plain("c", 8)).warm(50 * ms)
+		s := newDriver(plain("a", 8), plain("b", 8), plain("c", 8)).warmUp(50 * ms)
 		used := map[InstanceID]int{}
 		for i := range 60 {
 			id := RequestID(fmt.Sprint(i))
-			s.arrive(id)
-			used[s.last(id).Instance]++
-			s.end(id, Outcome{Kind: Success, Duration: 50 * ms})
+			s.submit(id)
+			used[s.lastSend(id).Instance]++
+			s.endAttempt(id, Outcome{Kind: Success, Duration: 50 * ms})
 		}
 		Expect(used).To(HaveLen(3))
 		Expect(used).To(HaveEach(BeNumerically(">", 8)))
 	})
 	ginkgo.DescribeTable("the priority that receivers are told",
 		func(route int, begun bool, finish time.Duration, told int) {
-			s := newScript(plain("a", 8)).warm(100 * ms)
-			s.arrive("0", priority(route), func(r *Request) { r.ProgramStarted, r.ProgramTimeLeft = begun, finish })
-			Expect(s.last("0").Priority).To(Equal(told))
+			s := newDriver(plain("a", 8)).warmUp(100 * ms)
+			s.submit("0", priority(route), func(r *Request) { r.ProgramStarted, r.ProgramTimeLeft = begun, finish })
+			Expect(s.lastSend("0").Priority).To(Equal(told))
 		},
 		ginkgo.Entry("the most urgent route", 0, false, time.Duration(0), 4),
 		ginkgo.Entry("the next", 1, false, time.Duration(0), DefaultPriority),
--- a/admission/dispatch/dispatch.go
+++ b/admission/dispatch/dispatch.go
@@ -37,27 +37,27 @@
 
 // New makes a dispatcher of a proxy that stands in a zone; the same seed and events give the same decisions.
 func New(seed uint64, zone string) *Dispatcher {
-	return &Dispatcher{zone: zone, chance: admission.NewPCG(seed), services: map[string]*service{},
-		buckets: map[InstanceID]*bucket{}, requests: map[RequestID]*request{}, usuals: map[usualKey]*usual{}}
+	return &Dispatcher{zone: zone, random: admission.NewPCG(seed), services: map[string]*service{},
+		endpoints: map[InstanceID]*endpoint{}, requests: map[RequestID]*request{}, estimates: map[callClass]*callEstimate{}}
 }
 
-// begin opens an event.
-func (d *Dispatcher) begin(now Instant) {
+// beginEvent opens an event.
+func (d *Dispatcher) beginEvent(now Instant) {
 	d.now = max(d.now, now)
-	d.wake = math.MaxInt64
+	d.nextWake = math.MaxInt64
 	d.effects = Effects{Sends: d.effects.Sends[:0], Refusals: d.effects.Refusals[:0]}
 }
 
-// done closes an event; a wake is asked for only if none is due by then. One that is due already is made
+// finishEvent closes an event; a wake is asked for only if none is due by then. One that is due already is made
 // good, as the caller may replace it by the next.
-func (d *Dispatcher) done() Effects {
-	if d.wakeAt > 0 && d.wakeAt <= d.now {
-		d.wakeAt = 0
-		d.settleAll()
+func (d *Dispatcher) finishEvent() Effects {
+	if d.scheduledWake > 0 && d.scheduledWake <= d.now {
+		d.scheduledWake = 0
+		d.scheduleAll()
 	}
-	if d.wake < math.MaxInt64 && (d.wakeAt == 0 || d.wake < d.wakeAt) {
-		d.wakeAt = d.wake
-		d.effects.WakeAt = d.wake
+	if d.nextWake < math.MaxInt64 && (d.scheduledWake == 0 || d.nextWake < d.scheduledWake) {
+		d.scheduledWake = d.nextWake
+		d.effects.WakeAt = d.nextWake
 	}
 	return d.effects
 }
@@ -65,192 +65,192 @@
 // SetReceivers takes the whole list. What it leaves out gets nothing any more; calls that are out there still
 // end, and what binds is remembered, as the list may name it again.
 func (d *Dispatcher) SetReceivers(now Instant, list []Receiver) Effects {
-	d.begin(now)
+	d.beginEvent(now)
 	for _, s := range d.services {
-		s.buckets = s.buckets[:0]
+		s.endpoints = s.endpoints[:0]
 	}
-	buckets := make(map[InstanceID]*bucket, len(list))
+	listed := make(map[InstanceID]*endpoint, len(list))
 	for _, r := range list {
-		if buckets[r.ID] != nil {
+		if listed[r.ID] != nil {
 			continue
 		}
-		b := d.buckets[r.ID]
-		if b == nil {
-			b = newBucket(r)
+		e := d.endpoints[r.ID]
+		if e == nil {
+			e = newEndpoint(r)
 		}
-		b.list(r)
-		buckets[r.ID] = b
+		e.updateListing(r)
+		listed[r.ID] = e
 		s := d.service(r.Service)
-		s.buckets = append(s.buckets, b)
+		s.endpoints = append(s.endpoints, e)
 	}
-	for id, b := range d.buckets {
-		if buckets[id] == nil && b.binds(d.now) {
-			buckets[id] = b
+	for id, e := range d.endpoints {
+		if listed[id] == nil && e.mustRetain(d.now) {
+			listed[id] = e
 		}
 	}
-	d.buckets = buckets
-	d.settleAll()
+	d.endpoints = listed
+	d.scheduleAll()
 	for name, s := range d.services {
-		if len(s.buckets)+len(s.queue)+s.out == 0 {
+		if len(s.endpoints)+len(s.queue)+s.inFlight == 0 {
 			delete(d.services, name)
 		}
 	}
-	return d.done()
+	return d.finishEvent()
 }
 
-// settleAll goes through the services by name, so that runs repeat.
-func (d *Dispatcher) settleAll() {
-	held := make([]*service, 0, len(d.services))
+// scheduleAll goes through the services by name, so that runs repeat.
+func (d *Dispatcher) scheduleAll() {
+	pending := make([]*service, 0, len(d.services))
 	for _, s := range d.services {
 		if len(s.queue) > 0 {
-			held = append(held, s)
+			pending = append(pending, s)
 		}
 	}
-	slices.SortFunc(held, func(a, b *service) int { return cmp.Compare(a.name, b.name) })
-	for _, s := range held {
-		d.settle(s)
+	slices.SortFunc(pending, func(a, b *service) int { return cmp.Compare(a.name, b.name) })
+	for _, s := range pending {
+		d.schedule(s)
 	}
 }
 
 // ApplyReport takes what a receiver told of itself.
-func (d *Dispatcher) ApplyReport(now Instant, instance InstanceID, told Report) Effects {
-	d.begin(now)
-	if b := d.buckets[instance]; b != nil && b.report(d.now, told) {
-		d.settle(d.service(b.Service))
+func (d *Dispatcher) ApplyReport(now Instant, instance InstanceID, report Report) Effects {
+	d.beginEvent(now)
+	if e := d.endpoints[instance]; e != nil && e.applyReport(d.now, report) {
+		d.schedule(d.service(e.Service))
 	}
-	return d.done()
+	return d.finishEvent()
 }
 
 // Submit takes a request in; it has exactly one end. The id must not be one of an unfinished request.
 func (d *Dispatcher) Submit(now Instant, r Request) Effects {
-	d.begin(now)
+	d.beginEvent(now)
 	if d.requests[r.ID] != nil {
 		panic(fmt.Sprintf("dispatch: request %q arrived while one of that id is unfinished", r.ID))
 	}
 	q := d.newRequest(r)
 	s := d.service(r.Service)
-	s.hold(q)
+	s.enqueue(q)
 	if !d.admits(s, q) {
-		d.giveUp(s, q, defaultPause, NotAdmitted)
+		d.refuse(s, q, defaultPause, NotAdmitted)
 	}
-	d.settle(s)
-	return d.done()
+	d.schedule(s)
+	return d.finishEvent()
 }
 
 func (d *Dispatcher) newRequest(r Request) *request {
-	d.arrivals++
-	q := d.record()
-	*q = request{Request: r, usualKey: keyOf(&r), seq: d.arrivals, arrived: d.now, ran: q.ran[:0],
-		end: math.MaxInt64, mayWaitUntil: math.MaxInt64}
+	d.submitted++
+	q := d.takeSpareRequest()
+	*q = request{Request: r, class: classOf(&r), seq: d.submitted, submittedAt: d.now, ranOn: q.ranOn[:0],
+		expiresAt: math.MaxInt64, mayWaitUntil: math.MaxInt64}
 	for _, p := range r.Prefix {
-		q.prompt += p.Tokens
+		q.promptTokens += p.Tokens
 	}
-	q.prompt = max(q.prompt, r.InputTokens)
+	q.promptTokens = max(q.promptTokens, r.InputTokens)
 	if r.Program != "" {
 		q.programKey = xxhash.Sum64String(r.Program)
 	}
 	if r.Deadline > 0 {
-		q.end = r.Deadline
+		q.expiresAt = r.Deadline
 	}
 	if r.Timeout > 0 {
-		q.end = min(q.end, d.now.Add(r.Timeout))
+		q.expiresAt = min(q.expiresAt, d.now.Add(r.Timeout))
 	}
-	if d.endBy > 0 {
-		q.end = min(q.end, d.endBy)
+	if d.stopAt > 0 {
+		q.expiresAt = min(q.expiresAt, d.stopAt)
 	}
-	q.mayWaitUntil = d.bears(q)
+	q.mayWaitUntil = d.objectiveWaitLimit(q)
 	d.requests[q.ID] = q
 	return q
 }
 
-// bears says until when a request may be held for its objective's sake: a part of what its program has left,
+// objectiveWaitLimit says until when a request may be held for its objective's sake: a part of what its program has left,
 // else what the objective leaves beside a usual call's start.
-func (d *Dispatcher) bears(q *request) Instant {
-	least := q.TargetLatency / heldFree
+func (d *Dispatcher) objectiveWaitLimit(q *request) Instant {
+	minWait := q.TargetLatency / freeWaitDivisor
 	switch {
 	case q.ProgramTimeLeft > 0:
-		return d.now.Add(max(least, q.ProgramTimeLeft/finishShare))
+		return d.now.Add(max(minWait, q.ProgramTimeLeft/programWaitDivisor))
 	case q.TargetLatency > 0:
-		start := d.usual(d.service(q.Service), q).start()
-		return d.now.Add(max(least, q.TargetLatency-start))
+		expectedFirstByte := d.estimate(d.service(q.Service), q).firstByte()
+		return d.now.Add(max(minWait, q.TargetLatency-expectedFirstByte))
 	}
 	return math.MaxInt64
 }
 
 // send passes a request on.
-func (d *Dispatcher) send(s *service, q *request, b *bucket) {
-	q.to, q.sent = b, d.now
-	q.overdue = d.now.Add(overdueTimes*d.usual(s, q).start() + leastOverdue)
+func (d *Dispatcher) send(s *service, q *request, e *endpoint) {
+	q.endpoint, q.sentAt = e, d.now
+	q.overdueAt = d.now.Add(overdueFactor*d.estimate(s, q).firstByte() + minOverdueDelay)
 	q.attempt++
-	if b.Engine != nil {
-		q.unread = q.missing(d.now, b)
-		admission.Smooth(&s.fresh, q.least)
-		b.parts.add(d.now, q.Prefix, b.Engine.KVCapacityTokens)
+	if e.Engine != nil {
+		q.pendingPrefillTokens = q.uncachedTokens(d.now, e)
+		admission.Smooth(&s.meanUncachedTokens, q.minUncachedTokens)
+		e.prefixes.add(d.now, q.Prefix, e.Engine.KVCapacityTokens)
 	}
-	b.sent(q)
-	s.out++
-	d.effects.Sends = append(d.effects.Sends, Send{Request: q.ID, Attempt: q.attempt, Instance: b.ID,
-		Address: b.Address, Timeout: d.timeout(s, q), Priority: d.priority(s, q)})
+	e.callSent(q)
+	s.inFlight++
+	d.effects.Sends = append(d.effects.Sends, Send{Request: q.ID, Attempt: q.attempt, Instance: e.ID,
+		Address: e.Address, Timeout: d.timeout(s, q), Priority: d.priority(s, q)})
 }
 
 // ResponseStarted notes the first byte or event of an answer, which has gone to the client.
 func (d *Dispatcher) ResponseStarted(now Instant, id RequestID) Effects {
-	d.begin(now)
-	if q := d.requests[id]; q != nil && q.to != nil {
-		q.started = true
+	d.beginEvent(now)
+	if q := d.requests[id]; q != nil && q.endpoint != nil {
+		q.responseStarted = true
 		d.observeStart(d.service(q.Service), q)
-		q.to.unread -= q.unread
-		q.unread = 0
-		q.to.lives(d.now)
-		d.settle(d.service(q.Service))
+		q.endpoint.pendingPrefillTokens -= q.pendingPrefillTokens
+		q.pendingPrefillTokens = 0
+		q.endpoint.recordResponse(d.now)
+		d.schedule(d.service(q.Service))
 	}
-	return d.done()
+	return d.finishEvent()
 }
 
 // Cancel notes that the client waits no more. A call that is out is called off by the caller, and its end
 // told with AttemptEnded like any other.
 func (d *Dispatcher) Cancel(now Instant, id RequestID) Effects {
-	d.begin(now)
+	d.beginEvent(now)
 	if q := d.requests[id]; q != nil {
 		s := d.service(q.Service)
-		q.over = true
+		q.cancelled = true
 		d.observeEnd(s, q)
-		if q.to == nil {
-			s.unhold(q)
-			d.forget(q)
+		if q.endpoint == nil {
+			s.removeQueued(q)
+			d.removeRequest(q)
 		}
-		d.settle(s)
+		d.schedule(s)
 	}
-	return d.done()
+	return d.finishEvent()
 }
 
 // StopBy tells that the sender's process ends at an instant. It is a deadline of every request from then on: what is
 // held is refused once its wait plus a usual call would pass it.
 func (d *Dispatcher) StopBy(now, end Instant) Effects {
-	d.begin(now)
-	d.endBy = end
+	d.beginEvent(now)
+	d.stopAt = end
 	for _, q := range d.requests {
-		q.end = min(q.end, end)
+		q.expiresAt = min(q.expiresAt, end)
 	}
-	d.settleAll()
-	return d.done()
+	d.scheduleAll()
+	return d.finishEvent()
 }
 
 // Tick tells the time.
 func (d *Dispatcher) Tick(now Instant) Effects {
-	d.begin(now)
-	d.wakeAt = d.now
-	return d.done()
+	d.beginEvent(now)
+	d.scheduledWake = d.now
+	return d.finishEvent()
 }
 
 // timeout bounds an attempt: by the time that the request has, or sooner where another receiver may run it
 // after a machine that has fallen silent.
 func (d *Dispatcher) timeout(s *service, q *request) time.Duration {
-	left := q.end.Sub(d.now)
-	whole := d.usual(s, q).whole()
-	long := max(leastPatience, patience*whole)
-	if q.idempotent() && len(q.ran)+1 < q.attempts() && left-long >= 2*whole {
-		return long
+	remaining := q.expiresAt.Sub(d.now)
+	expected := d.estimate(s, q).total()
+	limit := max(minAttemptTimeout, attemptTimeoutFactor*expected)
+	if q.idempotent() && len(q.ranOn)+1 < q.attemptLimit() && remaining-limit >= 2*expected {
+		return limit
 	}
-	return left
+	return remaining
 }
--- a/admission/dispatch/drawn_test.go
+++ b/admission/dispatch/drawn_test.go
@@ -10,70 +10,70 @@
 	"pgregory.net/rapid"
 )
 
-// drawn plays receivers and clients at random and keeps its own account of what the design and the rules
+// randomRun plays receivers and clients at random and keeps its own account of what the design and the rules
 // demand of each send. It knows nothing of how the dispatcher keeps its state.
-type drawn struct {
-	t        *rapid.T
-	d        *Dispatcher
-	now      Instant
-	wake     Instant
-	list     map[InstanceID]Receiver
-	places   map[InstanceID]*drawnPlace
-	requests map[RequestID]*drawnRequest
-	arrived  int
-	starts   int
+type randomRun struct {
+	t            *rapid.T
+	d            *Dispatcher
+	now          Instant
+	wake         Instant
+	listed       map[InstanceID]Receiver
+	accounts     map[InstanceID]*receiverAccount
+	requests     map[RequestID]*requestAccount
+	submitted    int
+	incarnations int
 }
 
-// drawnPlace is what the account holds of a receiver.
-type drawnPlace struct {
-	out       []*drawnRequest
-	calls     []endedCall // that have ended
-	told      *Report
-	toldAt    Instant
-	answered  bool
-	waitUntil Instant
+// receiverAccount is what the account holds of a receiver.
+type receiverAccount struct {
+	inFlight   []*requestAccount
+	endedCalls []endedCall // that have ended
+	lastReport *Report
+	measuredAt Instant
+	responded  bool
+	waitUntil  Instant
 }
 
-type drawnRequest struct {
+type requestAccount struct {
 	Request
-	seq     int
-	to      InstanceID // "": none is out
-	attempt int
-	sent    Instant
-	ran     []InstanceID
-	wentOn  bool
-	ended   bool
-	over    bool
+	seq             int
+	sentTo          InstanceID // "": none is out
+	attempt         int
+	sentAt          Instant
+	ranOn           []InstanceID
+	responseStarted bool
+	ended           bool
+	cancelled       bool
 }
 
-var drawnServices = []string{"one", "two"}
+var randomServices = []string{"one", "two"}
 
-func (w *drawn) receivers() {
-	w.list = map[InstanceID]Receiver{}
+func (w *randomRun) changeReceivers() {
+	w.listed = map[InstanceID]Receiver{}
 	var list []Receiver
 	for i := range rapid.IntRange(0, 5).Draw(w.t, "receivers") {
 		id := InstanceID(fmt.Sprint("r", i))
 		if rapid.IntRange(0, 9).Draw(w.t, "other incarnation") == 0 {
-			w.starts++
-			id = InstanceID(fmt.Sprint("r", i, ".", w.starts))
+			w.incarnations++
+			id = InstanceID(fmt.Sprint("r", i, ".", w.incarnations))
 		}
-		r := Receiver{ID: id, Service: rapid.SampledFrom(drawnServices).Draw(w.t, "service"), Address: "a",
+		r := Receiver{ID: id, Service: rapid.SampledFrom(randomServices).Draw(w.t, "service"), Address: "a",
 			Zone: rapid.SampledFrom([]string{"here", "there"}).Draw(w.t, "zone"), Slots: rapid.IntRange(1, 4).Draw(w.t, "slots"),
 			Draining: rapid.IntRange(0, 4).Draw(w.t, "draining") == 0, Silent: rapid.IntRange(0, 4).Draw(w.t, "silent") == 0}
 		if rapid.Bool().Draw(w.t, "engine") {
 			r.Engine = &EngineInfo{KVCapacityTokens: 5000}
 		}
-		w.list[id] = r
+		w.listed[id] = r
 		list = append(list, r)
-		if w.places[id] == nil {
-			w.places[id] = &drawnPlace{}
+		if w.accounts[id] == nil {
+			w.accounts[id] = &receiverAccount{}
 		}
 	}
-	w.take(w.d.SetReceivers(w.now, list))
+	w.check(w.d.SetReceivers(w.now, list))
 }
 
-func (w *drawn) report() {
-	ids := slices.Sorted(maps.Keys(w.list))
+func (w *randomRun) sendReport() {
+	ids := slices.Sorted(maps.Keys(w.listed))
 	if len(ids) == 0 {
 		return
 	}
@@ -81,16 +81,16 @@
 	r := Report{Running: rapid.IntRange(0, 4).Draw(w.t, "running"), Queued: rapid.IntRange(0, 1).Draw(w.t, "queued"),
 		KVUsedTokens: rapid.IntRange(0, 5000).Draw(w.t, "used"), KVTotalTokens: 5000,
 		Age: time.Duration(rapid.IntRange(0, 1200).Draw(w.t, "age")) * time.Millisecond}
-	p := w.places[id]
-	if at := w.now.Add(-r.Age); r.Age < time.Second && (p.told == nil || at > p.toldAt) {
-		p.told, p.toldAt = &r, at
+	a := w.accounts[id]
+	if at := w.now.Add(-r.Age); r.Age < time.Second && (a.lastReport == nil || at > a.measuredAt) {
+		a.lastReport, a.measuredAt = &r, at
 	}
-	w.take(w.d.ApplyReport(w.now, id, r))
+	w.check(w.d.ApplyReport(w.now, id, r))
 }
 
-func (w *drawn) arrive() {
-	w.arrived++
-	r := Request{ID: RequestID(fmt.Sprint("q", w.arrived)), Service: rapid.SampledFrom(drawnServices).Draw(w.t, "service"),
+func (w *randomRun) submit() {
+	w.submitted++
+	r := Request{ID: RequestID(fmt.Sprint("q", w.submitted)), Service: rapid.SampledFrom(randomServices).Draw(w.t, "service"),
 		Kind: rapid.SampledFrom([]Kind{Unsafe, Safe, Streaming}).Draw(w.t, "kind"), Resumable: rapid.Bool().Draw(w.t, "resumable"),
 		Priority: rapid.IntRange(0, 2).Draw(w.t, "priority"), MaxAttempts: rapid.IntRange(0, 3).Draw(w.t, "attempts"),
 		Deadline:        w.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(w.t, "deadline")) * time.Millisecond),
@@ -100,14 +100,14 @@
 	for range rapid.IntRange(0, 3).Draw(w.t, "parts") {
 		r.Prefix = append(r.Prefix, PrefixPart{ID: rapid.Uint64Range(0, 5).Draw(w.t, "part"), Tokens: 500})
 	}
-	w.requests[r.ID] = &drawnRequest{Request: r, seq: w.arrived}
-	w.take(w.d.Submit(w.now, r))
+	w.requests[r.ID] = &requestAccount{Request: r, seq: w.submitted}
+	w.check(w.d.Submit(w.now, r))
 }
 
-func (w *drawn) outstanding() []RequestID {
+func (w *randomRun) inFlight() []RequestID {
 	var out []RequestID
 	for id, q := range w.requests {
-		if q.to != "" {
+		if q.sentTo != "" {
 			out = append(out, id)
 		}
 	}
@@ -115,80 +115,80 @@
 	return out
 }
 
-func (w *drawn) start() {
-	if out := w.outstanding(); len(out) > 0 {
+func (w *randomRun) startResponse() {
+	if out := w.inFlight(); len(out) > 0 {
 		q := w.requests[rapid.SampledFrom(out).Draw(w.t, "started")]
-		q.wentOn = true
-		w.places[q.to].answered = true
-		w.take(w.d.ResponseStarted(w.now, q.ID))
+		q.responseStarted = true
+		w.accounts[q.sentTo].responded = true
+		w.check(w.d.ResponseStarted(w.now, q.ID))
 	}
 }
 
-func (w *drawn) answer() {
-	if out := w.outstanding(); len(out) > 0 {
+func (w *randomRun) endSomeAttempt() {
+	if out := w.inFlight(); len(out) > 0 {
 		q := w.requests[rapid.SampledFrom(out).Draw(w.t, "answered")]
-		o := Outcome{Kind: OutcomeKind(rapid.IntRange(int(Success), int(Cancelled)).Draw(w.t, "outcome")), Duration: w.now.Sub(q.sent)}
+		o := Outcome{Kind: OutcomeKind(rapid.IntRange(int(Success), int(Cancelled)).Draw(w.t, "outcome")), Duration: w.now.Sub(q.sentAt)}
 		if o.Kind == Full {
 			o.RetryAfter = time.Duration(rapid.IntRange(0, 400).Draw(w.t, "retry after")) * time.Millisecond
 		}
-		w.end(q, o)
+		w.endAttempt(q, o)
 	}
 }
 
-func (w *drawn) end(q *drawnRequest, o Outcome) {
-	p := w.places[q.to]
-	p.out = slices.DeleteFunc(p.out, func(other *drawnRequest) bool { return other == q })
-	p.calls = append(p.calls, endedCall{q.sent, w.now})
+func (w *randomRun) endAttempt(q *requestAccount, o Outcome) {
+	a := w.accounts[q.sentTo]
+	a.inFlight = slices.DeleteFunc(a.inFlight, func(other *requestAccount) bool { return other == q })
+	a.endedCalls = append(a.endedCalls, endedCall{q.sentAt, w.now})
 	switch o.Kind {
 	case Full:
 		wait := o.RetryAfter
 		if wait == 0 {
 			wait = time.Second
 		}
-		p.waitUntil = max(p.waitUntil, w.now.Add(wait))
+		a.waitUntil = max(a.waitUntil, w.now.Add(wait))
 	case Success, ErrorResponse:
-		p.answered = true
+		a.responded = true
 	}
 	if o.Kind.MayHaveRun() {
-		q.ran = append(q.ran, q.to)
+		q.ranOn = append(q.ranOn, q.sentTo)
 	}
-	q.to = ""
-	if q.over || o.Kind == Success || o.Kind == ErrorResponse || o.Kind == Cancelled {
+	q.sentTo = ""
+	if q.cancelled || o.Kind == Success || o.Kind == ErrorResponse || o.Kind == Cancelled {
 		q.ended = true
 	}
-	w.take(w.d.AttemptEnded(w.now, q.ID, q.attempt, o))
+	w.check(w.d.AttemptEnded(w.now, q.ID, q.attempt, o))
 }
 
-func (w *drawn) withdraw() {
+func (w *randomRun) cancel() {
 	var wanted []RequestID
 	for id, q := range w.requests {
-		if !q.ended && !q.over {
+		if !q.ended && !q.cancelled {
 			wanted = append(wanted, id)
 		}
 	}
 	slices.Sort(wanted)
 	if len(wanted) > 0 {
 		q := w.requests[rapid.SampledFrom(wanted).Draw(w.t, "withdrawn")]
-		q.over, q.ended = true, q.to == ""
-		w.take(w.d.Cancel(w.now, q.ID))
+		q.cancelled, q.ended = true, q.sentTo == ""
+		w.check(w.d.Cancel(w.now, q.ID))
 	}
 }
 
-func (w *drawn) pass() {
-	w.passFor(time.Duration(rapid.IntRange(1, 300).Draw(w.t, "ms")) * time.Millisecond)
+func (w *randomRun) advance() {
+	w.advanceBy(time.Duration(rapid.IntRange(1, 300).Draw(w.t, "ms")) * time.Millisecond)
 }
 
-func (w *drawn) passFor(span time.Duration) {
+func (w *randomRun) advanceBy(span time.Duration) {
 	end := w.now.Add(span)
 	for w.wake > w.now && w.wake <= end {
 		w.now = w.wake
-		w.take(w.d.Tick(w.now))
+		w.check(w.d.Tick(w.now))
 	}
 	w.now = end
 }
 
-// take checks what is asked for.
-func (w *drawn) take(e Effects) {
+// check checks what is asked for.
+func (w *randomRun) check(e Effects) {
 	if e.WakeAt != 0 {
 		if e.WakeAt <= w.now {
 			w.t.Fatalf("a wake at %v, which is past %v", e.WakeAt, w.now)
@@ -206,48 +206,48 @@
 	}
 }
 
-func (w *drawn) checkSend(s Send) {
-	q, r, p := w.requests[s.Request], w.list[s.Instance], w.places[s.Instance]
+func (w *randomRun) checkSend(s Send) {
+	q, r, a := w.requests[s.Request], w.listed[s.Instance], w.accounts[s.Instance]
 	switch {
-	case q.ended || q.over:
+	case q.ended || q.cancelled:
 		w.t.Fatalf("%s is sent after its end", q.ID)
-	case q.to != "":
+	case q.sentTo != "":
 		w.t.Fatalf("%s is sent while a call of it is out", q.ID)
 	case r.ID == "" || r.Draining || r.Service != q.Service:
 		w.t.Fatalf("%s goes to %s, which is gone, drains or serves another", q.ID, s.Instance)
-	case w.now < p.waitUntil:
+	case w.now < a.waitUntil:
 		w.t.Fatalf("%s goes to %s during a told wait", q.ID, s.Instance)
-	case len(q.ran) >= max(1, q.MaxAttempts):
+	case len(q.ranOn) >= max(1, q.MaxAttempts):
 		w.t.Fatalf("%s goes out for more than its %d attempts", q.ID, q.MaxAttempts)
-	case slices.Contains(q.ran, s.Instance):
+	case slices.Contains(q.ranOn, s.Instance):
 		w.t.Fatalf("%s goes to %s again, which may have run it", q.ID, s.Instance)
-	case len(q.ran) > 0 && !(q.Kind == Safe && !q.wentOn || q.Kind == Streaming && q.Resumable):
+	case len(q.ranOn) > 0 && !(q.Kind == Safe && !q.responseStarted || q.Kind == Streaming && q.Resumable):
 		w.t.Fatalf("%s goes again, and must not run twice", q.ID)
 	case w.now.Add(s.Timeout) > q.Deadline || s.Timeout <= 0:
 		w.t.Fatalf("%s has a timeout of %v with %v left", q.ID, s.Timeout, q.Deadline.Sub(w.now))
 	case s.Priority < 0 || s.Priority > 9:
 		w.t.Fatalf("%s has priority %d", q.ID, s.Priority)
 	}
-	w.checkAllowance(r, p)
-	q.to, q.sent, q.attempt = s.Instance, w.now, s.Attempt
-	p.out = append(p.out, q)
+	w.checkAllowance(r, a)
+	q.sentTo, q.sentAt, q.attempt = s.Instance, w.now, s.Attempt
+	a.inFlight = append(a.inFlight, q)
 }
 
-func (w *drawn) checkAllowance(r Receiver, p *drawnPlace) {
-	if len(p.out) >= r.Slots || !p.answered && len(p.out) > 0 {
-		w.t.Fatalf("%d calls are out to %s, which has %d slots (answered: %v)", len(p.out), r.ID, r.Slots, p.answered)
+func (w *randomRun) checkAllowance(r Receiver, a *receiverAccount) {
+	if len(a.inFlight) >= r.Slots || !a.responded && len(a.inFlight) > 0 {
+		w.t.Fatalf("%d calls are out to %s, which has %d slots (answered: %v)", len(a.inFlight), r.ID, r.Slots, a.responded)
 	}
-	if p.told == nil || w.now >= p.toldAt.Add(time.Second) {
+	if a.lastReport == nil || w.now >= a.measuredAt.Add(time.Second) {
 		return
 	}
-	left := r.Slots - p.told.Running - p.told.Queued
-	for _, q := range p.out {
-		if q.sent > p.toldAt {
+	left := r.Slots - a.lastReport.Running - a.lastReport.Queued
+	for _, q := range a.inFlight {
+		if q.sentAt > a.measuredAt {
 			left--
 		}
 	}
-	for _, c := range p.calls {
-		if c.sent <= p.toldAt && c.ended > p.toldAt {
+	for _, c := range a.endedCalls {
+		if c.sent <= a.measuredAt && c.ended > a.measuredAt {
 			left++
 		}
 	}
@@ -257,23 +257,23 @@
 }
 
 // checkOrder: no request that arrived before this one and could go where it went is still held.
-func (w *drawn) checkOrder(sent *drawnRequest, to InstanceID) {
+func (w *randomRun) checkOrder(sent *requestAccount, to InstanceID) {
 	for _, q := range w.requests {
-		held := !q.ended && q.to == ""
-		if held && q.Service == sent.Service && q.seq < sent.seq && !slices.Contains(q.ran, to) {
+		held := !q.ended && q.sentTo == ""
+		if held && q.Service == sent.Service && q.seq < sent.seq && !slices.Contains(q.ranOn, to) {
 			w.t.Fatalf("%s went to %s before %s", sent.ID, to, q.ID)
 		}
 	}
 }
 
-func (w *drawn) checkRefusal(r Refusal) {
+func (w *randomRun) checkRefusal(r Refusal) {
 	q := w.requests[r.Request]
-	ran := len(q.ran) > 0
+	ran := len(q.ranOn) > 0
 	switch {
-	case q.ended || q.over || q.to != "":
+	case q.ended || q.cancelled || q.sentTo != "":
 		w.t.Fatalf("%s is refused after its end or with a call out", q.ID)
 	case r.MayHaveRun != ran || (r.Status == StatusServiceUnavailable) == ran:
-		w.t.Fatalf("%s is refused with %d (executed: %v), and ran at %v", q.ID, r.Status, r.MayHaveRun, q.ran)
+		w.t.Fatalf("%s is refused with %d (executed: %v), and ran at %v", q.ID, r.Status, r.MayHaveRun, q.ranOn)
 	case !ran && r.RetryAfter <= 0:
 		w.t.Fatalf("%s is refused without a time to come back", q.ID)
 	}
@@ -281,12 +281,12 @@
 }
 
 // finish lets all that is out end and time pass: by its deadline each request has had its end.
-func (w *drawn) finish() {
+func (w *randomRun) finish() {
 	for range 100 {
-		for _, id := range w.outstanding() {
-			w.end(w.requests[id], Outcome{Kind: Success, Duration: time.Millisecond})
+		for _, id := range w.inFlight() {
+			w.endAttempt(w.requests[id], Outcome{Kind: Success, Duration: time.Millisecond})
 		}
-		w.passFor(100 * time.Millisecond)
+		w.advanceBy(100 * time.Millisecond)
 	}
 	for id, q := range w.requests {
 		if !q.ended {
@@ -297,48 +297,48 @@
 		w.t.Fatalf("%d requests are kept after their end", len(w.d.requests))
 	}
 	for _, s := range w.d.services {
-		if s.out+len(s.queue) != 0 {
-			w.t.Fatalf("service %s keeps %d calls and %d held", s.name, s.out, len(s.queue))
+		if s.inFlight+len(s.queue) != 0 {
+			w.t.Fatalf("service %s keeps %d calls and %d held", s.name, s.inFlight, len(s.queue))
 		}
 	}
 }
 
-func TestDrawnRuns(t *testing.T) {
+func TestRandomRuns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &drawn{t: t, d: New(rapid.Uint64().Draw(t, "seed"), "here"), now: start,
-			places: map[InstanceID]*drawnPlace{}, requests: map[RequestID]*drawnRequest{}}
-		w.receivers()
+		w := &randomRun{t: t, d: New(rapid.Uint64().Draw(t, "seed"), "here"), now: start,
+			accounts: map[InstanceID]*receiverAccount{}, requests: map[RequestID]*requestAccount{}}
+		w.changeReceivers()
 		t.Repeat(map[string]func(*rapid.T){
 			"receivers": func(t *rapid.T) {
 				if rapid.IntRange(0, 3).Draw(t, "now") == 0 {
-					w.receivers()
+					w.changeReceivers()
 				}
 			},
-			"report":   func(*rapid.T) { w.report() },
-			"arrive":   func(*rapid.T) { w.arrive() },
-			"arrive 2": func(*rapid.T) { w.arrive() },
-			"start":    func(*rapid.T) { w.start() },
-			"answer":   func(*rapid.T) { w.answer() },
-			"answer 2": func(*rapid.T) { w.answer() },
-			"withdraw": func(*rapid.T) { w.withdraw() },
-			"pass":     func(*rapid.T) { w.pass() },
+			"report":   func(*rapid.T) { w.sendReport() },
+			"arrive":   func(*rapid.T) { w.submit() },
+			"arrive 2": func(*rapid.T) { w.submit() },
+			"start":    func(*rapid.T) { w.startResponse() },
+			"answer":   func(*rapid.T) { w.endSomeAttempt() },
+			"answer 2": func(*rapid.T) { w.endSomeAttempt() },
+			"withdraw": func(*rapid.T) { w.cancel() },
+			"pass":     func(*rapid.T) { w.advance() },
 		})
 		w.finish()
 	})
 }
 
-// TestRunsRepeat: the same seed and events give the same effects.
-func TestRunsRepeat(t *testing.T) {
+// TestRunsAreReproducible: the same seed and events give the same effects.
+func TestRunsAreReproducible(t *testing.T) {
 	play := func() string {
-		s := newScript(plain("a", 3), plain("b", 3), engine("c"), plain("d", 2, zone("there")))
+		s := newDriver(plain("a", 3), plain("b", 3), engine("c"), plain("d", 2, zone("there")))
 		for i := range 300 {
 			id := RequestID(fmt.Sprint(i))
-			s.arrive(id, kind(Kind(i%3), 2), objective(100*ms), priority(i%4), prompt(PrefixPart{ID: uint64(i % 7), Tokens: 300}))
+			s.submit(id, kind(Kind(i%3), 2), objective(100*ms), priority(i%4), prompt(PrefixPart{ID: uint64(i % 7), Tokens: 300}))
 			if i%2 == 1 {
 				old := s.sends[len(s.sends)/2]
-				s.take(s.AttemptEnded(s.now, old.Request, old.Attempt, Outcome{Kind: OutcomeKind(i % 7), Duration: 20 * ms}))
+				s.collect(s.AttemptEnded(s.now, old.Request, old.Attempt, Outcome{Kind: OutcomeKind(i % 7), Duration: 20 * ms}))
 			}
-			s.pass(7 * ms)
+			s.advance(7 * ms)
 		}
 		return fmt.Sprint(s.sends, s.refusals)
 	}
--- a/admission/dispatch/goodput_test.go
+++ b/admission/dispatch/goodput_test.go
@@ -6,44 +6,44 @@
 	"time"
 )
 
-// curveSeeds is how many runs a figure is the mean of: one swings by a twentieth.
-const curveSeeds = 3
+// goodputSeeds is how many runs a figure is the mean of: one swings by a twentieth.
+const goodputSeeds = 3
 
-// modelPool is what the tests play on: it bears about 38 programs a second.
-var modelPool = load{proxies: 20, engines: 18, span: 40 * time.Second, darkFor: 1500 * time.Millisecond}
+// basePool is what the tests play on: it bears about 38 programs a second.
+var basePool = workload{proxies: 20, engines: 18, span: 40 * time.Second, outage: 1500 * time.Millisecond}
 
-// earned plays a load with several seeds: the mean of what programs that began in a span earned a second, and the part of
+// measureGoodput plays a load with several seeds: the mean of what programs that began in a span earned a second, and the part of
 // what they owed.
-func earned(l load, from, to time.Duration) (perSecond, part float64) {
+func measureGoodput(l workload, from, to time.Duration) (perSecond, part float64) {
 	var group sync.WaitGroup
-	runs := make([]*programs, curveSeeds)
+	runs := make([]*programModel, goodputSeeds)
 	for i := range runs {
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			runs[i] = play(uint64(i+1), l)
+			runs[i] = runModel(uint64(i+1), l)
 		}()
 	}
 	group.Wait()
 	for _, m := range runs {
-		perSecond += m.perSecondWorth(from, to) / curveSeeds
-		part += m.worth(from, to) / curveSeeds
+		perSecond += m.goodput(from, to) / goodputSeeds
+		part += m.earnedShare(from, to) / goodputSeeds
 	}
 	return perSecond, part
 }
 
-// TestGoodputStaysLevel: what is earned rises with the load up to what the pool bears, and stays level beyond, also after
+// TestGoodputStaysLevelUnderOverload: what is earned rises with the load up to what the pool bears, and stays level beyond, also after
 // all proxies have lost power in the midst of it.
-func TestGoodputStaysLevel(t *testing.T) {
+func TestGoodputStaysLevelUnderOverload(t *testing.T) {
 	borne := 0.0
 	for _, c := range []struct{ rate, least, leastAfterLoss float64 }{
 		{19, 0, 0}, {38, 0, 0}, {57, 0.9, 0.9}, {76, 0.9, 0.9}, {114, 0.9, 0.7},
 	} {
-		l := modelPool
-		l.perSecond = c.rate
-		perSecond, part := earned(l, 10*time.Second, l.span)
-		l.dark = []time.Duration{16 * time.Second}
-		afterLoss, partAfterLoss := earned(l, 22*time.Second, l.span)
+		l := basePool
+		l.programsPerSecond = c.rate
+		perSecond, part := measureGoodput(l, 10*time.Second, l.span)
+		l.powerLosses = []time.Duration{16 * time.Second}
+		afterLoss, partAfterLoss := measureGoodput(l, 22*time.Second, l.span)
 		t.Logf("%3.0f programs a second: %3.0f earned (%.2f), after a loss of power %3.0f (%.2f)", c.rate, perSecond, part, afterLoss, partAfterLoss)
 		borne = max(borne, perSecond)
 		if perSecond < c.least*borne || afterLoss < c.leastAfterLoss*borne {
@@ -56,27 +56,27 @@
 // TestOverloadEndsWithItsCause: after a burst, or where receivers go and all proxies lose power twice, what the pool bears
 // is served again once it is no more than that.
 func TestOverloadEndsWithItsCause(t *testing.T) {
-	l := modelPool
-	l.perSecond = 25
-	l.burst, l.burstFrom, l.burstTo = 2.5, 8*time.Second, 14*time.Second
-	if _, part := earned(l, 19*time.Second, l.span); part < 0.97 {
+	l := basePool
+	l.programsPerSecond = 25
+	l.burstFactor, l.burstFrom, l.burstTo = 2.5, 8*time.Second, 14*time.Second
+	if _, part := measureGoodput(l, 19*time.Second, l.span); part < 0.97 {
 		t.Errorf("5 s after a burst %.2f was earned", part)
 	}
-	l = modelPool
-	l.perSecond, l.span = 25, 50*time.Second
-	l.dark = []time.Duration{6 * time.Second, 16 * time.Second}
-	l.removed, l.removedAt = 7, 6*time.Second
-	if _, part := earned(l, 20*time.Second, l.span); part < 0.7 {
+	l = basePool
+	l.programsPerSecond, l.span = 25, 50*time.Second
+	l.powerLosses = []time.Duration{6 * time.Second, 16 * time.Second}
+	l.removedEngines, l.removeFrom = 7, 6*time.Second
+	if _, part := measureGoodput(l, 20*time.Second, l.span); part < 0.7 {
 		t.Errorf("after 7 of 18 engines had gone and all proxies had lost power twice %.2f was earned", part)
 	}
 }
 
-// TestZoneWithoutEnoughEngines: what a zone's engines do not bear is served by those of other zones while these bear it.
-func TestZoneWithoutEnoughEngines(t *testing.T) {
-	l := modelPool
-	l.proxies, l.engines, l.zones, l.perSecond = 21, 36, 3, 45
-	l.removed, l.removedAt = 7, 4*time.Second
-	if _, part := earned(l, 15*time.Second, l.span); part < 0.97 {
+// TestZoneWithTooFewEngines: what a zone's engines do not bear is served by those of other zones while these bear it.
+func TestZoneWithTooFewEngines(t *testing.T) {
+	l := basePool
+	l.proxies, l.engines, l.zones, l.programsPerSecond = 21, 36, 3, 45
+	l.removedEngines, l.removeFrom = 7, 4*time.Second
+	if _, part := measureGoodput(l, 15*time.Second, l.span); part < 0.97 {
 		t.Errorf("with 5 of 12 engines left in one of three zones %.2f was earned", part)
 	}
 }
--- a/admission/dispatch/helper_test.go
+++ b/admission/dispatch/helper_test.go
@@ -13,67 +13,67 @@
 	pool  = "s"
 )
 
-// script drives a dispatcher by hand: it keeps the clock and what was asked for.
-type script struct {
+// driver drives a dispatcher by hand: it keeps the clock and what was asked for.
+type driver struct {
 	*Dispatcher
 	now      Instant
 	sends    []Send
 	refusals []Refusal
-	wake     Instant
+	wakeAt   Instant
 }
 
-func newScript(receivers ...Receiver) *script {
-	s := &script{Dispatcher: New(1, "here"), now: start}
-	s.take(s.SetReceivers(s.now, receivers))
+func newDriver(receivers ...Receiver) *driver {
+	s := &driver{Dispatcher: New(1, "here"), now: start}
+	s.collect(s.SetReceivers(s.now, receivers))
 	return s
 }
 
-// take notes effects; what they hold is copied, as they are good until the next call only.
-func (s *script) take(e Effects) {
+// collect notes effects; what they hold is copied, as they are good until the next call only.
+func (s *driver) collect(e Effects) {
 	s.sends = append(s.sends, e.Sends...)
 	s.refusals = append(s.refusals, e.Refusals...)
 	if e.WakeAt > 0 {
-		s.wake = e.WakeAt
+		s.wakeAt = e.WakeAt
 	}
 }
 
-// pass lets time pass, with the ticks that were asked for.
-func (s *script) pass(span time.Duration) {
+// advance lets time pass, with the ticks that were asked for.
+func (s *driver) advance(span time.Duration) {
 	end := s.now.Add(span)
-	for s.wake > s.now && s.wake <= end {
-		s.now = s.wake
-		s.take(s.Tick(s.now))
+	for s.wakeAt > s.now && s.wakeAt <= end {
+		s.now = s.wakeAt
+		s.collect(s.Tick(s.now))
 	}
 	s.now = end
 }
 
-func (s *script) list(receivers ...Receiver) { s.take(s.SetReceivers(s.now, receivers)) }
+func (s *driver) setReceivers(receivers ...Receiver) { s.collect(s.SetReceivers(s.now, receivers)) }
 
-func (s *script) told(id InstanceID, r Report) { s.take(s.ApplyReport(s.now, id, r)) }
+func (s *driver) report(id InstanceID, r Report) { s.collect(s.ApplyReport(s.now, id, r)) }
 
-// arrive hands requests in that wait for five seconds, changed as told.
-func (s *script) arrive(id RequestID, change ...func(*Request)) {
+// submit hands requests in that wait for five seconds, changed as told.
+func (s *driver) submit(id RequestID, change ...func(*Request)) {
 	r := Request{ID: id, Service: pool, Deadline: s.now.Add(5 * time.Second), MaxAttempts: 1}
 	for _, f := range change {
 		f(&r)
 	}
-	s.take(s.Submit(s.now, r))
+	s.collect(s.Submit(s.now, r))
 }
 
-// end tells the end of the call that is out for a request.
-func (s *script) end(id RequestID, o Outcome) {
-	last := s.last(id)
-	s.take(s.AttemptEnded(s.now, id, last.Attempt, o))
+// endAttempt tells the end of the call that is out for a request.
+func (s *driver) endAttempt(id RequestID, o Outcome) {
+	last := s.lastSend(id)
+	s.collect(s.AttemptEnded(s.now, id, last.Attempt, o))
 }
 
-// serve answers a request's call after a span.
-func (s *script) serve(id RequestID, took time.Duration) {
-	s.pass(took)
-	s.end(id, Outcome{Kind: Success, TimeToFirstByte: took / 2, Duration: took})
+// complete answers a request's call after a span.
+func (s *driver) complete(id RequestID, duration time.Duration) {
+	s.advance(duration)
+	s.endAttempt(id, Outcome{Kind: Success, TimeToFirstByte: duration / 2, Duration: duration})
 }
 
-// last gives the last call of a request.
-func (s *script) last(id RequestID) Send {
+// lastSend gives the last call of a request.
+func (s *driver) lastSend(id RequestID) Send {
 	for i := len(s.sends) - 1; i >= 0; i-- {
 		if s.sends[i].Request == id {
 			return s.sends[i]
@@ -83,17 +83,17 @@
 	return Send{}
 }
 
-// order gives the requests in the order in which calls went out.
-func (s *script) order() []RequestID {
-	var all []RequestID
+// sendOrder gives the requests in the order in which calls went out.
+func (s *driver) sendOrder() []RequestID {
+	var ids []RequestID
 	for _, send := range s.sends {
-		all = append(all, send.Request)
+		ids = append(ids, send.Request)
 	}
-	return all
+	return ids
 }
 
 // refusal gives how a request was refused; nil if it was not.
-func (s *script) refusal(id RequestID) *Refusal {
+func (s *driver) refusal(id RequestID) *Refusal {
 	for _, r := range s.refusals {
 		if r.Request == id {
 			return &r
@@ -116,30 +116,30 @@
 	return r
 }
 
-// warm has each listed receiver answer one call in so much time, so that no bucket waits for a first answer.
-func (s *script) warm(took time.Duration) *script {
+// warmUp has each listed receiver answer one call in so much time, so that no bucket waits for a first answer.
+func (s *driver) warmUp(duration time.Duration) *driver {
 	n := 0
-	for range 20 * len(s.buckets) {
-		cold := false
-		for _, b := range s.buckets {
-			cold = cold || !b.known
+	for range 20 * len(s.endpoints) {
+		unprobed := false
+		for _, e := range s.endpoints {
+			unprobed = unprobed || !e.probed
 		}
-		if !cold {
+		if !unprobed {
 			break
 		}
 		var round []RequestID
-		for range len(s.buckets) {
+		for range len(s.endpoints) {
 			n++
 			id := RequestID(fmt.Sprintf("warm-%d", n))
 			round = append(round, id)
-			s.arrive(id)
+			s.submit(id)
 		}
-		s.pass(took)
+		s.advance(duration)
 		for _, id := range round {
-			s.end(id, Outcome{Kind: Success, TimeToFirstByte: took / 2, Duration: took})
+			s.endAttempt(id, Outcome{Kind: Success, TimeToFirstByte: duration / 2, Duration: duration})
 		}
 	}
-	s.pass(2 * time.Second)
+	s.advance(2 * time.Second)
 	s.sends, s.refusals = nil, nil
 	return s
 }
@@ -154,7 +154,7 @@
 
 func priority(n int) func(*Request) { return func(r *Request) { r.Priority = n } }
 
-func deadline(s *script, left time.Duration) func(*Request) {
+func deadline(s *driver, left time.Duration) func(*Request) {
 	return func(r *Request) { r.Deadline = s.now.Add(left) }
 }
 
--- a/admission/dispatch/home_test.go
+++ b/admission/dispatch/home_test.go
@@ -8,14 +8,14 @@
 	. "github.com/onsi/gomega"
 )
 
-func ofProgram(name string) func(*Request) { return func(r *Request) { r.Program = name } }
+func inProgram(name string) func(*Request) { return func(r *Request) { r.Program = name } }
 
 var _ = ginkgo.Describe("the home of a program", func() {
 	shared := PrefixPart{ID: 1, Tokens: 2500}
 	own := PrefixPart{ID: 2, Tokens: 1500}
 
 	// sender makes a dispatcher with engines of its own zone, idle ones in another zone beside them.
-	sender := func(seed uint64, near, far int) *script {
+	sender := func(seed uint64, near, far int) *driver {
 		var list []Receiver
 		for i := range near {
 			list = append(list, engine(InstanceID(fmt.Sprint("near-", i))))
@@ -23,17 +23,17 @@
 		for i := range far {
 			list = append(list, engine(InstanceID(fmt.Sprint("far-", i)), zone("there")))
 		}
-		s := &script{Dispatcher: New(seed, "here"), now: start}
-		s.list(list...)
-		for _, b := range s.buckets {
-			b.known = true
+		s := &driver{Dispatcher: New(seed, "here"), now: start}
+		s.setReceivers(list...)
+		for _, e := range s.endpoints {
+			e.probed = true
 		}
 		return s
 	}
 	// first gives where a sender that knows nothing sends the program's prompt.
-	first := func(s *script, program string) InstanceID {
-		s.arrive(RequestID(program), prompt(shared, own), ofProgram(program))
-		return s.last(RequestID(program)).Instance
+	first := func(s *driver, program string) InstanceID {
+		s.submit(RequestID(program), prompt(shared, own), inProgram(program))
+		return s.lastSend(RequestID(program)).Instance
 	}
 
 	ginkgo.It("is the same at senders that have not heard of each other", func() {
@@ -55,7 +55,7 @@
 			program := fmt.Sprint("program-", i)
 			before := first(sender(1, 4, 0), program)
 			s := sender(1, 4, 0)
-			s.buckets["near-3"].Draining = true
+			s.endpoints["near-3"].Draining = true
 			after := first(s, program)
 			if before != "near-3" {
 				Expect(after).To(Equal(before))
@@ -75,35 +75,35 @@
 	ginkgo.It("is left for a receiver that keeps the prompt", func() {
 		s := sender(1, 4, 0)
 		home := first(s, "program")
-		s.serve("program", 200*ms)
+		s.complete("program", 200*ms)
 		other := InstanceID("near-0")
 		if home == other {
 			other = "near-1"
 		}
-		s.buckets[home].parts = prefixCache{}
-		s.buckets[other].parts.add(s.now, []PrefixPart{shared, own}, 200_000)
-		s.arrive("next", prompt(shared, own, PrefixPart{ID: 3, Tokens: 500}), ofProgram("program"))
-		Expect(s.last("next").Instance).To(Equal(other))
+		s.endpoints[home].prefixes = prefixCache{}
+		s.endpoints[other].prefixes.add(s.now, []PrefixPart{shared, own}, 200_000)
+		s.submit("next", prompt(shared, own, PrefixPart{ID: 3, Tokens: 500}), inProgram("program"))
+		Expect(s.lastSend("next").Instance).To(Equal(other))
 	})
 	ginkgo.It("is left where many run and others are idle, for what a short prompt is worth", func() {
-		short := func(s *script) InstanceID {
-			s.arrive("0", prompt(PrefixPart{ID: 2, Tokens: 300}), ofProgram("program"))
-			return s.last("0").Instance
+		short := func(s *driver) InstanceID {
+			s.submit("0", prompt(PrefixPart{ID: 2, Tokens: 300}), inProgram("program"))
+			return s.lastSend("0").Instance
 		}
 		home := short(sender(1, 4, 0))
 		s := sender(1, 4, 0)
-		s.service(pool).fresh, s.service(pool).took = 500, float64(time.Second) // of a usual turn
-		for id := range s.buckets {
-			s.told(id, Report{})
+		s.service(pool).meanUncachedTokens, s.service(pool).meanDuration = 500, float64(time.Second) // of a usual turn
+		for id := range s.endpoints {
+			s.report(id, Report{})
 		}
 		s.now = s.now.Add(100 * ms)
-		s.told(home, Report{Running: 20})
+		s.report(home, Report{Running: 20})
 		Expect(short(s)).NotTo(Equal(home))
 	})
 	ginkgo.It("is left where it has no allowance", func() {
 		home := first(sender(1, 4, 0), "program")
 		s := sender(1, 4, 0)
-		s.told(home, Report{Running: 24})
+		s.report(home, Report{Running: 24})
 		Expect(first(s, "program")).NotTo(Equal(home))
 	})
 	ginkgo.It("is nothing to a request without a program", func() {
@@ -124,15 +124,15 @@
 	ginkgo.It("is kept as far as it was sent", func() {
 		var c prefixCache
 		c.add(start, grown(600), 100_000)
-		Expect(c.kept(start, grown(1300))).To(Equal(3100))
+		Expect(c.cachedTokens(start, grown(1300))).To(Equal(3100))
 		c.add(start, grown(1300), 100_000)
-		Expect(c.kept(start, grown(1300))).To(Equal(3800))
+		Expect(c.cachedTokens(start, grown(1300))).To(Equal(3800))
 		Expect(c.tokens).To(Equal(3800))
 	})
 	ginkgo.It("counts no part after it that comes behind more of it than was sent", func() {
 		var c prefixCache
 		c.add(start, append(grown(600), PrefixPart{ID: 9, Tokens: 400}), 100_000)
-		Expect(c.kept(start, append(grown(1300), PrefixPart{ID: 9, Tokens: 400}))).To(Equal(3100))
-		Expect(c.kept(start, append(grown(600), PrefixPart{ID: 9, Tokens: 400}))).To(Equal(3500))
+		Expect(c.cachedTokens(start, append(grown(1300), PrefixPart{ID: 9, Tokens: 400}))).To(Equal(3100))
+		Expect(c.cachedTokens(start, append(grown(600), PrefixPart{ID: 9, Tokens: 400}))).To(Equal(3500))
 	})
 })
--- a/admission/dispatch/illness_test.go
+++ b/admission/dispatch/illness_test.go
@@ -8,15 +8,15 @@
 )
 
 var _ = ginkgo.Describe("a receiver that breaks off part of its calls", func() {
-	var s *script
-	ginkgo.BeforeEach(func() { s = newScript(plain("one", 8), plain("two", 8)).warm(20 * ms) })
+	var s *driver
+	ginkgo.BeforeEach(func() { s = newDriver(plain("one", 8), plain("two", 8)).warmUp(20 * ms) })
 
 	// breaks has a call broken off and says by whom.
 	breaks := func(id RequestID) InstanceID {
-		s.arrive(id)
-		at := s.last(id).Instance
-		s.pass(2 * ms)
-		s.end(id, Outcome{Kind: TransportError})
+		s.submit(id)
+		at := s.lastSend(id).Instance
+		s.advance(2 * ms)
+		s.endAttempt(id, Outcome{Kind: TransportError})
 		return at
 	}
 	// choices counts who gets so many calls that are answered at once.
@@ -24,9 +24,9 @@
 		by := map[InstanceID]int{}
 		for i := range count {
 			id := RequestID(prefix + string(rune('a'+i)))
-			s.arrive(id)
-			by[s.last(id).Instance]++
-			s.serve(id, 2*ms)
+			s.submit(id)
+			by[s.lastSend(id).Instance]++
+			s.complete(id, 2*ms)
 		}
 		return by
 	}
@@ -38,23 +38,23 @@
 
 	ginkgo.It("is tried again when some time has passed", func() {
 		at := breaks("broken")
-		s.pass(10 * illnessHalves)
+		s.advance(10 * errorHalfLife)
 		Expect(choices("later-", 40)).To(HaveKey(at))
 	})
 
 	ginkgo.It("counts less with time, and as before with the next failure", func() {
 		at := breaks("broken")
-		b := s.Dispatcher.buckets[at]
-		first := b.illness(s.now)
-		Expect(b.illness(s.now.Add(illnessHalves))).To(BeNumerically("~", first/2, 1e-9))
-		b.sick(s.now.Add(time.Minute))
-		Expect(b.illness(s.now.Add(time.Minute))).To(BeNumerically("~", first, 1e-3))
+		e := s.Dispatcher.endpoints[at]
+		first := e.errorRate(s.now)
+		Expect(e.errorRate(s.now.Add(errorHalfLife))).To(BeNumerically("~", first/2, 1e-9))
+		e.recordError(s.now.Add(time.Minute))
+		Expect(e.errorRate(s.now.Add(time.Minute))).To(BeNumerically("~", first, 1e-3))
 	})
 
 	ginkgo.It("that could not be connected to is not held for ill: it did not take the call", func() {
-		s.arrive("unconnected")
-		at := s.last("unconnected").Instance
-		s.end("unconnected", Outcome{Kind: NotConnected})
-		Expect(s.Dispatcher.buckets[at].illness(s.now)).To(BeZero())
+		s.submit("unconnected")
+		at := s.lastSend("unconnected").Instance
+		s.endAttempt("unconnected", Outcome{Kind: NotConnected})
+		Expect(s.Dispatcher.endpoints[at].errorRate(s.now)).To(BeZero())
 	})
 })
--- a/admission/dispatch/outcome.go
+++ b/admission/dispatch/outcome.go
@@ -8,28 +8,28 @@
 )
 
 const (
-	// mostUnrun bounds the calls of a request that are proven not run, which its attempts do not count.
-	mostUnrun = 16
-	// patience is how many usual calls one may take where another receiver may run it after.
-	patience = 15
-	// leastPatience keeps a short usual call from ending one that a receiver is at work on.
-	leastPatience = time.Second
+	// maxNotRunCalls bounds the calls of a request that are proven not run, which its attempts do not count.
+	maxNotRunCalls = 16
+	// attemptTimeoutFactor is how many usual calls one may take where another receiver may run it after.
+	attemptTimeoutFactor = 15
+	// minAttemptTimeout keeps a short usual call from ending one that a receiver is at work on.
+	minAttemptTimeout = time.Second
 )
 
-func (q *request) attempts() int { return max(1, q.MaxAttempts) }
+func (q *request) attemptLimit() int { return max(1, q.MaxAttempts) }
 
 // idempotent: it may run again after it may have run. What has begun to reach the client goes on only as a
 // stream that may be taken up.
 func (q *request) idempotent() bool {
-	return q.Kind == Safe && !q.started || q.Kind == Streaming && q.Resumable
+	return q.Kind == Safe && !q.responseStarted || q.Kind == Streaming && q.Resumable
 }
 
-// ranAt: the receiver may have run the request already.
-func (q *request) ranAt(b *bucket) bool { return slices.Contains(q.ran, b.ID) }
+// mayHaveRunOn: the receiver may have run the request already.
+func (q *request) mayHaveRunOn(e *endpoint) bool { return slices.Contains(q.ranOn, e.ID) }
 
-// mayGoAgain is the one place that allows another call of a request after one has ended.
-func (q *request) mayGoAgain() bool {
-	if q.over || len(q.ran) >= q.attempts() || q.unrun >= mostUnrun {
+// mayRetry is the one place that allows another call of a request after one has ended.
+func (q *request) mayRetry() bool {
+	if q.cancelled || len(q.ranOn) >= q.attemptLimit() || q.notRunCalls >= maxNotRunCalls {
 		return false
 	}
 	return !q.mayHaveRun || q.idempotent()
@@ -37,95 +37,95 @@
 
 // AttemptEnded tells the end of an attempt; news of any but the one that is out is dropped.
 func (d *Dispatcher) AttemptEnded(now Instant, id RequestID, attempt int, o Outcome) Effects {
-	d.begin(now)
+	d.beginEvent(now)
 	q := d.requests[id]
-	if q == nil || q.to == nil || q.attempt != attempt {
-		return d.done()
+	if q == nil || q.endpoint == nil || q.attempt != attempt {
+		return d.finishEvent()
 	}
-	s, b := d.service(q.Service), q.to
-	q.to = nil
-	s.out--
-	b.returned(d.now, q)
-	d.learn(s, q, b, o)
+	s, e := d.service(q.Service), q.endpoint
+	q.endpoint = nil
+	s.inFlight--
+	e.callEnded(d.now, q)
+	d.updateEndpoint(s, q, e, o)
 	if o.Kind.MayHaveRun() && o.Kind != ErrorResponse {
 		d.observeEnd(s, q)
 	}
-	q.note(b, o.Kind)
+	q.recordOutcome(e, o.Kind)
 	switch {
-	case q.over || o.Kind == Success || o.Kind == ErrorResponse || o.Kind == Cancelled:
-		d.forget(q)
-	case q.mayGoAgain():
-		s.hold(q)
+	case q.cancelled || o.Kind == Success || o.Kind == ErrorResponse || o.Kind == Cancelled:
+		d.removeRequest(q)
+	case q.mayRetry():
+		s.enqueue(q)
 	default:
-		d.giveUp(s, q, max(0, b.waitUntil.Sub(d.now)), Unrepeatable)
+		d.refuse(s, q, max(0, e.blockedUntil.Sub(d.now)), Unrepeatable)
 	}
-	d.settle(s)
-	return d.done()
+	d.schedule(s)
+	return d.finishEvent()
 }
 
-// note keeps what the end of a call means for the request.
-func (q *request) note(b *bucket, kind OutcomeKind) {
+// recordOutcome keeps what the end of a call means for the request.
+func (q *request) recordOutcome(e *endpoint, kind OutcomeKind) {
 	if !kind.MayHaveRun() {
-		q.unrun++
+		q.notRunCalls++
 	} else {
 		q.mayHaveRun = true
-		q.ran = append(q.ran, b.ID)
+		q.ranOn = append(q.ranOn, e.ID)
 	}
 	switch kind {
 	case TransportError:
-		q.failure = StatusBadGateway
+		q.failureStatus = StatusBadGateway
 	case TimedOut:
-		q.failure = StatusGatewayTimeout
+		q.failureStatus = StatusGatewayTimeout
 	}
 	if kind != Full {
-		q.failedAt = b.ID
+		q.lastFailedOn = e.ID
 	}
 }
 
-// learn takes from the end of a call what it tells of its receiver.
-func (d *Dispatcher) learn(s *service, q *request, b *bucket, o Outcome) {
-	usual := d.usual(s, q).whole()
+// updateEndpoint takes from the end of a call what it tells of its receiver.
+func (d *Dispatcher) updateEndpoint(s *service, q *request, e *endpoint, o Outcome) {
+	expected := d.estimate(s, q).total()
 	switch o.Kind {
 	case Success:
-		b.lives(d.now)
-		b.fails = 0
-		b.ill.Seen(false)
-		b.window.Answered()
-		d.learnUsual(s, q, o)
-		if usual := d.usual(s, q).whole(); usual > 0 {
-			admission.Smooth(&b.slowness, float64(o.Duration)/float64(usual))
+		e.recordResponse(d.now)
+		e.consecutiveFailures = 0
+		e.errors.Seen(false)
+		e.window.Answered()
+		d.updateEstimate(s, q, o)
+		if expected := d.estimate(s, q).total(); expected > 0 {
+			admission.Smooth(&e.relativeDuration, float64(o.Duration)/float64(expected))
 		}
 	case ErrorResponse:
-		b.lives(d.now)
-		b.fails = 0
-		b.sick(d.now)
+		e.recordResponse(d.now)
+		e.consecutiveFailures = 0
+		e.recordError(d.now)
 	case Full:
-		b.refused(d.now, q.sent, o.RetryAfter, time.Duration(d.chance.Unit()*float64(usual)))
+		e.rejected(d.now, q.sentAt, o.RetryAfter, time.Duration(d.random.Unit()*float64(expected)))
 	case Misdirected:
-		b.elsewhere = true
+		e.misdirected = true
 	case Cancelled:
-		if q.hangs(d.now) { // its client has given up what the receiver never began to answer
-			b.sick(d.now)
-			b.failed(d.now, d.chance.Unit())
+		if q.isOverdue(d.now) { // its client has given up what the receiver never began to answer
+			e.recordError(d.now)
+			e.recordFailure(d.now, d.random.Unit())
 		}
 	default:
 		if o.Kind.MayHaveRun() {
-			b.sick(d.now)
+			e.recordError(d.now)
 		}
-		d.failed(q, b, o.Kind, usual)
+		d.recordFailure(q, e, o.Kind, expected)
 	}
 }
 
-// failed tells a receiver that fails from one that is only crowded: who has answered others since the call
+// recordFailure tells a receiver that fails from one that is only crowded: who has answered others since the call
 // was sent is there. Its connections may all be taken; the next try is at a moment of this sender's.
-func (d *Dispatcher) failed(q *request, b *bucket, kind OutcomeKind, usual time.Duration) {
-	answers := b.answered > q.sent
+func (d *Dispatcher) recordFailure(q *request, e *endpoint, kind OutcomeKind, expected time.Duration) {
+	responding := e.lastResponse > q.sentAt
 	switch {
-	case answers && kind == NotConnected:
-		b.window.Refused(len(b.out) + 1)
-		b.restUntil = max(b.restUntil, d.now.Add(time.Duration(d.chance.Unit()*float64(usual))))
-	case answers && kind == TimedOut:
+	case responding && kind == NotConnected:
+		e.window.Refused(len(e.inFlight) + 1)
+		e.backoffUntil = max(e.backoffUntil, d.now.Add(time.Duration(d.random.Unit()*float64(expected))))
+	case responding && kind == TimedOut:
 	default:
-		b.failed(d.now, d.chance.Unit())
+		e.recordFailure(d.now, d.random.Unit())
 	}
 }
--- a/admission/dispatch/prefix.go
+++ b/admission/dispatch/prefix.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// partsKept bounds the parts of prompts that are remembered of one receiver, whatever its memory.
-	partsKept = 1024
-	// partLife is how long a part that this sender sent is taken to be kept: other senders' prompts, which it
+	// maxCachedParts bounds the parts of prompts that are remembered of one receiver, whatever its memory.
+	maxCachedParts = 1024
+	// cachedPartLifetime is how long a part that this sender sent is taken to be kept: other senders' prompts, which it
 	// does not see, push it out meanwhile.
-	partLife = 30 * time.Second
+	cachedPartLifetime = 30 * time.Second
 )
 
 // prefixCache is this sender's guess of what a receiver keeps of prompts: the parts that it was sent lately,
@@ -23,23 +23,23 @@
 type cachedPart struct {
 	key          uint64
 	tokens       int
-	used         Instant
+	lastUsed     Instant
 	newer, older *cachedPart
 }
 
-// chained adds a part's id to the hash of those before it (a step of FNV-1a over words, mixed once).
-func chained(key, id uint64) uint64 {
+// chainedHash adds a part's id to the hash of those before it (a step of FNV-1a over words, mixed once).
+func chainedHash(key, id uint64) uint64 {
 	key = (key ^ id) * 0x9e3779b97f4a7c15
 	return key ^ key>>29
 }
 
-// kept gives how many tokens of a prompt's beginning are thought to be kept.
-func (c *prefixCache) kept(now Instant, prefix []PrefixPart) int {
+// cachedTokens gives how many tokens of a prompt's beginning are thought to be kept.
+func (c *prefixCache) cachedTokens(now Instant, prefix []PrefixPart) int {
 	tokens, key := 0, uint64(0)
 	for _, p := range prefix {
-		key = chained(key, p.ID)
+		key = chainedHash(key, p.ID)
 		part := c.parts[key]
-		if part == nil || now.Sub(part.used) > partLife {
+		if part == nil || now.Sub(part.lastUsed) > cachedPartLifetime {
 			break
 		}
 		tokens += min(p.Tokens, part.tokens) // a session's part grows from turn to turn
@@ -61,16 +61,16 @@
 	}
 	c.capacity = capacity
 	c.addFrom(now, prefix, 0)
-	for len(c.parts) > partsKept || c.tokens > c.capacity {
-		c.drop(c.newest.newer)
+	for len(c.parts) > maxCachedParts || c.tokens > c.capacity {
+		c.evict(c.newest.newer)
 	}
 }
 
-func (c *prefixCache) addFrom(now Instant, prefix []PrefixPart, before uint64) {
+func (c *prefixCache) addFrom(now Instant, prefix []PrefixPart, parentKey uint64) {
 	if len(prefix) == 0 {
 		return
 	}
-	key := chained(before, prefix[0].ID)
+	key := chainedHash(parentKey, prefix[0].ID)
 	c.addFrom(now, prefix[1:], key)
 	part := c.parts[key]
 	if part == nil {
@@ -81,7 +81,7 @@
 	}
 	c.tokens += prefix[0].Tokens - part.tokens
 	part.tokens = prefix[0].Tokens
-	part.used = now
+	part.lastUsed = now
 	c.link(part)
 }
 
@@ -107,7 +107,7 @@
 	}
 }
 
-func (c *prefixCache) drop(p *cachedPart) {
+func (c *prefixCache) evict(p *cachedPart) {
 	c.unlink(p)
 	delete(c.parts, p.key)
 	c.tokens -= p.tokens
--- a/admission/dispatch/queue.go
+++ b/admission/dispatch/queue.go
@@ -8,160 +8,162 @@
 )
 
 const (
-	// mostHeld bounds a service's queue.
-	mostHeld = 1024
-	// roomShare of a service's places taken is the least at which anything is refused for its objective.
-	roomShare = 0.5
-	// finishShare of what a program has left is what one wait may take: there are more turns to come.
-	finishShare = 3
-	// heldFree is the part of the objective for which a request may be held at no price where it is refused
+	// maxQueueLength bounds a service's queue.
+	maxQueueLength = 1024
+	// shedThreshold of a service's places taken is the least at which anything is refused for its objective.
+	shedThreshold = 0.5
+	// programWaitDivisor of what a program has left is what one wait may take: there are more turns to come.
+	programWaitDivisor = 3
+	// freeWaitDivisor is the part of the objective for which a request may be held at no price where it is refused
 	// after all.
-	heldFree = 4
-	// leastOffer is the part of the objective that a call must have: with less, no receiver can be said to be
+	freeWaitDivisor = 4
+	// minTimeLeftDivisor is the part of the objective that a call must have: with less, no receiver can be said to be
 	// offered it.
-	leastOffer = 10
-	// leastGood is the part of a pool that must be good for the rest to be done without.
-	leastGood = 3
-	// retrySpread of the told wait is added by chance, so that those refused together do not come back together.
-	retrySpread = 0.25
-	// wakeGrain is the least time to the next wake: time alone changes nothing in less.
-	wakeGrain = time.Millisecond
+	minTimeLeftDivisor = 10
+	// healthyDivisor is the part of a pool that must be good for the rest to be done without.
+	healthyDivisor = 3
+	// retryAfterJitter of the told wait is added by chance, so that those refused together do not come back together.
+	retryAfterJitter = 0.25
+	// minWakeDelay is the least time to the next wake: time alone changes nothing in less.
+	minWakeDelay = time.Millisecond
 )
 
-// outlook is how long the held requests of a service have to wait.
-type outlook struct {
-	hold   time.Duration // until any receiver takes calls at all
-	gap    time.Duration // between releases from then on
-	usable int           // receivers that take calls now or later
-	room   bool          // under roomShare of the places are taken
+// waitEstimate is how long the held requests of a service have to wait.
+type waitEstimate struct {
+	blocked     time.Duration // until any receiver takes calls at all
+	interval    time.Duration // between releases from then on
+	usable      int           // receivers that take calls now or later
+	hasCapacity bool          // under roomShare of the places are taken
 }
 
 // wait estimates the time until the request at a place in the queue goes, the head's being 0.
-func (o outlook) wait(place int) time.Duration { return o.hold + time.Duration(place+1)*o.gap }
+func (e waitEstimate) wait(position int) time.Duration {
+	return e.blocked + time.Duration(position+1)*e.interval
+}
 
-// outlook: each call out frees its place after a usual call.
-func (s *service) outlook(now Instant) outlook {
-	o := outlook{hold: time.Duration(math.MaxInt64)}
-	places := 0
-	for _, b := range s.buckets {
-		if !b.usable() {
+// estimateWait: each call out frees its place after a usual call.
+func (s *service) estimateWait(now Instant) waitEstimate {
+	estimate := waitEstimate{blocked: time.Duration(math.MaxInt64)}
+	parallelCalls := 0
+	for _, e := range s.endpoints {
+		if !e.usable() {
 			continue
 		}
-		o.usable++
-		hold := max(0, b.waitUntil.Sub(now), b.restUntil.Sub(now))
-		o.hold = min(o.hold, hold)
-		if hold <= defaultPause {
-			places += max(1, len(b.out))
+		estimate.usable++
+		blocked := max(0, e.blockedUntil.Sub(now), e.backoffUntil.Sub(now))
+		estimate.blocked = min(estimate.blocked, blocked)
+		if blocked <= defaultPause {
+			parallelCalls += max(1, len(e.inFlight))
 		}
 	}
-	taken, limits := s.places(now)
-	if o.usable == 0 {
-		o.hold = defaultPause
+	used, total := s.slotUsage(now)
+	if estimate.usable == 0 {
+		estimate.blocked = defaultPause
 	}
-	o.gap = time.Duration(s.took / float64(max(1, places)))
-	o.room = o.usable == 0 || taken < roomShare*float64(limits)
-	return o
+	estimate.interval = time.Duration(s.meanDuration / float64(max(1, parallelCalls)))
+	estimate.hasCapacity = estimate.usable == 0 || used < shedThreshold*float64(total)
+	return estimate
 }
 
-// places gives how many of a service's places are thought to be taken, and how many there are.
-func (s *service) places(now Instant) (taken float64, limits int) {
-	usual := s.usualLoad(now)
-	for _, b := range s.buckets {
-		if b.usable() {
-			taken += b.load(now, usual)
-			limits += b.limit()
+// slotUsage gives how many of a service's places are thought to be taken, and how many there are.
+func (s *service) slotUsage(now Instant) (used float64, total int) {
+	assumed := s.assumedLoad(now)
+	for _, e := range s.endpoints {
+		if e.usable() {
+			used += e.load(now, assumed)
+			total += e.concurrencyLimit()
 		}
 	}
-	return taken, limits
+	return used, total
 }
 
-// settle decides for a service what goes, what is refused and when time alone next changes something.
-func (d *Dispatcher) settle(s *service) {
+// schedule decides for a service what goes, what is refused and when time alone next changes something.
+func (d *Dispatcher) schedule(s *service) {
 	if len(s.queue) == 0 {
 		return
 	}
-	d.release(s)
-	d.refuseLate(s)
+	d.sendQueued(s)
+	d.refuseUnservable(s)
 	d.shed(s)
-	d.plan(s)
+	d.planWake(s)
 }
 
-// release sends from the head on while receivers are free. A request that can use none of them lets others
+// sendQueued sends from the head on while receivers are free. A request that can use none of them lets others
 // by, as each bucket has its own order.
-func (d *Dispatcher) release(s *service) {
-	free := d.freeBuckets(s)
+func (d *Dispatcher) sendQueued(s *service) {
+	free := d.freeEndpoints(s)
 	for i := 0; i < len(s.queue) && len(free) > 0; {
 		q := s.queue[i]
-		if d.hopeless(s, q) {
-			d.giveUp(s, q, 0, TooLate)
+		if d.hasNoTime(s, q) {
+			d.refuse(s, q, 0, TooLate)
 			continue
 		}
-		b := d.choose(s, q, free)
-		if b == nil {
+		e := d.chooseEndpoint(s, q, free)
+		if e == nil {
 			i++
 			continue
 		}
 		s.queue = slices.Delete(s.queue, i, i+1)
-		d.send(s, q, b)
-		if b.allowance(d.now) == 0 || !b.good(d.now) && !b.bearable(d.now) {
-			free = slices.DeleteFunc(free, func(o *bucket) bool { return o == b })
+		d.send(s, q, e)
+		if e.allowance(d.now) == 0 || !e.healthy(d.now) && !e.usableAsFallback(d.now) {
+			free = slices.DeleteFunc(free, func(other *endpoint) bool { return other == e })
 		}
 	}
 }
 
-// hopeless: a usual call passes the time that the request has, or hardly any is left. Where nothing is out
+// hasNoTime: a usual call passes the time that the request has, or hardly any is left. Where nothing is out
 // one goes in spite of its usual call: an old mean must not refuse all for ever.
-func (d *Dispatcher) hopeless(s *service, q *request) bool {
-	left := q.end.Sub(d.now)
-	return left < max(wakeGrain, q.TargetLatency/leastOffer) || s.out > 0 && d.late(s, q, 0)
+func (d *Dispatcher) hasNoTime(s *service, q *request) bool {
+	remaining := q.expiresAt.Sub(d.now)
+	return remaining < max(minWakeDelay, q.TargetLatency/minTimeLeftDivisor) || s.inFlight > 0 && d.missesDeadline(s, q, 0)
 }
 
-// freeBuckets finds the receivers that may get a call now. Never is most of a pool done without: then the
+// freeEndpoints finds the receivers that may get a call now. Never is most of a pool done without: then the
 // least bad are tried.
-func (d *Dispatcher) freeBuckets(s *service) []*bucket {
-	good, usable := 0, 0
-	for _, b := range s.buckets {
-		if b.good(d.now) {
-			good++
+func (d *Dispatcher) freeEndpoints(s *service) []*endpoint {
+	healthy, usable := 0, 0
+	for _, e := range s.endpoints {
+		if e.healthy(d.now) {
+			healthy++
 		}
-		if b.usable() {
+		if e.usable() {
 			usable++
 		}
 	}
-	few := good*leastGood < usable
+	fewHealthy := healthy*healthyDivisor < usable
 	d.free = d.free[:0]
-	for _, b := range s.buckets {
-		if b.allowance(d.now) > 0 && (b.good(d.now) || few && b.bearable(d.now)) {
-			d.free = append(d.free, b)
+	for _, e := range s.endpoints {
+		if e.allowance(d.now) > 0 && (e.healthy(d.now) || fewHealthy && e.usableAsFallback(d.now)) {
+			d.free = append(d.free, e)
 		}
 	}
 	return d.free
 }
 
-// late: the wait and a usual call pass the time that the request has.
-func (d *Dispatcher) late(s *service, q *request, wait time.Duration) bool {
-	return d.now.Add(wait+d.usual(s, q).whole()) > q.end
+// missesDeadline: the wait and a usual call pass the time that the request has.
+func (d *Dispatcher) missesDeadline(s *service, q *request, wait time.Duration) bool {
+	return d.now.Add(wait+d.estimate(s, q).total()) > q.expiresAt
 }
 
-// refuseLate refuses what cannot be answered in time, and what no receiver can run; where no receiver is
+// refuseUnservable refuses what cannot be answered in time, and what no receiver can run; where no receiver is
 // known at all, after as long as a request may be held for nothing, as one may be a moment late.
-func (d *Dispatcher) refuseLate(s *service) {
-	o := s.outlook(d.now)
+func (d *Dispatcher) refuseUnservable(s *service) {
+	estimate := s.estimateWait(d.now)
 	for i := 0; i < len(s.queue); {
 		q := s.queue[i]
-		wait := o.wait(i)
-		none := o.usable == 0 && d.now >= q.arrived.Add(q.TargetLatency/heldFree)
-		if none || d.late(s, q, wait) || !d.hasReceiver(s, q) && o.usable > 0 {
-			d.giveUp(s, q, wait, TooLate)
+		wait := estimate.wait(i)
+		noReceivers := estimate.usable == 0 && d.now >= q.submittedAt.Add(q.TargetLatency/freeWaitDivisor)
+		if noReceivers || d.missesDeadline(s, q, wait) || !d.hasCandidate(s, q) && estimate.usable > 0 {
+			d.refuse(s, q, wait, TooLate)
 			continue
 		}
 		i++
 	}
 }
 
-// hasReceiver: some receiver may still run the request.
-func (d *Dispatcher) hasReceiver(s *service, q *request) bool {
-	return slices.ContainsFunc(s.buckets, func(b *bucket) bool { return b.usable() && !q.ranAt(b) })
+// hasCandidate: some receiver may still run the request.
+func (d *Dispatcher) hasCandidate(s *service, q *request) bool {
+	return slices.ContainsFunc(s.endpoints, func(e *endpoint) bool { return e.usable() && !q.mayHaveRunOn(e) })
 }
 
 // shed bounds a queue that outgrows its receivers. Where a request would wait longer than its objective
@@ -170,24 +172,24 @@
 // there is room.
 func (d *Dispatcher) shed(s *service) {
 	for len(s.queue) > 0 {
-		o := s.outlook(d.now)
-		over := d.firstOver(s, o)
-		if over < 0 {
+		estimate := s.estimateWait(d.now)
+		index := d.firstOverLimit(s, estimate)
+		if index < 0 {
 			return
 		}
-		least := leastUrgent(s.queue[:over+1])
-		if least == nil {
+		victim := leastUrgent(s.queue[:index+1])
+		if victim == nil {
 			return
 		}
-		d.giveUp(s, least, max(o.gap, o.wait(len(s.queue)-1)-least.mayWaitUntil.Sub(least.arrived)), Overloaded)
+		d.refuse(s, victim, max(estimate.interval, estimate.wait(len(s.queue)-1)-victim.mayWaitUntil.Sub(victim.submittedAt)), Overloaded)
 	}
 }
 
-// firstOver finds the first place in the queue that waits longer than its request bears; below 0 if none
+// firstOverLimit finds the first place in the queue that waits longer than its request bears; below 0 if none
 // does.
-func (d *Dispatcher) firstOver(s *service, o outlook) int {
+func (d *Dispatcher) firstOverLimit(s *service, estimate waitEstimate) int {
 	for i, q := range s.queue {
-		if i >= mostHeld || !o.room && d.now.Add(o.wait(i)) > q.mayWaitUntil {
+		if i >= maxQueueLength || !estimate.hasCapacity && d.now.Add(estimate.wait(i)) > q.mayWaitUntil {
 			return i
 		}
 	}
@@ -196,70 +198,70 @@
 
 // leastUrgent finds whom to refuse; nil if all may have run, as what they have cost would be lost.
 func leastUrgent(queue []*request) *request {
-	var least *request
+	var candidate *request
 	for _, q := range queue {
-		if !q.mayHaveRun && (least == nil || q.before(least) <= 0) {
-			least = q
+		if !q.mayHaveRun && (candidate == nil || q.compareUrgency(candidate) <= 0) {
+			candidate = q
 		}
 	}
-	return least
+	return candidate
 }
 
-// before orders requests by urgency: below 0 if q is refused before o.
-func (q *request) before(o *request) int {
-	if c := cmp.Compare(o.Priority, q.Priority); c != 0 {
+// compareUrgency orders requests by urgency: below 0 if q is refused before o.
+func (q *request) compareUrgency(other *request) int {
+	if c := cmp.Compare(other.Priority, q.Priority); c != 0 {
 		return c
 	}
-	if q.ProgramStarted != o.ProgramStarted {
-		if o.ProgramStarted {
+	if q.ProgramStarted != other.ProgramStarted {
+		if other.ProgramStarted {
 			return -1
 		}
 		return 1
 	}
-	return cmp.Compare(o.seq, q.seq)
+	return cmp.Compare(other.seq, q.seq)
 }
 
-// giveUp answers a request at once. What has not run is told when to come back; what may have run is not told
+// refuse answers a request at once. What has not run is told when to come back; what may have run is not told
 // that it has not.
-func (d *Dispatcher) giveUp(s *service, q *request, wait time.Duration, reason Reason) {
-	s.unhold(q)
-	refusal := Refusal{Request: q.ID, Status: q.failure, MayHaveRun: q.mayHaveRun, Reason: reason}
+func (d *Dispatcher) refuse(s *service, q *request, wait time.Duration, reason Reason) {
+	s.removeQueued(q)
+	refusal := Refusal{Request: q.ID, Status: q.failureStatus, MayHaveRun: q.mayHaveRun, Reason: reason}
 	if !q.mayHaveRun {
 		refusal.Status = StatusServiceUnavailable
-		spread := 1 + retrySpread*d.chance.Unit()
-		refusal.RetryAfter = time.Duration(spread * float64(max(wait, wakeGrain)))
+		spread := 1 + retryAfterJitter*d.random.Unit()
+		refusal.RetryAfter = time.Duration(spread * float64(max(wait, minWakeDelay)))
 	}
 	d.effects.Refusals = append(d.effects.Refusals, refusal)
-	d.forget(q)
+	d.removeRequest(q)
 }
 
-// plan asks to be woken when time alone next changes what may be done for a service.
-func (d *Dispatcher) plan(s *service) {
+// planWake asks to be woken when time alone next changes what may be done for a service.
+func (d *Dispatcher) planWake(s *service) {
 	if len(s.queue) == 0 {
 		return
 	}
 	next := Instant(math.MaxInt64)
-	due := func(at Instant) {
+	consider := func(at Instant) {
 		if at > d.now {
 			next = min(next, at)
 		}
 	}
-	for _, b := range s.buckets {
-		if b.usable() {
-			due(b.waitUntil)
-			due(b.restUntil)
-			if b.reading.told {
-				due(b.reading.at.Add(defaultPause))
+	for _, e := range s.endpoints {
+		if e.usable() {
+			consider(e.blockedUntil)
+			consider(e.backoffUntil)
+			if e.reported.valid {
+				consider(e.reported.measuredAt.Add(defaultPause))
 			}
 		}
 	}
-	o := s.outlook(d.now)
+	estimate := s.estimateWait(d.now)
 	for i, q := range s.queue {
-		due(q.end.Add(-o.wait(i) - d.usual(s, q).whole() + 1))
-		due(q.mayWaitUntil.Add(-o.wait(i) + 1))
-		if o.usable == 0 {
-			due(q.arrived.Add(q.TargetLatency / heldFree))
+		consider(q.expiresAt.Add(-estimate.wait(i) - d.estimate(s, q).total() + 1))
+		consider(q.mayWaitUntil.Add(-estimate.wait(i) + 1))
+		if estimate.usable == 0 {
+			consider(q.submittedAt.Add(q.TargetLatency / freeWaitDivisor))
 		}
 	}
-	d.wake = min(d.wake, max(next, d.now.Add(wakeGrain)))
+	d.nextWake = min(d.nextWake, max(next, d.now.Add(minWakeDelay)))
 }
--- a/admission/dispatch/stats.go
+++ b/admission/dispatch/stats.go
@@ -13,10 +13,10 @@
 	var stats Stats
 	for _, s := range d.services {
 		stats.Queued += len(s.queue)
-		stats.InFlight += s.out
-		stats.Receivers += len(s.buckets)
-		for _, b := range s.buckets {
-			stats.Allowance += b.allowance(now)
+		stats.InFlight += s.inFlight
+		stats.Receivers += len(s.endpoints)
+		for _, e := range s.endpoints {
+			stats.Allowance += e.allowance(now)
 		}
 	}
 	return stats
--- a/admission/dispatch/stats_test.go
+++ b/admission/dispatch/stats_test.go
@@ -9,37 +9,37 @@
 
 var _ = ginkgo.Describe("What a dispatcher tells of itself", func() {
 	ginkgo.It("counts what is held, what is out and what may go", func() {
-		s := newScript(plain("a", 2), plain("b", 3)).warm(10 * ms)
+		s := newDriver(plain("a", 2), plain("b", 3)).warmUp(10 * ms)
 		Expect(s.Stats(s.now)).To(Equal(Stats{Receivers: 2, Allowance: 5}))
 		for _, id := range []RequestID{"0", "1", "2"} {
-			s.arrive(id)
+			s.submit(id)
 		}
 		Expect(s.Stats(s.now)).To(Equal(Stats{InFlight: 3, Receivers: 2, Allowance: 2}))
 		for _, id := range []RequestID{"3", "4", "5", "6"} {
-			s.arrive(id)
+			s.submit(id)
 		}
 		Expect(s.Stats(s.now)).To(Equal(Stats{Queued: 2, InFlight: 5, Receivers: 2}))
 	})
 
-	ginkgo.DescribeTable("names why a request was refused", func(reason Reason, refused func(s *script)) {
-		s := newScript(plain("a", 1)).warm(100 * ms)
+	ginkgo.DescribeTable("names why a request was refused", func(reason Reason, refused func(s *driver)) {
+		s := newDriver(plain("a", 1)).warmUp(100 * ms)
 		refused(s)
 		Expect(s.refusal("x")).NotTo(BeNil())
 		Expect(s.refusal("x").Reason).To(Equal(reason))
 	},
-		ginkgo.Entry("no time for a usual call behind the one that is out", TooLate, func(s *script) {
-			s.arrive("0")
-			s.arrive("x", deadline(s, 120*ms))
+		ginkgo.Entry("no time for a usual call behind the one that is out", TooLate, func(s *driver) {
+			s.submit("0")
+			s.submit("x", deadline(s, 120*ms))
 		}),
-		ginkgo.Entry("it would wait longer than its objective bears", Overloaded, func(s *script) {
-			s.arrive("0")
+		ginkgo.Entry("it would wait longer than its objective bears", Overloaded, func(s *driver) {
+			s.submit("0")
 			for _, id := range []RequestID{"1", "2", "3", "x"} {
-				s.arrive(id, func(r *Request) { r.TargetLatency = 150 * time.Millisecond })
+				s.submit(id, func(r *Request) { r.TargetLatency = 150 * time.Millisecond })
 			}
 		}),
-		ginkgo.Entry("its call failed and may have run", Unrepeatable, func(s *script) {
-			s.arrive("x", kind(Unsafe, 3))
-			s.end("x", Outcome{Kind: TransportError})
+		ginkgo.Entry("its call failed and may have run", Unrepeatable, func(s *driver) {
+			s.submit("x", kind(Unsafe, 3))
+			s.endAttempt("x", Outcome{Kind: TransportError})
 		}),
 	)
 
--- a/admission/dispatch/usual.go
+++ b/admission/dispatch/usual.go
@@ -9,79 +9,81 @@
 )
 
 const (
-	// mostUsual bounds the kinds of calls whose usual time is kept; past it the least recently used goes.
-	mostUsual = 1024
-	// outputWeight: a token that is generated takes about as long as so many that are read.
-	outputWeight = 10
-	// firstGuess is what a usual call takes until the first answer where the route tells no objective.
-	firstGuess = 100 * time.Millisecond
+	// maxEstimates bounds the kinds of calls whose usual time is kept; past it the least recently used goes.
+	maxEstimates = 1024
+	// outputTokenWeight: a token that is generated takes about as long as so many that are read.
+	outputTokenWeight = 10
+	// defaultDuration is what a usual call takes until the first answer where the route tells no objective.
+	defaultDuration = 100 * time.Millisecond
 )
 
-// usualKey names a kind of call: those of a route, by doubling size.
-type usualKey struct {
+// callClass names a kind of call: those of a route, by doubling size.
+type callClass struct {
 	service, route string
 	size           int
 }
 
-// usual is what a call of a kind takes as a rule.
-type usual struct {
-	key   usualKey
-	took  float64 // nanoseconds to the end; 0: none has ended
-	first float64 // to the first byte
-	used  uint64
+// callEstimate is what a call of a kind takes as a rule.
+type callEstimate struct {
+	class           callClass
+	duration        float64 // nanoseconds to the end; 0: none has ended
+	timeToFirstByte float64 // to the first byte
+	lastUsed        uint64
 }
 
-// whole is the time to the end of the answer.
-func (u *usual) whole() time.Duration { return time.Duration(u.took) }
+// total is the time to the end of the answer.
+func (e *callEstimate) total() time.Duration { return time.Duration(e.duration) }
 
-// start is the time to the first byte, which a stream's objective bounds.
-func (u *usual) start() time.Duration { return time.Duration(cmp.Or(u.first, u.took)) }
+// firstByte is the time to the first byte, which a stream's objective bounds.
+func (e *callEstimate) firstByte() time.Duration {
+	return time.Duration(cmp.Or(e.timeToFirstByte, e.duration))
+}
 
-// usual finds what a call for the request takes as a rule; until the first answer that of the service, or a
+// estimate finds what a call for the request takes as a rule; until the first answer that of the service, or a
 // guess: half of the objective.
-func (d *Dispatcher) usual(s *service, q *request) *usual {
-	if u := d.usuals[q.usualKey]; u != nil {
-		return u
+func (d *Dispatcher) estimate(s *service, q *request) *callEstimate {
+	if e := d.estimates[q.class]; e != nil {
+		return e
 	}
-	guess := cmp.Or(s.took, float64(q.TargetLatency/2), float64(firstGuess))
-	d.guess = usual{took: guess, first: guess}
-	return &d.guess
+	guess := cmp.Or(s.meanDuration, float64(q.TargetLatency/2), float64(defaultDuration))
+	d.defaultEstimate = callEstimate{duration: guess, timeToFirstByte: guess}
+	return &d.defaultEstimate
 }
 
-// learnUsual takes the times of a call that was answered.
-func (d *Dispatcher) learnUsual(s *service, q *request, o Outcome) {
-	u := d.usuals[q.usualKey]
-	if u == nil {
-		d.forgetUsual()
-		u = &usual{key: q.usualKey}
-		d.usuals[u.key] = u
+// updateEstimate takes the times of a call that was answered.
+func (d *Dispatcher) updateEstimate(s *service, q *request, o Outcome) {
+	estimate := d.estimates[q.class]
+	if estimate == nil {
+		d.evictEstimate()
+		estimate = &callEstimate{class: q.class}
+		d.estimates[estimate.class] = estimate
 	}
-	u.used = d.arrivals
-	admission.Smooth(&u.took, float64(o.Duration))
+	estimate.lastUsed = d.submitted
+	admission.Smooth(&estimate.duration, float64(o.Duration))
 	if o.TimeToFirstByte > 0 {
-		admission.Smooth(&u.first, float64(o.TimeToFirstByte))
+		admission.Smooth(&estimate.timeToFirstByte, float64(o.TimeToFirstByte))
 	}
-	admission.Smooth(&s.took, float64(o.Duration))
+	admission.Smooth(&s.meanDuration, float64(o.Duration))
 }
 
-func (d *Dispatcher) forgetUsual() {
-	if len(d.usuals) < mostUsual {
+func (d *Dispatcher) evictEstimate() {
+	if len(d.estimates) < maxEstimates {
 		return
 	}
-	var oldest *usual
-	for _, u := range d.usuals {
-		if oldest == nil || u.used < oldest.used || u.used == oldest.used && u.key.less(oldest.key) {
-			oldest = u
+	var oldest *callEstimate
+	for _, e := range d.estimates {
+		if oldest == nil || e.lastUsed < oldest.lastUsed || e.lastUsed == oldest.lastUsed && e.class.less(oldest.class) {
+			oldest = e
 		}
 	}
-	delete(d.usuals, oldest.key)
+	delete(d.estimates, oldest.class)
 }
 
 // less orders keys, so that what is forgotten does not hang on the order of a map.
-func (k usualKey) less(o usualKey) bool {
-	return cmp.Or(cmp.Compare(k.service, o.service), cmp.Compare(k.route, o.route), k.size-o.size) < 0
+func (k callClass) less(other callClass) bool {
+	return cmp.Or(cmp.Compare(k.service, other.service), cmp.Compare(k.route, other.route), k.size-other.size) < 0
 }
 
-func keyOf(r *Request) usualKey {
-	return usualKey{r.Service, r.Route, bits.Len(uint(max(0, r.InputTokens+outputWeight*r.MaxOutputTokens)))}
+func classOf(r *Request) callClass {
+	return callClass{r.Service, r.Route, bits.Len(uint(max(0, r.InputTokens+outputTokenWeight*r.MaxOutputTokens)))}
 }
