--- a/admission/dispatch/beginning.go
+++ b/admission/dispatch/beginning.go
@@ -1,50 +1,52 @@
 package dispatch
 
-// Programs that begin are admitted by shares that follow what is observed. An overload that is met turn by turn wastes
-// what it serves: each program waits a little at every turn, so all of them end late, and turns that are given up and sent
-// again make the load that keeps the pool slow after its cause has gone (a metastable failure; Bronson and others,
-// "Metastable Failures in Distributed Systems", 2021). So programs under way go first, and what the pool does not bear is
-// refused where it has cost nothing: at a program's first turn (trunk reservation; Gibbens, Hunt and Kelly, "Bistability in
-// Communication Networks", 1990).
+// New programs are admitted by shares that adapt to observed latency. Handling an overload turn by turn wastes capacity:
+// every program waits a little at each turn, so all of them finish late, and turns that are abandoned and sent again keep
+// the pool overloaded after the cause has gone (a metastable failure; Bronson and others, "Metastable Failures in
+// Distributed Systems", 2021). Running programs therefore have precedence, and the excess is refused where it has cost
+// nothing yet: at the first turn of a program (trunk reservation; Gibbens, Hunt and Kelly, "Bistability in Communication
+// Networks", 1990).
 //
-// There are two shares of each service: of programs that are served in the sender's own zone, and of those beyond it that
-// are served in other zones. What is left is refused.
+// Each service has two shares: one of programs served in the proxy's own zone, and one, on top of it, of programs served
+// in other zones. The rest is refused.
 
 import "time"
 
 const (
-	// admitDecrease is the part by which a share falls with a turn that begins late, admitIncrease what it gains with one
-	// that begins in time (additive increase, multiplicative decrease).
+	// admitDecrease is the fraction by which a late turn lowers a share, admitIncrease the amount by which a timely
+	// one raises it (additive increase, multiplicative decrease).
 	admitDecrease = 0.1
 	admitIncrease = 0.01
-	// overflowDecrease is admitDecrease for programs that go to other zones: these serve their own first.
+	// overflowDecrease is admitDecrease for programs sent to other zones, which serve their own programs first.
 	overflowDecrease = 0.2
-	// initialAdmitShare is each share before anything is observed: a sender that starts does not know what the pool bears.
+	// initialAdmitShare is the initial value of both shares: a proxy that starts does not know the capacity of the
+	// pool.
 	initialAdmitShare = 0.3
-	// minAdmitShare is admitted whatever is observed, as what is not tried is never seen to go well again.
+	// minAdmitShare is the lower bound of a share: without any admitted programs, recovery could not be observed.
 	minAdmitShare = 0.05
-	// lightLoad is the part of a service's places up to which every program is admitted.
+	// lightLoad is the fraction of a service's slots in use below which every program is admitted.
 	lightLoad = 1.0 / 3
-	// onTimeFraction is the part of the objective within which a turn begins in time: one that uses all of it leaves its
-	// program nothing for the turns to come.
+	// onTimeFraction is the fraction of the target latency within which the response to a turn must start to count as
+	// timely: a turn that uses all of it leaves its program no time for later turns.
 	onTimeFraction = 0.5
-	// programRetention is for how long a program counts as under way after its last turn, up to twice that, unless more than
-	// mostPrograms come meanwhile.
+	// programRetention is how long a program counts as running after its last turn; it may be up to twice as long, or
+	// shorter if more than maxPrograms are seen meanwhile.
 	programRetention = 30 * time.Second
 	maxPrograms      = 4096
 )
 
-// admitShares are the shares of a service's programs that begin while places are scarce.
+// admitShares holds the shares of a service's new programs that are admitted while slots are scarce.
 type admitShares struct {
-	local, remote float64 // far goes on where near ends
+	local, remote float64 // remote adds to local
 }
 
 func newAdmitShares() admitShares {
 	return admitShares{local: initialAdmitShare, remote: initialAdmitShare}
 }
 
-// place says where a program that draws a number from 0 to 1 is served, and false if it is refused. The draw is of the
-// program's name, so that all senders that know the same decide alike, and none is admitted late by coming again.
+// place returns where a program is served for a draw in [0, 1), and false if it is refused. The draw is derived from
+// the program's name, so that proxies with the same shares decide alike and a refused program is not admitted merely
+// by trying again.
 func (a admitShares) place(draw float64, hasRemote bool) (placement, bool) {
 	switch {
 	case draw < a.local:
@@ -55,7 +57,7 @@
 	return localZone, false
 }
 
-// recordLate and inTime take how a turn began that was served in a zone.
+// recordLate lowers the share of a zone in which a turn started late.
 func (a *admitShares) recordLate(at placement) {
 	if at == remoteZone {
 		a.remote = max(minAdmitShare, a.remote*(1-overflowDecrease))
@@ -64,6 +66,7 @@
 	a.local = max(minAdmitShare, a.local*(1-admitDecrease))
 }
 
+// recordOnTime raises the share of a zone in which a turn started in time.
 func (a *admitShares) recordOnTime(at placement) {
 	if at == remoteZone {
 		a.remote = min(1, a.remote+admitIncrease)
@@ -72,15 +75,15 @@
 	a.local = min(1, a.local+admitIncrease)
 }
 
-// placement says in which zones a program's receivers are looked for first.
+// placement tells in which zones a program's receivers are preferred.
 type placement bool
 
 const (
-	localZone  placement = false // the sender's own
-	remoteZone placement = true  // the others
+	localZone  placement = false // the proxy's own
+	remoteZone placement = true  // all others
 )
 
-// admits places a request and says whether it is taken in at arrival. Only a program that begins is refused.
+// admits sets the placement of a request and reports whether it is admitted. Only turns of new programs are refused.
 func (d *Dispatcher) admits(s *service, q *request) bool {
 	if !q.IsTurn || q.programKey == 0 {
 		return true
@@ -98,7 +101,7 @@
 	return admitted || q.ProgramStarted
 }
 
-// hasRemoteReceivers: the service has receivers in other zones than the sender's, beside some in it.
+// hasRemoteReceivers reports whether the service has engines in other zones besides some in the proxy's own.
 func (d *Dispatcher) hasRemoteReceivers(s *service) bool {
 	local, remote := false, false
 	for _, e := range s.endpoints {
@@ -110,13 +113,13 @@
 	return local && remote
 }
 
-// lightlyLoaded: so few places are taken that nothing speaks against a program more.
+// lightlyLoaded reports whether so few slots are in use that every new program can be admitted.
 func (s *service) lightlyLoaded(now Instant) bool {
 	used, total := s.slotUsage(now)
 	return used < lightLoad*float64(total)
 }
 
-// observeStart takes how long after its arrival a turn began to be answered.
+// observeStart adjusts the admission shares by how long after its submission the response to a turn started.
 func (d *Dispatcher) observeStart(s *service, q *request) {
 	if !q.IsTurn {
 		return
@@ -132,7 +135,7 @@
 	q.startCounted = true
 }
 
-// observeEnd takes the end of a turn that was never answered: by then it is as late as one that begins.
+// observeEnd adjusts the admission shares for a turn that ended without a response and is already late.
 func (d *Dispatcher) observeEnd(s *service, q *request) {
 	if q.IsTurn && !q.responseStarted && !q.startCounted && q.startsLate(d.now) {
 		s.admit.recordLate(d.servedZone(q))
@@ -140,7 +143,7 @@
 	}
 }
 
-// servedZone is where a turn was served; where it was to be if it was not.
+// servedZone returns where a turn was served, or where it was placed if it has no call in flight.
 func (d *Dispatcher) servedZone(q *request) placement {
 	if q.endpoint == nil {
 		return q.placement
@@ -148,16 +151,16 @@
 	return placement(q.endpoint.Zone != d.zone)
 }
 
-// startsLate: an answer that begins now is late.
+// startsLate reports whether a response that starts now is late.
 func (q *request) startsLate(now Instant) bool {
 	return q.TargetLatency > 0 && now.Sub(q.submittedAt) > time.Duration(onTimeFraction*float64(q.TargetLatency))
 }
 
-// programSet remembers where the programs are placed that were seen of late, by the hash of their names, in two
-// generations: the older one is dropped when the younger is full, or old enough itself.
+// programSet remembers the placement of recently seen programs by the hash of their names, in two generations: the
+// previous one is dropped when the current one is full or has reached programRetention.
 type programSet struct {
 	current, previous map[uint64]placement
-	currentSince      Instant // when the young generation began
+	currentSince      Instant // start of the current generation
 }
 
 func (p *programSet) get(program uint64) (placement, bool) {
--- a/admission/dispatch/beginning_test.go
+++ b/admission/dispatch/beginning_test.go
@@ -16,14 +16,14 @@
 		}
 	}
 	// crowded has two engines whose places are taken, but for a few.
-	crowded := func() *driver {
+	nearlyFull := func() *driver {
 		s := newDriver(engine("a"), engine("b")).warmUp(50 * ms)
 		s.report("a", Report{Running: 20})
 		s.report("b", Report{Running: 20})
 		return s
 	}
 	// begin has programs come until so many were refused, or a hundred have come, and gives those that were refused.
-	begin := func(s *driver, count int) map[string]bool {
+	refusedPrograms := func(s *driver, count int) map[string]bool {
 		refused := map[string]bool{}
 		for i := range count {
 			name := fmt.Sprint("program-", i)
@@ -41,11 +41,11 @@
 	}
 
 	ginkgo.It("are refused in part by a sender that knows nothing yet, where places are scarce", func() {
-		refused := begin(crowded(), 200)
+		refused := refusedPrograms(nearlyFull(), 200)
 		Expect(len(refused)).To(BeNumerically("~", 200*(1-initialAdmitShare), 25))
 	})
 	ginkgo.It("are told when to come back, at once", func() {
-		s := crowded()
+		s := nearlyFull()
 		s.services[pool].admit = admitShares{}
 		s.submit("1", turn("p"))
 		Expect(s.refusal("1").Status).To(Equal(StatusServiceUnavailable))
@@ -53,11 +53,11 @@
 		Expect(s.refusal("1").MayHaveRun).To(BeFalse())
 	})
 	ginkgo.It("are the same ones at every sender", func() {
-		one, two := crowded(), crowded()
-		two.services[pool].admit.local = 0.6
-		few, more := begin(two, 100), begin(one, 100)
-		Expect(len(few)).To(BeNumerically("<", len(more)))
-		for name := range few {
+		first, second := nearlyFull(), nearlyFull()
+		second.services[pool].admit.local = 0.6
+		fewer, more := refusedPrograms(second, 100), refusedPrograms(first, 100)
+		Expect(len(fewer)).To(BeNumerically("<", len(more)))
+		for name := range fewer {
 			Expect(more).To(HaveKey(name))
 		}
 	})
@@ -65,10 +65,10 @@
 		s := newDriver(engine("a"), engine("b")).warmUp(50 * ms)
 		s.report("a", Report{Running: 7})
 		s.report("b", Report{Running: 7})
-		Expect(begin(s, 50)).To(BeEmpty())
+		Expect(refusedPrograms(s, 50)).To(BeEmpty())
 	})
 	ginkgo.It("are those of which no turn is known: neither from the client nor from before", func() {
-		s := crowded()
+		s := nearlyFull()
 		s.services[pool].admit = admitShares{}
 		s.submit("1", turn("p"), func(r *Request) { r.ProgramStarted = true })
 		Expect(s.refusals).To(BeEmpty())
@@ -81,15 +81,15 @@
 		Expect(s.refusal("3")).NotTo(BeNil())
 	})
 	ginkgo.It("are not those that are no turns", func() {
-		s := crowded()
+		s := nearlyFull()
 		s.services[pool].admit = admitShares{}
 		s.submit("1", func(r *Request) { r.Kind, r.TargetLatency = Streaming, 200*ms })
 		Expect(s.refusals).To(BeEmpty())
 	})
 
 	// observed has one turn under way that begins after a span, or is given up then.
-	observed := func(after time.Duration, begins bool) float64 {
-		s := crowded()
+	shareChange := func(after time.Duration, begins bool) float64 {
+		s := nearlyFull()
 		before := s.services[pool].admit.local
 		s.submit("1", turn("p"), func(r *Request) { r.ProgramStarted = true })
 		s.now = s.now.Add(after)
@@ -104,7 +104,7 @@
 	}
 	ginkgo.DescribeTable("are admitted by how turns begin",
 		func(after time.Duration, begins bool, change float64) {
-			Expect(observed(after, begins)).To(BeNumerically("~", change, 1e-9))
+			Expect(shareChange(after, begins)).To(BeNumerically("~", change, 1e-9))
 		},
 		ginkgo.Entry("in time", 100*ms, true, admitIncrease),
 		ginkgo.Entry("late", 101*ms, true, -admitDecrease*initialAdmitShare),
--- a/admission/dispatch/buckets.go
+++ b/admission/dispatch/buckets.go
@@ -9,33 +9,34 @@
 )
 
 const (
-	// defaultPause is how long a bucket holds where no wait is told, and how long a report is good for: the
-	// design's one second, after which one call looks.
+	// defaultPause is how long an endpoint is blocked where no Retry-After is given, and how long a report is valid;
+	// after it, one call probes the receiver. The design sets it to one second.
 	defaultPause = time.Second
-	// baseBackoff is half of the pause after two failures in a row, which doubles with each further one.
+	// baseBackoff is a quarter of the backoff after two consecutive failures; each further failure doubles it.
 	baseBackoff         = time.Second / 8
 	maxBackoffDoublings = 4
-	backoffJitter       = 0.25 // of a pause, either way, so that senders do not come back together
-	// overdueFactor and leastOverdue say when a call is overdue: after so many usual times to the beginning of an
-	// answer, and a time that neither a busy machine nor a lost packet comes to.
+	backoffJitter       = 0.25 // fraction of the backoff, either way, so that proxies do not return at the same time
+	// overdueFactor and minOverdueDelay define when a call is overdue: after this many expected times to first byte,
+	// plus a delay longer than a busy machine or a lost packet causes.
 	overdueFactor   = 6
 	minOverdueDelay = 300 * time.Millisecond
-	// errorHalfLife is the time in which the share of failed calls counts for half: one that is avoided has no
-	// answers by which to show that it is well again.
+	// errorHalfLife is the half-life of an endpoint's error rate: an endpoint that is avoided gets no calls whose
+	// success could lower it.
 	errorHalfLife = 3 * time.Second
-	// maxEndedCalls bounds the ended calls that are remembered for the next report, which may be older than their
-	// ends. Those past it count as still running, the safe side.
+	// maxEndedCalls bounds the ended calls remembered for the next report, which may predate their ends. Calls beyond
+	// the bound count as still running, which is the safe side.
 	maxEndedCalls = 64
-	// minReports is how many reports it takes to say what a receiver has as a rule: a few busy ones say little of the rest.
+	// minReports is the number of reports needed to infer the load of the other receivers: a few busy ones say little
+	// about the rest.
 	minReports = 5
 )
 
-// mustRetain: something hangs on the bucket that must not be forgotten.
+// mustRetain reports whether the endpoint has state that must outlive its removal from the list.
 func (e *endpoint) mustRetain(now Instant) bool {
 	return len(e.inFlight) > 0 || now < max(e.blockedUntil, e.backoffUntil) || e.hasFreshReport(now)
 }
 
-// concurrencyLimit is how many calls the receiver bears at once, from all senders.
+// concurrencyLimit is the number of concurrent calls that the receiver can take from all proxies.
 func (e *endpoint) concurrencyLimit() int {
 	if e.MaxConnections > 0 {
 		return max(1, min(e.Slots, e.MaxConnections))
@@ -43,31 +44,32 @@
 	return max(1, e.Slots)
 }
 
-// usable: calls may go there now or later. Nothing ever goes to a receiver that drains.
+// usable reports whether calls may be sent now or later. A draining receiver never gets any.
 func (e *endpoint) usable() bool { return !e.Draining && !e.misdirected }
 
-// healthy: nothing speaks against it but its allowance and told waits, which bind in any case.
+// healthy reports whether nothing but its allowance and Retry-After, which always apply, restricts the endpoint.
 func (e *endpoint) healthy(now Instant) bool {
 	return e.usable() && !e.Silent && now >= e.backoffUntil && !e.hasOverdueCall(now)
 }
 
-// hasOverdueCall: a call out there is overdue. A receiver may take calls, answer some of them and health checks, and leave the
-// others hanging until their deadlines.
+// hasOverdueCall reports whether a call in flight is overdue. A receiver may accept calls, answer some of them and
+// its health checks, and leave the others without a response until their deadlines.
 func (e *endpoint) hasOverdueCall(now Instant) bool {
 	return slices.ContainsFunc(e.inFlight, func(q *request) bool { return q.isOverdue(now) })
 }
 
-// isOverdue: the answer to the call that is out should have begun.
+// isOverdue reports whether the response to the call in flight should have started by now.
 func (q *request) isOverdue(now Instant) bool { return !q.responseStarted && now >= q.overdueAt }
 
-// usableAsFallback: it may do where most of a pool is not good. One that rests gets one call at a time. Silence of
-// most says more of the way that heartbeats take than of the receivers.
+// usableAsFallback reports whether the endpoint may be used while most of the pool is unhealthy. During backoff it
+// gets one call at a time. Silent receivers are included: if most are silent, the delivery of heartbeats is the more
+// likely fault.
 func (e *endpoint) usableAsFallback(now Instant) bool {
 	return now >= e.backoffUntil || len(e.inFlight) == 0
 }
 
-// hasFreshReport: a report speaks of the bucket as it is now. One that read nought says no more once the hold of a
-// bucket at nought is over; then one call looks.
+// hasFreshReport reports whether the last report still describes the endpoint. When a report that showed no free slot
+// expires, the endpoint has been blocked for defaultPause and is probed by a single call.
 func (e *endpoint) hasFreshReport(now Instant) bool {
 	r := &e.reported
 	if r.valid && now >= r.measuredAt.Add(defaultPause) {
@@ -77,14 +79,14 @@
 	return r.valid
 }
 
-// reportedLoad is what the last report counts, with what own calls have changed since.
+// reportedLoad is the load of the last report, corrected by this proxy's calls that started or ended since.
 func (e *endpoint) reportedLoad() int {
 	r := &e.reported
 	return max(len(e.inFlight), r.Running+r.Queued+r.sentSince-r.endedSince)
 }
 
-// load is how many requests the receiver is thought to have, running and queued. One that nothing is told of is no
-// emptier than the others are as a rule: reports may come from a part of the receivers only.
+// load estimates the requests running and queued at the receiver. Without a fresh report it is at least the assumed
+// load: reports may come from only some of the receivers, and the others must not look idle.
 func (e *endpoint) load(now Instant, assumed float64) float64 {
 	if e.hasFreshReport(now) {
 		return float64(e.reportedLoad())
@@ -92,8 +94,8 @@
 	return max(float64(len(e.inFlight)), assumed)
 }
 
-// assumedLoad is what a receiver that nothing is told of is taken to have: the mean load of those that reports tell of, if
-// they are enough to say so, else 0.
+// assumedLoad is the load assumed for receivers without a fresh report: the mean of those with one, or 0 if they are
+// too few.
 func (s *service) assumedLoad(now Instant) float64 {
 	sum, reporting := 0, 0
 	for _, e := range s.endpoints {
@@ -108,9 +110,9 @@
 	return float64(sum) / float64(reporting)
 }
 
-// allowance is how many calls more may go out now: slots less what the last report counts and own calls sent
-// since; where no report is to be had, slots less own calls out. After a refusal no more are out than the
-// learned window.
+// allowance is the number of further calls that may be sent now: the slots minus the reported load and the calls sent
+// since, or, without a fresh report, minus this proxy's calls in flight. After a rejection the adaptive window limits
+// the calls in flight too.
 func (e *endpoint) allowance(now Instant) int {
 	if !e.usable() || now < e.blockedUntil {
 		return 0
@@ -127,7 +129,7 @@
 	return max(0, remaining)
 }
 
-// applyReport takes a report; false if it is older than what is known.
+// applyReport records a report. It returns false for a report that has expired or is older than the last one.
 func (e *endpoint) applyReport(now Instant, report Report) bool {
 	r, at := &e.reported, now.Add(-report.Age)
 	outdated := r.measuredAt != 0 && at <= r.measuredAt || report.Sequence > 0 && report.Sequence < r.Sequence
@@ -150,14 +152,14 @@
 	return true
 }
 
-// callSent counts a call out.
+// callSent records the start of a call.
 func (e *endpoint) callSent(q *request) {
 	e.inFlight = append(e.inFlight, q)
 	e.pendingPrefillTokens += q.pendingPrefillTokens
 	e.reported.sentSince++
 }
 
-// callEnded takes a call that has ended off the count.
+// callEnded records the end of a call.
 func (e *endpoint) callEnded(now Instant, q *request) {
 	i := slices.Index(e.inFlight, q)
 	e.inFlight[i] = e.inFlight[len(e.inFlight)-1]
@@ -178,8 +180,8 @@
 	r.recentlyEnded = append(r.recentlyEnded, endedCall{q.sentAt, now})
 }
 
-// rejected takes a refusal as full: nothing goes there until the told wait is over, and then one call first.
-// Up to spread longer, as all who were told the same moment must not come back at once.
+// rejected records that the receiver was full: it gets no calls until the Retry-After and a jitter have passed, and
+// then a single call first. The jitter keeps proxies that were given the same time from returning at once.
 func (e *endpoint) rejected(now, sentAt Instant, retryAfter, jitter time.Duration) {
 	if retryAfter <= 0 {
 		retryAfter = defaultPause
@@ -193,7 +195,8 @@
 	}
 }
 
-// recordFailure notes a call that failed. From the second in a row on, the receiver rests, and one call looks first.
+// recordFailure records a failed call. From the second consecutive failure on, the endpoint backs off and is then
+// probed by a single call.
 func (e *endpoint) recordFailure(now Instant, chance float64) {
 	e.consecutiveFailures++
 	if e.consecutiveFailures < 2 {
@@ -204,19 +207,19 @@
 	e.probed = false
 }
 
-// recordError notes a call that failed though the receiver took it.
+// recordError records a call that failed after the receiver had accepted it.
 func (e *endpoint) recordError(now Instant) {
 	e.errors = admission.Share(e.errorRate(now))
 	e.errors.Seen(true)
 	e.errorsAt = now
 }
 
-// errorRate is the share of late calls that failed, fading with time.
+// errorRate is the share of recent calls that failed, decaying with time.
 func (e *endpoint) errorRate(now Instant) float64 {
 	return float64(e.errors) * math.Exp2(-float64(now.Sub(e.errorsAt))/float64(errorHalfLife))
 }
 
-// recordResponse notes a sign of life: an answer has begun.
+// recordResponse records that a response has started.
 func (e *endpoint) recordResponse(now Instant) {
 	e.probed = true
 	e.lastResponse = now
--- a/admission/dispatch/choice.go
+++ b/admission/dispatch/choice.go
@@ -6,42 +6,41 @@
 	"time"
 )
 
-// What a receiver costs a request, in estimated milliseconds. The constants speak of model engines and web
-// services of any make; none is fitted to one deployment.
+// The cost of sending a request to a receiver is estimated in milliseconds. The constants are chosen for model
+// engines and web services in general; none is fitted to one deployment.
 const (
-	prefillTokensPerMs = 38.0 // prompt tokens that an engine reads in a millisecond
-	// slowdownPerRequest is the share of a call by which one more running request lengthens it: a step's time is that of
-	// reading the weights, which the whole batch shares; each request adds only its own context.
+	prefillTokensPerMs = 38.0 // prompt tokens that an engine processes per millisecond
+	// slowdownPerRequest is the fraction by which one more running request lengthens a call: most of a step's time
+	// goes into reading the weights, which the whole batch shares; each request adds only its own context.
 	slowdownPerRequest = 1.0 / 200
-	// loadPersistence is the share of a difference in load that is still there while the call runs: reports are old,
-	// and those that run end.
+	// loadPersistence is the fraction of a load difference that remains while the call runs: reports are outdated,
+	// and running requests end.
 	loadPersistence = 0.5
-	// fullLoadSlowdown is the share of a call by which a full plain receiver lengthens it.
+	// fullLoadSlowdown is the fraction by which full load of a plain receiver lengthens a call.
 	fullLoadSlowdown = 0.5
-	// crossZoneCostMs stands for the way there and back between zones, and the price of the bytes.
+	// crossZoneCostMs stands for the round trip between zones and the price of the traffic.
 	crossZoneCostMs = 5.0
-	// coldSlowdown is the share of a call by which a receiver that is still slow from its start is taken to
-	// lengthen it.
+	// coldSlowdown is the fraction by which a receiver that is still warming up is assumed to lengthen a call.
 	coldSlowdown = 0.5
-	// preemptionThreshold is the share of an engine's memory up to which nobody is preempted.
+	// preemptionThreshold is the fraction of an engine's memory in use below which no request is preempted.
 	preemptionThreshold = 0.8
-	// errorCostMs is what an answer that is a failure costs: about a client's retry.
+	// errorCostMs is the cost of an error response: about that of a client's retry.
 	errorCostMs = 1000.0
-	// sameReceiverCostMs keeps a request from the receiver that has just failed it while there is any other.
+	// sameReceiverCostMs keeps a request away from the receiver that has just failed it as long as there is another.
 	sameReceiverCostMs = 1000.0
-	// lastResortCostMs is the cost of one that is silent or rests: more than all the rest together.
+	// lastResortCostMs is the cost of an unhealthy receiver: more than all other costs together.
 	lastResortCostMs = 1e5
-	// minNoiseMs is the difference that no estimate of this kind can tell.
+	// minNoiseMs is the smallest cost difference that these estimates can resolve.
 	minNoiseMs = 1.0
 )
 
-// DefaultPriority is the one that receivers take where none is told.
+// DefaultPriority is the priority that receivers assume if none is sent.
 const DefaultPriority = 5
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// cost estimates what it costs, all told, to have a receiver run a request: its own time there and, for
-// engines, the time that it takes from those that run beside it.
+// cost estimates the total cost of running a request on an endpoint: its own duration there and, for engines, the
+// delay that it adds to the requests running beside it.
 func (d *Dispatcher) cost(s *service, q *request, e *endpoint, expectedMs float64) float64 {
 	load := d.meanLoad + loadPersistence*(e.load(d.now, d.assumedLoad)-d.meanLoad)
 	cost := errorCostMs * e.errorRate(d.now)
@@ -65,9 +64,10 @@
 	return cost
 }
 
-// engineCost: the prompt's parts that are not kept there must be read, after those of calls that wait, and
-// halt the tokens of all that run; each of those in turn lengthens every step and, replaced about once
-// meanwhile, has a prompt read too. Where memory runs out somebody is read anew.
+// engineCost estimates the cost on an engine. The uncached part of the prompt is read after the prompts of waiting
+// calls, and reading it stalls all running requests. Each running request in turn lengthens every step and, as it is
+// replaced about once meanwhile, adds the reading of another prompt. When memory runs out, a request is preempted and
+// its prompt is read again.
 func (d *Dispatcher) engineCost(s *service, q *request, e *endpoint, expectedMs, load float64) float64 {
 	uncachedTokens := float64(q.uncachedTokens(d.now, e))
 	q.minUncachedTokens = min(q.minUncachedTokens, uncachedTokens)
@@ -82,7 +82,7 @@
 	return cost
 }
 
-// uncachedTokens is how many prompt tokens a receiver would have to read, by this sender's guess.
+// uncachedTokens estimates the prompt tokens that a receiver would have to read.
 func (q *request) uncachedTokens(now Instant, e *endpoint) int {
 	tokens := max(0, q.promptTokens-e.prefixes.cachedTokens(now, q.Prefix))
 	if e == q.home {
@@ -91,9 +91,9 @@
 	return tokens
 }
 
-// chooseEndpoint finds the cheapest free receiver for a request; nil if it may use none. Other senders choose by the
-// same old reports: among those that cost about the same, two are drawn, and the one with most allowance left
-// goes (Mitzenmacher, The Power of Two Choices in Randomized Load Balancing).
+// chooseEndpoint returns the cheapest free endpoint for a request, or nil if it may use none of them. Other proxies
+// decide by the same outdated reports; so among endpoints of about equal cost two are drawn at random, and the one
+// with the larger allowance is chosen (Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing").
 func (d *Dispatcher) chooseEndpoint(s *service, q *request, free []*endpoint) *endpoint {
 	d.costs = d.costs[:0]
 	expectedMs := milliseconds(d.estimate(s, q).total())
@@ -140,9 +140,9 @@
 	return chosen
 }
 
-// priority derives the one that receivers are told. They admit the urgent first and preempt the others, so
-// what is told must mean the same at every sender: the route's rank about the default, and one step more
-// urgent for a program that has little of its time left, as all of its turns are lost with this one.
+// priority derives the priority sent to receivers. They admit urgent requests first and preempt others, so the value
+// must mean the same from every proxy: the route's priority relative to the default, and one step more urgent for a
+// running program with little time left, as losing this turn loses all of its turns.
 func (d *Dispatcher) priority(s *service, q *request) int {
 	priority := min(DefaultPriority-1+q.Priority, 8)
 	if q.ProgramStarted && q.ProgramTimeLeft > 0 && q.ProgramTimeLeft < 2*d.estimate(s, q).total() {
--- a/admission/dispatch/choice_test.go
+++ b/admission/dispatch/choice_test.go
@@ -20,7 +20,7 @@
 
 var _ = ginkgo.Describe("the choice of a model receiver", func() {
 	shared := PrefixPart{ID: 1, Tokens: 2500}
-	turn := func(id uint64) PrefixPart { return PrefixPart{ID: id, Tokens: 500} }
+	turnPart := func(id uint64) PrefixPart { return PrefixPart{ID: id, Tokens: 500} }
 
 	engines := func(n int) *driver {
 		var list []Receiver
@@ -36,32 +36,32 @@
 
 	ginkgo.It("goes where the session's prompt is kept", func() {
 		s := engines(8)
-		s.submit("0", prompt(shared, turn(2)))
+		s.submit("0", prompt(shared, turnPart(2)))
 		first := s.lastSend("0").Instance
 		s.complete("0", 200*ms)
 		for i := range 5 {
 			id := RequestID(fmt.Sprint("next-", i))
-			s.submit(id, prompt(shared, turn(2), turn(3)))
+			s.submit(id, prompt(shared, turnPart(2), turnPart(3)))
 			Expect(s.lastSend(id).Instance).To(Equal(first))
 			s.complete(id, 200*ms)
 		}
 	})
 	ginkgo.It("leaves it where it has no allowance", func() {
 		s := engines(4)
-		s.submit("0", prompt(shared, turn(2)))
+		s.submit("0", prompt(shared, turnPart(2)))
 		first := s.lastSend("0").Instance
 		s.complete("0", 200*ms)
 		s.report(first, Report{Running: 24})
-		s.submit("1", prompt(shared, turn(2), turn(3)))
+		s.submit("1", prompt(shared, turnPart(2), turnPart(3)))
 		Expect(s.lastSend("1").Instance).NotTo(Equal(first))
 	})
 	ginkgo.It("leaves it where so many run that reading the prompt anew is sooner done", func() {
 		s := engines(4)
-		s.submit("0", prompt(shared, turn(2)))
+		s.submit("0", prompt(shared, turnPart(2)))
 		first := s.lastSend("0").Instance
 		s.complete("0", 200*ms)
 		s.report(first, Report{Running: 20})
-		s.submit("1", prompt(shared, turn(2), turn(3)))
+		s.submit("1", prompt(shared, turnPart(2), turnPart(3)))
 		Expect(s.lastSend("1").Instance).NotTo(Equal(first))
 	})
 	ginkgo.It("spreads prompts that share nothing", func() {
@@ -76,21 +76,21 @@
 	})
 	ginkgo.It("counts a part only after the parts that it came after", func() {
 		var c prefixCache
-		c.add(start, []PrefixPart{shared, turn(2)}, 100_000)
-		Expect(c.cachedTokens(start, []PrefixPart{shared, turn(2), turn(3)})).To(Equal(3000))
-		Expect(c.cachedTokens(start, []PrefixPart{shared, turn(3), turn(2)})).To(Equal(2500))
-		Expect(c.cachedTokens(start, []PrefixPart{turn(2)})).To(BeZero())
+		c.add(start, []PrefixPart{shared, turnPart(2)}, 100_000)
+		Expect(c.cachedTokens(start, []PrefixPart{shared, turnPart(2), turnPart(3)})).To(Equal(3000))
+		Expect(c.cachedTokens(start, []PrefixPart{shared, turnPart(3), turnPart(2)})).To(Equal(2500))
+		Expect(c.cachedTokens(start, []PrefixPart{turnPart(2)})).To(BeZero())
 		Expect(c.cachedTokens(start.Add(cachedPartLifetime+1), []PrefixPart{shared})).To(BeZero())
 	})
 	ginkgo.It("forgets the parts longest unused, the last of a prompt first", func() {
 		var c prefixCache
-		c.add(start, []PrefixPart{shared, turn(2)}, 4000)
-		c.add(start, []PrefixPart{shared, turn(3)}, 4000)
-		c.add(start, []PrefixPart{shared, turn(4)}, 4000)
-		c.add(start, []PrefixPart{shared, turn(5)}, 4000)
+		c.add(start, []PrefixPart{shared, turnPart(2)}, 4000)
+		c.add(start, []PrefixPart{shared, turnPart(3)}, 4000)
+		c.add(start, []PrefixPart{shared, turnPart(4)}, 4000)
+		c.add(start, []PrefixPart{shared, turnPart(5)}, 4000)
 		Expect(c.tokens).To(Equal(4000))
-		Expect(c.cachedTokens(start, []PrefixPart{shared, turn(2)})).To(Equal(2500))
-		Expect(c.cachedTokens(start, []PrefixPart{shared, turn(5)})).To(Equal(3000))
+		Expect(c.cachedTokens(start, []PrefixPart{shared, turnPart(2)})).To(Equal(2500))
+		Expect(c.cachedTokens(start, []PrefixPart{shared, turnPart(5)})).To(Equal(3000))
 	})
 	ginkgo.It("bounds the parts that are remembered", func() {
 		var c prefixCache
--- a/admission/dispatch/conformance_test.go
+++ b/admission/dispatch/conformance_test.go
@@ -330,12 +330,12 @@
 	ginkgo.It("rest after two failures in a row, longer each time, and come back with one call", func() {
 		s := newDriver(plain("a", 4), plain("b", 4), plain("c", 4)).warmUp(10 * ms)
 		e := s.endpoints["a"]
-		rests := []time.Duration{}
+		backoffs := []time.Duration{}
 		for range 4 {
 			e.recordFailure(s.now, 0.5)
-			rests = append(rests, max(0, e.backoffUntil.Sub(s.now)))
+			backoffs = append(backoffs, max(0, e.backoffUntil.Sub(s.now)))
 		}
-		Expect(rests).To(Equal([]time.Duration{0, 500 * ms, time.Second, 2 * time.Second}))
+		Expect(backoffs).To(Equal([]time.Duration{0, 500 * ms, time.Second, 2 * time.Second}))
 		for i := range 9 {
 			s.submit(RequestID(fmt.Sprint(i)))
 		}
@@ -374,9 +374,9 @@
 	})
 	ginkgo.It("that answer with failures are avoided while others do not", func() {
 		s := newDriver(plain("a", 9), plain("b", 9)).warmUp(10 * ms)
-		sick := s.endpoints["a"]
+		failing := s.endpoints["a"]
 		for range 5 {
-			sick.recordError(s.now)
+			failing.recordError(s.now)
 		}
 		for i := range 9 {
 			s.submit(RequestID(fmt.Sprint(i)))
--- a/admission/dispatch/dispatch.go
+++ b/admission/dispatch/dispatch.go
@@ -1,8 +1,7 @@
-// Package dispatch decides for one proxy where and when each request is sent to a receiver, and which are
-// refused.
+// Package dispatch decides for one proxy when and to which receiver each request is sent, and which requests are refused.
 //
-// It is pure: time comes in with each event, chance from a seed, and what is to be done goes out as Effects.
-// One goroutine owns a Dispatcher, tells it what happens and carries out what it returns:
+// It has no side effects: time comes in with each event, randomness from a seed, and the resulting actions are returned
+// as Effects. One goroutine owns a Dispatcher, passes events to it and carries out the effects:
 //
 //	d := dispatch.New(seed, zone)
 //	d.SetReceivers(now, list)                      // the whole list, whenever it changes
@@ -13,14 +12,13 @@
 //	effects = d.Tick(now)                          // at the most recent Effects.WakeAt
 //	effects = d.StopBy(now, end)                   // the process stops at end; no call is started that would outlast it
 //
-// The ordinary path is the design's: one bucket a receiver endpoint, whose allowance is its slots less what
-// it last reported and own calls sent since; requests held in order of arrival; nothing during a told wait;
-// one call out until the first answer; a request refused once its wait plus a usual call would pass its
-// deadline.
+// Each receiver endpoint has an allowance: its slots minus the load that it last reported and the calls sent to it since.
+// Requests are queued in order of arrival. An endpoint gets no calls until its Retry-After has passed, and one call at a
+// time until its first response. A request is refused once its wait plus an expected call would exceed its deadline.
 //
-// Invariants: of a request at most one call is out; it runs on at most MaxAttempts receivers; one that may
-// have run goes again only if its kind allows it, to another receiver; each arrival has exactly one end, be
-// it an answer, a refusal or a withdrawal.
+// Invariants: a request has at most one call in flight; it runs on at most MaxAttempts receivers; one that may have run
+// is retried only if its kind allows it, and on another receiver; each submitted request ends exactly once, with a
+// response, a refusal or a cancellation.
 package dispatch
 
 import (
@@ -35,21 +33,22 @@
 	"emberquay/admission"
 )
 
-// New makes a dispatcher of a proxy that stands in a zone; the same seed and events give the same decisions.
+// New returns a dispatcher for a proxy in a zone. The same seed and events lead to the same decisions.
 func New(seed uint64, zone string) *Dispatcher {
 	return &Dispatcher{zone: zone, random: admission.NewPCG(seed), services: map[string]*service{},
 		endpoints: map[InstanceID]*endpoint{}, requests: map[RequestID]*request{}, estimates: map[callClass]*callEstimate{}}
 }
 
-// beginEvent opens an event.
+// beginEvent starts the handling of an event.
 func (d *Dispatcher) beginEvent(now Instant) {
 	d.now = max(d.now, now)
 	d.nextWake = math.MaxInt64
 	d.effects = Effects{Sends: d.effects.Sends[:0], Refusals: d.effects.Refusals[:0]}
 }
 
-// finishEvent closes an event; a wake is asked for only if none is due by then. One that is due already is made
-// good, as the caller may replace it by the next.
+// finishEvent completes the handling of an event. It requests a wake-up only if no earlier one is scheduled. A
+// scheduled wake-up that is already due is handled here, as the caller may replace its timer by the next one before
+// it fires.
 func (d *Dispatcher) finishEvent() Effects {
 	if d.scheduledWake > 0 && d.scheduledWake <= d.now {
 		d.scheduledWake = 0
@@ -62,8 +61,8 @@
 	return d.effects
 }
 
-// SetReceivers takes the whole list. What it leaves out gets nothing any more; calls that are out there still
-// end, and what binds is remembered, as the list may name it again.
+// SetReceivers replaces the list of receivers. Receivers that it omits get no more calls; their calls in flight still
+// end, and state that still restricts them is kept, as a later list may name them again.
 func (d *Dispatcher) SetReceivers(now Instant, list []Receiver) Effects {
 	d.beginEvent(now)
 	for _, s := range d.services {
@@ -98,7 +97,7 @@
 	return d.finishEvent()
 }
 
-// scheduleAll goes through the services by name, so that runs repeat.
+// scheduleAll schedules all services with queued requests, in order of name, so that runs are reproducible.
 func (d *Dispatcher) scheduleAll() {
 	pending := make([]*service, 0, len(d.services))
 	for _, s := range d.services {
@@ -112,7 +111,7 @@
 	}
 }
 
-// ApplyReport takes what a receiver told of itself.
+// ApplyReport records the load that a receiver reported.
 func (d *Dispatcher) ApplyReport(now Instant, instance InstanceID, report Report) Effects {
 	d.beginEvent(now)
 	if e := d.endpoints[instance]; e != nil && e.applyReport(d.now, report) {
@@ -121,11 +120,11 @@
 	return d.finishEvent()
 }
 
-// Submit takes a request in; it has exactly one end. The id must not be one of an unfinished request.
+// Submit adds a request, which will end exactly once. It panics if an unfinished request has the same id.
 func (d *Dispatcher) Submit(now Instant, r Request) Effects {
 	d.beginEvent(now)
 	if d.requests[r.ID] != nil {
-		panic(fmt.Sprintf("dispatch: request %q arrived while one of that id is unfinished", r.ID))
+		panic(fmt.Sprintf("dispatch: request %q submitted while one with that id is unfinished", r.ID))
 	}
 	q := d.newRequest(r)
 	s := d.service(r.Service)
@@ -163,8 +162,9 @@
 	return q
 }
 
-// objectiveWaitLimit says until when a request may be held for its objective's sake: a part of what its program has left,
-// else what the objective leaves beside a usual call's start.
+// objectiveWaitLimit returns until when a request may stay queued for the sake of its latency objective: for a
+// fraction of its program's remaining time, or else for what the target latency leaves beside the expected time to
+// first byte.
 func (d *Dispatcher) objectiveWaitLimit(q *request) Instant {
 	minWait := q.TargetLatency / freeWaitDivisor
 	switch {
@@ -177,7 +177,7 @@
 	return math.MaxInt64
 }
 
-// send passes a request on.
+// send sends a request to an endpoint.
 func (d *Dispatcher) send(s *service, q *request, e *endpoint) {
 	q.endpoint, q.sentAt = e, d.now
 	q.overdueAt = d.now.Add(overdueFactor*d.estimate(s, q).firstByte() + minOverdueDelay)
@@ -193,7 +193,7 @@
 		Address: e.Address, Timeout: d.timeout(s, q), Priority: d.priority(s, q)})
 }
 
-// ResponseStarted notes the first byte or event of an answer, which has gone to the client.
+// ResponseStarted records that the first byte or event of a response has gone to the client.
 func (d *Dispatcher) ResponseStarted(now Instant, id RequestID) Effects {
 	d.beginEvent(now)
 	if q := d.requests[id]; q != nil && q.endpoint != nil {
@@ -207,8 +207,8 @@
 	return d.finishEvent()
 }
 
-// Cancel notes that the client waits no more. A call that is out is called off by the caller, and its end
-// told with AttemptEnded like any other.
+// Cancel records that the client no longer waits for the request. The caller aborts a call in flight and reports its
+// end with AttemptEnded as usual.
 func (d *Dispatcher) Cancel(now Instant, id RequestID) Effects {
 	d.beginEvent(now)
 	if q := d.requests[id]; q != nil {
@@ -224,8 +224,8 @@
 	return d.finishEvent()
 }
 
-// StopBy tells that the sender's process ends at an instant. It is a deadline of every request from then on: what is
-// held is refused once its wait plus a usual call would pass it.
+// StopBy sets the time at which the proxy's process ends. It is a deadline of every request from then on: queued
+// requests are refused once their wait plus an expected call would exceed it.
 func (d *Dispatcher) StopBy(now, end Instant) Effects {
 	d.beginEvent(now)
 	d.stopAt = end
@@ -236,15 +236,15 @@
 	return d.finishEvent()
 }
 
-// Tick tells the time.
+// Tick advances the time.
 func (d *Dispatcher) Tick(now Instant) Effects {
 	d.beginEvent(now)
 	d.scheduledWake = d.now
 	return d.finishEvent()
 }
 
-// timeout bounds an attempt: by the time that the request has, or sooner where another receiver may run it
-// after a machine that has fallen silent.
+// timeout bounds an attempt by the request's remaining time, or by less if another receiver may run the request after
+// one that has stopped responding.
 func (d *Dispatcher) timeout(s *service, q *request) time.Duration {
 	remaining := q.expiresAt.Sub(d.now)
 	expected := d.estimate(s, q).total()
--- a/admission/dispatch/drawn_test.go
+++ b/admission/dispatch/drawn_test.go
@@ -16,7 +16,7 @@
 	t            *rapid.T
 	d            *Dispatcher
 	now          Instant
-	wake         Instant
+	wakeAt       Instant
 	listed       map[InstanceID]Receiver
 	accounts     map[InstanceID]*receiverAccount
 	requests     map[RequestID]*requestAccount
@@ -26,12 +26,12 @@
 
 // receiverAccount is what the account holds of a receiver.
 type receiverAccount struct {
-	inFlight   []*requestAccount
-	endedCalls []endedCall // that have ended
-	lastReport *Report
-	measuredAt Instant
-	responded  bool
-	waitUntil  Instant
+	inFlight     []*requestAccount
+	endedCalls   []endedCall // that have ended
+	lastReport   *Report
+	measuredAt   Instant
+	responded    bool
+	blockedUntil Instant
 }
 
 type requestAccount struct {
@@ -105,19 +105,19 @@
 }
 
 func (w *randomRun) inFlight() []RequestID {
-	var out []RequestID
+	var ids []RequestID
 	for id, q := range w.requests {
 		if q.sentTo != "" {
-			out = append(out, id)
+			ids = append(ids, id)
 		}
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(ids)
+	return ids
 }
 
 func (w *randomRun) startResponse() {
-	if out := w.inFlight(); len(out) > 0 {
-		q := w.requests[rapid.SampledFrom(out).Draw(w.t, "started")]
+	if ids := w.inFlight(); len(ids) > 0 {
+		q := w.requests[rapid.SampledFrom(ids).Draw(w.t, "started")]
 		q.responseStarted = true
 		w.accounts[q.sentTo].responded = true
 		w.check(w.d.ResponseStarted(w.now, q.ID))
@@ -125,8 +125,8 @@
 }
 
 func (w *randomRun) endSomeAttempt() {
-	if out := w.inFlight(); len(out) > 0 {
-		q := w.requests[rapid.SampledFrom(out).Draw(w.t, "answered")]
+	if ids := w.inFlight(); len(ids) > 0 {
+		q := w.requests[rapid.SampledFrom(ids).Draw(w.t, "answered")]
 		o := Outcome{Kind: OutcomeKind(rapid.IntRange(int(Success), int(Cancelled)).Draw(w.t, "outcome")), Duration: w.now.Sub(q.sentAt)}
 		if o.Kind == Full {
 			o.RetryAfter = time.Duration(rapid.IntRange(0, 400).Draw(w.t, "retry after")) * time.Millisecond
@@ -141,11 +141,11 @@
 	a.endedCalls = append(a.endedCalls, endedCall{q.sentAt, w.now})
 	switch o.Kind {
 	case Full:
-		wait := o.RetryAfter
-		if wait == 0 {
-			wait = time.Second
+		retryAfter := o.RetryAfter
+		if retryAfter == 0 {
+			retryAfter = time.Second
 		}
-		a.waitUntil = max(a.waitUntil, w.now.Add(wait))
+		a.blockedUntil = max(a.blockedUntil, w.now.Add(retryAfter))
 	case Success, ErrorResponse:
 		a.responded = true
 	}
@@ -160,15 +160,15 @@
 }
 
 func (w *randomRun) cancel() {
-	var wanted []RequestID
+	var open []RequestID
 	for id, q := range w.requests {
 		if !q.ended && !q.cancelled {
-			wanted = append(wanted, id)
+			open = append(open, id)
 		}
 	}
-	slices.Sort(wanted)
-	if len(wanted) > 0 {
-		q := w.requests[rapid.SampledFrom(wanted).Draw(w.t, "withdrawn")]
+	slices.Sort(open)
+	if len(open) > 0 {
+		q := w.requests[rapid.SampledFrom(open).Draw(w.t, "withdrawn")]
 		q.cancelled, q.ended = true, q.sentTo == ""
 		w.check(w.d.Cancel(w.now, q.ID))
 	}
@@ -180,8 +180,8 @@
 
 func (w *randomRun) advanceBy(span time.Duration) {
 	end := w.now.Add(span)
-	for w.wake > w.now && w.wake <= end {
-		w.now = w.wake
+	for w.wakeAt > w.now && w.wakeAt <= end {
+		w.now = w.wakeAt
 		w.check(w.d.Tick(w.now))
 	}
 	w.now = end
@@ -193,7 +193,7 @@
 		if e.WakeAt <= w.now {
 			w.t.Fatalf("a wake at %v, which is past %v", e.WakeAt, w.now)
 		}
-		w.wake = e.WakeAt
+		w.wakeAt = e.WakeAt
 	}
 	for _, s := range e.Sends {
 		w.checkSend(s)
@@ -215,7 +215,7 @@
 		w.t.Fatalf("%s is sent while a call of it is out", q.ID)
 	case r.ID == "" || r.Draining || r.Service != q.Service:
 		w.t.Fatalf("%s goes to %s, which is gone, drains or serves another", q.ID, s.Instance)
-	case w.now < a.waitUntil:
+	case w.now < a.blockedUntil:
 		w.t.Fatalf("%s goes to %s during a told wait", q.ID, s.Instance)
 	case len(q.ranOn) >= max(1, q.MaxAttempts):
 		w.t.Fatalf("%s goes out for more than its %d attempts", q.ID, q.MaxAttempts)
@@ -240,27 +240,27 @@
 	if a.lastReport == nil || w.now >= a.measuredAt.Add(time.Second) {
 		return
 	}
-	left := r.Slots - a.lastReport.Running - a.lastReport.Queued
+	remaining := r.Slots - a.lastReport.Running - a.lastReport.Queued
 	for _, q := range a.inFlight {
 		if q.sentAt > a.measuredAt {
-			left--
+			remaining--
 		}
 	}
 	for _, c := range a.endedCalls {
 		if c.sent <= a.measuredAt && c.ended > a.measuredAt {
-			left++
+			remaining++
 		}
 	}
-	if left < 1 {
-		w.t.Fatalf("a call goes to %s, whose allowance is %d", r.ID, left)
+	if remaining < 1 {
+		w.t.Fatalf("a call goes to %s, whose allowance is %d", r.ID, remaining)
 	}
 }
 
 // checkOrder: no request that arrived before this one and could go where it went is still held.
 func (w *randomRun) checkOrder(sent *requestAccount, to InstanceID) {
 	for _, q := range w.requests {
-		held := !q.ended && q.sentTo == ""
-		if held && q.Service == sent.Service && q.seq < sent.seq && !slices.Contains(q.ranOn, to) {
+		queued := !q.ended && q.sentTo == ""
+		if queued && q.Service == sent.Service && q.seq < sent.seq && !slices.Contains(q.ranOn, to) {
 			w.t.Fatalf("%s went to %s before %s", sent.ID, to, q.ID)
 		}
 	}
@@ -329,7 +329,7 @@
 
 // TestRunsAreReproducible: the same seed and events give the same effects.
 func TestRunsAreReproducible(t *testing.T) {
-	play := func() string {
+	run := func() string {
 		s := newDriver(plain("a", 3), plain("b", 3), engine("c"), plain("d", 2, zone("there")))
 		for i := range 300 {
 			id := RequestID(fmt.Sprint(i))
@@ -342,9 +342,9 @@
 		}
 		return fmt.Sprint(s.sends, s.refusals)
 	}
-	first := play()
+	firstRun := run()
 	for range 5 {
-		if again := play(); again != first {
+		if again := run(); again != firstRun {
 			t.Fatal("the same events gave other effects")
 		}
 	}
--- a/admission/dispatch/goodput_test.go
+++ b/admission/dispatch/goodput_test.go
@@ -14,7 +14,7 @@
 
 // measureGoodput plays a load with several seeds: the mean of what programs that began in a span earned a second, and the part of
 // what they owed.
-func measureGoodput(l workload, from, to time.Duration) (perSecond, part float64) {
+func measureGoodput(l workload, from, to time.Duration) (perSecond, share float64) {
 	var group sync.WaitGroup
 	runs := make([]*programModel, goodputSeeds)
 	for i := range runs {
@@ -27,28 +27,28 @@
 	group.Wait()
 	for _, m := range runs {
 		perSecond += m.goodput(from, to) / goodputSeeds
-		part += m.earnedShare(from, to) / goodputSeeds
+		share += m.earnedShare(from, to) / goodputSeeds
 	}
-	return perSecond, part
+	return perSecond, share
 }
 
 // TestGoodputStaysLevelUnderOverload: what is earned rises with the load up to what the pool bears, and stays level beyond, also after
 // all proxies have lost power in the midst of it.
 func TestGoodputStaysLevelUnderOverload(t *testing.T) {
-	borne := 0.0
-	for _, c := range []struct{ rate, least, leastAfterLoss float64 }{
+	capacity := 0.0
+	for _, c := range []struct{ rate, minShare, minShareAfterLoss float64 }{
 		{19, 0, 0}, {38, 0, 0}, {57, 0.9, 0.9}, {76, 0.9, 0.9}, {114, 0.9, 0.7},
 	} {
 		l := basePool
 		l.programsPerSecond = c.rate
-		perSecond, part := measureGoodput(l, 10*time.Second, l.span)
+		goodput, share := measureGoodput(l, 10*time.Second, l.span)
 		l.powerLosses = []time.Duration{16 * time.Second}
-		afterLoss, partAfterLoss := measureGoodput(l, 22*time.Second, l.span)
-		t.Logf("%3.0f programs a second: %3.0f earned (%.2f), after a loss of power %3.0f (%.2f)", c.rate, perSecond, part, afterLoss, partAfterLoss)
-		borne = max(borne, perSecond)
-		if perSecond < c.least*borne || afterLoss < c.leastAfterLoss*borne {
+		goodputAfterLoss, shareAfterLoss := measureGoodput(l, 22*time.Second, l.span)
+		t.Logf("%3.0f programs a second: %3.0f earned (%.2f), after a loss of power %3.0f (%.2f)", c.rate, goodput, share, goodputAfterLoss, shareAfterLoss)
+		capacity = max(capacity, goodput)
+		if goodput < c.minShare*capacity || goodputAfterLoss < c.minShareAfterLoss*capacity {
 			t.Errorf("at %.0f programs a second %.0f and, after a loss of power, %.0f were earned, of %.0f that the pool bears",
-				c.rate, perSecond, afterLoss, borne)
+				c.rate, goodput, goodputAfterLoss, capacity)
 		}
 	}
 }
@@ -59,15 +59,15 @@
 	l := basePool
 	l.programsPerSecond = 25
 	l.burstFactor, l.burstFrom, l.burstTo = 2.5, 8*time.Second, 14*time.Second
-	if _, part := measureGoodput(l, 19*time.Second, l.span); part < 0.97 {
-		t.Errorf("5 s after a burst %.2f was earned", part)
+	if _, share := measureGoodput(l, 19*time.Second, l.span); share < 0.97 {
+		t.Errorf("5 s after a burst %.2f was earned", share)
 	}
 	l = basePool
 	l.programsPerSecond, l.span = 25, 50*time.Second
 	l.powerLosses = []time.Duration{6 * time.Second, 16 * time.Second}
 	l.removedEngines, l.removeFrom = 7, 6*time.Second
-	if _, part := measureGoodput(l, 20*time.Second, l.span); part < 0.7 {
-		t.Errorf("after 7 of 18 engines had gone and all proxies had lost power twice %.2f was earned", part)
+	if _, share := measureGoodput(l, 20*time.Second, l.span); share < 0.7 {
+		t.Errorf("after 7 of 18 engines had gone and all proxies had lost power twice %.2f was earned", share)
 	}
 }
 
@@ -76,7 +76,7 @@
 	l := basePool
 	l.proxies, l.engines, l.zones, l.programsPerSecond = 21, 36, 3, 45
 	l.removedEngines, l.removeFrom = 7, 4*time.Second
-	if _, part := measureGoodput(l, 15*time.Second, l.span); part < 0.97 {
-		t.Errorf("with 5 of 12 engines left in one of three zones %.2f was earned", part)
+	if _, share := measureGoodput(l, 15*time.Second, l.span); share < 0.97 {
+		t.Errorf("with 5 of 12 engines left in one of three zones %.2f was earned", share)
 	}
 }
--- a/admission/dispatch/home_test.go
+++ b/admission/dispatch/home_test.go
@@ -15,12 +15,12 @@
 	own := PrefixPart{ID: 2, Tokens: 1500}
 
 	// sender makes a dispatcher with engines of its own zone, idle ones in another zone beside them.
-	sender := func(seed uint64, near, far int) *driver {
+	sender := func(seed uint64, local, remote int) *driver {
 		var list []Receiver
-		for i := range near {
+		for i := range local {
 			list = append(list, engine(InstanceID(fmt.Sprint("near-", i))))
 		}
-		for i := range far {
+		for i := range remote {
 			list = append(list, engine(InstanceID(fmt.Sprint("far-", i)), zone("there")))
 		}
 		s := &driver{Dispatcher: New(seed, "here"), now: start}
@@ -31,7 +31,7 @@
 		return s
 	}
 	// first gives where a sender that knows nothing sends the program's prompt.
-	first := func(s *driver, program string) InstanceID {
+	firstReceiver := func(s *driver, program string) InstanceID {
 		s.submit(RequestID(program), prompt(shared, own), inProgram(program))
 		return s.lastSend(RequestID(program)).Instance
 	}
@@ -39,13 +39,13 @@
 	ginkgo.It("is the same at senders that have not heard of each other", func() {
 		for i := range 20 {
 			program := fmt.Sprint("program-", i)
-			Expect(first(sender(1, 4, 8), program)).To(Equal(first(sender(uint64(2+i), 4, 8), program)))
+			Expect(firstReceiver(sender(1, 4, 8), program)).To(Equal(firstReceiver(sender(uint64(2+i), 4, 8), program)))
 		}
 	})
 	ginkgo.It("spreads programs over the receivers of the sender's zone", func() {
 		used := map[InstanceID]int{}
 		for i := range 200 {
-			used[first(sender(1, 4, 8), fmt.Sprint("program-", i))]++
+			used[firstReceiver(sender(1, 4, 8), fmt.Sprint("program-", i))]++
 		}
 		Expect(used).To(HaveLen(4))
 		Expect(used).To(HaveEach(BeNumerically(">", 25)))
@@ -53,10 +53,10 @@
 	ginkgo.It("stays where it is for all programs but those of a receiver that goes", func() {
 		for i := range 50 {
 			program := fmt.Sprint("program-", i)
-			before := first(sender(1, 4, 0), program)
+			before := firstReceiver(sender(1, 4, 0), program)
 			s := sender(1, 4, 0)
 			s.endpoints["near-3"].Draining = true
-			after := first(s, program)
+			after := firstReceiver(s, program)
 			if before != "near-3" {
 				Expect(after).To(Equal(before))
 			}
@@ -66,15 +66,15 @@
 		used := map[InstanceID]bool{}
 		for i := range 50 {
 			program := fmt.Sprint("program-", i)
-			at := first(sender(1, 0, 3), program)
-			Expect(at).To(Equal(first(sender(7, 0, 3), program)))
+			at := firstReceiver(sender(1, 0, 3), program)
+			Expect(at).To(Equal(firstReceiver(sender(7, 0, 3), program)))
 			used[at] = true
 		}
 		Expect(used).To(HaveLen(3))
 	})
 	ginkgo.It("is left for a receiver that keeps the prompt", func() {
 		s := sender(1, 4, 0)
-		home := first(s, "program")
+		home := firstReceiver(s, "program")
 		s.complete("program", 200*ms)
 		other := InstanceID("near-0")
 		if home == other {
@@ -86,11 +86,11 @@
 		Expect(s.lastSend("next").Instance).To(Equal(other))
 	})
 	ginkgo.It("is left where many run and others are idle, for what a short prompt is worth", func() {
-		short := func(s *driver) InstanceID {
+		shortPrompt := func(s *driver) InstanceID {
 			s.submit("0", prompt(PrefixPart{ID: 2, Tokens: 300}), inProgram("program"))
 			return s.lastSend("0").Instance
 		}
-		home := short(sender(1, 4, 0))
+		home := shortPrompt(sender(1, 4, 0))
 		s := sender(1, 4, 0)
 		s.service(pool).meanUncachedTokens, s.service(pool).meanDuration = 500, float64(time.Second) // of a usual turn
 		for id := range s.endpoints {
@@ -98,18 +98,18 @@
 		}
 		s.now = s.now.Add(100 * ms)
 		s.report(home, Report{Running: 20})
-		Expect(short(s)).NotTo(Equal(home))
+		Expect(shortPrompt(s)).NotTo(Equal(home))
 	})
 	ginkgo.It("is left where it has no allowance", func() {
-		home := first(sender(1, 4, 0), "program")
+		home := firstReceiver(sender(1, 4, 0), "program")
 		s := sender(1, 4, 0)
 		s.report(home, Report{Running: 24})
-		Expect(first(s, "program")).NotTo(Equal(home))
+		Expect(firstReceiver(s, "program")).NotTo(Equal(home))
 	})
 	ginkgo.It("is nothing to a request without a program", func() {
 		used := map[InstanceID]bool{}
 		for i := range 20 {
-			used[first(sender(uint64(i), 4, 0), "")] = true
+			used[firstReceiver(sender(uint64(i), 4, 0), "")] = true
 		}
 		Expect(len(used)).To(BeNumerically(">", 1))
 	})
--- a/admission/dispatch/illness_test.go
+++ b/admission/dispatch/illness_test.go
@@ -12,7 +12,7 @@
 	ginkgo.BeforeEach(func() { s = newDriver(plain("one", 8), plain("two", 8)).warmUp(20 * ms) })
 
 	// breaks has a call broken off and says by whom.
-	breaks := func(id RequestID) InstanceID {
+	breakCall := func(id RequestID) InstanceID {
 		s.submit(id)
 		at := s.lastSend(id).Instance
 		s.advance(2 * ms)
@@ -20,30 +20,30 @@
 		return at
 	}
 	// choices counts who gets so many calls that are answered at once.
-	choices := func(prefix string, count int) map[InstanceID]int {
-		by := map[InstanceID]int{}
+	countChoices := func(prefix string, count int) map[InstanceID]int {
+		counts := map[InstanceID]int{}
 		for i := range count {
 			id := RequestID(prefix + string(rune('a'+i)))
 			s.submit(id)
-			by[s.lastSend(id).Instance]++
+			counts[s.lastSend(id).Instance]++
 			s.complete(id, 2*ms)
 		}
-		return by
+		return counts
 	}
 
 	ginkgo.It("is passed over for the other after one, though it answered in between", func() {
-		at := breaks("broken")
-		Expect(choices("next-", 20)).NotTo(HaveKey(at))
+		at := breakCall("broken")
+		Expect(countChoices("next-", 20)).NotTo(HaveKey(at))
 	})
 
 	ginkgo.It("is tried again when some time has passed", func() {
-		at := breaks("broken")
+		at := breakCall("broken")
 		s.advance(10 * errorHalfLife)
-		Expect(choices("later-", 40)).To(HaveKey(at))
+		Expect(countChoices("later-", 40)).To(HaveKey(at))
 	})
 
 	ginkgo.It("counts less with time, and as before with the next failure", func() {
-		at := breaks("broken")
+		at := breakCall("broken")
 		e := s.Dispatcher.endpoints[at]
 		first := e.errorRate(s.now)
 		Expect(e.errorRate(s.now.Add(errorHalfLife))).To(BeNumerically("~", first/2, 1e-9))
--- a/admission/dispatch/messages.go
+++ b/admission/dispatch/messages.go
@@ -2,168 +2,168 @@
 
 import "time"
 
-// Instant is a moment on the process's monotonic clock, counted from its start.
+// Instant is a point on a monotonic clock of the process, counted from a start that the caller chooses.
 type Instant time.Duration
 
-// Add gives the instant a span later.
+// Add returns the instant t+span.
 func (t Instant) Add(span time.Duration) Instant { return t + Instant(span) }
 
-// Sub gives the span since another instant.
+// Sub returns the duration t-other.
 func (t Instant) Sub(other Instant) time.Duration { return time.Duration(t - other) }
 
-// InstanceID names one incarnation of a receiver.
+// InstanceID identifies one incarnation of a receiver.
 type InstanceID string
 
-// RequestID names a request within this process; no two that are unfinished share one.
+// RequestID identifies a request within this process; it is unique among unfinished requests.
 type RequestID string
 
-// Receiver is what is listed of a receiver.
+// Receiver is a receiver's entry in the list.
 type Receiver struct {
 	ID      InstanceID
 	Service string
 	Address string // host:port
 	Zone    string
 
-	Slots          int // requests that it works on at once
-	MaxConnections int // that it accepts from all callers together; 0: not known
+	Slots          int // requests that it processes concurrently
+	MaxConnections int // that it accepts from all callers together; 0: unknown
 
-	Draining      bool          // nothing goes there any more
-	Silent        bool          // its heartbeats stay away: last choice
-	ColdRemaining time.Duration // how much longer it stays slow from its start
+	Draining      bool          // gets no more calls
+	Silent        bool          // its heartbeats are missing: used as a last resort
+	ColdRemaining time.Duration // how much longer it stays slow after its start
 	Engine        *EngineInfo   // nil for a plain service
 }
 
-// EngineInfo is what a service's configuration tells of its model engine.
+// EngineInfo describes a service's model engine, as configured.
 type EngineInfo struct {
-	KVCapacityTokens int // memory that running requests and cached parts share
-	ChunkTokens      int // tokens in one event of a stream
+	KVCapacityTokens int // memory shared by running requests and cached prompts
+	ChunkTokens      int // tokens per event of a stream
 }
 
-// Report is what a receiver last told of itself.
+// Report is the load that a receiver reported last.
 type Report struct {
 	Running, Queued             int
-	KVUsedTokens, KVTotalTokens int // tokens; total 0: not told
-	// Age is how old the told state is, with the receiver's own lag. When unsure tell it too old: a call is then
-	// counted twice for a moment rather than not at all.
+	KVUsedTokens, KVTotalTokens int // total 0: not reported
+	// Age is how old the reported state is, including the receiver's own lag. If in doubt, overstate it: a call is
+	// then briefly counted twice rather than not at all.
 	Age time.Duration
-	// Sequence orders the reports of one receiver where the caller numbers them; a lower one is old news. 0:
-	// unknown.
+	// Sequence orders the reports of one receiver if the caller numbers them; a report with a lower one is ignored.
+	// 0: unknown.
 	Sequence uint64
 }
 
-// Kind says what may be repeated.
+// Kind tells whether a request may be repeated.
 type Kind int
 
-// The kinds.
+// The kinds of requests.
 const (
 	Unsafe    Kind = iota // runs at most once
 	Safe                  // may run more than once
 	Streaming             // as Unsafe, unless it is resumable
 )
 
-// PrefixPart is one part of a prompt, in order.
+// PrefixPart is one of the consecutive parts of a prompt.
 type PrefixPart struct {
 	ID     uint64
 	Tokens int
 }
 
-// Request is a request as it arrives.
+// Request is a request as submitted.
 type Request struct {
 	ID      RequestID
 	Service string // already chosen among the route's targets
-	Route   string // usual calls are learnt for each route and size; may be empty
+	Route   string // call durations are estimated per route and size; may be empty
 
 	Kind          Kind
-	Resumable     bool // a stream that another receiver may take up
+	Resumable     bool // a stream that another receiver can resume
 	Priority      int  // of the route; 0 is the most urgent
 	Deadline      Instant
-	Timeout       time.Duration // longest that the operator wants it held; 0: no bound
-	TargetLatency time.Duration // within which an answer earns its full worth; 0: none
+	Timeout       time.Duration // longest that the operator allows it to take; 0: no bound
+	TargetLatency time.Duration // within which a response has its full value; 0: none
 	MaxAttempts   int           // receivers that may run it; less than 1 counts as 1
 
-	Prefix          []PrefixPart // kept until the request ends
+	Prefix          []PrefixPart // retained until the request ends
 	InputTokens     int
-	MaxOutputTokens int // at most
+	MaxOutputTokens int
 
 	Program, Session string
-	ProgramStarted   bool          // its program is under way: more is lost with it than with one that begins
-	ProgramTimeLeft  time.Duration // left of the program's objective; 0: none
-	IsTurn           bool          // a turn of a program, not a call of a tool
+	ProgramStarted   bool          // its program is running: more is lost with it than with a new one
+	ProgramTimeLeft  time.Duration // until its program's target completion; 0: none
+	IsTurn           bool          // a turn of a program, not a tool call
 }
 
-// OutcomeKind says how an attempt ended.
+// OutcomeKind tells how an attempt ended.
 type OutcomeKind int
 
-// The outcomes. Only Full, Elsewhere and NotConnected prove that the receiver did not run the request.
+// The outcomes. Only Full, Misdirected and NotConnected prove that the receiver did not run the request.
 const (
-	Success        OutcomeKind = iota // the whole answer went to the client
-	ErrorResponse                     // the receiver's own failure (5xx) went to the client
+	Success        OutcomeKind = iota // the complete response went to the client
+	ErrorResponse                     // the receiver's error (5xx) went to the client
 	Full                              // 503 or 429 with Emberquay-Not-Executed
 	Misdirected                       // 421: another instance has the address
-	NotConnected                      // certain that no byte of the request was sent
-	TransportError                    // the connection or the answer broke: it may have run
-	TimedOut                          // the attempt's timeout passed: it may have run
-	Cancelled                         // called off by this side: it may have run
+	NotConnected                      // provably no byte of the request was sent
+	TransportError                    // the connection or the response broke off: it may have run
+	TimedOut                          // the attempt's timeout expired: it may have run
+	Cancelled                         // aborted by this proxy: it may have run
 )
 
-// Outcome is the end of an attempt.
+// Outcome is the result of an attempt.
 type Outcome struct {
 	Kind            OutcomeKind
-	RetryAfter      time.Duration // told with Full; 0: untold
-	TimeToFirstByte time.Duration // from sending to the first byte or event of the answer; 0: none came
+	RetryAfter      time.Duration // given with Full; 0: not given
+	TimeToFirstByte time.Duration // from sending to the first byte or event of the response; 0: none came
 	Duration        time.Duration // from sending to the end
 }
 
-// MayHaveRun: the outcome does not prove that the request was not run.
+// MayHaveRun reports whether the outcome leaves open that the request was run.
 func (k OutcomeKind) MayHaveRun() bool { return k != Full && k != Misdirected && k != NotConnected }
 
-// Send asks to pass a request on to a receiver. Report its end with AttemptEnded.
+// Send asks the caller to send a request to a receiver and to report the end of the call with AttemptEnded.
 type Send struct {
 	Request  RequestID
 	Attempt  int // counts all sends of the request, from 1
 	Instance InstanceID
 	Address  string
 	Timeout  time.Duration // for the whole attempt
-	Priority int           // for the receiver: 0 first, 9 last, DefaultPriority if nothing is to be gained
+	Priority int           // for the receiver: 0 is the most urgent, 9 the least, DefaultPriority what it assumes if none is sent
 }
 
-// Refusal asks to answer a request at once; the dispatcher has forgotten it. Where part of an answer has gone
-// to the client, only the cut of it is left.
+// Refusal asks the caller to answer a request at once; the dispatcher has forgotten it. If part of a response has
+// already gone to the client, the caller can only abort it.
 type Refusal struct {
 	Request    RequestID
-	Status     int // 503 where it has not run and never will; 502 or 504 where it may have run
+	Status     int // 503 if it has not run and never will; 502 or 504 if it may have run
 	RetryAfter time.Duration
-	MayHaveRun bool // it may have run
+	MayHaveRun bool // a receiver may have run it
 	Reason     Reason
 }
 
-// Reason says why a request was refused.
+// Reason tells why a request was refused.
 type Reason int
 
-// The reasons.
+// The reasons of refusals.
 const (
-	TooLate      Reason = iota // no receiver could answer it within its time
-	Overloaded                 // its kind, or a more urgent one, would wait longer than its objective bears
-	NotAdmitted                // a program that begins, beyond the share that is admitted
-	Unrepeatable               // its last call failed, and it may not go again
-	ReasonCount                // their number
+	TooLate      Reason = iota // no receiver could answer it in time
+	Overloaded                 // the queue is full, or it or a more urgent request would wait longer than its objective allows
+	NotAdmitted                // a new program beyond the admitted share
+	Unrepeatable               // its last call failed, and it may not be retried
+	ReasonCount                // number of reasons
 )
 
-// String is the reason as metrics have it.
+// String returns the reason as named in metrics.
 func (r Reason) String() string {
 	return [...]string{"too_late", "overloaded", "not_admitted", "unrepeatable"}[r]
 }
 
-// The statuses of refusals.
+// HTTP status codes of refusals.
 const (
 	StatusBadGateway         = 502
 	StatusServiceUnavailable = 503
 	StatusGatewayTimeout     = 504
 )
 
-// Effects is what an event calls for. Its slices are valid until the dispatcher is next called.
+// Effects are the actions that an event calls for. Its slices are valid until the next call of the dispatcher.
 type Effects struct {
 	Sends    []Send
 	Refusals []Refusal
-	WakeAt   Instant // call Tick at this instant at the latest; 0: as asked before
+	WakeAt   Instant // call Tick at this instant at the latest; 0: as last requested
 }
--- a/admission/dispatch/outcome.go
+++ b/admission/dispatch/outcome.go
@@ -8,26 +8,27 @@
 )
 
 const (
-	// maxNotRunCalls bounds the calls of a request that are proven not run, which its attempts do not count.
+	// maxNotRunCalls bounds a request's calls that provably did not run, which do not count as attempts.
 	maxNotRunCalls = 16
-	// attemptTimeoutFactor is how many usual calls one may take where another receiver may run it after.
+	// attemptTimeoutFactor is the timeout, in expected call durations, of an attempt that another receiver may
+	// follow.
 	attemptTimeoutFactor = 15
-	// minAttemptTimeout keeps a short usual call from ending one that a receiver is at work on.
+	// minAttemptTimeout keeps a short expected duration from ending a call that a receiver is still working on.
 	minAttemptTimeout = time.Second
 )
 
 func (q *request) attemptLimit() int { return max(1, q.MaxAttempts) }
 
-// idempotent: it may run again after it may have run. What has begun to reach the client goes on only as a
-// stream that may be taken up.
+// idempotent reports whether the request may run again after it may have run. Once part of the response has gone to
+// the client, only a resumable stream can be continued.
 func (q *request) idempotent() bool {
 	return q.Kind == Safe && !q.responseStarted || q.Kind == Streaming && q.Resumable
 }
 
-// mayHaveRunOn: the receiver may have run the request already.
+// mayHaveRunOn reports whether the receiver may already have run the request.
 func (q *request) mayHaveRunOn(e *endpoint) bool { return slices.Contains(q.ranOn, e.ID) }
 
-// mayRetry is the one place that allows another call of a request after one has ended.
+// mayRetry reports whether a request may be sent again after a call has ended. No other code decides this.
 func (q *request) mayRetry() bool {
 	if q.cancelled || len(q.ranOn) >= q.attemptLimit() || q.notRunCalls >= maxNotRunCalls {
 		return false
@@ -35,7 +36,7 @@
 	return !q.mayHaveRun || q.idempotent()
 }
 
-// AttemptEnded tells the end of an attempt; news of any but the one that is out is dropped.
+// AttemptEnded records the end of an attempt. It ignores any attempt other than the one in flight.
 func (d *Dispatcher) AttemptEnded(now Instant, id RequestID, attempt int, o Outcome) Effects {
 	d.beginEvent(now)
 	q := d.requests[id]
@@ -63,7 +64,7 @@
 	return d.finishEvent()
 }
 
-// recordOutcome keeps what the end of a call means for the request.
+// recordOutcome updates the request with the outcome of a call.
 func (q *request) recordOutcome(e *endpoint, kind OutcomeKind) {
 	if !kind.MayHaveRun() {
 		q.notRunCalls++
@@ -82,7 +83,7 @@
 	}
 }
 
-// updateEndpoint takes from the end of a call what it tells of its receiver.
+// updateEndpoint updates an endpoint with the outcome of a call.
 func (d *Dispatcher) updateEndpoint(s *service, q *request, e *endpoint, o Outcome) {
 	expected := d.estimate(s, q).total()
 	switch o.Kind {
@@ -104,7 +105,7 @@
 	case Misdirected:
 		e.misdirected = true
 	case Cancelled:
-		if q.isOverdue(d.now) { // its client has given up what the receiver never began to answer
+		if q.isOverdue(d.now) { // the client gave up a call whose response never started
 			e.recordError(d.now)
 			e.recordFailure(d.now, d.random.Unit())
 		}
@@ -116,8 +117,8 @@
 	}
 }
 
-// recordFailure tells a receiver that fails from one that is only crowded: who has answered others since the call
-// was sent is there. Its connections may all be taken; the next try is at a moment of this sender's.
+// recordFailure distinguishes a failing receiver from a crowded one: a receiver that has responded to another call
+// since this one was sent is running. Its connections may all be in use, so it is tried again after a random delay.
 func (d *Dispatcher) recordFailure(q *request, e *endpoint, kind OutcomeKind, expected time.Duration) {
 	responding := e.lastResponse > q.sentAt
 	switch {
--- a/admission/dispatch/overdue_test.go
+++ b/admission/dispatch/overdue_test.go
@@ -10,62 +10,62 @@
 var _ = ginkgo.Describe("a receiver that leaves a call hanging", func() {
 	var s *driver
 	const slots = 8
-	overdue := overdueFactor*10*ms + minOverdueDelay
+	overdueDelay := overdueFactor*10*ms + minOverdueDelay
 
 	// hang has one call taken by a receiver that does not begin to answer it.
-	hang := func() InstanceID {
+	hangCall := func() InstanceID {
 		s.submit("hangs")
 		return s.lastSend("hangs").Instance
 	}
 	// taken says which receivers get the next calls; each is answered at once.
-	taken := func(prefix string, count int) map[InstanceID]int {
-		by := map[InstanceID]int{}
+	countChoices := func(prefix string, count int) map[InstanceID]int {
+		counts := map[InstanceID]int{}
 		for i := range count {
 			id := RequestID(prefix + string(rune('a'+i)))
 			s.submit(id)
-			by[s.lastSend(id).Instance]++
+			counts[s.lastSend(id).Instance]++
 			s.complete(id, 2*ms)
 		}
-		return by
+		return counts
 	}
 
 	ginkgo.BeforeEach(func() { s = newDriver(plain("one", slots), plain("two", slots)).warmUp(20 * ms) })
 
 	ginkgo.It("gets no more calls while the other is good, though it has allowance", func() {
-		at := hang()
-		s.advance(overdue + 100*ms)
-		Expect(taken("later-", 10)).NotTo(HaveKey(at))
+		at := hangCall()
+		s.advance(overdueDelay + 100*ms)
+		Expect(countChoices("later-", 10)).NotTo(HaveKey(at))
 	})
 
 	ginkgo.It("gets calls as before until the answer is overdue", func() {
-		at := hang()
+		at := hangCall()
 		s.advance(20 * ms)
-		Expect(taken("soon-", 20)).To(HaveKey(at))
+		Expect(countChoices("soon-", 20)).To(HaveKey(at))
 	})
 
 	ginkgo.It("gets calls again once the answer has come", func() {
-		at := hang()
-		s.advance(overdue + 100*ms)
-		s.endAttempt("hangs", Outcome{Kind: Success, TimeToFirstByte: overdue, Duration: overdue})
-		by := map[InstanceID]int{}
+		at := hangCall()
+		s.advance(overdueDelay + 100*ms)
+		s.endAttempt("hangs", Outcome{Kind: Success, TimeToFirstByte: overdueDelay, Duration: overdueDelay})
+		counts := map[InstanceID]int{}
 		for i := range 2 * slots { // more than the other takes at once
 			id := RequestID("after-" + string(rune('a'+i)))
 			s.submit(id)
-			by[s.lastSend(id).Instance]++
+			counts[s.lastSend(id).Instance]++
 		}
-		Expect(by).To(HaveKeyWithValue(at, slots))
+		Expect(counts).To(HaveKeyWithValue(at, slots))
 	})
 
 	ginkgo.It("counts as failing where the client gave the call up", func() {
-		at := hang()
-		s.advance(overdue + 100*ms)
+		at := hangCall()
+		s.advance(overdueDelay + 100*ms)
 		s.collect(s.Cancel(s.now, "hangs"))
 		s.endAttempt("hangs", Outcome{Kind: Cancelled})
 		Expect(s.Dispatcher.endpoints[at].consecutiveFailures).To(Equal(1))
 	})
 
 	ginkgo.It("counts for nothing where the client gave it up in the usual time", func() {
-		at := hang()
+		at := hangCall()
 		s.advance(5 * ms)
 		s.collect(s.Cancel(s.now, "hangs"))
 		s.endAttempt("hangs", Outcome{Kind: Cancelled})
@@ -75,7 +75,7 @@
 	ginkgo.It("is still used where all do so", func() {
 		s = newDriver(plain("one", slots)).warmUp(20 * ms)
 		s.submit("hangs")
-		s.advance(overdue + 100*ms)
+		s.advance(overdueDelay + 100*ms)
 		s.submit("next", func(r *Request) { r.Deadline = s.now.Add(5 * time.Second) })
 		s.advance(time.Second)
 		Expect(s.lastSend("next").Instance).To(BeEquivalentTo("one"))
--- a/admission/dispatch/overload_test.go
+++ b/admission/dispatch/overload_test.go
@@ -44,12 +44,12 @@
 	})
 	ginkgo.It("keeps those of programs under way", func() {
 		s := overloaded()
-		begun := func(r *Request) { r.ProgramStarted = true }
+		started := func(r *Request) { r.ProgramStarted = true }
 		s.submit("new", objective(300*ms))
 		for i := range 4 {
-			s.submit(RequestID(fmt.Sprint(i)), objective(300*ms), begun)
+			s.submit(RequestID(fmt.Sprint(i)), objective(300*ms), started)
 		}
-		s.submit("under way", objective(300*ms), begun)
+		s.submit("under way", objective(300*ms), started)
 		Expect(s.refusal("new")).NotTo(BeNil())
 		Expect(s.refusals).To(HaveLen(1))
 	})
--- a/admission/dispatch/prefix.go
+++ b/admission/dispatch/prefix.go
@@ -3,19 +3,19 @@
 import "time"
 
 const (
-	// maxCachedParts bounds the parts of prompts that are remembered of one receiver, whatever its memory.
+	// maxCachedParts bounds the remembered prompt parts per receiver, whatever its memory.
 	maxCachedParts = 1024
-	// cachedPartLifetime is how long a part that this sender sent is taken to be kept: other senders' prompts, which it
-	// does not see, push it out meanwhile.
+	// cachedPartLifetime is how long a part sent by this proxy is assumed to stay cached: prompts of other proxies,
+	// which it does not see, evict it meanwhile.
 	cachedPartLifetime = 30 * time.Second
 )
 
-// prefixCache is this sender's guess of what a receiver keeps of prompts: the parts that it was sent lately,
-// least recently used first to go. A part counts only after the same parts as when it was sent, so each is
-// kept under a hash of itself and all before it.
+// prefixCache is this proxy's estimate of the prompts that a receiver has cached: the parts sent to it recently,
+// evicted in least recently used order. A part is cached only behind the same preceding parts, so its key is a hash
+// of itself and all parts before it.
 type prefixCache struct {
 	parts    map[uint64]*cachedPart
-	newest   *cachedPart // of a ring
+	newest   *cachedPart // of a ring, linked by age
 	tokens   int
 	capacity int // tokens
 }
@@ -27,13 +27,13 @@
 	newer, older *cachedPart
 }
 
-// chainedHash adds a part's id to the hash of those before it (a step of FNV-1a over words, mixed once).
+// chainedHash adds a part's id to the hash of the parts before it (a step of FNV-1a over words, mixed once).
 func chainedHash(key, id uint64) uint64 {
 	key = (key ^ id) * 0x9e3779b97f4a7c15
 	return key ^ key>>29
 }
 
-// cachedTokens gives how many tokens of a prompt's beginning are thought to be kept.
+// cachedTokens estimates how many tokens at the start of a prompt are cached.
 func (c *prefixCache) cachedTokens(now Instant, prefix []PrefixPart) int {
 	tokens, key := 0, uint64(0)
 	for _, p := range prefix {
@@ -50,7 +50,7 @@
 	return tokens
 }
 
-// add notes that a prompt was sent. Parts that come first are noted as used last, as the others are worth
+// add records that a prompt was sent. Earlier parts become the more recently used ones, as later parts are worth
 // nothing without them.
 func (c *prefixCache) add(now Instant, prefix []PrefixPart, capacity int) {
 	if len(prefix) == 0 || capacity <= 0 {
@@ -85,7 +85,7 @@
 	c.link(part)
 }
 
-// link puts a part in as the newest; the newest's newer neighbour is the oldest.
+// link inserts a part as the newest; the newest part's newer neighbour is the oldest.
 func (c *prefixCache) link(p *cachedPart) {
 	if c.newest == nil {
 		p.newer, p.older = p, p
--- a/admission/dispatch/programs_test.go
+++ b/admission/dispatch/programs_test.go
@@ -56,7 +56,7 @@
 	now             Instant
 	seq             int
 	events          simQueue
-	chance          admission.PCG
+	random          admission.PCG
 	engines         []*programEngine
 	proxies         []*programProxy
 	startCount      int
@@ -119,9 +119,9 @@
 
 // admit begins what fits, in order.
 func (e *programEngine) admit() {
-	isGone := func(c *programCall) bool { return c.cancelled }
-	e.running = slices.DeleteFunc(e.running, isGone)
-	e.queued = slices.DeleteFunc(e.queued, isGone)
+	isCancelled := func(c *programCall) bool { return c.cancelled }
+	e.running = slices.DeleteFunc(e.running, isCancelled)
+	e.queued = slices.DeleteFunc(e.queued, isCancelled)
 	usedTokens := e.usedTokens()
 	for len(e.running) < programSlots && len(e.queued) > 0 {
 		c := e.queued[0]
@@ -129,8 +129,8 @@
 			break
 		}
 		e.queued = e.queued[1:]
-		c.unreadTokens = c.promptTokens - e.cache.cachedTokens(e.m.now, c.prefix)
-		e.m.prefilledTokens += c.unreadTokens
+		c.uncachedTokens = c.promptTokens - e.cache.cachedTokens(e.m.now, c.prefix)
+		e.m.prefilledTokens += c.uncachedTokens
 		e.running = append(e.running, c)
 		usedTokens += c.memoryTokens()
 	}
@@ -151,12 +151,12 @@
 		chunk = c.prefill(chunk)
 	}
 	prefillTime := time.Duration(float64(programPrefillChunkTokens-chunk) / programPrefillTokensPerMs * float64(time.Millisecond))
-	e.m.after(programStep+time.Duration(len(e.running))*programStepPerRunning+prefillTime, e.stepped)
+	e.m.after(programStep+time.Duration(len(e.running))*programStepPerRunning+prefillTime, e.finishStep)
 }
 
-func (e *programEngine) stepped() {
+func (e *programEngine) finishStep() {
 	for _, c := range slices.Clone(e.running) {
-		if c.unreadTokens > 0 || c.cancelled {
+		if c.uncachedTokens > 0 || c.cancelled {
 			continue
 		}
 		if !c.started {
@@ -168,7 +168,7 @@
 			e.m.after(programNetworkDelay, c.onFirst)
 		}
 		if c.tokensLeft--; c.tokensLeft <= 0 {
-			e.running = slices.DeleteFunc(e.running, func(o *programCall) bool { return o == c })
+			e.running = slices.DeleteFunc(e.running, func(other *programCall) bool { return other == c })
 			e.m.after(programNetworkDelay, c.onDone)
 		}
 	}
@@ -248,10 +248,10 @@
 		c.promptTokens += part.Tokens
 	}
 	t.call = c
-	var first time.Duration
+	var firstByte time.Duration
 	c.onFirst = func() {
 		if p.incarnation == incarnation && !t.ended {
-			first, t.started = m.now.Sub(t.sentAt), true
+			firstByte, t.started = m.now.Sub(t.sentAt), true
 			p.carryOut(p.d.ResponseStarted(m.now, send.Request))
 		}
 	}
@@ -261,7 +261,7 @@
 		}
 		t.ended = true
 		delete(p.attempts, t.id)
-		p.attemptEnded(incarnation, send, Outcome{Kind: Success, TimeToFirstByte: first, Duration: m.now.Sub(t.sentAt)})
+		p.attemptEnded(incarnation, send, Outcome{Kind: Success, TimeToFirstByte: firstByte, Duration: m.now.Sub(t.sentAt)})
 		m.turnSucceeded(t.program)
 	}
 	m.after(programNetworkDelay, func() {
@@ -287,8 +287,8 @@
 // sendTurn sends the present turn of a program to some proxy.
 func (m *programModel) sendTurn(a *agent, retry bool) {
 	p := a.usualProxy
-	if retry || m.chance.Below(8) == 0 {
-		p = m.sameZone(p)
+	if retry || m.random.Below(8) == 0 {
+		p = m.proxyInSameZone(p)
 	}
 	if p.d == nil { // dark: the client gives the connection a second
 		m.after(time.Second, func() { m.turnFailed(a) })
@@ -304,24 +304,24 @@
 	for _, part := range a.parts {
 		r.InputTokens += part.Tokens
 	}
-	life := p.incarnation
+	incarnation := p.incarnation
 	m.after(programFirstByteTimeout, func() {
-		if !t.ended && !t.started && p.incarnation == life {
+		if !t.ended && !t.started && p.incarnation == incarnation {
 			p.abandon(t)
 		}
 	})
 	m.after(programDeadline, func() {
-		if !t.ended && p.incarnation == life {
+		if !t.ended && p.incarnation == incarnation {
 			p.abandon(t)
 		}
 	})
 	p.carryOut(p.d.Submit(m.now, r))
 }
 
-// sameZone gives some proxy of the zone of one.
-func (m *programModel) sameZone(as *programProxy) *programProxy {
+// proxyInSameZone gives some proxy of the zone of one.
+func (m *programModel) proxyInSameZone(as *programProxy) *programProxy {
 	for {
-		if p := m.proxies[m.chance.Below(len(m.proxies))]; p.zone == as.zone {
+		if p := m.proxies[m.random.Below(len(m.proxies))]; p.zone == as.zone {
 			return p
 		}
 	}
@@ -357,7 +357,7 @@
 		return
 	}
 	a.resends++
-	m.after(time.Duration(100+m.chance.Below(300))*time.Millisecond, func() { m.sendTurn(a, false) })
+	m.after(time.Duration(100+m.random.Below(300))*time.Millisecond, func() { m.sendTurn(a, false) })
 }
 
 // turnSucceeded goes on with the next turn after a pause.
@@ -365,45 +365,45 @@
 	a.resends = 0
 	a.turn++
 	if a.turn == len(a.turns) {
-		worth, took := 0.0, m.now.Sub(a.startedAt)
+		worth, duration := 0.0, m.now.Sub(a.startedAt)
 		switch {
-		case took <= a.target:
+		case duration <= a.target:
 			worth = 1
-		case took <= 2*a.target:
+		case duration <= 2*a.target:
 			worth = programLateWorth
 		}
 		m.end(a, worth)
 		return
 	}
-	a.parts = append(slices.Clone(a.parts), PrefixPart{ID: uint64(m.chance.Next()) | 1<<40,
+	a.parts = append(slices.Clone(a.parts), PrefixPart{ID: uint64(m.random.Next()) | 1<<40,
 		Tokens: 3*a.turns[a.turn-1].outputTokens + a.turns[a.turn].inputTokens})
-	m.after(time.Duration(50+m.chance.Below(250))*time.Millisecond, func() { m.sendTurn(a, false) })
+	m.after(time.Duration(50+m.random.Below(250))*time.Millisecond, func() { m.sendTurn(a, false) })
 }
 
 func (m *programModel) end(a *agent, worth float64) {
-	full := float64(len(a.turns))
-	m.ended = append(m.ended, endedProgram{a.startedAt, worth * full, full, a.turn, len(a.turns)})
+	fullWorth := float64(len(a.turns))
+	m.ended = append(m.ended, endedProgram{a.startedAt, worth * fullWorth, fullWorth, a.turn, len(a.turns)})
 }
 
 // startProgram starts a program of one of two kinds: some turns with much input, or many with little.
 func (m *programModel) startProgram() {
 	m.startCount++
-	a := &agent{id: fmt.Sprint("p", m.startCount), startedAt: m.now, priority: 1, usualProxy: m.proxies[m.chance.Below(len(m.proxies))]}
-	turns, input := 2+m.chance.Below(5), 1030
-	if m.chance.Below(100) < 28 {
-		turns, input, a.priority = 6+m.chance.Below(11), 514, 0
+	a := &agent{id: fmt.Sprint("p", m.startCount), startedAt: m.now, priority: 1, usualProxy: m.proxies[m.random.Below(len(m.proxies))]}
+	turns, input := 2+m.random.Below(5), 1030
+	if m.random.Below(100) < 28 {
+		turns, input, a.priority = 6+m.random.Below(11), 514, 0
 	}
-	idle := time.Duration(0)
+	idleDuration := time.Duration(0)
 	for range turns {
-		t := agentTurn{inputTokens: input/2 + m.chance.Below(input), outputTokens: 4 + m.chance.Below(15)}
+		t := agentTurn{inputTokens: input/2 + m.random.Below(input), outputTokens: 4 + m.random.Below(15)}
 		t.outputTokens *= 3
 		a.turns = append(a.turns, t)
-		idle += 31*time.Millisecond + programFirstToken + time.Duration(float64(t.inputTokens)/programPrefillTokensPerMs*float64(time.Millisecond)) +
+		idleDuration += 31*time.Millisecond + programFirstToken + time.Duration(float64(t.inputTokens)/programPrefillTokensPerMs*float64(time.Millisecond)) +
 			time.Duration(t.outputTokens)*programStep + 175*time.Millisecond
 	}
-	a.target = time.Duration(programTargetFactor*float64(idle)) + programObjective
-	kind := uint64(1 + 3*a.priority + m.chance.Below(3))
-	a.parts = []PrefixPart{{ID: kind, Tokens: programSharedTokens}, {ID: uint64(m.chance.Next()) | 1<<40, Tokens: a.turns[0].inputTokens}}
+	a.target = time.Duration(programTargetFactor*float64(idleDuration)) + programObjective
+	kind := uint64(1 + 3*a.priority + m.random.Below(3))
+	a.parts = []PrefixPart{{ID: kind, Tokens: programSharedTokens}, {ID: uint64(m.random.Next()) | 1<<40, Tokens: a.turns[0].inputTokens}}
 	m.sendTurn(a, false)
 }
 
@@ -412,11 +412,11 @@
 		return
 	}
 	rate := m.programsPerSecond
-	if since := m.now.Sub(start); m.burstFactor > 0 && since >= m.burstFrom && since < m.burstTo {
+	if elapsed := m.now.Sub(start); m.burstFactor > 0 && elapsed >= m.burstFrom && elapsed < m.burstTo {
 		rate *= m.burstFactor
 	}
 	m.startProgram()
-	m.after(time.Duration(2*m.chance.Unit()/rate*float64(time.Second)), m.startPrograms)
+	m.after(time.Duration(2*m.random.Unit()/rate*float64(time.Second)), m.startPrograms)
 }
 
 func (m *programModel) receivers() []Receiver {
@@ -478,8 +478,8 @@
 	})
 }
 
-// drainOne drains an engine, which leaves when it has ended its work.
-func (m *programModel) drainOne() {
+// drainEngine drains an engine, which leaves when it has ended its work.
+func (m *programModel) drainEngine() {
 	for _, e := range m.engines {
 		if !e.draining {
 			e.draining = true
@@ -500,7 +500,7 @@
 }
 
 func newProgramModel(seed uint64, l workload) *programModel {
-	m := &programModel{workload: l, now: start, chance: admission.NewPCG(seed)}
+	m := &programModel{workload: l, now: start, random: admission.NewPCG(seed)}
 	zoneOf := func(i, of int) string { return fmt.Sprint("zone-", i*max(1, l.zones)/of) }
 	for i := range l.engines {
 		m.engines = append(m.engines, &programEngine{m: m, zone: zoneOf(i, l.engines), id: InstanceID(fmt.Sprint("e", i))})
@@ -516,7 +516,7 @@
 		m.after(at, m.losePower)
 	}
 	for i := range l.removedEngines {
-		m.after(l.removeFrom+time.Duration(i)*time.Second, m.drainOne)
+		m.after(l.removeFrom+time.Duration(i)*time.Second, m.drainEngine)
 	}
 	return m
 }
@@ -532,14 +532,14 @@
 
 // earnedShare is the part earned of what the programs owed that began in a span; those that never ended earned nothing.
 func (m *programModel) earnedShare(from, to time.Duration) float64 {
-	earned, owed := 0.0, 0.0
+	earned, fullWorth := 0.0, 0.0
 	for _, e := range m.ended {
 		if e.startedAt >= start.Add(from) && e.startedAt < start.Add(to) {
 			earned += e.worth
-			owed += e.fullWorth
+			fullWorth += e.fullWorth
 		}
 	}
-	return earned / max(1, owed)
+	return earned / max(1, fullWorth)
 }
 
 // goodput is what was earned a second by those that began in a span.
--- a/admission/dispatch/queue.go
+++ b/admission/dispatch/queue.go
@@ -10,38 +10,40 @@
 const (
 	// maxQueueLength bounds a service's queue.
 	maxQueueLength = 1024
-	// shedThreshold of a service's places taken is the least at which anything is refused for its objective.
+	// shedThreshold is the fraction of a service's slots in use below which nothing is refused for its latency
+	// objective.
 	shedThreshold = 0.5
-	// programWaitDivisor of what a program has left is what one wait may take: there are more turns to come.
+	// programWaitDivisor divides a program's remaining time to give the longest wait of one turn: more turns follow.
 	programWaitDivisor = 3
-	// freeWaitDivisor is the part of the objective for which a request may be held at no price where it is refused
-	// after all.
+	// freeWaitDivisor divides the target latency to give the wait that costs a request nothing even if it is refused
+	// in the end.
 	freeWaitDivisor = 4
-	// minTimeLeftDivisor is the part of the objective that a call must have: with less, no receiver can be said to be
-	// offered it.
+	// minTimeLeftDivisor divides the target latency to give the least time that a call must have left: with less, no
+	// receiver has a real chance to run it.
 	minTimeLeftDivisor = 10
-	// healthyDivisor is the part of a pool that must be good for the rest to be done without.
+	// healthyDivisor is the inverse of the fraction of a pool that must be healthy for the rest to be left out.
 	healthyDivisor = 3
-	// retryAfterJitter of the told wait is added by chance, so that those refused together do not come back together.
+	// retryAfterJitter is the largest fraction that is added to a refusal's Retry-After at random, so that requests
+	// refused together do not return together.
 	retryAfterJitter = 0.25
-	// minWakeDelay is the least time to the next wake: time alone changes nothing in less.
+	// minWakeDelay is the least time until the next wake-up: nothing changes by time alone in less.
 	minWakeDelay = time.Millisecond
 )
 
-// waitEstimate is how long the held requests of a service have to wait.
+// waitEstimate estimates how long the queued requests of a service have to wait.
 type waitEstimate struct {
-	blocked     time.Duration // until any receiver takes calls at all
-	interval    time.Duration // between releases from then on
-	usable      int           // receivers that take calls now or later
-	hasCapacity bool          // under roomShare of the places are taken
+	blocked     time.Duration // until the first endpoint takes calls
+	interval    time.Duration // between sends from then on
+	usable      int           // endpoints that take calls now or later
+	hasCapacity bool          // the slots in use are below shedThreshold
 }
 
-// wait estimates the time until the request at a place in the queue goes, the head's being 0.
+// wait estimates the time until the request at a queue position is sent; the head has position 0.
 func (e waitEstimate) wait(position int) time.Duration {
 	return e.blocked + time.Duration(position+1)*e.interval
 }
 
-// estimateWait: each call out frees its place after a usual call.
+// estimateWait assumes that each call in flight frees its slot after the mean call duration.
 func (s *service) estimateWait(now Instant) waitEstimate {
 	estimate := waitEstimate{blocked: time.Duration(math.MaxInt64)}
 	parallelCalls := 0
@@ -65,7 +67,7 @@
 	return estimate
 }
 
-// slotUsage gives how many of a service's places are thought to be taken, and how many there are.
+// slotUsage estimates how many of a service's slots are in use, and returns their total.
 func (s *service) slotUsage(now Instant) (used float64, total int) {
 	assumed := s.assumedLoad(now)
 	for _, e := range s.endpoints {
@@ -77,7 +79,7 @@
 	return used, total
 }
 
-// schedule decides for a service what goes, what is refused and when time alone next changes something.
+// schedule decides which queued requests of a service are sent or refused, and when to look at them again.
 func (d *Dispatcher) schedule(s *service) {
 	if len(s.queue) == 0 {
 		return
@@ -88,8 +90,8 @@
 	d.planWake(s)
 }
 
-// sendQueued sends from the head on while receivers are free. A request that can use none of them lets others
-// by, as each bucket has its own order.
+// sendQueued sends requests from the head of the queue while endpoints are free. A request that can use none of them
+// does not block those behind it, as order is kept per endpoint.
 func (d *Dispatcher) sendQueued(s *service) {
 	free := d.freeEndpoints(s)
 	for i := 0; i < len(s.queue) && len(free) > 0; {
@@ -111,15 +113,15 @@
 	}
 }
 
-// hasNoTime: a usual call passes the time that the request has, or hardly any is left. Where nothing is out
-// one goes in spite of its usual call: an old mean must not refuse all for ever.
+// hasNoTime reports whether an expected call exceeds the request's remaining time, or hardly any time remains. If no
+// call is in flight, the expected duration is ignored: an outdated estimate must not refuse everything for ever.
 func (d *Dispatcher) hasNoTime(s *service, q *request) bool {
 	remaining := q.expiresAt.Sub(d.now)
 	return remaining < max(minWakeDelay, q.TargetLatency/minTimeLeftDivisor) || s.inFlight > 0 && d.missesDeadline(s, q, 0)
 }
 
-// freeEndpoints finds the receivers that may get a call now. Never is most of a pool done without: then the
-// least bad are tried.
+// freeEndpoints returns the endpoints that may get a call now. If too few of the pool are healthy, it includes those
+// that are usable as a fallback.
 func (d *Dispatcher) freeEndpoints(s *service) []*endpoint {
 	healthy, usable := 0, 0
 	for _, e := range s.endpoints {
@@ -140,13 +142,13 @@
 	return d.free
 }
 
-// missesDeadline: the wait and a usual call pass the time that the request has.
+// missesDeadline reports whether the wait and an expected call exceed the request's remaining time.
 func (d *Dispatcher) missesDeadline(s *service, q *request, wait time.Duration) bool {
 	return d.now.Add(wait+d.estimate(s, q).total()) > q.expiresAt
 }
 
-// refuseUnservable refuses what cannot be answered in time, and what no receiver can run; where no receiver is
-// known at all, after as long as a request may be held for nothing, as one may be a moment late.
+// refuseUnservable refuses requests that cannot be answered in time or that no receiver can run. While no receiver is
+// known at all, a request first waits as long as that costs it nothing, as the list may be about to arrive.
 func (d *Dispatcher) refuseUnservable(s *service) {
 	estimate := s.estimateWait(d.now)
 	for i := 0; i < len(s.queue); {
@@ -161,15 +163,15 @@
 	}
 }
 
-// hasCandidate: some receiver may still run the request.
+// hasCandidate reports whether some receiver may still run the request.
 func (d *Dispatcher) hasCandidate(s *service, q *request) bool {
 	return slices.ContainsFunc(s.endpoints, func(e *endpoint) bool { return e.usable() && !q.mayHaveRunOn(e) })
 }
 
-// shed bounds a queue that outgrows its receivers. Where a request would wait longer than its objective
-// bears, the least urgent before it, or itself, is refused, those of programs under way last and the newest
-// first: a less urgent kind must not be served more often than a more urgent one. Nothing is refused while
-// there is room.
+// shed bounds the queue by refusing requests. Where a request would wait longer than its objective allows, the least
+// urgent one up to its position is refused; requests of running programs are refused last and the newest first. So
+// less urgent requests are not served more often than more urgent ones. Nothing is refused for its objective while
+// the service has capacity.
 func (d *Dispatcher) shed(s *service) {
 	for len(s.queue) > 0 {
 		estimate := s.estimateWait(d.now)
@@ -185,8 +187,8 @@
 	}
 }
 
-// firstOverLimit finds the first place in the queue that waits longer than its request bears; below 0 if none
-// does.
+// firstOverLimit returns the first queue position that exceeds the length limit or whose wait exceeds what its
+// request allows, or -1.
 func (d *Dispatcher) firstOverLimit(s *service, estimate waitEstimate) int {
 	for i, q := range s.queue {
 		if i >= maxQueueLength || !estimate.hasCapacity && d.now.Add(estimate.wait(i)) > q.mayWaitUntil {
@@ -196,7 +198,7 @@
 	return -1
 }
 
-// leastUrgent finds whom to refuse; nil if all may have run, as what they have cost would be lost.
+// leastUrgent returns the request to refuse, or nil if all may have run already: what those have cost would be lost.
 func leastUrgent(queue []*request) *request {
 	var candidate *request
 	for _, q := range queue {
@@ -207,7 +209,7 @@
 	return candidate
 }
 
-// compareUrgency orders requests by urgency: below 0 if q is refused before o.
+// compareUrgency orders requests by urgency; it is negative if q is refused before other.
 func (q *request) compareUrgency(other *request) int {
 	if c := cmp.Compare(other.Priority, q.Priority); c != 0 {
 		return c
@@ -221,8 +223,8 @@
 	return cmp.Compare(other.seq, q.seq)
 }
 
-// refuse answers a request at once. What has not run is told when to come back; what may have run is not told
-// that it has not.
+// refuse answers a request at once. A request that has not run gets a Retry-After; one that may have run is not
+// reported as unexecuted.
 func (d *Dispatcher) refuse(s *service, q *request, wait time.Duration, reason Reason) {
 	s.removeQueued(q)
 	refusal := Refusal{Request: q.ID, Status: q.failureStatus, MayHaveRun: q.mayHaveRun, Reason: reason}
@@ -235,7 +237,7 @@
 	d.removeRequest(q)
 }
 
-// planWake asks to be woken when time alone next changes what may be done for a service.
+// planWake requests a wake-up for the next time at which time alone changes what can be done for a service.
 func (d *Dispatcher) planWake(s *service) {
 	if len(s.queue) == 0 {
 		return
--- a/admission/dispatch/sim_test.go
+++ b/admission/dispatch/sim_test.go
@@ -49,7 +49,7 @@
 	now          Instant
 	seq          int
 	events       simQueue
-	chance       admission.PCG
+	random       admission.PCG
 	engines      map[InstanceID]*simEngine
 	ids          []InstanceID
 	proxies      []*simProxy
@@ -83,18 +83,18 @@
 }
 
 type simCall struct {
-	prefix       []PrefixPart
-	unreadTokens int
-	tokensLeft   int
-	started      bool
-	onFirst      func()
-	onDone       func()
+	prefix         []PrefixPart
+	uncachedTokens int
+	tokensLeft     int
+	started        bool
+	onFirst        func()
+	onDone         func()
 }
 
 // prefill reads prompt tokens of what is left of a step's piece, and gives what is left after it.
 func (c *simCall) prefill(chunk int) int {
-	tokens := min(chunk, c.unreadTokens)
-	c.unreadTokens -= tokens
+	tokens := min(chunk, c.uncachedTokens)
+	c.uncachedTokens -= tokens
 	return chunk - tokens
 }
 
@@ -129,8 +129,8 @@
 		for _, p := range c.prefix {
 			total += p.Tokens
 		}
-		c.unreadTokens = total - e.cache.cachedTokens(e.s.now, c.prefix)
-		e.s.result.prefilledTokens += c.unreadTokens
+		c.uncachedTokens = total - e.cache.cachedTokens(e.s.now, c.prefix)
+		e.s.result.prefilledTokens += c.uncachedTokens
 		e.running = append(e.running, c)
 	}
 	if len(e.running) == 0 {
@@ -142,12 +142,12 @@
 		chunk = c.prefill(chunk)
 	}
 	prefillTime := time.Duration(float64(simPrefillChunkTokens-chunk) / simPrefillTokensPerMs * float64(time.Millisecond))
-	e.s.after(simStep+time.Duration(len(e.running))*simStepPerRunning+prefillTime, e.stepped)
+	e.s.after(simStep+time.Duration(len(e.running))*simStepPerRunning+prefillTime, e.finishStep)
 }
 
-func (e *simEngine) stepped() {
+func (e *simEngine) finishStep() {
 	for _, c := range slices.Clone(e.running) {
-		if c.unreadTokens > 0 {
+		if c.uncachedTokens > 0 {
 			continue
 		}
 		if !c.started {
@@ -156,7 +156,7 @@
 			e.s.after(simNetworkDelay, c.onFirst)
 		}
 		if c.tokensLeft--; c.tokensLeft <= 0 {
-			e.running = slices.DeleteFunc(e.running, func(o *simCall) bool { return o == c })
+			e.running = slices.DeleteFunc(e.running, func(other *simCall) bool { return other == c })
 			e.served++
 			e.s.after(simNetworkDelay, c.onDone)
 		}
@@ -206,10 +206,10 @@
 func (p *simProxy) send(send Send) {
 	t, e := p.turns[send.Request], p.s.engines[send.Instance]
 	t.sentAt, t.wasSent = p.s.now, true
-	var first time.Duration
+	var firstByte time.Duration
 	c := &simCall{prefix: t.parts, tokensLeft: t.tokens}
 	c.onFirst = func() {
-		first = p.s.now.Sub(t.sentAt)
+		firstByte = p.s.now.Sub(t.sentAt)
 		p.s.result.firstBytes = append(p.s.result.firstBytes, p.s.now.Sub(t.submittedAt))
 		if p.s.now.Sub(t.submittedAt) <= simObjective {
 			p.s.result.onTime++
@@ -219,7 +219,7 @@
 	c.onDone = func() {
 		p.s.result.served[t.priority]++
 		p.s.result.durations = append(p.s.result.durations, p.s.now.Sub(t.submittedAt))
-		o := Outcome{Kind: Success, TimeToFirstByte: first, Duration: p.s.now.Sub(t.sentAt)}
+		o := Outcome{Kind: Success, TimeToFirstByte: firstByte, Duration: p.s.now.Sub(t.sentAt)}
 		p.carryOut(p.d.AttemptEnded(p.s.now, send.Request, send.Attempt, o))
 		p.s.nextTurn(p, t)
 	}
@@ -240,13 +240,13 @@
 	}
 	n := *t
 	n.turn++
-	n.parts = append(slices.Clone(t.parts), PrefixPart{ID: uint64(1000*n.session + n.turn + 10), Tokens: 200 + s.chance.Below(800)})
+	n.parts = append(slices.Clone(t.parts), PrefixPart{ID: uint64(1000*n.session + n.turn + 10), Tokens: 200 + s.random.Below(800)})
 	n.wasSent = false
-	s.after(time.Duration(50+s.chance.Below(200))*time.Millisecond, func() { s.turn(p, &n) })
+	s.after(time.Duration(50+s.random.Below(200))*time.Millisecond, func() { s.turn(p, &n) })
 }
 
 func (s *simulation) turn(p *simProxy, t *simTurn) {
-	t.submittedAt, t.tokens = s.now, 10+s.chance.Below(70)
+	t.submittedAt, t.tokens = s.now, 10+s.random.Below(70)
 	s.result.offered[t.priority]++
 	id := RequestID(fmt.Sprint(t.session, ".", t.turn))
 	p.turns[id] = t
@@ -270,11 +270,11 @@
 			return
 		}
 		session++
-		kind := s.chance.Below(4)
-		t := &simTurn{session: session, turns: 2 + s.chance.Below(5), priority: s.chance.Below(2),
-			parts: []PrefixPart{{ID: uint64(kind + 1), Tokens: 2500}, {ID: uint64(1000 * session), Tokens: 200 + s.chance.Below(800)}}}
-		s.turn(s.proxies[s.chance.Below(len(s.proxies))], t)
-		s.after(time.Duration(2*s.chance.Unit()/rate*float64(time.Second)), begin)
+		kind := s.random.Below(4)
+		t := &simTurn{session: session, turns: 2 + s.random.Below(5), priority: s.random.Below(2),
+			parts: []PrefixPart{{ID: uint64(kind + 1), Tokens: 2500}, {ID: uint64(1000 * session), Tokens: 200 + s.random.Below(800)}}}
+		s.turn(s.proxies[s.random.Below(len(s.proxies))], t)
+		s.after(time.Duration(2*s.random.Unit()/rate*float64(time.Second)), begin)
 	}
 	begin()
 }
@@ -293,15 +293,15 @@
 	s.after(simReportInterval, s.sendReports)
 }
 
-func simulate(known bool, proxies, engines int, rate float64) simResult {
-	s := &simulation{now: start, chance: admission.NewPCG(5), engines: map[InstanceID]*simEngine{}, promptsKnown: known,
+func simulate(promptsKnown bool, proxies, engines int, rate float64) simResult {
+	s := &simulation{now: start, random: admission.NewPCG(5), engines: map[InstanceID]*simEngine{}, promptsKnown: promptsKnown,
 		result: simResult{served: map[int]int{}, offered: map[int]int{}}}
 	var list []Receiver
 	for i := range engines {
 		r := engine(InstanceID(fmt.Sprint("e", i)))
 		s.engines[r.ID] = &simEngine{s: s, id: r.ID, slots: r.Slots}
 		s.ids = append(s.ids, r.ID)
-		if !known {
+		if !promptsKnown {
 			r.Engine = nil
 		}
 		list = append(list, r)
@@ -321,19 +321,19 @@
 	return s.result
 }
 
-func mean(all []time.Duration) time.Duration {
+func mean(durations []time.Duration) time.Duration {
 	sum := time.Duration(0)
-	for _, d := range all {
+	for _, d := range durations {
 		sum += d
 	}
-	return sum / time.Duration(max(1, len(all)))
+	return sum / time.Duration(max(1, len(durations)))
 }
 
 func (r simResult) String() string {
-	owed := r.offered[0] + r.offered[1]
+	offered := r.offered[0] + r.offered[1]
 	slices.Sort(r.firstBytes)
 	return fmt.Sprintf("owed %d served %v refused %d (late %d) full %d in time %.3f first %v p95 %v whole %v read %d served by one %d to %d",
-		owed, r.served, r.refused, r.refusedLate, r.rejected, float64(r.onTime)/float64(owed), mean(r.firstBytes).Round(time.Millisecond),
+		offered, r.served, r.refused, r.refusedLate, r.rejected, float64(r.onTime)/float64(offered), mean(r.firstBytes).Round(time.Millisecond),
 		r.firstBytes[len(r.firstBytes)*95/100].Round(time.Millisecond), mean(r.durations).Round(time.Millisecond), r.prefilledTokens, r.idlest, r.busiest)
 }
 
@@ -346,17 +346,17 @@
 // prompts are read anew less often, and no turn takes longer for it.
 func TestSessionsStayWithTheirCachedPrompts(t *testing.T) {
 	for _, rate := range []float64{10, 25, 50, 80} {
-		loads, all := simulate(false, 10, 12, rate), simulate(true, 10, 12, rate)
-		t.Log(rate, "by load:", loads)
-		t.Log(rate, "by cost:", all)
-		each := func(r simResult) float64 { return float64(r.prefilledTokens) / float64(r.offered[0]+r.offered[1]) }
+		byLoad, byCost := simulate(false, 10, 12, rate), simulate(true, 10, 12, rate)
+		t.Log(rate, "by load:", byLoad)
+		t.Log(rate, "by cost:", byCost)
+		prefillPerTurn := func(r simResult) float64 { return float64(r.prefilledTokens) / float64(r.offered[0]+r.offered[1]) }
 		switch {
-		case each(all) > 0.8*each(loads):
-			t.Errorf("at %v sessions a second a turn had %.0f tokens read, %.0f by load alone", rate, each(all), each(loads))
-		case mean(all.durations) > mean(loads.durations) || mean(all.firstBytes) > mean(loads.firstBytes):
-			t.Errorf("at %v sessions a second a turn took %v, %v by load alone", rate, mean(all.durations), mean(loads.durations))
-		case all.refused > 0:
-			t.Errorf("at %v sessions a second %d turns were refused", rate, all.refused)
+		case prefillPerTurn(byCost) > 0.8*prefillPerTurn(byLoad):
+			t.Errorf("at %v sessions a second a turn had %.0f tokens read, %.0f by load alone", rate, prefillPerTurn(byCost), prefillPerTurn(byLoad))
+		case mean(byCost.durations) > mean(byLoad.durations) || mean(byCost.firstBytes) > mean(byLoad.firstBytes):
+			t.Errorf("at %v sessions a second a turn took %v, %v by load alone", rate, mean(byCost.durations), mean(byLoad.durations))
+		case byCost.refused > 0:
+			t.Errorf("at %v sessions a second %d turns were refused", rate, byCost.refused)
 		}
 	}
 }
@@ -366,12 +366,12 @@
 	for _, rate := range []float64{120, 200, 400} {
 		r := simulate(true, 10, 12, rate)
 		t.Log(rate, r, r.share(0), r.share(1))
-		owed := r.offered[0] + r.offered[1]
+		offered := r.offered[0] + r.offered[1]
 		switch {
 		case r.refused == 0:
 			t.Errorf("at %v sessions a second nothing was refused", rate)
-		case r.refusedLate*100 > owed:
-			t.Errorf("at %v sessions a second %d of %d turns were refused after they had been held", rate, r.refusedLate, owed)
+		case r.refusedLate*100 > offered:
+			t.Errorf("at %v sessions a second %d of %d turns were refused after they had been held", rate, r.refusedLate, offered)
 		case r.share(0) < r.share(1)-0.05:
 			t.Errorf("at %v sessions a second %.2f of the urgent and %.2f of the others were served", rate, r.share(0), r.share(1))
 		}
--- a/admission/dispatch/state.go
+++ b/admission/dispatch/state.go
@@ -9,9 +9,9 @@
 	"emberquay/admission"
 )
 
-// What is kept of requests, receivers and services. Nothing is decided here.
+// State of requests, endpoints and services. This file makes no decisions.
 
-// Dispatcher holds the decisions of one proxy. It belongs to one goroutine.
+// Dispatcher makes the dispatch decisions of one proxy. It is not safe for concurrent use.
 type Dispatcher struct {
 	now            Instant
 	zone           string
@@ -22,93 +22,93 @@
 	estimates      map[callClass]*callEstimate
 	activePrograms programSet
 	submitted      uint64
-	scheduledWake  Instant // asked for and not come; 0: none
-	nextWake       Instant // the earliest that this event found
-	stopAt         Instant // the process ends; 0: it goes on
+	scheduledWake  Instant // requested and not yet reached; 0: none
+	nextWake       Instant // earliest one found in this event
+	stopAt         Instant // end of the process; 0: none set
 
-	// Kept between events, so that they need not be made anew.
+	// Reused between events to avoid allocations.
 	effects         Effects
 	free            []*endpoint
 	costs           []float64
-	meanLoad        float64 // of the receivers among which one is chosen
-	assumedLoad     float64 // of the service's receivers that reports tell of
+	meanLoad        float64 // of the free endpoints of the present choice
+	assumedLoad     float64 // of endpoints without a fresh report
 	spareRequests   []*request
 	defaultEstimate callEstimate
 }
 
-// request is a request that has no end yet, or whose call has none.
+// request is a request that has not ended, or whose call has not.
 type request struct {
 	Request
 	class        callClass
-	seq          uint64    // order of arrival
-	promptTokens int       // tokens
-	programKey   uint64    // hash of its program's name; 0: it has none
-	home         *endpoint // where its program's prompts are looked for when this sender has not sent them; nil: nowhere
+	seq          uint64 // order of submission
+	promptTokens int
+	programKey   uint64    // hash of the program's name; 0: no program
+	home         *endpoint // where the program's prompts are assumed to be cached if this proxy has not sent them; nil: nowhere
 	submittedAt  Instant
-	expiresAt    Instant // the deadline, or the route's timeout
-	mayWaitUntil Instant // what the objective bears
+	expiresAt    Instant // earliest of deadline, timeout and end of the process
+	mayWaitUntil Instant // limit set by the latency objective
 
-	endpoint             *endpoint // where a call is out; nil: none is
+	endpoint             *endpoint // of the call in flight; nil: none
 	sentAt               Instant
-	overdueAt            Instant // by when the answer to the call that is out should have begun
+	overdueAt            Instant // when the response to the call in flight should have started
 	attempt              int
-	pendingPrefillTokens int          // prompt tokens that its receiver has yet to read
-	minUncachedTokens    float64      // prompt tokens that the free receiver which keeps most would have to read
-	notRunCalls          int          // calls of it that were proven not run
+	pendingPrefillTokens int          // prompt tokens that the receiver has yet to read
+	minUncachedTokens    float64      // prompt tokens to be read by the free endpoint that has most of them cached
+	notRunCalls          int          // calls that provably did not run
 	ranOn                []InstanceID // receivers that may have run it
-	lastFailedOn         InstanceID   // the last that failed it
+	lastFailedOn         InstanceID   // the last receiver with an outcome other than Full
 
 	mayHaveRun      bool
-	failureStatus   int  // the status that tells how the last call that may have run failed
-	responseStarted bool // part of an answer has gone to the client
-	cancelled       bool // nobody waits for it any more
-	startCounted    bool // whether its answer began in time has been counted
+	failureStatus   int  // for the last call that may have run and failed
+	responseStarted bool // part of a response has gone to the client
+	cancelled       bool // the client no longer waits
+	startCounted    bool // its start has been counted as late or in time
 	placement       placement
 }
 
-// maxSpareRequests bounds the request records that are kept for reuse.
+// maxSpareRequests bounds the request records kept for reuse.
 const maxSpareRequests = 256
 
-// service is the receivers of one service and what is held for them, in order of arrival.
+// service holds the endpoints of one service and the queue of its requests, in order of submission.
 type service struct {
 	name               string
 	endpoints          []*endpoint
 	queue              []*request
-	inFlight           int     // calls out
-	meanDuration       float64 // a usual call, any size
-	meanUncachedTokens float64 // prompt tokens of a usual call that no receiver keeps
+	inFlight           int     // calls
+	meanDuration       float64 // of a call of any size, in nanoseconds
+	meanUncachedTokens float64 // prompt tokens of a call that no receiver has cached
 
 	admit admitShares
 }
 
-// endpoint is what this sender knows of one receiver endpoint, and what it has out there.
+// endpoint is what this proxy knows of one receiver endpoint, and its calls in flight there.
 type endpoint struct {
 	Receiver
-	idHash               uint64 // hash of its id
-	probed               bool   // a call was answered since the bucket was new, waited or rested; until then one call is out
-	misdirected          bool   // another instance answered at its address: nothing until the list says otherwise
+	idHash               uint64 // hash of the instance id
+	probed               bool   // responded since it was new, blocked or in backoff; until then one call at a time
+	misdirected          bool   // another instance answers at its address: no calls until its address changes
 	window               admission.Window
-	blockedUntil         Instant         // told with a refusal
-	rejectionCountedAt   Instant         // when a refusal was last counted; those refused together count once
-	backoffUntil         Instant         // after failures
-	consecutiveFailures  int             // in a row
-	lastResponse         Instant         // last sign of life
-	errors               admission.Share // of late calls that failed, as of illAt
+	blockedUntil         Instant // end of the Retry-After of a rejection
+	rejectionCountedAt   Instant // when a rejection last reduced the window; those of calls sent before do not reduce it again
+	backoffUntil         Instant // after failures
+	consecutiveFailures  int
+	lastResponse         Instant         // when a response last started or a rejection came
+	errors               admission.Share // share of recent calls that failed, as of errorsAt
 	errorsAt             Instant
-	relativeDuration     float64 // how long its calls take against usual ones; 0: not known
+	relativeDuration     float64 // of its calls, as a multiple of the expected duration; 0: unknown
 	inFlight             []*request
-	pendingPrefillTokens int // prompt tokens of calls out that have not begun to answer
+	pendingPrefillTokens int // of calls in flight without a response
 	reported             reportedState
 	prefixes             prefixCache
 }
 
-// reportedState is the newest report, and what own calls have changed since the moment it speaks of.
+// reportedState is the newest report and the changes by this proxy's calls since the time that it describes.
 type reportedState struct {
 	Report
 	valid         bool
-	measuredAt    Instant // the moment that it speaks of
-	sentSince     int     // own calls sent after it that are out
-	endedSince    int     // own calls that were out then and have ended
+	measuredAt    Instant // the time that the report describes
+	sentSince     int     // calls sent since that are in flight
+	endedSince    int     // calls that were in flight then and have ended
 	recentlyEnded []endedCall
 }
 
@@ -118,7 +118,7 @@
 	return &endpoint{Receiver: r, idHash: xxhash.Sum64String(string(r.ID)), window: admission.Window(max(1, r.Slots))}
 }
 
-// updateListing takes what the list says of the receiver now.
+// updateListing applies a new list entry of the receiver.
 func (e *endpoint) updateListing(r Receiver) {
 	if r.Address != e.Address {
 		e.misdirected = false
@@ -138,7 +138,7 @@
 	return s
 }
 
-// enqueue puts a request in its place by arrival: one that comes back stands at the head again.
+// enqueue inserts a request by order of submission: a request that is retried goes before later ones.
 func (s *service) enqueue(q *request) {
 	bySeq := func(other *request, seq uint64) int { return cmp.Compare(other.seq, seq) }
 	i, _ := slices.BinarySearchFunc(s.queue, q.seq, bySeq)
@@ -151,7 +151,7 @@
 	}
 }
 
-// takeSpareRequest gives a record for a request, an old one if there is any.
+// takeSpareRequest returns a request record, a spare one if there is any.
 func (d *Dispatcher) takeSpareRequest() *request {
 	n := len(d.spareRequests)
 	if n == 0 {
@@ -162,7 +162,7 @@
 	return q
 }
 
-// removeRequest drops a request that has its end and no call out.
+// removeRequest forgets a request that has ended and has no call in flight.
 func (d *Dispatcher) removeRequest(q *request) {
 	delete(d.requests, q.ID)
 	if len(d.spareRequests) < maxSpareRequests {
--- a/admission/dispatch/stats.go
+++ b/admission/dispatch/stats.go
@@ -1,14 +1,14 @@
 package dispatch
 
-// Stats is what a dispatcher holds at a moment.
+// Stats is a snapshot of a dispatcher's state.
 type Stats struct {
-	Queued    int // requests that are held
-	InFlight  int // calls that are out
-	Receivers int // listed
+	Queued    int // requests waiting to be sent
+	InFlight  int // calls
+	Receivers int // listed receivers
 	Allowance int // calls that all receivers together may get now
 }
 
-// Stats looks at what the dispatcher holds. It changes nothing.
+// Stats returns a snapshot of the dispatcher's state at now. It does not change the decisions.
 func (d *Dispatcher) Stats(now Instant) Stats {
 	var stats Stats
 	for _, s := range d.services {
--- a/admission/dispatch/unreported_test.go
+++ b/admission/dispatch/unreported_test.go
@@ -9,12 +9,12 @@
 )
 
 var _ = ginkgo.Describe("receivers that no report tells of", func() {
-	const each = 12
+	const enginesPerHalf = 12
 
 	// pools makes engines of which half are told to run so many requests.
-	pools := func(running int) *driver {
+	halfReporting := func(running int) *driver {
 		var list []Receiver
-		for i := range each {
+		for i := range enginesPerHalf {
 			list = append(list, engine(InstanceID(fmt.Sprint("told-", i))), engine(InstanceID(fmt.Sprint("untold-", i))))
 		}
 		s := newDriver(list...)
@@ -25,22 +25,22 @@
 		return s
 	}
 	ginkgo.It("are taken to be about as busy as the others, not idle", func() {
-		s := pools(8)
-		told := 0
+		s := halfReporting(8)
+		toReporting := 0
 		for i := range 80 {
 			s.reportAll(8)
 			id := RequestID(fmt.Sprint(i))
 			s.submit(id, prompt(PrefixPart{ID: uint64(100 + i), Tokens: 2000}))
 			if strings.HasPrefix(string(s.lastSend(id).Instance), "told") {
-				told++
+				toReporting++
 			}
 			s.complete(id, 50*ms)
 		}
-		Expect(told).To(BeNumerically(">", 10))
+		Expect(toReporting).To(BeNumerically(">", 10))
 	})
 	ginkgo.It("are as busy as this sender alone makes them where that is more", func() {
-		s := pools(2)
-		for i := range 4 * each {
+		s := halfReporting(2)
+		for i := range 4 * enginesPerHalf {
 			s.submit(RequestID(fmt.Sprint(i)), prompt(PrefixPart{ID: uint64(100 + i), Tokens: 2000}))
 		}
 		for _, e := range s.endpoints {
@@ -48,7 +48,7 @@
 		}
 	})
 	ginkgo.It("leave no room where those that are told of are full", func() {
-		s := pools(25)
+		s := halfReporting(25)
 		Expect(s.service(pool).estimateWait(s.now).hasCapacity).To(BeFalse())
 	})
 	ginkgo.It("say nothing of each other: one that is told to be busy does not make the rest so", func() {
@@ -65,9 +65,9 @@
 
 // reportAll has each receiver of which anything is told report about so many running requests.
 func (s *driver) reportAll(running int) {
-	for i := range s.endpoints {
-		if strings.HasPrefix(string(i), "told") {
-			s.report(i, Report{Running: running + int(i[len(i)-1]-'0')%3 - 1})
+	for id := range s.endpoints {
+		if strings.HasPrefix(string(id), "told") {
+			s.report(id, Report{Running: running + int(id[len(id)-1]-'0')%3 - 1})
 		}
 	}
 }
--- a/admission/dispatch/usual.go
+++ b/admission/dispatch/usual.go
@@ -9,38 +9,39 @@
 )
 
 const (
-	// maxEstimates bounds the kinds of calls whose usual time is kept; past it the least recently used goes.
+	// maxEstimates bounds the call classes with an estimate; beyond it the least recently used is evicted.
 	maxEstimates = 1024
-	// outputTokenWeight: a token that is generated takes about as long as so many that are read.
+	// outputTokenWeight is the number of prompt tokens that take about as long to read as one output token to
+	// generate.
 	outputTokenWeight = 10
-	// defaultDuration is what a usual call takes until the first answer where the route tells no objective.
+	// defaultDuration is the expected duration before the first response of a service if there is no target latency.
 	defaultDuration = 100 * time.Millisecond
 )
 
-// callClass names a kind of call: those of a route, by doubling size.
+// callClass identifies calls with a common estimate: those of a route, by power of two of their size.
 type callClass struct {
 	service, route string
 	size           int
 }
 
-// callEstimate is what a call of a kind takes as a rule.
+// callEstimate holds the expected times of a class of calls, as weighted means in nanoseconds.
 type callEstimate struct {
 	class           callClass
-	duration        float64 // nanoseconds to the end; 0: none has ended
-	timeToFirstByte float64 // to the first byte
-	lastUsed        uint64
+	duration        float64 // to the end of the response; 0: no call has ended
+	timeToFirstByte float64 // 0: unknown
+	lastUsed        uint64  // sequence number of the last submitted request
 }
 
-// total is the time to the end of the answer.
+// total is the expected time to the end of the response.
 func (e *callEstimate) total() time.Duration { return time.Duration(e.duration) }
 
-// firstByte is the time to the first byte, which a stream's objective bounds.
+// firstByte is the expected time to the first byte, which the objective of a stream bounds.
 func (e *callEstimate) firstByte() time.Duration {
 	return time.Duration(cmp.Or(e.timeToFirstByte, e.duration))
 }
 
-// estimate finds what a call for the request takes as a rule; until the first answer that of the service, or a
-// guess: half of the objective.
+// estimate returns the expected times of a request's call. Before the first response of its class they are those of
+// the service, or else half of the target latency.
 func (d *Dispatcher) estimate(s *service, q *request) *callEstimate {
 	if e := d.estimates[q.class]; e != nil {
 		return e
@@ -50,7 +51,7 @@
 	return &d.defaultEstimate
 }
 
-// updateEstimate takes the times of a call that was answered.
+// updateEstimate records the times of a successful call.
 func (d *Dispatcher) updateEstimate(s *service, q *request, o Outcome) {
 	estimate := d.estimates[q.class]
 	if estimate == nil {
@@ -79,7 +80,7 @@
 	delete(d.estimates, oldest.class)
 }
 
-// less orders keys, so that what is forgotten does not hang on the order of a map.
+// less orders classes, so that evictions do not depend on map order.
 func (k callClass) less(other callClass) bool {
 	return cmp.Or(cmp.Compare(k.service, other.service), cmp.Compare(k.route, other.route), k.size-other.size) < 0
 }
