--- a/admission/dispatch/choice_test.go
+++ b/admission/dispatch/choice_test.go
@@ -34,7 +34,7 @@
 		return s
 	}
 
-	ginkgo.It("goes where the session's prompt is kept", func() {
+	ginkgo.It("prefers the receiver that has the session's prompt cached", func() {
 		s := engines(8)
 		s.submit("0", prompt(shared, turnPart(2)))
 		first := s.lastSend("0").Instance
@@ -46,7 +46,7 @@
 			s.complete(id, 200*ms)
 		}
 	})
-	ginkgo.It("leaves it where it has no allowance", func() {
+	ginkgo.It("leaves that receiver if it has no allowance", func() {
 		s := engines(4)
 		s.submit("0", prompt(shared, turnPart(2)))
 		first := s.lastSend("0").Instance
@@ -55,7 +55,7 @@
 		s.submit("1", prompt(shared, turnPart(2), turnPart(3)))
 		Expect(s.lastSend("1").Instance).NotTo(Equal(first))
 	})
-	ginkgo.It("leaves it where so many run that reading the prompt anew is sooner done", func() {
+	ginkgo.It("leaves that receiver if its load costs more than reading the prompt again elsewhere", func() {
 		s := engines(4)
 		s.submit("0", prompt(shared, turnPart(2)))
 		first := s.lastSend("0").Instance
@@ -64,7 +64,7 @@
 		s.submit("1", prompt(shared, turnPart(2), turnPart(3)))
 		Expect(s.lastSend("1").Instance).NotTo(Equal(first))
 	})
-	ginkgo.It("spreads prompts that share nothing", func() {
+	ginkgo.It("spreads prompts without common parts", func() {
 		s := engines(8)
 		used := map[InstanceID]bool{}
 		for i := range 8 {
@@ -74,7 +74,7 @@
 		}
 		Expect(used).To(HaveLen(8))
 	})
-	ginkgo.It("counts a part only after the parts that it came after", func() {
+	ginkgo.It("counts a part as cached only behind the parts that preceded it", func() {
 		var c prefixCache
 		c.add(start, []PrefixPart{shared, turnPart(2)}, 100_000)
 		Expect(c.cachedTokens(start, []PrefixPart{shared, turnPart(2), turnPart(3)})).To(Equal(3000))
@@ -82,7 +82,7 @@
 		Expect(c.cachedTokens(start, []PrefixPart{turnPart(2)})).To(BeZero())
 		Expect(c.cachedTokens(start.Add(cachedPartLifetime+1), []PrefixPart{shared})).To(BeZero())
 	})
-	ginkgo.It("forgets the parts longest unused, the last of a prompt first", func() {
+	ginkgo.It("evicts the least recently used parts, the last of a prompt first", func() {
 		var c prefixCache
 		c.add(start, []PrefixPart{shared, turnPart(2)}, 4000)
 		c.add(start, []PrefixPart{shared, turnPart(3)}, 4000)
@@ -92,14 +92,14 @@
 		Expect(c.cachedTokens(start, []PrefixPart{shared, turnPart(2)})).To(Equal(2500))
 		Expect(c.cachedTokens(start, []PrefixPart{shared, turnPart(5)})).To(Equal(3000))
 	})
-	ginkgo.It("bounds the parts that are remembered", func() {
+	ginkgo.It("bounds the remembered parts", func() {
 		var c prefixCache
 		for i := range uint64(3 * maxCachedParts) {
 			c.add(start, []PrefixPart{{ID: i, Tokens: 1}}, 1_000_000)
 		}
 		Expect(c.parts).To(HaveLen(maxCachedParts))
 	})
-	ginkgo.It("prefers memory that does not run out", func() {
+	ginkgo.It("avoids engines whose memory runs out", func() {
 		s := engines(2)
 		s.report("a", Report{Running: 4, KVUsedTokens: 199_000, KVTotalTokens: 200_000})
 		s.report("b", Report{Running: 4, KVUsedTokens: 20_000, KVTotalTokens: 200_000})
@@ -110,7 +110,7 @@
 			s.complete(id, 5*ms)
 		}
 	})
-	ginkgo.It("prefers its own zone among equals, but not a full one", func() {
+	ginkgo.It("prefers its own zone among equals, unless it is full", func() {
 		s := newDriver(plain("far", 8, zone("there")), plain("near", 8)).warmUp(50 * ms)
 		s.submit("0")
 		Expect(s.lastSend("0").Instance).To(Equal(InstanceID("near")))
@@ -118,13 +118,13 @@
 		s.submit("1")
 		Expect(s.lastSend("1").Instance).To(Equal(InstanceID("far")))
 	})
-	ginkgo.It("prefers the quicker of two plain receivers", func() {
+	ginkgo.It("prefers the faster of two plain receivers", func() {
 		s := newDriver(plain("a", 8), plain("b", 8)).warmUp(50 * ms)
 		s.endpoints["a"].relativeDuration = 2
 		s.submit("0")
 		Expect(s.lastSend("0").Instance).To(Equal(InstanceID("b")))
 	})
-	ginkgo.It("draws among equals", func() {
+	ginkgo.It("chooses among equals at random", func() {
 		s := newDriver(plain("a", 8), plain("b", 8), plain("c", 8)).warmUp(50 * ms)
 		used := map[InstanceID]int{}
 		for i := range 60 {
@@ -136,17 +136,17 @@
 		Expect(used).To(HaveLen(3))
 		Expect(used).To(HaveEach(BeNumerically(">", 8)))
 	})
-	ginkgo.DescribeTable("the priority that receivers are told",
-		func(route int, begun bool, finish time.Duration, told int) {
+	ginkgo.DescribeTable("the priority sent to receivers",
+		func(route int, started bool, timeLeft time.Duration, sent int) {
 			s := newDriver(plain("a", 8)).warmUp(100 * ms)
-			s.submit("0", priority(route), func(r *Request) { r.ProgramStarted, r.ProgramTimeLeft = begun, finish })
-			Expect(s.lastSend("0").Priority).To(Equal(told))
+			s.submit("0", priority(route), func(r *Request) { r.ProgramStarted, r.ProgramTimeLeft = started, timeLeft })
+			Expect(s.lastSend("0").Priority).To(Equal(sent))
 		},
 		ginkgo.Entry("the most urgent route", 0, false, time.Duration(0), 4),
-		ginkgo.Entry("the next", 1, false, time.Duration(0), DefaultPriority),
-		ginkgo.Entry("the least urgent", 40, false, time.Duration(0), 8),
-		ginkgo.Entry("a program with time", 1, true, time.Second, DefaultPriority),
-		ginkgo.Entry("a program with little time left", 1, true, 150*ms, 4),
-		ginkgo.Entry("a program that has not begun", 1, false, 150*ms, DefaultPriority),
+		ginkgo.Entry("the next route", 1, false, time.Duration(0), DefaultPriority),
+		ginkgo.Entry("the least urgent route", 40, false, time.Duration(0), 8),
+		ginkgo.Entry("a running program with enough time left", 1, true, time.Second, DefaultPriority),
+		ginkgo.Entry("a running program with little time left", 1, true, 150*ms, 4),
+		ginkgo.Entry("a new program", 1, false, 150*ms, DefaultPriority),
 	)
 })
--- a/admission/dispatch/conformance_test.go
+++ b/admission/dispatch/conformance_test.go
@@ -8,11 +8,11 @@
 	. "github.com/onsi/gomega"
 )
 
-// The rows are the sentences of the design page, in its order.
-var _ = ginkgo.DescribeTable("the design on the ordinary path",
+// The entries follow the sentences of the design page, in its order.
+var _ = ginkgo.DescribeTable("the specified rules",
 	func(check func()) { check() },
 
-	ginkgo.Entry("slots less the running and queued last reported, less calls sent since", func() {
+	ginkgo.Entry("allowance: slots minus the load last reported and the calls sent since", func() {
 		s := newDriver(plain("a", 8)).warmUp(10 * ms)
 		s.report("a", Report{Running: 3, Queued: 1})
 		for i := range 6 {
@@ -20,7 +20,7 @@
 		}
 		Expect(s.sends).To(HaveLen(4))
 	}),
-	ginkgo.Entry("own calls sent since that have ended are given back", func() {
+	ginkgo.Entry("allowance: calls sent since the report are added back when they end", func() {
 		s := newDriver(plain("a", 8)).warmUp(10 * ms)
 		s.report("a", Report{Running: 6})
 		s.advance(ms)
@@ -31,7 +31,7 @@
 		s.complete("0", 10*ms)
 		Expect(s.sends).To(HaveLen(3))
 	}),
-	ginkgo.Entry("own calls that the report counts and that have ended since are given back", func() {
+	ginkgo.Entry("allowance: calls counted in the report are added back when they end", func() {
 		s := newDriver(plain("a", 2)).warmUp(10 * ms)
 		s.submit("0")
 		s.submit("1")
@@ -42,31 +42,31 @@
 		s.complete("0", 10*ms)
 		Expect(s.sendOrder()).To(Equal([]RequestID{"0", "1", "2"}))
 	}),
-	ginkgo.Entry("a report of a moment ago counts only what was out then", func() {
+	ginkgo.Entry("a delayed report counts only the calls that were in flight at its time", func() {
 		s := newDriver(plain("a", 3)).warmUp(10 * ms)
 		s.submit("0")
 		s.advance(200 * ms)
 		s.submit("1")
-		s.report("a", Report{Running: 1, Age: 100 * ms}) // request 1 is not in it
+		s.report("a", Report{Running: 1, Age: 100 * ms}) // does not count request 1
 		s.submit("2")
 		s.submit("3")
 		Expect(s.sendOrder()).To(Equal([]RequestID{"0", "1", "2"}))
 	}),
-	ginkgo.Entry("an older report than the last is old news", func() {
+	ginkgo.Entry("a report older than the last one is ignored", func() {
 		s := newDriver(plain("a", 4)).warmUp(10 * ms)
 		s.report("a", Report{Running: 4, Age: 10 * ms})
 		s.report("a", Report{Running: 0, Age: 200 * ms})
 		s.submit("0")
 		Expect(s.sends).To(BeEmpty())
 	}),
-	ginkgo.Entry("where no report is to be had, own calls out against slots", func() {
+	ginkgo.Entry("allowance without a report: slots minus own calls in flight", func() {
 		s := newDriver(plain("a", 3)).warmUp(10 * ms)
 		for i := range 5 {
 			s.submit(RequestID(fmt.Sprint(i)))
 		}
 		Expect(s.sends).To(HaveLen(3))
 	}),
-	ginkgo.Entry("at nought, calls are held for one second when none is told, then one looks", func() {
+	ginkgo.Entry("without allowance, calls wait for one second, then one call probes the receiver", func() {
 		s := newDriver(plain("a", 4)).warmUp(10 * ms)
 		s.report("a", Report{Running: 4})
 		s.submit("0")
@@ -76,7 +76,7 @@
 		s.advance(ms)
 		Expect(s.sendOrder()).To(Equal([]RequestID{"0"}))
 	}),
-	ginkgo.Entry("on a told wait, calls are held until it ends", func() {
+	ginkgo.Entry("calls wait until the Retry-After has passed", func() {
 		s := newDriver(plain("a", 4)).warmUp(10 * ms)
 		s.submit("0")
 		s.endAttempt("0", full(300*ms))
@@ -85,7 +85,7 @@
 		s.advance(20 * ms)
 		Expect(s.sendOrder()).To(Equal([]RequestID{"0", "0"}))
 	}),
-	ginkgo.Entry("for one second when none is told", func() {
+	ginkgo.Entry("or for one second if no Retry-After is given", func() {
 		s := newDriver(plain("a", 4)).warmUp(10 * ms)
 		s.submit("0")
 		s.endAttempt("0", full(0))
@@ -94,14 +94,14 @@
 		s.advance(20 * ms)
 		Expect(s.sends).To(HaveLen(2))
 	}),
-	ginkgo.Entry("a told wait binds its own bucket only", func() {
+	ginkgo.Entry("a Retry-After applies to its own endpoint only", func() {
 		s := newDriver(plain("a", 4), plain("b", 4)).warmUp(10 * ms)
 		s.submit("0")
 		s.endAttempt("0", full(time.Minute))
 		Expect(s.sends).To(HaveLen(2))
 		Expect(s.sends[1].Instance).NotTo(Equal(s.sends[0].Instance))
 	}),
-	ginkgo.Entry("until the first answer one call is out", func() {
+	ginkgo.Entry("until the first response one call is in flight", func() {
 		s := newDriver(plain("a", 4))
 		s.submit("0")
 		s.submit("1")
@@ -110,7 +110,7 @@
 		s.collect(s.ResponseStarted(s.now, "0"))
 		Expect(s.sends).To(HaveLen(2))
 	}),
-	ginkgo.Entry("and then calls in flight follow the allowance left", func() {
+	ginkgo.Entry("and then the allowance limits the calls in flight", func() {
 		s := newDriver(plain("a", 3)).warmUp(10 * ms)
 		for i := range 4 {
 			s.submit(RequestID(fmt.Sprint(i)))
@@ -119,7 +119,7 @@
 		s.complete("1", 10*ms)
 		Expect(s.sends).To(HaveLen(4))
 	}),
-	ginkgo.Entry("each bucket's requests go in order", func() {
+	ginkgo.Entry("the requests of an endpoint are sent in order", func() {
 		s := newDriver(plain("a", 1)).warmUp(10 * ms)
 		for i := range 4 {
 			s.submit(RequestID(fmt.Sprint(i)))
@@ -129,7 +129,7 @@
 		}
 		Expect(s.sendOrder()).To(Equal([]RequestID{"0", "1", "2", "3"}))
 	}),
-	ginkgo.Entry("a call refused as full rejoins the head", func() {
+	ginkgo.Entry("a request rejected by a full receiver returns to the head of the queue", func() {
 		s := newDriver(plain("a", 1)).warmUp(10 * ms)
 		s.submit("0")
 		s.submit("1")
@@ -139,7 +139,7 @@
 		s.complete("0", 10*ms)
 		Expect(s.sendOrder()).To(Equal([]RequestID{"0", "0", "1"}))
 	}),
-	ginkgo.Entry("a refusal that proves nothing ran does not count as an attempt", func() {
+	ginkgo.Entry("a rejection that proves that nothing ran does not count as an attempt", func() {
 		s := newDriver(plain("a", 1)).warmUp(10 * ms)
 		s.submit("0", kind(Unsafe, 1))
 		for range 3 {
@@ -149,14 +149,14 @@
 		Expect(s.sends).To(HaveLen(4))
 		Expect(s.refusals).To(BeEmpty())
 	}),
-	ginkgo.Entry("a call takes the free receiver with most allowance left", func() {
+	ginkgo.Entry("a call goes to the free receiver with the largest allowance", func() {
 		s := newDriver(plain("a", 8), plain("b", 8)).warmUp(10 * ms)
 		s.report("a", Report{Running: 6})
 		s.report("b", Report{Running: 1})
 		s.submit("0")
 		Expect(s.lastSend("0").Instance).To(Equal(InstanceID("b")))
 	}),
-	ginkgo.Entry("refused with the wait where wait plus a usual call passes its deadline, on arrival", func() {
+	ginkgo.Entry("a request is refused with a Retry-After on submission if its wait plus an expected call exceeds its deadline", func() {
 		s := newDriver(plain("a", 1)).warmUp(100 * ms)
 		s.submit("0")
 		s.endAttempt("0", full(400*ms))
@@ -167,31 +167,31 @@
 		Expect(s.refusal("1").MayHaveRun).To(BeFalse())
 		Expect(s.refusal("0")).To(BeNil())
 	}),
-	ginkgo.Entry("and at each release", func() {
+	ginkgo.Entry("and whenever queued requests are sent", func() {
 		s := newDriver(plain("a", 1)).warmUp(100 * ms)
 		s.submit("0")
 		s.submit("1", deadline(s, 600*ms))
 		s.advance(600*ms - 101*ms)
-		s.complete("0", ms) // just too late for a usual call of 100 ms
+		s.complete("0", ms) // just too late for an expected call of 100 ms
 		s.advance(ms)
 		Expect(s.sendOrder()).To(Equal([]RequestID{"0"}))
 		Expect(s.refusal("1")).NotTo(BeNil())
 	}),
-	ginkgo.Entry("the end of the process is a deadline too, of what is held and of what arrives", func() {
+	ginkgo.Entry("the end of the process is a deadline of queued and of new requests", func() {
 		s := newDriver(plain("a", 1)).warmUp(100 * ms)
 		s.submit("0")
 		s.submit("1", deadline(s, time.Minute))
-		s.collect(s.StopBy(s.now, s.now.Add(150*ms))) // a usual call after that of 0 would end at 200 ms
+		s.collect(s.StopBy(s.now, s.now.Add(150*ms))) // an expected call after that of 0 would end at 200 ms
 		Expect(s.refusal("1")).NotTo(BeNil())
 		Expect(s.refusal("1").MayHaveRun).To(BeFalse())
 		s.submit("2", deadline(s, time.Minute))
 		Expect(s.refusal("2")).NotTo(BeNil())
 		s.complete("0", 10*ms)
-		s.submit("3", deadline(s, time.Minute)) // there is time for one
+		s.submit("3", deadline(s, time.Minute)) // enough time for one call
 		Expect(s.lastSend("3").Timeout).To(Equal(140 * ms))
 		Expect(s.sendOrder()).To(Equal([]RequestID{"0", "3"}))
 	}),
-	ginkgo.Entry("given up is answered at once, never held near the deadline", func() {
+	ginkgo.Entry("a request that cannot be answered in time is refused at once, not held until its deadline", func() {
 		s := newDriver(plain("a", 1)).warmUp(100 * ms)
 		s.submit("0")
 		s.endAttempt("0", full(time.Minute))
@@ -200,7 +200,7 @@
 		Expect(s.refusal("1")).NotTo(BeNil())
 		Expect(s.requests).To(BeEmpty())
 	}),
-	ginkgo.Entry("failed in every other case: what may have run gets no promise", func() {
+	ginkgo.Entry("a request that may have run fails with an error that does not deny it", func() {
 		s := newDriver(plain("a", 4)).warmUp(10 * ms)
 		s.submit("0", kind(Unsafe, 3))
 		s.submit("1", kind(Unsafe, 3))
@@ -215,7 +215,7 @@
 	}),
 )
 
-var _ = ginkgo.DescribeTable("what may go again",
+var _ = ginkgo.DescribeTable("what may be retried",
 	func(change func(*Request), o Outcome, started bool, sends int) {
 		s := newDriver(plain("a", 4), plain("b", 4), plain("c", 4)).warmUp(10 * ms)
 		s.submit("0", change)
@@ -229,30 +229,30 @@
 			Expect(s.refusals).To(BeEmpty())
 		}
 	},
-	ginkgo.Entry("unsafe, broken: no", kind(Unsafe, 3), Outcome{Kind: TransportError}, false, 1),
+	ginkgo.Entry("unsafe, transport error: no", kind(Unsafe, 3), Outcome{Kind: TransportError}, false, 1),
 	ginkgo.Entry("unsafe, timed out: no", kind(Unsafe, 3), Outcome{Kind: TimedOut}, false, 1),
 	ginkgo.Entry("unsafe, not connected: yes", kind(Unsafe, 1), Outcome{Kind: NotConnected}, false, 2),
-	ginkgo.Entry("unsafe, elsewhere: yes", kind(Unsafe, 1), Outcome{Kind: Misdirected}, false, 2),
+	ginkgo.Entry("unsafe, misdirected: yes", kind(Unsafe, 1), Outcome{Kind: Misdirected}, false, 2),
 	ginkgo.Entry("unsafe, full: yes", kind(Unsafe, 1), full(time.Second), false, 2),
-	ginkgo.Entry("safe, broken: yes", kind(Safe, 2), Outcome{Kind: TransportError}, false, 2),
+	ginkgo.Entry("safe, transport error: yes", kind(Safe, 2), Outcome{Kind: TransportError}, false, 2),
 	ginkgo.Entry("safe, timed out: yes", kind(Safe, 2), Outcome{Kind: TimedOut}, false, 2),
-	ginkgo.Entry("safe, broken, with one attempt: no", kind(Safe, 1), Outcome{Kind: TransportError}, false, 1),
-	ginkgo.Entry("safe, broken after part of the answer went: no", kind(Safe, 2), Outcome{Kind: TransportError}, true, 1),
-	ginkgo.Entry("stream, broken: no", kind(Streaming, 2), Outcome{Kind: TransportError}, false, 1),
-	ginkgo.Entry("resumable stream, broken: yes", resumable, Outcome{Kind: TransportError}, false, 2),
-	ginkgo.Entry("resumable stream, broken midway: yes", resumable, Outcome{Kind: TransportError}, true, 2),
-	ginkgo.Entry("an error answer is the answer", kind(Safe, 2), Outcome{Kind: ErrorResponse}, false, 1),
-	ginkgo.Entry("called off: no", kind(Safe, 2), Outcome{Kind: Cancelled}, false, 1),
+	ginkgo.Entry("safe, transport error, with one attempt: no", kind(Safe, 1), Outcome{Kind: TransportError}, false, 1),
+	ginkgo.Entry("safe, transport error after part of the response was passed on: no", kind(Safe, 2), Outcome{Kind: TransportError}, true, 1),
+	ginkgo.Entry("stream, transport error: no", kind(Streaming, 2), Outcome{Kind: TransportError}, false, 1),
+	ginkgo.Entry("resumable stream, transport error: yes", resumable, Outcome{Kind: TransportError}, false, 2),
+	ginkgo.Entry("resumable stream, transport error after part of the response was passed on: yes", resumable, Outcome{Kind: TransportError}, true, 2),
+	ginkgo.Entry("an error response is final", kind(Safe, 2), Outcome{Kind: ErrorResponse}, false, 1),
+	ginkgo.Entry("cancelled: no", kind(Safe, 2), Outcome{Kind: Cancelled}, false, 1),
 )
 
 var _ = ginkgo.Describe("receivers", func() {
-	ginkgo.It("never get a request while they drain, or of another service", func() {
+	ginkgo.It("never get a request while draining, nor one of another service", func() {
 		s := newDriver(plain("a", 4, draining), plain("b", 4, func(r *Receiver) { r.Service = "other" }))
 		s.submit("0")
 		Expect(s.sends).To(BeEmpty())
 		Expect(s.refusal("0")).NotTo(BeNil())
 	})
-	ginkgo.It("that begin to drain get nothing of what is held", func() {
+	ginkgo.It("that start draining get none of the queued requests", func() {
 		s := newDriver(plain("a", 1)).warmUp(10 * ms)
 		s.submit("0")
 		s.submit("1")
@@ -262,7 +262,7 @@
 		s.complete("0", 10*ms)
 		Expect(s.sendOrder()).To(Equal([]RequestID{"0", "1"}))
 	})
-	ginkgo.It("that are not known yet are waited for as long as it costs nothing", func() {
+	ginkgo.It("that are not yet known are waited for as long as it costs nothing", func() {
 		s := newDriver()
 		s.submit("0", objective(200*ms))
 		s.submit("1", objective(200*ms))
@@ -274,7 +274,7 @@
 		Expect(s.refusal("1").Status).To(Equal(StatusServiceUnavailable))
 		Expect(s.refusal("1").RetryAfter).To(BeNumerically(">=", time.Second))
 	})
-	ginkgo.It("that are silent are the last choice", func() {
+	ginkgo.It("that are silent are used as a last resort", func() {
 		s := newDriver(plain("a", 1, silent), plain("b", 1), plain("c", 1)).warmUp(10 * ms)
 		s.setReceivers(plain("a", 9, silent), plain("b", 1), plain("c", 1))
 		s.submit("0")
@@ -283,14 +283,14 @@
 		Expect(s.sends).To(HaveLen(2))
 		Expect(s.sends).NotTo(ContainElement(HaveField("Instance", InstanceID("a"))))
 	})
-	ginkgo.It("that are all silent are used as if they were not", func() {
+	ginkgo.It("that are all silent are used normally", func() {
 		s := newDriver(plain("a", 3, silent), plain("b", 3, silent)).warmUp(10 * ms)
 		for i := range 7 {
 			s.submit(RequestID(fmt.Sprint(i)))
 		}
 		Expect(s.sends).To(HaveLen(6))
 	})
-	ginkgo.It("of whom another instance has the address get nothing until the list moves them", func() {
+	ginkgo.It("whose address belongs to another instance get nothing until their address changes", func() {
 		s := newDriver(plain("a", 1)).warmUp(10 * ms)
 		s.submit("0", objective(2*time.Second))
 		s.endAttempt("0", Outcome{Kind: Misdirected})
@@ -299,7 +299,7 @@
 		s.setReceivers(plain("a", 1, func(r *Receiver) { r.Address = "10.0.0.2:1" }))
 		Expect(s.lastSend("0").Address).To(Equal("10.0.0.2:1"))
 	})
-	ginkgo.It("that are listed again are bound by the wait that they told", func() {
+	ginkgo.It("that are listed again keep their Retry-After", func() {
 		s := newDriver(plain("a", 2)).warmUp(10 * ms)
 		s.submit("0")
 		s.endAttempt("0", full(300*ms))
@@ -309,25 +309,25 @@
 		Expect(s.sends).To(HaveLen(1))
 		s.advance(400 * ms)
 		s.setReceivers()
-		Expect(s.endpoints).To(HaveLen(1)) // its call is out
+		Expect(s.endpoints).To(HaveLen(1)) // kept for its call in flight
 		s.complete("0", 10*ms)
 		s.complete("1", 10*ms)
 		s.advance(time.Second)
 		s.setReceivers()
 		Expect(s.endpoints).To(BeEmpty())
 	})
-	ginkgo.It("that are listed again are not asked for a second run", func() {
+	ginkgo.It("that are listed again do not get a request that they may have run", func() {
 		s := newDriver(plain("a", 1)).warmUp(10 * ms)
 		s.submit("0", kind(Safe, 2), objective(time.Second))
 		s.setReceivers(plain("b", 1, draining))
 		s.endAttempt("0", Outcome{Kind: TransportError})
 		s.advance(100 * ms)
-		s.setReceivers(plain("b", 1, draining)) // a is forgotten
+		s.setReceivers(plain("b", 1, draining)) // forgets a
 		s.setReceivers(plain("a", 1), plain("b", 1, draining))
 		Expect(s.sends).To(HaveLen(1))
 		Expect(s.refusal("0").MayHaveRun).To(BeTrue())
 	})
-	ginkgo.It("rest after two failures in a row, longer each time, and come back with one call", func() {
+	ginkgo.It("back off after two consecutive failures, longer each time, and are then probed by one call", func() {
 		s := newDriver(plain("a", 4), plain("b", 4), plain("c", 4)).warmUp(10 * ms)
 		e := s.endpoints["a"]
 		backoffs := []time.Duration{}
@@ -351,7 +351,7 @@
 		}
 		Expect(toA).To(Equal(1))
 	})
-	ginkgo.It("of which all rest are tried, the least bad, with one call at a time", func() {
+	ginkgo.It("that are all in backoff get one call at a time", func() {
 		s := newDriver(plain("a", 4), plain("b", 4)).warmUp(10 * ms)
 		for range 4 {
 			s.endpoints["a"].recordFailure(s.now, 0.5)
@@ -362,7 +362,7 @@
 		}
 		Expect(s.sends).To(HaveLen(2))
 	})
-	ginkgo.It("that answer others are crowded, not failing, when one connection is not made", func() {
+	ginkgo.It("that respond to other calls do not count as failing when a connection is refused", func() {
 		s := newDriver(plain("a", 4)).warmUp(10 * ms)
 		for i := range 3 {
 			s.submit(RequestID(fmt.Sprint(i)))
@@ -372,7 +372,7 @@
 		s.endAttempt("1", Outcome{Kind: NotConnected})
 		Expect(s.endpoints["a"].consecutiveFailures).To(BeZero())
 	})
-	ginkgo.It("that answer with failures are avoided while others do not", func() {
+	ginkgo.It("that return errors are avoided while others do not", func() {
 		s := newDriver(plain("a", 9), plain("b", 9)).warmUp(10 * ms)
 		failing := s.endpoints["a"]
 		for range 5 {
@@ -383,19 +383,19 @@
 		}
 		Expect(s.sends).To(HaveEach(HaveField("Instance", InstanceID("b"))))
 	})
-	ginkgo.It("are used up to a learned number of calls after a refusal that no report explains", func() {
+	ginkgo.It("get a reduced window after a rejection that no report explains", func() {
 		s := newDriver(plain("a", 8)).warmUp(10 * ms)
 		for i := range 8 {
 			s.submit(RequestID(fmt.Sprint(i)))
 		}
 		s.endAttempt("7", full(10*ms))
-		s.endAttempt("6", full(10*ms)) // of the same moment: counts once
+		s.endAttempt("6", full(10*ms)) // sent before the first rejection: not counted again
 		Expect(s.endpoints["a"].window).To(BeNumerically("==", 4))
 	})
 })
 
-var _ = ginkgo.Describe("the ends of requests", func() {
-	ginkgo.It("withdraws what is held", func() {
+var _ = ginkgo.Describe("a dispatcher", func() {
+	ginkgo.It("removes a cancelled request from the queue", func() {
 		s := newDriver(plain("a", 1)).warmUp(10 * ms)
 		s.submit("0")
 		s.submit("1")
@@ -404,7 +404,7 @@
 		Expect(s.sendOrder()).To(Equal([]RequestID{"0"}))
 		Expect(s.requests).To(BeEmpty())
 	})
-	ginkgo.It("keeps the place of a withdrawn call until its end is told", func() {
+	ginkgo.It("keeps the slot of a cancelled call until its end is reported", func() {
 		s := newDriver(plain("a", 1)).warmUp(10 * ms)
 		s.submit("0")
 		s.submit("1")
@@ -414,7 +414,7 @@
 		Expect(s.sendOrder()).To(Equal([]RequestID{"0", "1"}))
 		Expect(s.refusals).To(BeEmpty())
 	})
-	ginkgo.It("drops news of an attempt that is not the one out", func() {
+	ginkgo.It("ignores the end of an attempt that is not in flight", func() {
 		s := newDriver(plain("a", 4)).warmUp(10 * ms)
 		s.submit("0", kind(Safe, 3))
 		s.collect(s.AttemptEnded(s.now, "0", 2, Outcome{Kind: TransportError}))
@@ -422,7 +422,7 @@
 		Expect(s.sends).To(HaveLen(1))
 		Expect(s.refusals).To(BeEmpty())
 	})
-	ginkgo.It("takes the end of a call to a receiver that is listed no more", func() {
+	ginkgo.It("accepts the end of a call to a receiver that is no longer listed", func() {
 		s := newDriver(plain("a", 1)).warmUp(10 * ms)
 		s.submit("0")
 		s.setReceivers()
@@ -431,12 +431,12 @@
 		s.setReceivers()
 		Expect(s.services).To(BeEmpty())
 	})
-	ginkgo.It("stops on a second request of an unfinished id", func() {
+	ginkgo.It("panics on a second request with the id of an unfinished one", func() {
 		s := newDriver(plain("a", 1))
 		s.submit("0")
 		Expect(func() { s.submit("0") }).To(PanicWith(ContainSubstring("unfinished")))
 	})
-	ginkgo.It("gives a call the time that the request has, or less where another receiver may follow a silent one", func() {
+	ginkgo.It("gives a call the request's remaining time, or less if another receiver may run it afterwards", func() {
 		s := newDriver(plain("a", 4), plain("b", 4)).warmUp(100 * ms)
 		s.submit("0", kind(Unsafe, 3))
 		s.submit("1", kind(Safe, 2))
@@ -445,7 +445,7 @@
 		Expect(s.lastSend("1").Timeout).To(BeNumerically("~", 1500*ms, ms))
 		Expect(s.lastSend("2").Timeout).To(Equal(time.Second))
 	})
-	ginkgo.It("makes a wake good that another event comes after", func() {
+	ginkgo.It("catches up on a due wake-up when another event comes first", func() {
 		s := newDriver(plain("a", 4), plain("b", 4, func(r *Receiver) { r.Service = "other" })).warmUp(10 * ms)
 		s.report("a", Report{Running: 4})
 		s.submit("0")
--- a/admission/dispatch/cost_test.go
+++ b/admission/dispatch/cost_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// BenchmarkArriveAnswered is a request's way through a pool of model receivers, with a prompt of ten parts.
+// BenchmarkArriveAnswered measures the events of one request in a pool of model receivers, with a prompt of ten
+// parts.
 func BenchmarkArriveAnswered(b *testing.B) {
 	for _, receivers := range []int{12, 100} {
 		b.Run(fmt.Sprint(receivers), func(b *testing.B) {
--- a/admission/dispatch/drawn_test.go
+++ b/admission/dispatch/drawn_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// randomRun plays receivers and clients at random and keeps its own account of what the design and the rules
-// demand of each send. It knows nothing of how the dispatcher keeps its state.
+// randomRun simulates receivers and clients at random. It derives what the design requires of each send from the
+// events alone, not from the dispatcher's state.
 type randomRun struct {
 	t            *rapid.T
 	d            *Dispatcher
@@ -24,10 +24,10 @@
 	incarnations int
 }
 
-// receiverAccount is what the account holds of a receiver.
+// receiverAccount records what is known of a receiver.
 type receiverAccount struct {
 	inFlight     []*requestAccount
-	endedCalls   []endedCall // that have ended
+	endedCalls   []endedCall
 	lastReport   *Report
 	measuredAt   Instant
 	responded    bool
@@ -37,7 +37,7 @@
 type requestAccount struct {
 	Request
 	seq             int
-	sentTo          InstanceID // "": none is out
+	sentTo          InstanceID // "": no call in flight
 	attempt         int
 	sentAt          Instant
 	ranOn           []InstanceID
@@ -94,9 +94,9 @@
 		Kind: rapid.SampledFrom([]Kind{Unsafe, Safe, Streaming}).Draw(w.t, "kind"), Resumable: rapid.Bool().Draw(w.t, "resumable"),
 		Priority: rapid.IntRange(0, 2).Draw(w.t, "priority"), MaxAttempts: rapid.IntRange(0, 3).Draw(w.t, "attempts"),
 		Deadline:        w.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(w.t, "deadline")) * time.Millisecond),
-		TargetLatency:   time.Duration(rapid.IntRange(0, 500).Draw(w.t, "objective")) * time.Millisecond,
-		ProgramTimeLeft: time.Duration(rapid.IntRange(0, 1).Draw(w.t, "finish")) * time.Second,
-		ProgramStarted:  rapid.Bool().Draw(w.t, "begun")}
+		TargetLatency:   time.Duration(rapid.IntRange(0, 500).Draw(w.t, "target latency")) * time.Millisecond,
+		ProgramTimeLeft: time.Duration(rapid.IntRange(0, 1).Draw(w.t, "program time left")) * time.Second,
+		ProgramStarted:  rapid.Bool().Draw(w.t, "program started")}
 	for range rapid.IntRange(0, 3).Draw(w.t, "parts") {
 		r.Prefix = append(r.Prefix, PrefixPart{ID: rapid.Uint64Range(0, 5).Draw(w.t, "part"), Tokens: 500})
 	}
@@ -126,7 +126,7 @@
 
 func (w *randomRun) endSomeAttempt() {
 	if ids := w.inFlight(); len(ids) > 0 {
-		q := w.requests[rapid.SampledFrom(ids).Draw(w.t, "answered")]
+		q := w.requests[rapid.SampledFrom(ids).Draw(w.t, "ended")]
 		o := Outcome{Kind: OutcomeKind(rapid.IntRange(int(Success), int(Cancelled)).Draw(w.t, "outcome")), Duration: w.now.Sub(q.sentAt)}
 		if o.Kind == Full {
 			o.RetryAfter = time.Duration(rapid.IntRange(0, 400).Draw(w.t, "retry after")) * time.Millisecond
@@ -168,7 +168,7 @@
 	}
 	slices.Sort(open)
 	if len(open) > 0 {
-		q := w.requests[rapid.SampledFrom(open).Draw(w.t, "withdrawn")]
+		q := w.requests[rapid.SampledFrom(open).Draw(w.t, "cancelled")]
 		q.cancelled, q.ended = true, q.sentTo == ""
 		w.check(w.d.Cancel(w.now, q.ID))
 	}
@@ -187,11 +187,11 @@
 	w.now = end
 }
 
-// check checks what is asked for.
+// check verifies the effects of an event.
 func (w *randomRun) check(e Effects) {
 	if e.WakeAt != 0 {
 		if e.WakeAt <= w.now {
-			w.t.Fatalf("a wake at %v, which is past %v", e.WakeAt, w.now)
+			w.t.Fatalf("the wake-up at %v is not after the present %v", e.WakeAt, w.now)
 		}
 		w.wakeAt = e.WakeAt
 	}
@@ -212,19 +212,19 @@
 	case q.ended || q.cancelled:
 		w.t.Fatalf("%s is sent after its end", q.ID)
 	case q.sentTo != "":
-		w.t.Fatalf("%s is sent while a call of it is out", q.ID)
+		w.t.Fatalf("%s is sent while it has a call in flight", q.ID)
 	case r.ID == "" || r.Draining || r.Service != q.Service:
-		w.t.Fatalf("%s goes to %s, which is gone, drains or serves another", q.ID, s.Instance)
+		w.t.Fatalf("%s is sent to %s, which is not listed, draining or of another service", q.ID, s.Instance)
 	case w.now < a.blockedUntil:
-		w.t.Fatalf("%s goes to %s during a told wait", q.ID, s.Instance)
+		w.t.Fatalf("%s is sent to %s before its Retry-After has passed", q.ID, s.Instance)
 	case len(q.ranOn) >= max(1, q.MaxAttempts):
-		w.t.Fatalf("%s goes out for more than its %d attempts", q.ID, q.MaxAttempts)
+		w.t.Fatalf("%s is sent for more than its %d attempts", q.ID, q.MaxAttempts)
 	case slices.Contains(q.ranOn, s.Instance):
-		w.t.Fatalf("%s goes to %s again, which may have run it", q.ID, s.Instance)
+		w.t.Fatalf("%s is sent to %s again, which may have run it", q.ID, s.Instance)
 	case len(q.ranOn) > 0 && !(q.Kind == Safe && !q.responseStarted || q.Kind == Streaming && q.Resumable):
-		w.t.Fatalf("%s goes again, and must not run twice", q.ID)
+		w.t.Fatalf("%s is sent again, but must not run twice", q.ID)
 	case w.now.Add(s.Timeout) > q.Deadline || s.Timeout <= 0:
-		w.t.Fatalf("%s has a timeout of %v with %v left", q.ID, s.Timeout, q.Deadline.Sub(w.now))
+		w.t.Fatalf("%s has a timeout of %v with %v remaining", q.ID, s.Timeout, q.Deadline.Sub(w.now))
 	case s.Priority < 0 || s.Priority > 9:
 		w.t.Fatalf("%s has priority %d", q.ID, s.Priority)
 	}
@@ -235,7 +235,7 @@
 
 func (w *randomRun) checkAllowance(r Receiver, a *receiverAccount) {
 	if len(a.inFlight) >= r.Slots || !a.responded && len(a.inFlight) > 0 {
-		w.t.Fatalf("%d calls are out to %s, which has %d slots (answered: %v)", len(a.inFlight), r.ID, r.Slots, a.responded)
+		w.t.Fatalf("%d calls are in flight to %s, which has %d slots (responded: %v)", len(a.inFlight), r.ID, r.Slots, a.responded)
 	}
 	if a.lastReport == nil || w.now >= a.measuredAt.Add(time.Second) {
 		return
@@ -252,16 +252,16 @@
 		}
 	}
 	if remaining < 1 {
-		w.t.Fatalf("a call goes to %s, whose allowance is %d", r.ID, remaining)
+		w.t.Fatalf("a call is sent to %s, whose allowance is %d", r.ID, remaining)
 	}
 }
 
-// checkOrder: no request that arrived before this one and could go where it went is still held.
+// checkOrder verifies that no earlier request that could have gone to the same receiver is still queued.
 func (w *randomRun) checkOrder(sent *requestAccount, to InstanceID) {
 	for _, q := range w.requests {
 		queued := !q.ended && q.sentTo == ""
 		if queued && q.Service == sent.Service && q.seq < sent.seq && !slices.Contains(q.ranOn, to) {
-			w.t.Fatalf("%s went to %s before %s", sent.ID, to, q.ID)
+			w.t.Fatalf("%s is sent to %s before %s", sent.ID, to, q.ID)
 		}
 	}
 }
@@ -271,16 +271,16 @@
 	ran := len(q.ranOn) > 0
 	switch {
 	case q.ended || q.cancelled || q.sentTo != "":
-		w.t.Fatalf("%s is refused after its end or with a call out", q.ID)
+		w.t.Fatalf("%s is refused after its end or with a call in flight", q.ID)
 	case r.MayHaveRun != ran || (r.Status == StatusServiceUnavailable) == ran:
-		w.t.Fatalf("%s is refused with %d (executed: %v), and ran at %v", q.ID, r.Status, r.MayHaveRun, q.ranOn)
+		w.t.Fatalf("%s is refused with %d (may have run: %v), and may have run on %v", q.ID, r.Status, r.MayHaveRun, q.ranOn)
 	case !ran && r.RetryAfter <= 0:
-		w.t.Fatalf("%s is refused without a time to come back", q.ID)
+		w.t.Fatalf("%s is refused without a Retry-After", q.ID)
 	}
 	q.ended = true
 }
 
-// finish lets all that is out end and time pass: by its deadline each request has had its end.
+// finish ends all calls in flight and lets time pass until all deadlines are over: each request must then have ended.
 func (w *randomRun) finish() {
 	for range 100 {
 		for _, id := range w.inFlight() {
@@ -290,15 +290,15 @@
 	}
 	for id, q := range w.requests {
 		if !q.ended {
-			w.t.Fatalf("%s has no end", id)
+			w.t.Fatalf("%s has not ended", id)
 		}
 	}
 	if len(w.d.requests) > 0 {
-		w.t.Fatalf("%d requests are kept after their end", len(w.d.requests))
+		w.t.Fatalf("%d requests are retained after their end", len(w.d.requests))
 	}
 	for _, s := range w.d.services {
 		if s.inFlight+len(s.queue) != 0 {
-			w.t.Fatalf("service %s keeps %d calls and %d held", s.name, s.inFlight, len(s.queue))
+			w.t.Fatalf("service %s retains %d calls and %d queued requests", s.name, s.inFlight, len(s.queue))
 		}
 	}
 }
@@ -314,20 +314,20 @@
 					w.changeReceivers()
 				}
 			},
-			"report":   func(*rapid.T) { w.sendReport() },
-			"arrive":   func(*rapid.T) { w.submit() },
-			"arrive 2": func(*rapid.T) { w.submit() },
-			"start":    func(*rapid.T) { w.startResponse() },
-			"answer":   func(*rapid.T) { w.endSomeAttempt() },
-			"answer 2": func(*rapid.T) { w.endSomeAttempt() },
-			"withdraw": func(*rapid.T) { w.cancel() },
-			"pass":     func(*rapid.T) { w.advance() },
+			"report":         func(*rapid.T) { w.sendReport() },
+			"submit":         func(*rapid.T) { w.submit() },
+			"submit 2":       func(*rapid.T) { w.submit() },
+			"start response": func(*rapid.T) { w.startResponse() },
+			"end attempt":    func(*rapid.T) { w.endSomeAttempt() },
+			"end attempt 2":  func(*rapid.T) { w.endSomeAttempt() },
+			"cancel":         func(*rapid.T) { w.cancel() },
+			"advance":        func(*rapid.T) { w.advance() },
 		})
 		w.finish()
 	})
 }
 
-// TestRunsAreReproducible: the same seed and events give the same effects.
+// TestRunsAreReproducible verifies that the same seed and events lead to the same effects.
 func TestRunsAreReproducible(t *testing.T) {
 	run := func() string {
 		s := newDriver(plain("a", 3), plain("b", 3), engine("c"), plain("d", 2, zone("there")))
@@ -345,7 +345,7 @@
 	firstRun := run()
 	for range 5 {
 		if again := run(); again != firstRun {
-			t.Fatal("the same events gave other effects")
+			t.Fatal("the same events led to different effects")
 		}
 	}
 }
--- a/admission/dispatch/helper_test.go
+++ b/admission/dispatch/helper_test.go
@@ -9,11 +9,11 @@
 
 const (
 	ms    = time.Millisecond
-	start = Instant(time.Hour) // of the tests' clock
+	start = Instant(time.Hour) // the tests' clock starts here
 	pool  = "s"
 )
 
-// driver drives a dispatcher by hand: it keeps the clock and what was asked for.
+// driver drives a dispatcher by hand: it keeps the clock and collects the effects.
 type driver struct {
 	*Dispatcher
 	now      Instant
@@ -28,7 +28,7 @@
 	return s
 }
 
-// collect notes effects; what they hold is copied, as they are good until the next call only.
+// collect copies the effects, whose slices are valid only until the next call.
 func (s *driver) collect(e Effects) {
 	s.sends = append(s.sends, e.Sends...)
 	s.refusals = append(s.refusals, e.Refusals...)
@@ -37,7 +37,7 @@
 	}
 }
 
-// advance lets time pass, with the ticks that were asked for.
+// advance moves the clock, with a Tick at each requested wake-up.
 func (s *driver) advance(span time.Duration) {
 	end := s.now.Add(span)
 	for s.wakeAt > s.now && s.wakeAt <= end {
@@ -51,7 +51,7 @@
 
 func (s *driver) report(id InstanceID, r Report) { s.collect(s.ApplyReport(s.now, id, r)) }
 
-// submit hands requests in that wait for five seconds, changed as told.
+// submit submits a request with a deadline of five seconds, modified by the given functions.
 func (s *driver) submit(id RequestID, change ...func(*Request)) {
 	r := Request{ID: id, Service: pool, Deadline: s.now.Add(5 * time.Second), MaxAttempts: 1}
 	for _, f := range change {
@@ -60,19 +60,19 @@
 	s.collect(s.Submit(s.now, r))
 }
 
-// endAttempt tells the end of the call that is out for a request.
+// endAttempt reports the end of the request's call in flight.
 func (s *driver) endAttempt(id RequestID, o Outcome) {
 	last := s.lastSend(id)
 	s.collect(s.AttemptEnded(s.now, id, last.Attempt, o))
 }
 
-// complete answers a request's call after a span.
+// complete ends a request's call successfully after a duration.
 func (s *driver) complete(id RequestID, duration time.Duration) {
 	s.advance(duration)
 	s.endAttempt(id, Outcome{Kind: Success, TimeToFirstByte: duration / 2, Duration: duration})
 }
 
-// lastSend gives the last call of a request.
+// lastSend returns the last send of a request.
 func (s *driver) lastSend(id RequestID) Send {
 	for i := len(s.sends) - 1; i >= 0; i-- {
 		if s.sends[i].Request == id {
@@ -83,7 +83,7 @@
 	return Send{}
 }
 
-// sendOrder gives the requests in the order in which calls went out.
+// sendOrder returns the requests in the order of their sends.
 func (s *driver) sendOrder() []RequestID {
 	var ids []RequestID
 	for _, send := range s.sends {
@@ -92,7 +92,7 @@
 	return ids
 }
 
-// refusal gives how a request was refused; nil if it was not.
+// refusal returns how a request was refused, or nil.
 func (s *driver) refusal(id RequestID) *Refusal {
 	for _, r := range s.refusals {
 		if r.Request == id {
@@ -116,7 +116,8 @@
 	return r
 }
 
-// warmUp has each listed receiver answer one call in so much time, so that no bucket waits for a first answer.
+// warmUp has each listed receiver answer a call of the given duration, so that no endpoint is limited to one call
+// before its first response.
 func (s *driver) warmUp(duration time.Duration) *driver {
 	n := 0
 	for range 20 * len(s.endpoints) {
--- a/admission/dispatch/illness_test.go
+++ b/admission/dispatch/illness_test.go
@@ -7,11 +7,11 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = ginkgo.Describe("a receiver that breaks off part of its calls", func() {
+var _ = ginkgo.Describe("a receiver that breaks off some of its calls", func() {
 	var s *driver
 	ginkgo.BeforeEach(func() { s = newDriver(plain("one", 8), plain("two", 8)).warmUp(20 * ms) })
 
-	// breaks has a call broken off and says by whom.
+	// breakCall has a call break off and returns its receiver.
 	breakCall := func(id RequestID) InstanceID {
 		s.submit(id)
 		at := s.lastSend(id).Instance
@@ -19,7 +19,7 @@
 		s.endAttempt(id, Outcome{Kind: TransportError})
 		return at
 	}
-	// choices counts who gets so many calls that are answered at once.
+	// countChoices counts the receivers of count calls, each of which is answered at once.
 	countChoices := func(prefix string, count int) map[InstanceID]int {
 		counts := map[InstanceID]int{}
 		for i := range count {
@@ -31,18 +31,18 @@
 		return counts
 	}
 
-	ginkgo.It("is passed over for the other after one, though it answered in between", func() {
+	ginkgo.It("is avoided after one such call, though it has answered others", func() {
 		at := breakCall("broken")
 		Expect(countChoices("next-", 20)).NotTo(HaveKey(at))
 	})
 
-	ginkgo.It("is tried again when some time has passed", func() {
+	ginkgo.It("is tried again after some time", func() {
 		at := breakCall("broken")
 		s.advance(10 * errorHalfLife)
 		Expect(countChoices("later-", 40)).To(HaveKey(at))
 	})
 
-	ginkgo.It("counts less with time, and as before with the next failure", func() {
+	ginkgo.It("has an error rate that decays, and is restored by the next failure", func() {
 		at := breakCall("broken")
 		e := s.Dispatcher.endpoints[at]
 		first := e.errorRate(s.now)
@@ -51,7 +51,7 @@
 		Expect(e.errorRate(s.now.Add(time.Minute))).To(BeNumerically("~", first, 1e-3))
 	})
 
-	ginkgo.It("that could not be connected to is not held for ill: it did not take the call", func() {
+	ginkgo.It("keeps its error rate when a connection fails: it did not accept the call", func() {
 		s.submit("unconnected")
 		at := s.lastSend("unconnected").Instance
 		s.endAttempt("unconnected", Outcome{Kind: NotConnected})
--- a/admission/dispatch/messages.go
+++ b/admission/dispatch/messages.go
@@ -124,7 +124,7 @@
 	Instance InstanceID
 	Address  string
 	Timeout  time.Duration // for the whole attempt
-	Priority int           // for the receiver: 0 is the most urgent, 9 the least, DefaultPriority what it assumes if none is sent
+	Priority int           // for the receiver: 0 is the most urgent, 9 the least; see DefaultPriority
 }
 
 // Refusal asks the caller to answer a request at once; the dispatcher has forgotten it. If part of a response has
@@ -143,7 +143,7 @@
 // The reasons of refusals.
 const (
 	TooLate      Reason = iota // no receiver could answer it in time
-	Overloaded                 // the queue is full, or it or a more urgent request would wait longer than its objective allows
+	Overloaded                 // the queue is full, or it or a more urgent request would wait longer than allowed
 	NotAdmitted                // a new program beyond the admitted share
 	Unrepeatable               // its last call failed, and it may not be retried
 	ReasonCount                // number of reasons
--- a/admission/dispatch/overdue_test.go
+++ b/admission/dispatch/overdue_test.go
@@ -7,17 +7,17 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = ginkgo.Describe("a receiver that leaves a call hanging", func() {
+var _ = ginkgo.Describe("a receiver that does not respond to a call", func() {
 	var s *driver
 	const slots = 8
 	overdueDelay := overdueFactor*10*ms + minOverdueDelay
 
-	// hang has one call taken by a receiver that does not begin to answer it.
+	// hangCall submits a request whose call gets no response, and returns its receiver.
 	hangCall := func() InstanceID {
 		s.submit("hangs")
 		return s.lastSend("hangs").Instance
 	}
-	// taken says which receivers get the next calls; each is answered at once.
+	// countChoices counts the receivers of count calls, each of which is answered at once.
 	countChoices := func(prefix string, count int) map[InstanceID]int {
 		counts := map[InstanceID]int{}
 		for i := range count {
@@ -31,24 +31,24 @@
 
 	ginkgo.BeforeEach(func() { s = newDriver(plain("one", slots), plain("two", slots)).warmUp(20 * ms) })
 
-	ginkgo.It("gets no more calls while the other is good, though it has allowance", func() {
+	ginkgo.It("gets no more calls while the other is healthy, though it has allowance", func() {
 		at := hangCall()
 		s.advance(overdueDelay + 100*ms)
 		Expect(countChoices("later-", 10)).NotTo(HaveKey(at))
 	})
 
-	ginkgo.It("gets calls as before until the answer is overdue", func() {
+	ginkgo.It("gets calls as before until the response is overdue", func() {
 		at := hangCall()
 		s.advance(20 * ms)
 		Expect(countChoices("soon-", 20)).To(HaveKey(at))
 	})
 
-	ginkgo.It("gets calls again once the answer has come", func() {
+	ginkgo.It("gets calls again once the response has come", func() {
 		at := hangCall()
 		s.advance(overdueDelay + 100*ms)
 		s.endAttempt("hangs", Outcome{Kind: Success, TimeToFirstByte: overdueDelay, Duration: overdueDelay})
 		counts := map[InstanceID]int{}
-		for i := range 2 * slots { // more than the other takes at once
+		for i := range 2 * slots { // more than the other has slots
 			id := RequestID("after-" + string(rune('a'+i)))
 			s.submit(id)
 			counts[s.lastSend(id).Instance]++
@@ -56,7 +56,7 @@
 		Expect(counts).To(HaveKeyWithValue(at, slots))
 	})
 
-	ginkgo.It("counts as failing where the client gave the call up", func() {
+	ginkgo.It("counts as failing if the client cancels the overdue call", func() {
 		at := hangCall()
 		s.advance(overdueDelay + 100*ms)
 		s.collect(s.Cancel(s.now, "hangs"))
@@ -64,7 +64,7 @@
 		Expect(s.Dispatcher.endpoints[at].consecutiveFailures).To(Equal(1))
 	})
 
-	ginkgo.It("counts for nothing where the client gave it up in the usual time", func() {
+	ginkgo.It("does not count as failing if the client cancels before the call is overdue", func() {
 		at := hangCall()
 		s.advance(5 * ms)
 		s.collect(s.Cancel(s.now, "hangs"))
@@ -72,7 +72,7 @@
 		Expect(s.Dispatcher.endpoints[at].consecutiveFailures).To(Equal(0))
 	})
 
-	ginkgo.It("is still used where all do so", func() {
+	ginkgo.It("is still used if all receivers behave so", func() {
 		s = newDriver(plain("one", slots)).warmUp(20 * ms)
 		s.submit("hangs")
 		s.advance(overdueDelay + 100*ms)
--- a/admission/dispatch/overload_test.go
+++ b/admission/dispatch/overload_test.go
@@ -8,24 +8,24 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = ginkgo.Describe("a queue that outgrows its receivers", func() {
-	// overloaded has one receiver of two places, both taken, that answers in 100 ms: a place frees each 50 ms.
+var _ = ginkgo.Describe("an overloaded queue", func() {
+	// overloaded has one receiver with two slots, both in use, that answers in 100 ms: a slot is freed every 50 ms.
 	overloaded := func() *driver {
 		s := newDriver(plain("a", 2)).warmUp(100 * ms)
 		s.submit("out-0")
 		s.submit("out-1")
 		return s
 	}
-	ginkgo.It("refuses at arrival what its objective does not bear, with the wait", func() {
+	ginkgo.It("refuses on submission what would wait longer than its objective allows, with a Retry-After", func() {
 		s := overloaded()
 		for i := range 6 {
-			s.submit(RequestID(fmt.Sprint(i)), objective(300*ms)) // bears 250 ms: a usual call begins to answer at 50
+			s.submit(RequestID(fmt.Sprint(i)), objective(300*ms)) // may wait 250 ms: the first byte is expected after 50
 		}
 		Expect(s.refusals).To(HaveLen(1))
 		Expect(s.refusal("5").RetryAfter).To(BeNumerically(">=", 50*ms))
 		Expect(s.refusal("5").RetryAfter).To(BeNumerically("<", 200*ms))
 	})
-	ginkgo.It("refuses the least urgent first, the newest of them", func() {
+	ginkgo.It("refuses the least urgent first, of these the newest", func() {
 		s := overloaded()
 		for i := range 5 {
 			s.submit(RequestID(fmt.Sprint(i)), objective(300*ms), priority(i%2))
@@ -34,7 +34,7 @@
 		Expect(s.refusals).To(HaveLen(1))
 		Expect(s.refusal("3")).NotTo(BeNil())
 	})
-	ginkgo.It("refuses the one that arrives where it is the least urgent itself", func() {
+	ginkgo.It("refuses the new request if it is the least urgent", func() {
 		s := overloaded()
 		for i := range 5 {
 			s.submit(RequestID(fmt.Sprint(i)), objective(300*ms))
@@ -42,7 +42,7 @@
 		s.submit("idle", objective(300*ms), priority(3))
 		Expect(s.refusal("idle")).NotTo(BeNil())
 	})
-	ginkgo.It("keeps those of programs under way", func() {
+	ginkgo.It("keeps the requests of running programs", func() {
 		s := overloaded()
 		started := func(r *Request) { r.ProgramStarted = true }
 		s.submit("new", objective(300*ms))
@@ -53,30 +53,30 @@
 		Expect(s.refusal("new")).NotTo(BeNil())
 		Expect(s.refusals).To(HaveLen(1))
 	})
-	ginkgo.It("holds those of a program for a part of what it has left", func() {
+	ginkgo.It("queues the requests of a program for a fraction of its remaining time", func() {
 		s := overloaded()
 		for i := range 12 {
 			s.submit(RequestID(fmt.Sprint(i)), objective(300*ms), func(r *Request) { r.ProgramTimeLeft = 3 * time.Second })
 		}
 		Expect(s.refusals).To(BeEmpty())
 	})
-	ginkgo.It("refuses nothing for its objective while there is room", func() {
+	ginkgo.It("refuses nothing for its objective while there is capacity", func() {
 		s := newDriver(plain("a", 8), plain("b", 8)).warmUp(100 * ms)
 		s.report("a", Report{Running: 8})
 		s.report("b", Report{Running: 0})
 		for i := range 9 {
 			s.submit(RequestID(fmt.Sprint(i)), objective(30*ms))
 		}
-		// Half of the places are taken from the eighth on.
+		// Half of the slots are in use from the eighth request on.
 		Expect(s.sends).To(HaveLen(8))
 		Expect(s.refusals).To(HaveLen(1))
-		s = newDriver(plain("a", 8), plain("b", 8)) // no first answer yet: one call each
+		s = newDriver(plain("a", 8), plain("b", 8)) // no response yet: one call each
 		for i := range 5 {
 			s.submit(RequestID(fmt.Sprint(i)), objective(30*ms))
 		}
 		Expect(s.refusals).To(BeEmpty())
 	})
-	ginkgo.It("gives nobody up who may have run while others can be", func() {
+	ginkgo.It("does not refuse a request that may have run while it can refuse others", func() {
 		s := newDriver(plain("a", 1), plain("b", 1)).warmUp(100 * ms)
 		s.submit("ran", objective(150*ms), kind(Safe, 2), priority(9))
 		s.submit("out")
@@ -87,7 +87,7 @@
 		}
 		Expect(s.refusal("ran")).To(BeNil())
 	})
-	ginkgo.It("is bounded", func() {
+	ginkgo.It("is bounded in length", func() {
 		s := newDriver(plain("a", 1)).warmUp(ms)
 		for i := range maxQueueLength + 10 {
 			s.submit(RequestID(fmt.Sprint(i)))
@@ -95,7 +95,7 @@
 		Expect(s.services[pool].queue).To(HaveLen(maxQueueLength))
 		Expect(s.refusals).To(HaveLen(9))
 	})
-	ginkgo.It("lets one go after long usual calls, though they pass the deadline", func() {
+	ginkgo.It("sends one call although the expected duration exceeds the deadline", func() {
 		s := newDriver(plain("a", 4)).warmUp(4 * time.Second)
 		s.submit("0", deadline(s, time.Second))
 		Expect(s.sendOrder()).To(Equal([]RequestID{"0"}))
--- a/admission/dispatch/programs_test.go
+++ b/admission/dispatch/programs_test.go
@@ -10,47 +10,47 @@
 	"emberquay/admission"
 )
 
-// A model of agent programs that several proxies serve from a pool of engines whose memory and reading are scarce:
-// clients that give up what is silent, send turns again and begin programs at a rate that nothing slows, and losses of
-// power by which all proxies forget what they knew. It shows whether an overload ends with its cause.
+// A simulation of agent programs that several proxies serve from a pool of engines with scarce memory and prefill
+// capacity: clients cancel turns without a response, send them again and start programs at a rate independent of the load;
+// power losses erase the state of all proxies. It shows whether an overload ends with its cause.
 
 const (
-	programStep               = 6730 * time.Microsecond // of an engine, without requests
+	programStep               = 6730 * time.Microsecond // of an engine without running requests
 	programStepPerRunning     = 22 * time.Microsecond
-	programPrefillTokensPerMs = 30.6 // prompt tokens read in a millisecond
-	programPrefillChunkTokens = 1024 // tokens read in one step at most
+	programPrefillTokensPerMs = 30.6
+	programPrefillChunkTokens = 1024 // at most in one step
 	programFirstToken         = 12 * time.Millisecond
-	programMemoryTokens       = 153_000 // tokens that an engine keeps, running and cached
+	programMemoryTokens       = 153_000 // of an engine, running and cached
 	programSlots              = 16
 	programQueueLength        = 48
-	programSharedTokens       = 2560 // tokens of the part that programs of a kind share
+	programSharedTokens       = 2560 // prompt part shared by the programs of a kind
 	programNetworkDelay       = time.Millisecond
 	programObjective          = 250 * time.Millisecond
 	programDeadline           = 5 * time.Second
-	programFirstByteTimeout   = 2 * time.Second // after which a client gives a stream up
-	programTargetFactor       = 2.1             // times the time on idle engines
+	programFirstByteTimeout   = 2 * time.Second // after which a client cancels a turn
+	programTargetFactor       = 2.1             // of the program's duration on idle engines
 	programReportInterval     = 250 * time.Millisecond
 	programReportLag          = 300 * time.Millisecond
 	programMaxResends         = 2
-	programLateWorth          = 0.3 // of the worth, within twice the aim
+	programLateWorth          = 0.3 // of the full worth, within twice the target
 )
 
-// workload is an overload as a test describes it.
+// workload describes the load of a test and the faults during it.
 type workload struct {
 	proxies, engines  int
-	programsPerSecond float64       // programs that begin
-	span              time.Duration // in which they begin
-	burstFactor       float64       // times the rate between burstFrom and burstTo; 0: none
+	programsPerSecond float64       // start rate
+	span              time.Duration // in which programs start
+	burstFactor       float64       // of the rate from burstFrom to burstTo; 0: no burst
 	burstFrom         time.Duration
 	burstTo           time.Duration
-	removedEngines    int           // engines that are taken away
-	removeFrom        time.Duration // the first of them, the others a second apart each
-	zones             int           // in which proxies and engines stand, reports stay in each; 0: one
+	removedEngines    int           // engines that are drained
+	removeFrom        time.Duration // when the first is drained; the others follow at intervals of a second
+	zones             int           // of proxies and engines, reports stay within each; 0: one
 	powerLosses       []time.Duration
 	outage            time.Duration
 }
 
-// programModel is a run of the model.
+// programModel is the state of a run.
 type programModel struct {
 	workload
 	now             Instant
@@ -67,8 +67,8 @@
 type endedProgram struct {
 	startedAt      Instant
 	worth          float64
-	fullWorth      float64 // worth in time
-	completedTurns int     // that it got to
+	fullWorth      float64 // if it had ended in time
+	completedTurns int
 	turns          int
 }
 
@@ -77,11 +77,11 @@
 	heap.Push(&m.events, simEvent{m.now.Add(span), m.seq, do})
 }
 
-// programCall is one call at an engine.
+// programCall is a call at an engine.
 type programCall struct {
 	simCall
 	promptTokens int
-	cancelled    bool // its connection is closed
+	cancelled    bool // the proxy closed the connection
 }
 
 func (c *programCall) memoryTokens() int { return c.promptTokens + c.tokensLeft }
@@ -117,7 +117,7 @@
 	return used
 }
 
-// admit begins what fits, in order.
+// admit starts queued calls in order while memory and slots suffice.
 func (e *programEngine) admit() {
 	isCancelled := func(c *programCall) bool { return c.cancelled }
 	e.running = slices.DeleteFunc(e.running, isCancelled)
@@ -175,7 +175,7 @@
 	e.step()
 }
 
-// programProxy is one proxy; its dispatcher is a new one after a loss of power.
+// programProxy is a proxy; it gets a new dispatcher after a power loss.
 type programProxy struct {
 	m           *programModel
 	zone        string
@@ -184,7 +184,7 @@
 	attempts    map[RequestID]*clientAttempt
 }
 
-// agent is one program.
+// agent is a program.
 type agent struct {
 	id         string
 	priority   int
@@ -193,17 +193,17 @@
 	turn       int
 	turns      []agentTurn
 	resends    int
-	usualProxy *programProxy // where its client's connections lead as a rule
+	usualProxy *programProxy // where most of its connections lead
 	parts      []PrefixPart
 }
 
 type agentTurn struct{ inputTokens, outputTokens int }
 
-// clientAttempt is one try of a client for a turn.
+// clientAttempt is one attempt of a client to have a turn served.
 type clientAttempt struct {
 	program     *agent
 	id          RequestID
-	retry       bool // it came back after a refusal
+	retry       bool // after a refusal
 	submittedAt Instant
 	sentAt      Instant
 	started     bool
@@ -232,7 +232,7 @@
 	}
 }
 
-// attemptEnded tells the dispatcher of an end unless the proxy has lost it meanwhile.
+// attemptEnded reports the end of a call to the dispatcher, unless that was lost in a power loss meanwhile.
 func (p *programProxy) attemptEnded(incarnation int, send Send, o Outcome) {
 	if p.incarnation == incarnation {
 		p.carryOut(p.d.AttemptEnded(p.m.now, send.Request, send.Attempt, o))
@@ -284,13 +284,13 @@
 	return nil
 }
 
-// sendTurn sends the present turn of a program to some proxy.
+// sendTurn sends a program's current turn to a proxy.
 func (m *programModel) sendTurn(a *agent, retry bool) {
 	p := a.usualProxy
 	if retry || m.random.Below(8) == 0 {
 		p = m.proxyInSameZone(p)
 	}
-	if p.d == nil { // dark: the client gives the connection a second
+	if p.d == nil { // no power: the connection fails after a second
 		m.after(time.Second, func() { m.turnFailed(a) })
 		return
 	}
@@ -318,7 +318,7 @@
 	p.carryOut(p.d.Submit(m.now, r))
 }
 
-// proxyInSameZone gives some proxy of the zone of one.
+// proxyInSameZone returns a random proxy of the same zone.
 func (m *programModel) proxyInSameZone(as *programProxy) *programProxy {
 	for {
 		if p := m.proxies[m.random.Below(len(m.proxies))]; p.zone == as.zone {
@@ -327,7 +327,7 @@
 	}
 }
 
-// abandon is a client that closes its connection.
+// abandon closes the client's connection.
 func (p *programProxy) abandon(t *clientAttempt) {
 	t.ended = true
 	delete(p.attempts, t.id)
@@ -339,7 +339,7 @@
 	p.m.turnFailed(t.program)
 }
 
-// turnRefused is a client that was told to come back; it does so once.
+// turnRefused handles a refusal: the client retries once.
 func (m *programModel) turnRefused(t *clientAttempt, r Refusal) {
 	t.ended = true
 	if t.retry || r.Status != StatusServiceUnavailable {
@@ -350,7 +350,7 @@
 	m.after(max(wait, 10*time.Millisecond), func() { m.sendTurn(t.program, true) })
 }
 
-// turnFailed is a turn that failed: the program sends it again, twice at most.
+// turnFailed handles a failed turn: the program sends it again, at most twice.
 func (m *programModel) turnFailed(a *agent) {
 	if a.resends == programMaxResends {
 		m.end(a, 0)
@@ -360,7 +360,7 @@
 	m.after(time.Duration(100+m.random.Below(300))*time.Millisecond, func() { m.sendTurn(a, false) })
 }
 
-// turnSucceeded goes on with the next turn after a pause.
+// turnSucceeded sends the next turn after a pause, or ends the program.
 func (m *programModel) turnSucceeded(a *agent) {
 	a.resends = 0
 	a.turn++
@@ -385,7 +385,7 @@
 	m.ended = append(m.ended, endedProgram{a.startedAt, worth * fullWorth, fullWorth, a.turn, len(a.turns)})
 }
 
-// startProgram starts a program of one of two kinds: some turns with much input, or many with little.
+// startProgram starts a program of one of two kinds: a few turns with much input, or many with little.
 func (m *programModel) startProgram() {
 	m.startCount++
 	a := &agent{id: fmt.Sprint("p", m.startCount), startedAt: m.now, priority: 1, usualProxy: m.proxies[m.random.Below(len(m.proxies))]}
@@ -454,7 +454,7 @@
 	}
 }
 
-// losePower loses all proxies; what they had out goes on at the engines, and their clients hear nothing.
+// losePower stops all proxies: their calls go on at the engines, and their clients get no response.
 func (m *programModel) losePower() {
 	for _, p := range m.proxies {
 		p.d = nil
@@ -478,7 +478,7 @@
 	})
 }
 
-// drainEngine drains an engine, which leaves when it has ended its work.
+// drainEngine drains an engine; it is removed once its work has ended.
 func (m *programModel) drainEngine() {
 	for _, e := range m.engines {
 		if !e.draining {
@@ -530,7 +530,8 @@
 	}
 }
 
-// earnedShare is the part earned of what the programs owed that began in a span; those that never ended earned nothing.
+// earnedShare is the share of the possible worth that the programs started in a span earned. Programs that have not
+// ended are not counted.
 func (m *programModel) earnedShare(from, to time.Duration) float64 {
 	earned, fullWorth := 0.0, 0.0
 	for _, e := range m.ended {
@@ -542,7 +543,7 @@
 	return earned / max(1, fullWorth)
 }
 
-// goodput is what was earned a second by those that began in a span.
+// goodput is the worth earned per second by the programs that started in a span.
 func (m *programModel) goodput(from, to time.Duration) float64 {
 	earned := 0.0
 	for _, e := range m.ended {
--- a/admission/dispatch/sim_test.go
+++ b/admission/dispatch/sim_test.go
@@ -10,19 +10,19 @@
 	"emberquay/admission"
 )
 
-// A small model of several proxies that share a pool of model engines. The engines batch: a step gives each
-// running request a token, takes longer the more run, and reads a piece of the prompts that wait first. It is
-// there to see that the estimates of choice.go lead the right way, not to foretell a deployment.
+// A small simulation of several proxies that share a pool of model engines. The engines batch: a step gives each running
+// request a token, takes longer the more requests run, and reads a chunk of the waiting prompts first. It checks that the
+// cost estimates of choice.go lead to better choices; it does not predict the figures of a deployment.
 
 const (
 	simStep               = 6 * time.Millisecond
 	simStepPerRunning     = 25 * time.Microsecond
-	simPrefillTokensPerMs = 40.0 // prompt tokens
+	simPrefillTokensPerMs = 40.0
 	simPrefillChunkTokens = 1024
 	simNetworkDelay       = time.Millisecond
 	simReportInterval     = 200 * time.Millisecond
 	simReportLag          = 100 * time.Millisecond
-	simMemoryTokens       = 200_000 // tokens of prompts that an engine keeps
+	simMemoryTokens       = 200_000 // prompt tokens that an engine caches
 )
 
 type simEvent struct {
@@ -53,13 +53,13 @@
 	engines      map[InstanceID]*simEngine
 	ids          []InstanceID
 	proxies      []*simProxy
-	promptsKnown bool // the dispatchers are told of engines and prompts
+	promptsKnown bool // the dispatchers know the engines and prompts
 	result       simResult
 }
 
 type simResult struct {
 	served, offered      map[int]int // by priority
-	refused, refusedLate int         // late: refused after it was held for over a quarter of its objective
+	refused, refusedLate int         // late: after more than a quarter of the target latency in the queue
 	rejected             int
 	durations            []time.Duration
 	firstBytes           []time.Duration
@@ -91,7 +91,7 @@
 	onDone         func()
 }
 
-// prefill reads prompt tokens of what is left of a step's piece, and gives what is left after it.
+// prefill reads prompt tokens from what is left of a step's chunk and returns the rest of the chunk.
 func (c *simCall) prefill(chunk int) int {
 	tokens := min(chunk, c.uncachedTokens)
 	c.uncachedTokens -= tokens
@@ -233,7 +233,7 @@
 	})
 }
 
-// nextTurn begins a session's next turn after a pause.
+// nextTurn submits a session's next turn after a pause.
 func (s *simulation) nextTurn(p *simProxy, t *simTurn) {
 	if t.turn+1 >= t.turns {
 		return
@@ -261,7 +261,7 @@
 	p.carryOut(p.d.Submit(s.now, r))
 }
 
-// startSessions begin at a rate a second for all proxies together, for a span.
+// startSessions starts sessions for a span, at a rate per second over all proxies.
 func (s *simulation) startSessions(rate float64, span time.Duration) {
 	end, session := s.now.Add(span), 0
 	var begin func()
@@ -332,18 +332,18 @@
 func (r simResult) String() string {
 	offered := r.offered[0] + r.offered[1]
 	slices.Sort(r.firstBytes)
-	return fmt.Sprintf("owed %d served %v refused %d (late %d) full %d in time %.3f first %v p95 %v whole %v read %d served by one %d to %d",
+	return fmt.Sprintf("offered %d served %v refused %d (late %d) rejected %d on time %.3f first byte %v p95 %v total %v prefilled %d served per engine %d to %d",
 		offered, r.served, r.refused, r.refusedLate, r.rejected, float64(r.onTime)/float64(offered), mean(r.firstBytes).Round(time.Millisecond),
 		r.firstBytes[len(r.firstBytes)*95/100].Round(time.Millisecond), mean(r.durations).Round(time.Millisecond), r.prefilledTokens, r.idlest, r.busiest)
 }
 
-// share is the part of a priority's turns that were served.
+// share is the fraction of a priority's turns that were served.
 func (r simResult) share(priority int) float64 {
 	return float64(r.served[priority]) / float64(max(1, r.offered[priority]))
 }
 
-// TestSessionsStayWithTheirCachedPrompts: against choice by load alone, at loads that the pool bears,
-// prompts are read anew less often, and no turn takes longer for it.
+// TestSessionsStayWithTheirCachedPrompts compares with a choice by load alone, at loads within the capacity: prompts
+// are read again less often, and turns take no longer for it.
 func TestSessionsStayWithTheirCachedPrompts(t *testing.T) {
 	for _, rate := range []float64{10, 25, 50, 80} {
 		byLoad, byCost := simulate(false, 10, 12, rate), simulate(true, 10, 12, rate)
@@ -352,16 +352,17 @@
 		prefillPerTurn := func(r simResult) float64 { return float64(r.prefilledTokens) / float64(r.offered[0]+r.offered[1]) }
 		switch {
 		case prefillPerTurn(byCost) > 0.8*prefillPerTurn(byLoad):
-			t.Errorf("at %v sessions a second a turn had %.0f tokens read, %.0f by load alone", rate, prefillPerTurn(byCost), prefillPerTurn(byLoad))
+			t.Errorf("at %v sessions/s a turn has %.0f tokens read, %.0f if chosen by load alone", rate, prefillPerTurn(byCost), prefillPerTurn(byLoad))
 		case mean(byCost.durations) > mean(byLoad.durations) || mean(byCost.firstBytes) > mean(byLoad.firstBytes):
-			t.Errorf("at %v sessions a second a turn took %v, %v by load alone", rate, mean(byCost.durations), mean(byLoad.durations))
+			t.Errorf("at %v sessions/s a turn takes %v, %v if chosen by load alone", rate, mean(byCost.durations), mean(byLoad.durations))
 		case byCost.refused > 0:
-			t.Errorf("at %v sessions a second %d turns were refused", rate, byCost.refused)
+			t.Errorf("at %v sessions/s %d turns are refused", rate, byCost.refused)
 		}
 	}
 }
 
-// TestOverloadIsRefusedAtOnce: what is refused is refused at once, and the urgent are not served less often.
+// TestOverloadIsRefusedAtOnce verifies that refusals under overload come at once and that urgent turns are not served
+// less often.
 func TestOverloadIsRefusedAtOnce(t *testing.T) {
 	for _, rate := range []float64{120, 200, 400} {
 		r := simulate(true, 10, 12, rate)
@@ -369,11 +370,11 @@
 		offered := r.offered[0] + r.offered[1]
 		switch {
 		case r.refused == 0:
-			t.Errorf("at %v sessions a second nothing was refused", rate)
+			t.Errorf("at %v sessions/s nothing is refused", rate)
 		case r.refusedLate*100 > offered:
-			t.Errorf("at %v sessions a second %d of %d turns were refused after they had been held", rate, r.refusedLate, offered)
+			t.Errorf("at %v sessions/s %d of %d turns are refused after queueing", rate, r.refusedLate, offered)
 		case r.share(0) < r.share(1)-0.05:
-			t.Errorf("at %v sessions a second %.2f of the urgent and %.2f of the others were served", rate, r.share(0), r.share(1))
+			t.Errorf("at %v sessions/s %.2f of the urgent and %.2f of the other turns are served", rate, r.share(0), r.share(1))
 		}
 	}
 }
--- a/admission/dispatch/state.go
+++ b/admission/dispatch/state.go
@@ -43,7 +43,7 @@
 	seq          uint64 // order of submission
 	promptTokens int
 	programKey   uint64    // hash of the program's name; 0: no program
-	home         *endpoint // where the program's prompts are assumed to be cached if this proxy has not sent them; nil: nowhere
+	home         *endpoint // where the program's prompts are assumed to be cached; nil: nowhere
 	submittedAt  Instant
 	expiresAt    Instant // earliest of deadline, timeout and end of the process
 	mayWaitUntil Instant // limit set by the latency objective
@@ -89,7 +89,7 @@
 	misdirected          bool   // another instance answers at its address: no calls until its address changes
 	window               admission.Window
 	blockedUntil         Instant // end of the Retry-After of a rejection
-	rejectionCountedAt   Instant // when a rejection last reduced the window; those of calls sent before do not reduce it again
+	rejectionCountedAt   Instant // when a rejection last reduced the window; those of earlier calls are not counted
 	backoffUntil         Instant // after failures
 	consecutiveFailures  int
 	lastResponse         Instant         // when a response last started or a rejection came
--- a/admission/dispatch/stats_test.go
+++ b/admission/dispatch/stats_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = ginkgo.Describe("What a dispatcher tells of itself", func() {
-	ginkgo.It("counts what is held, what is out and what may go", func() {
+var _ = ginkgo.Describe("the statistics of a dispatcher", func() {
+	ginkgo.It("count queued requests, calls in flight and the allowance", func() {
 		s := newDriver(plain("a", 2), plain("b", 3)).warmUp(10 * ms)
 		Expect(s.Stats(s.now)).To(Equal(Stats{Receivers: 2, Allowance: 5}))
 		for _, id := range []RequestID{"0", "1", "2"} {
@@ -21,17 +21,17 @@
 		Expect(s.Stats(s.now)).To(Equal(Stats{Queued: 2, InFlight: 5, Receivers: 2}))
 	})
 
-	ginkgo.DescribeTable("names why a request was refused", func(reason Reason, refused func(s *driver)) {
+	ginkgo.DescribeTable("name the reason of a refusal", func(reason Reason, refused func(s *driver)) {
 		s := newDriver(plain("a", 1)).warmUp(100 * ms)
 		refused(s)
 		Expect(s.refusal("x")).NotTo(BeNil())
 		Expect(s.refusal("x").Reason).To(Equal(reason))
 	},
-		ginkgo.Entry("no time for a usual call behind the one that is out", TooLate, func(s *driver) {
+		ginkgo.Entry("no time for an expected call after the one in flight", TooLate, func(s *driver) {
 			s.submit("0")
 			s.submit("x", deadline(s, 120*ms))
 		}),
-		ginkgo.Entry("it would wait longer than its objective bears", Overloaded, func(s *driver) {
+		ginkgo.Entry("its wait exceeds what its objective allows", Overloaded, func(s *driver) {
 			s.submit("0")
 			for _, id := range []RequestID{"1", "2", "3", "x"} {
 				s.submit(id, func(r *Request) { r.TargetLatency = 150 * time.Millisecond })
@@ -43,7 +43,7 @@
 		}),
 	)
 
-	ginkgo.It("has a name for each reason", func() {
+	ginkgo.It("have a name for each reason", func() {
 		names := map[string]bool{}
 		for reason := range ReasonCount {
 			names[reason.String()] = true
