--- a/coordination/budget/attempt.go
+++ b/coordination/budget/attempt.go
@@ -1,16 +1,16 @@
 package budget
 
-// Action is what an attempt wants next.
-type Action int
+// Decision is what an attempt wants next.
+type Decision int
 
 // The actions.
 const (
-	// Wait: more reports are needed.
-	Wait Action = iota
+	// Pending: more reports are needed.
+	Pending Decision = iota
 	// Granted: the turn may run.
 	Granted
-	// Spent: settled turns alone reach the budget.
-	Spent
+	// Exhausted: settled turns alone reach the budget.
+	Exhausted
 	// Undecided: turns that are still open decide, or the turn itself was settled before.
 	Undecided
 )
@@ -39,9 +39,9 @@
 	}
 }
 
-// Report takes the report of a member that is complete: it knows all that it should. In the first round the member has
+// AddReport takes the report of a member that is complete: it knows all that it should. In the first round the member has
 // to have the reservation on its disk. A report that was asked for before Recheck must not be given after it.
-func (a *Attempt) Report(member int, r Report) {
+func (a *Attempt) AddReport(member int, r Report) {
 	if a.reported[member] {
 		return
 	}
@@ -50,17 +50,17 @@
 	a.kept++
 }
 
-// Reported says whether a member has reported in this round.
-func (a *Attempt) Reported(member int) bool { return a.reported[member] }
+// HasReported says whether a member has reported in this round.
+func (a *Attempt) HasReported(member int) bool { return a.reported[member] }
 
-// Quorate says whether a quorum has reported in this round. In the first round, Next waits for all members then; the
+// HasQuorum says whether a quorum has reported in this round. In the first round, Next waits for all members then; the
 // caller may end that by Recheck.
-func (a *Attempt) Quorate() bool { return a.kept >= a.quorum }
+func (a *Attempt) HasQuorum() bool { return a.kept >= a.quorum }
 
-// Recheck begins a second round: every member is to be asked once more. It says whether whole lists are needed. It must
+// StartSecondRound begins a second round: every member is to be asked once more. It says whether whole lists are needed. It must
 // only be called when Quorate.
-func (a *Attempt) Recheck() (whole bool) {
-	if !a.Quorate() {
+func (a *Attempt) StartSecondRound() (whole bool) {
+	if !a.HasQuorum() {
 		panic("budget: recheck without a quorum")
 	}
 	a.whole = !a.union().exact
@@ -71,8 +71,8 @@
 	return a.whole
 }
 
-// NeedsWhole says that all that can be known has come, but not exactly enough: another Recheck brings whole lists.
-func (a *Attempt) NeedsWhole() bool {
+// NeedsWholeLists says that all that can be known has come, but not exactly enough: another Recheck brings whole lists.
+func (a *Attempt) NeedsWholeLists() bool {
 	if !a.enough() {
 		return false
 	}
@@ -82,34 +82,34 @@
 
 // enough says whether the reports of this round would do for a grant.
 func (a *Attempt) enough() bool {
-	return a.kept == a.members && a.kept >= a.quorum || a.second && a.Quorate()
+	return a.kept == a.members && a.kept >= a.quorum || a.second && a.HasQuorum()
 }
 
-// Next says what follows from the reports so far.
-func (a *Attempt) Next() Action {
+// Decide says what follows from the reports so far.
+func (a *Attempt) Decide() Decision {
 	for _, r := range a.reports {
-		if r.Closed {
+		if r.TurnClosed {
 			return Undecided
 		}
-		if r.Settled >= a.budget {
-			return Spent // what one store knows to be used is used
+		if r.SettledTokens >= a.budget {
+			return Exhausted // what one store knows to be used is used
 		}
 	}
-	if !a.Quorate() {
-		return Wait
+	if !a.HasQuorum() {
+		return Pending
 	}
 	u := a.union()
 	switch {
 	case u.exact && u.settled >= a.budget:
-		return Spent
+		return Exhausted
 	case !a.enough():
-		return Wait // the others may know that some of the open ones have ended
+		return Pending // the others may know that some of the open ones have ended
 	case u.settled+u.open < a.budget:
 		return Granted
 	case u.exact:
 		return Undecided
 	}
-	return Wait
+	return Pending
 }
 
 // union is what the reports know together.
@@ -124,15 +124,15 @@
 		return a.listed()
 	}
 	u := union{exact: alike}
-	open := map[Key]int64{}
+	open := map[TurnKey]int64{}
 	for at, r := range a.reports {
 		if !a.reported[at] {
 			continue
 		}
 		if alike {
-			u.settled = r.Settled
+			u.settled = r.SettledTokens
 		} else {
-			u.settled += r.Settled // a turn may count more than once
+			u.settled += r.SettledTokens // a turn may count more than once
 		}
 		for _, e := range r.Entries {
 			if e.Open {
--- a/coordination/budget/ledger.go
+++ b/coordination/budget/ledger.go
@@ -26,15 +26,15 @@
 	"emberquay/coordination/hashing"
 )
 
-// Key names a turn within its program: a hash of its id.
-type Key uint64
+// TurnKey names a turn within its program: a hash of its id.
+type TurnKey uint64
 
-// KeyOf hashes the id of a turn.
-func KeyOf(id string) Key { return Key(xxhash.Sum64String(id)) }
+// TurnKeyOf hashes the id of a turn.
+func TurnKeyOf(id string) TurnKey { return TurnKey(xxhash.Sum64String(id)) }
 
 // Entry is what is known of a turn.
 type Entry struct {
-	Turn   Key
+	Turn   TurnKey
 	Tokens int64 // at most, while it is open; else what it used
 	Open   bool
 }
@@ -51,15 +51,15 @@
 
 // The outcomes.
 const (
-	Opened  Outcome = iota // it is new
-	Known                  // it was open before
-	Closed                 // the turn was settled or withdrawn: it is never opened again
-	Crowded                // the program has MaxEntries already
+	Opened      Outcome = iota // it is new
+	AlreadyOpen                // it was open before
+	Closed                     // the turn was settled or withdrawn: it is never opened again
+	LedgerFull                 // the program has MaxEntries already
 )
 
 // Ledger is what one store knows of one program. The zero value is empty.
 type Ledger struct {
-	entries map[Key]state
+	entries map[TurnKey]state
 	settled int64
 	sum     uint64 // digest of the settled entries
 	all     uint64 // digest of all entries
@@ -75,7 +75,7 @@
 	return state(e.Tokens)
 }
 
-func (s state) entry(k Key) Entry {
+func (s state) entry(k TurnKey) Entry {
 	if s < 0 {
 		return Entry{Turn: k, Tokens: int64(^s), Open: true}
 	}
@@ -85,38 +85,38 @@
 // Len counts the entries.
 func (l *Ledger) Len() int { return len(l.entries) }
 
-// Settled is what the settled turns used.
-func (l *Ledger) Settled() int64 { return l.settled }
+// SettledTokens is what the settled turns used.
+func (l *Ledger) SettledTokens() int64 { return l.settled }
 
 // Digest stands for all entries.
 func (l *Ledger) Digest() uint64 { return l.all }
 
 // Reserve opens a reservation of at most so many tokens.
-func (l *Ledger) Reserve(turn Key, most int64) Outcome {
-	outcome := l.Find(turn)
+func (l *Ledger) Reserve(turn TurnKey, most int64) Outcome {
+	outcome := l.CheckReserve(turn)
 	if outcome == Opened {
 		l.put(Entry{Turn: turn, Tokens: max(0, most), Open: true})
 	}
 	return outcome
 }
 
-// Find gives Known or Closed for a turn that has an entry, else Crowded or, if there is room, Opened: what Reserve would
+// CheckReserve gives Known or Closed for a turn that has an entry, else Crowded or, if there is room, Opened: what Reserve would
 // come to.
-func (l *Ledger) Find(turn Key) Outcome {
+func (l *Ledger) CheckReserve(turn TurnKey) Outcome {
 	s, ok := l.entries[turn]
 	switch {
 	case ok && s < 0:
-		return Known
+		return AlreadyOpen
 	case ok:
 		return Closed
 	case len(l.entries) >= MaxEntries:
-		return Crowded
+		return LedgerFull
 	}
 	return Opened
 }
 
-// News says whether Merge would change anything.
-func (l *Ledger) News(e Entry) bool {
+// WouldChange says whether Merge would change anything.
+func (l *Ledger) WouldChange(e Entry) bool {
 	s, ok := l.entries[e.Turn]
 	if !ok {
 		// An open one must never be lost, or the budget could be passed; nor one that used tokens.
@@ -129,7 +129,7 @@
 // settled ones the greater stays. Beyond MaxEntries only withdrawals of turns that are not known are left out.
 func (l *Ledger) Merge(e Entry) bool {
 	e.Tokens = max(0, e.Tokens)
-	if !l.News(e) {
+	if !l.WouldChange(e) {
 		return false
 	}
 	if s, ok := l.entries[e.Turn]; ok {
@@ -149,7 +149,7 @@
 
 func (l *Ledger) put(e Entry) {
 	if l.entries == nil {
-		l.entries = map[Key]state{}
+		l.entries = map[TurnKey]state{}
 	}
 	l.entries[e.Turn] = stateOf(e)
 	l.all += digest(e)
@@ -182,21 +182,21 @@
 
 // Report is what a store tells of a program to the one that wants a turn.
 type Report struct {
-	Closed  bool   // the turn itself was settled before
-	Settled int64  // what the others used that are settled
-	Digest  uint64 // of the settled entries
-	Whole   bool   // Entries holds the settled ones too, not only those that are open
-	Entries []Entry
+	TurnClosed    bool   // the turn itself was settled before
+	SettledTokens int64  // what the others used that are settled
+	Digest        uint64 // of the settled entries
+	Whole         bool   // Entries holds the settled ones too, not only those that are open
+	Entries       []Entry
 }
 
 // Report tells of all turns but the one that asks. Long lists leave the settled entries out, unless whole is wanted.
-func (l *Ledger) Report(turn Key, whole bool) Report {
-	r := Report{Settled: l.settled, Digest: l.sum, Whole: whole || len(l.entries) <= wholeEntries}
+func (l *Ledger) Report(turn TurnKey, whole bool) Report {
+	r := Report{SettledTokens: l.settled, Digest: l.sum, Whole: whole || len(l.entries) <= wholeEntries}
 	own, ok := l.entries[turn]
 	if ok && own >= 0 {
 		e := own.entry(turn)
-		r.Closed = true
-		r.Settled -= e.Tokens
+		r.TurnClosed = true
+		r.SettledTokens -= e.Tokens
 		r.Digest -= digest(e)
 	}
 	for k, s := range l.entries {
@@ -207,11 +207,11 @@
 	return r
 }
 
-// ErrEntries: bytes that hold no entries.
-var ErrEntries = eris.New("budget: malformed entries")
+// ErrMalformedEntries: bytes that hold no entries.
+var ErrMalformedEntries = eris.New("budget: malformed entries")
 
-// Pack appends entries as bytes, about 10 each.
-func Pack(to []byte, entries []Entry) []byte {
+// EncodeEntries appends entries as bytes, about 10 each.
+func EncodeEntries(to []byte, entries []Entry) []byte {
 	for _, e := range entries {
 		to = binary.BigEndian.AppendUint64(to, uint64(e.Turn))
 		to = binary.AppendVarint(to, int64(stateOf(e)))
@@ -219,17 +219,17 @@
 	return to
 }
 
-// Unpack reads them. Error: ErrEntries.
-func Unpack(data []byte) ([]Entry, error) {
+// DecodeEntries reads them. Error: ErrEntries.
+func DecodeEntries(data []byte) ([]Entry, error) {
 	entries := make([]Entry, 0, len(data)/10)
 	for len(data) > 0 {
 		if len(data) < 9 {
-			return nil, ErrEntries
+			return nil, ErrMalformedEntries
 		}
-		k := Key(binary.BigEndian.Uint64(data))
+		k := TurnKey(binary.BigEndian.Uint64(data))
 		s, n := binary.Varint(data[8:])
 		if n <= 0 {
-			return nil, ErrEntries
+			return nil, ErrMalformedEntries
 		}
 		entries = append(entries, state(s).entry(k))
 		data = data[8+n:]
--- a/coordination/budget/ledger_test.go
+++ b/coordination/budget/ledger_test.go
@@ -17,11 +17,11 @@
 	RunSpecs(t, "budget")
 }
 
-func open(turn budget.Key, tokens int64) budget.Entry {
+func open(turn budget.TurnKey, tokens int64) budget.Entry {
 	return budget.Entry{Turn: turn, Tokens: tokens, Open: true}
 }
 
-func settled(turn budget.Key, tokens int64) budget.Entry {
+func settled(turn budget.TurnKey, tokens int64) budget.Entry {
 	return budget.Entry{Turn: turn, Tokens: tokens}
 }
 
@@ -31,7 +31,7 @@
 
 	It("opens a turn once", func() {
 		Expect(ledger.Reserve(1, 10)).To(Equal(budget.Opened))
-		Expect(ledger.Reserve(1, 10)).To(Equal(budget.Known))
+		Expect(ledger.Reserve(1, 10)).To(Equal(budget.AlreadyOpen))
 		Expect(ledger.Len()).To(Equal(1))
 	})
 
@@ -42,7 +42,7 @@
 		ledger.Merge(settled(2, 4))
 		Expect(ledger.Reserve(2, 10)).To(Equal(budget.Closed))
 		Expect(ledger.Merge(open(2, 10))).To(BeFalse())
-		Expect(ledger.Settled()).To(Equal(int64(4)))
+		Expect(ledger.SettledTokens()).To(Equal(int64(4)))
 	})
 
 	It("reports the others, not the turn that asks", func() {
@@ -51,20 +51,20 @@
 		ledger.Merge(settled(3, 5))
 		report := ledger.Report(1, false)
 		Expect(report.Whole).To(BeTrue())
-		Expect(report.Settled).To(Equal(int64(5)))
+		Expect(report.SettledTokens).To(Equal(int64(5)))
 		Expect(report.Entries).To(ConsistOf(open(2, 7), settled(3, 5)))
-		Expect(ledger.Report(3, false).Settled).To(BeZero())
-		Expect(ledger.Report(3, false).Closed).To(BeTrue())
+		Expect(ledger.Report(3, false).SettledTokens).To(BeZero())
+		Expect(ledger.Report(3, false).TurnClosed).To(BeTrue())
 	})
 
 	It("lists only what is open once it is long, unless all is wanted", func() {
-		for turn := range budget.Key(100) {
+		for turn := range budget.TurnKey(100) {
 			ledger.Merge(settled(turn, 1))
 		}
 		ledger.Reserve(200, 3)
 		report := ledger.Report(300, false)
 		Expect(report.Whole).To(BeFalse())
-		Expect(report.Settled).To(Equal(int64(100)))
+		Expect(report.SettledTokens).To(Equal(int64(100)))
 		Expect(report.Entries).To(Equal([]budget.Entry{open(200, 3)}))
 		Expect(ledger.Report(300, true).Entries).To(HaveLen(101))
 	})
@@ -82,10 +82,10 @@
 	})
 
 	It("is bounded, but loses nothing that counts", func() {
-		for turn := range budget.Key(budget.MaxEntries) {
+		for turn := range budget.TurnKey(budget.MaxEntries) {
 			ledger.Reserve(turn, 1)
 		}
-		Expect(ledger.Reserve(1<<40, 1)).To(Equal(budget.Crowded))
+		Expect(ledger.Reserve(1<<40, 1)).To(Equal(budget.LedgerFull))
 		Expect(ledger.Merge(settled(1<<40, 0))).To(BeFalse())
 		Expect(ledger.Merge(open(1<<41, 9))).To(BeTrue())
 		Expect(ledger.Merge(settled(1<<42, 9))).To(BeTrue())
@@ -102,10 +102,10 @@
 		ledger.Reserve(1, 1<<40)
 		ledger.Reserve(2, 0)
 		ledger.Merge(settled(1<<63, 0))
-		data := budget.Pack(nil, ledger.Entries(nil))
-		Expect(budget.Unpack(data)).To(ConsistOf(open(1, 1<<40), open(2, 0), settled(1<<63, 0)))
-		_, err := budget.Unpack(data[:len(data)-1])
-		Expect(err).To(MatchError(budget.ErrEntries))
+		data := budget.EncodeEntries(nil, ledger.Entries(nil))
+		Expect(budget.DecodeEntries(data)).To(ConsistOf(open(1, 1<<40), open(2, 0), settled(1<<63, 0)))
+		_, err := budget.DecodeEntries(data[:len(data)-1])
+		Expect(err).To(MatchError(budget.ErrMalformedEntries))
 	})
 })
 
@@ -134,25 +134,25 @@
 const compact = false
 
 var _ = DescribeTable("one round of three stores, budget 10",
-	func(action budget.Action, reports ...budget.Report) {
+	func(action budget.Decision, reports ...budget.Report) {
 		attempt := budget.NewAttempt(10, 3, 2)
 		for member, report := range reports {
-			attempt.Report(member, report)
+			attempt.AddReport(member, report)
 		}
-		Expect(attempt.Next()).To(Equal(action))
+		Expect(attempt.Decide()).To(Equal(action))
 	},
-	Entry("none has answered", budget.Wait),
-	Entry("one has answered", budget.Wait, reportOf(true)),
-	Entry("a quorum alone does not grant", budget.Wait, reportOf(true), reportOf(true)),
+	Entry("none has answered", budget.Pending),
+	Entry("one has answered", budget.Pending, reportOf(true)),
+	Entry("a quorum alone does not grant", budget.Pending, reportOf(true), reportOf(true)),
 	Entry("all do", budget.Granted, reportOf(true), reportOf(true), reportOf(true)),
 	Entry("one below the budget", budget.Granted, reportOf(true, settled(1, 9)), reportOf(true), reportOf(true)),
-	Entry("one store knows it to be spent", budget.Spent, reportOf(true, settled(1, 10))),
-	Entry("spent by what they know together", budget.Spent,
+	Entry("one store knows it to be spent", budget.Exhausted, reportOf(true, settled(1, 10))),
+	Entry("spent by what they know together", budget.Exhausted,
 		reportOf(true, settled(1, 5)), reportOf(true, settled(2, 5)), reportOf(true)),
 	Entry("open turns decide", budget.Undecided, reportOf(true, open(1, 10)), reportOf(true), reportOf(true)),
 	Entry("a turn that some know to be settled counts as settled", budget.Granted,
 		reportOf(true, open(1, 10)), reportOf(true, settled(1, 2)), reportOf(true, open(1, 10))),
-	Entry("the turn itself was closed", budget.Undecided, budget.Report{Closed: true, Whole: true}),
+	Entry("the turn itself was closed", budget.Undecided, budget.Report{TurnClosed: true, Whole: true}),
 	Entry("long lists that are alike", budget.Granted, reportOf(compact, settled(1, 4), open(2, 5)),
 		reportOf(compact, settled(1, 4)), reportOf(compact, settled(1, 4), open(2, 5))),
 	Entry("long lists that are alike and spent with what is open", budget.Undecided,
@@ -160,49 +160,49 @@
 		reportOf(compact, settled(1, 4))),
 	Entry("long lists that differ, but are small enough", budget.Granted,
 		reportOf(compact, settled(1, 4)), reportOf(compact, settled(1, 4), settled(2, 1)), reportOf(compact)),
-	Entry("long lists that differ and may hold the same", budget.Wait,
+	Entry("long lists that differ and may hold the same", budget.Pending,
 		reportOf(compact, settled(1, 4)), reportOf(compact, settled(1, 4), settled(2, 3)), reportOf(compact)),
 )
 
 var _ = Describe("a second round", func() {
 	It("grants by a quorum", func() {
 		attempt := budget.NewAttempt(10, 3, 2)
-		attempt.Report(0, reportOf(true))
-		attempt.Report(1, reportOf(true))
-		Expect(attempt.Recheck()).To(BeFalse())
-		Expect(attempt.Next()).To(Equal(budget.Wait))
-		attempt.Report(2, reportOf(true, open(1, 9)))
-		attempt.Report(1, reportOf(true))
-		Expect(attempt.Next()).To(Equal(budget.Granted))
+		attempt.AddReport(0, reportOf(true))
+		attempt.AddReport(1, reportOf(true))
+		Expect(attempt.StartSecondRound()).To(BeFalse())
+		Expect(attempt.Decide()).To(Equal(budget.Pending))
+		attempt.AddReport(2, reportOf(true, open(1, 9)))
+		attempt.AddReport(1, reportOf(true))
+		Expect(attempt.Decide()).To(Equal(budget.Granted))
 	})
 
 	It("asks for whole lists where digests do not tell enough", func() {
 		attempt := budget.NewAttempt(10, 3, 2)
-		attempt.Report(0, reportOf(compact, settled(1, 4)))
-		attempt.Report(1, reportOf(compact, settled(1, 4), settled(2, 3)))
-		attempt.Report(2, reportOf(compact, settled(1, 4)))
-		Expect(attempt.NeedsWhole()).To(BeTrue())
-		Expect(attempt.Recheck()).To(BeTrue())
-		attempt.Report(0, reportOf(true, settled(1, 4)))
-		attempt.Report(1, reportOf(true, settled(1, 4), settled(2, 3)))
-		Expect(attempt.Next()).To(Equal(budget.Granted))
+		attempt.AddReport(0, reportOf(compact, settled(1, 4)))
+		attempt.AddReport(1, reportOf(compact, settled(1, 4), settled(2, 3)))
+		attempt.AddReport(2, reportOf(compact, settled(1, 4)))
+		Expect(attempt.NeedsWholeLists()).To(BeTrue())
+		Expect(attempt.StartSecondRound()).To(BeTrue())
+		attempt.AddReport(0, reportOf(true, settled(1, 4)))
+		attempt.AddReport(1, reportOf(true, settled(1, 4), settled(2, 3)))
+		Expect(attempt.Decide()).To(Equal(budget.Granted))
 	})
 
 	It("must not begin without a quorum", func() {
 		attempt := budget.NewAttempt(10, 3, 2)
-		attempt.Report(0, reportOf(true))
-		Expect(func() { attempt.Recheck() }).To(Panic())
+		attempt.AddReport(0, reportOf(true))
+		Expect(func() { attempt.StartSecondRound() }).To(Panic())
 	})
 })
 
 func BenchmarkReserveAndReport(b *testing.B) {
 	var ledger budget.Ledger
-	for turn := range budget.Key(50) {
+	for turn := range budget.TurnKey(50) {
 		ledger.Merge(settled(turn, 10))
 	}
 	b.ReportAllocs()
 	for at := range b.N {
-		turn := budget.Key(1000 + at%50)
+		turn := budget.TurnKey(1000 + at%50)
 		ledger.Reserve(turn, 10)
 		ledger.Report(turn, false)
 	}
@@ -214,9 +214,9 @@
 	for range b.N {
 		attempt := budget.NewAttempt(1000, 3, 2)
 		for member := range 3 {
-			attempt.Report(member, report)
+			attempt.AddReport(member, report)
 		}
-		if attempt.Next() != budget.Granted {
+		if attempt.Decide() != budget.Granted {
 			b.Fatal("not granted")
 		}
 	}
--- a/coordination/budget/model_test.go
+++ b/coordination/budget/model_test.go
@@ -15,8 +15,8 @@
 // modelStore is a machine with a disk. Its memory runs ahead of its disk.
 type modelStore struct {
 	disk     int // drawn anew when the disk is lost
-	memory   map[budget.Key]budget.Entry
-	durable  map[budget.Key]budget.Entry
+	memory   map[budget.TurnKey]budget.Entry
+	durable  map[budget.TurnKey]budget.Entry
 	fence    int
 	complete bool
 	compared map[int]bool // disks it has caught up with
@@ -38,7 +38,7 @@
 }
 
 func (s *modelStore) take(l *budget.Ledger) {
-	s.memory = map[budget.Key]budget.Entry{}
+	s.memory = map[budget.TurnKey]budget.Entry{}
 	for _, e := range l.Entries(nil) {
 		s.memory[e.Turn] = e
 	}
@@ -71,7 +71,7 @@
 	view   int // epoch
 	disk   int // that is meant
 	store  int
-	turn   budget.Key
+	turn   budget.TurnKey
 	most   int64 // or used
 	round  int
 	whole  bool
@@ -80,12 +80,12 @@
 
 // modelTurn is a turn and its proxy's attempt.
 type modelTurn struct {
-	key     budget.Key
+	key     budget.TurnKey
 	most    int64
 	view    modelView
 	attempt *budget.Attempt
 	round   int
-	verdict budget.Action
+	verdict budget.Decision
 	over    bool  // settled, withdrawn, or its proxy died
 	used    int64 // once over
 }
@@ -106,7 +106,7 @@
 	m.view.epoch = 1
 	for range stores {
 		m.disks++
-		m.stores = append(m.stores, &modelStore{disk: m.disks, fence: 1, complete: true, memory: map[budget.Key]budget.Entry{}})
+		m.stores = append(m.stores, &modelStore{disk: m.disks, fence: 1, complete: true, memory: map[budget.TurnKey]budget.Entry{}})
 		m.view.disks = append(m.view.disks, m.disks)
 	}
 	return m
@@ -125,7 +125,7 @@
 }
 
 func (m *model) begin() {
-	t := &modelTurn{key: budget.Key(len(m.turns) + 1), most: rapid.Int64Range(3, 8).Draw(m.t, "most")}
+	t := &modelTurn{key: budget.TurnKey(len(m.turns) + 1), most: rapid.Int64Range(3, 8).Draw(m.t, "most")}
 	m.turns = append(m.turns, t)
 	m.restart(t)
 }
@@ -156,7 +156,7 @@
 		return
 	case askReserve:
 		l := s.ledger()
-		if l.Settled() < m.budget {
+		if l.SettledTokens() < m.budget {
 			l.Reserve(x.turn, x.most)
 			s.take(l)
 		} else if _, known := s.memory[x.turn]; !known {
@@ -167,7 +167,7 @@
 	if !s.complete {
 		return
 	}
-	if answer.most < 0 && !answer.report.Closed && answer.report.Settled < m.budget {
+	if answer.most < 0 && !answer.report.TurnClosed && answer.report.SettledTokens < m.budget {
 		return
 	}
 	if x.kind == askRecheck {
@@ -180,14 +180,14 @@
 // hear takes a report at the proxy.
 func (m *model) hear(x modelMessage) {
 	t := m.turns[x.turn-1]
-	if t.over || t.verdict != budget.Wait || x.round != t.round {
+	if t.over || t.verdict != budget.Pending || x.round != t.round {
 		return
 	}
-	t.attempt.Report(x.store, x.report)
-	t.verdict = t.attempt.Next()
+	t.attempt.AddReport(x.store, x.report)
+	t.verdict = t.attempt.Decide()
 	switch t.verdict {
-	case budget.Wait:
-		if t.attempt.NeedsWhole() {
+	case budget.Pending:
+		if t.attempt.NeedsWholeLists() {
 			m.recheck(t)
 		}
 	case budget.Granted:
@@ -198,7 +198,7 @@
 }
 
 func (m *model) recheck(t *modelTurn) {
-	whole := t.attempt.Recheck()
+	whole := t.attempt.StartSecondRound()
 	t.round++
 	m.send(t, askRecheck, whole)
 }
@@ -244,7 +244,7 @@
 		return
 	}
 	m.disks++
-	*s = modelStore{disk: m.disks, compared: map[int]bool{}, memory: map[budget.Key]budget.Entry{}}
+	*s = modelStore{disk: m.disks, compared: map[int]bool{}, memory: map[budget.TurnKey]budget.Entry{}}
 	m.view.epoch++
 	m.view.disks = slices.Clone(m.view.disks)
 	m.view.disks[slices.Index(m.stores, s)] = s.disk
@@ -281,7 +281,7 @@
 	case 3:
 		store.memory = maps.Clone(store.durable) // a crash
 		if store.memory == nil {
-			store.memory = map[budget.Key]budget.Entry{}
+			store.memory = map[budget.TurnKey]budget.Entry{}
 		}
 		store.waiting = nil
 	case 4:
@@ -312,7 +312,7 @@
 	}
 	switch rapid.IntRange(0, 3).Draw(m.t, "proxy") {
 	case 0, 1:
-		if t.attempt.Quorate() && t.round%10 == 0 {
+		if t.attempt.HasQuorum() && t.round%10 == 0 {
 			m.recheck(t)
 		}
 	case 2:
--- a/coordination/budget/race_test.go
+++ b/coordination/budget/race_test.go
@@ -13,7 +13,7 @@
 	first, second [3]bool // calls that have been answered
 	round         int
 	reports       [3]budget.Report // of the round
-	verdict       budget.Action
+	verdict       budget.Decision
 }
 
 // race is a state of two racers.
@@ -31,9 +31,9 @@
 func (r *racer) attempt() *budget.Attempt {
 	attempt := budget.NewAttempt(raceBudget, 3, 2)
 	if r.round == 1 {
-		attempt.Report(0, budget.Report{Whole: true})
-		attempt.Report(1, budget.Report{Whole: true})
-		attempt.Recheck()
+		attempt.AddReport(0, budget.Report{Whole: true})
+		attempt.AddReport(1, budget.Report{Whole: true})
+		attempt.StartSecondRound()
 	}
 	answered := r.first
 	if r.round == 1 {
@@ -41,7 +41,7 @@
 	}
 	for store, yes := range answered {
 		if yes {
-			attempt.Report(store, r.reports[store])
+			attempt.AddReport(store, r.reports[store])
 		}
 	}
 	return attempt
@@ -51,7 +51,7 @@
 func (s race) answer(who, store int) race {
 	s.ledgers[store] = copyOf(&s.ledgers[store])
 	r := &s.racers[who]
-	key := budget.Key(who + 1)
+	key := budget.TurnKey(who + 1)
 	if r.round == 0 {
 		s.ledgers[store].Reserve(key, raceMost)
 		r.first[store] = true
@@ -59,7 +59,7 @@
 		r.second[store] = true
 	}
 	r.reports[store] = s.ledgers[store].Report(key, true)
-	r.verdict = r.attempt().Next()
+	r.verdict = r.attempt().Decide()
 	return s
 }
 
@@ -84,7 +84,7 @@
 	moved := false
 	for who := range s.racers {
 		r := &s.racers[who]
-		if r.verdict != budget.Wait {
+		if r.verdict != budget.Pending {
 			continue
 		}
 		for store := range 3 {
@@ -93,7 +93,7 @@
 				s.answer(who, store).explore(t, seen, ends)
 			}
 		}
-		if r.round == 0 && r.attempt().Quorate() {
+		if r.round == 0 && r.attempt().HasQuorum() {
 			moved = true
 			next := s
 			next.racers[who].round = 1
--- a/coordination/budget/runs_test.go
+++ b/coordination/budget/runs_test.go
@@ -54,7 +54,7 @@
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
 				turn := m.turns[rapid.IntRange(0, 2).Draw(t, "turn")]
-				if !turn.over && turn.verdict == budget.Wait && turn.attempt.Quorate() && turn.round%10 == 0 {
+				if !turn.over && turn.verdict == budget.Pending && turn.attempt.HasQuorum() && turn.round%10 == 0 {
 					m.recheck(turn)
 				}
 			case 1:
@@ -81,7 +81,7 @@
 		for _, at := range reach {
 			m.exchangeTurn(t, m.stores[at])
 		}
-		if t.verdict != budget.Wait || !t.attempt.Quorate() || t.round%10 != 0 {
+		if t.verdict != budget.Pending || !t.attempt.HasQuorum() || t.round%10 != 0 {
 			return
 		}
 		m.recheck(t)
--- a/coordination/gossip/compare.go
+++ b/coordination/gossip/compare.go
@@ -11,17 +11,17 @@
 const freshNews = time.Second
 
 // answerCompare tells a peer that the tables are equal, or the sums of this one.
-func (s *Spreader) answerCompare(from string, d Digest) {
+func (s *Disseminator) answerCompare(from string, d Digest) {
 	if d.Root == s.table.root() {
 		s.send(from, Message{Equal: true})
 		return
 	}
-	s.send(from, Message{Sums: s.table.sums()})
+	s.send(from, Message{BucketSums: s.table.sums()})
 }
 
 // answerSums sends the versions of the buckets that differ. If none does, folded sums are equal by chance, or
 // the tables have become equal since: then all are sent.
-func (s *Spreader) answerSums(from string, sums []uint32) {
+func (s *Disseminator) answerSums(from string, sums []uint32) {
 	if len(sums) != bucketCount {
 		return
 	}
@@ -47,7 +47,7 @@
 
 // summary lists whole buckets, as many as a message may hold. A random one comes first, so that where they
 // are too many each gets its turn.
-func (s *Spreader) summary(buckets []int) *Summary {
+func (s *Disseminator) summary(buckets []int) *Summary {
 	first := s.random.IntN(len(buckets))
 	m := Summary{Whole: s.syncing}
 	for i := range buckets {
@@ -68,12 +68,12 @@
 }
 
 // answerSummary sends what the peer lacks in the buckets that it listed and asks for what this node lacks.
-func (s *Spreader) answerSummary(now time.Time, from string, summary Summary) {
+func (s *Disseminator) answerSummary(now time.Time, from string, summary Summary) {
 	delta := Delta{Partial: summary.Partial}
 	theirs := make(map[string]Stamp, len(summary.Versions))
 	for _, v := range summary.Versions {
 		theirs[v.Key] = v.Stamp
-		if v.Stamp.Above(s.table.stamp(v.Key)) {
+		if v.Stamp.After(s.table.stamp(v.Key)) {
 			delta.Want = append(delta.Want, v.Key)
 		}
 	}
@@ -94,10 +94,10 @@
 
 // lacking gives the records that a peer with that summary lacks, in the order of their keys. A dropped entry
 // whose stamp is defended is among them where the peer shows an older one.
-func (s *Spreader) lacking(summary Summary, theirs map[string]Stamp) []*record {
+func (s *Disseminator) lacking(summary Summary, theirs map[string]Stamp) []*record {
 	var found []*record
 	for key, stamp := range theirs {
-		if r := s.table.find(key); r != nil && !r.kind.Ephemeral && r.entry.Stamp.Above(stamp) {
+		if r := s.table.find(key); r != nil && !r.kind.Ephemeral && r.entry.Stamp.After(stamp) {
 			found = append(found, r)
 		}
 	}
@@ -116,7 +116,7 @@
 }
 
 // takeDelta takes what this node lacked and sends what the peer lacks.
-func (s *Spreader) takeDelta(now time.Time, from string, delta Delta) {
+func (s *Disseminator) takeDelta(now time.Time, from string, delta Delta) {
 	news := 0
 	for _, e := range delta.Entries {
 		if s.take(now, from, e, true) {
@@ -136,7 +136,7 @@
 }
 
 // answerDelta sends what a peer lacks after a comparison.
-func (s *Spreader) answerDelta(now time.Time, from string, want []string) {
+func (s *Disseminator) answerDelta(now time.Time, from string, want []string) {
 	var offer []Version
 	var push []string
 	for _, key := range want {
--- a/coordination/gossip/entry.go
+++ b/coordination/gossip/entry.go
@@ -18,8 +18,8 @@
 	)
 }
 
-// Above tells whether s replaces other.
-func (s Stamp) Above(other Stamp) bool { return s.Compare(other) > 0 }
+// After tells whether s replaces other.
+func (s Stamp) After(other Stamp) bool { return s.Compare(other) > 0 }
 
 // IsZero tells whether s is the stamp of nothing.
 func (s Stamp) IsZero() bool { return s == Stamp{} }
--- a/coordination/gossip/gossip_test.go
+++ b/coordination/gossip/gossip_test.go
@@ -48,7 +48,7 @@
 		{Prefix: "", Limit: 10_000},
 		{Prefix: "t/", Limit: 10_000, Lifetime: func(Entry) time.Duration { return 10 * time.Second }},
 		{Prefix: "e/", Limit: 10_000, Ephemeral: true},
-		{Prefix: "no/", Limit: 10_000, Check: func(Entry) error { return eris.New("no") }},
+		{Prefix: "no/", Limit: 10_000, Validate: func(Entry) error { return eris.New("no") }},
 		{Prefix: "few/", Limit: 2},
 	}
 }
@@ -57,7 +57,7 @@
 	func(a, b Stamp, want int) {
 		Expect(a.Compare(b)).To(Equal(want))
 		Expect(b.Compare(a)).To(Equal(-want))
-		Expect(a.Above(b)).To(Equal(want > 0))
+		Expect(a.After(b)).To(Equal(want > 0))
 	},
 	tableEntry("equal", Stamp{1, 2, "a"}, Stamp{1, 2, "a"}, 0),
 	tableEntry("the epoch first", Stamp{2, 0, "a"}, Stamp{1, 9, "z"}, 1),
@@ -137,14 +137,14 @@
 
 // pair is two spreaders and the messages between them.
 type pair struct {
-	a, b     *Spreader
+	a, b     *Disseminator
 	messages int
 }
 
 func newPair() *pair {
 	p := &pair{
-		a: New(begin, Options{Self: "a", Zone: "z", Kinds: testKinds(), First: at(1000)}, 1),
-		b: New(begin, Options{Self: "b", Zone: "z", Kinds: testKinds(), First: at(1000)}, 2),
+		a: New(begin, Options{Self: "a", Zone: "z", Kinds: testKinds(), FirstCompare: at(1000)}, 1),
+		b: New(begin, Options{Self: "b", Zone: "z", Kinds: testKinds(), FirstCompare: at(1000)}, 2),
 	}
 	return p
 }
@@ -153,7 +153,7 @@
 func (p *pair) exchange(now time.Time) (compared []string) {
 	for range 1000 {
 		quiet := true
-		for _, s := range []*Spreader{p.a, p.b} {
+		for _, s := range []*Disseminator{p.a, p.b} {
 			other, from := p.b, "a"
 			if s == p.b {
 				other, from = p.a, "b"
@@ -196,7 +196,7 @@
 		p.a.Compare("b")
 		Expect(p.exchange(at(5))).To(ContainElement("b"))
 		Expect(p.a.Root()).To(Equal(p.b.Root()))
-		for _, s := range []*Spreader{p.a, p.b} {
+		for _, s := range []*Disseminator{p.a, p.b} {
 			Expect(s.table.stamp("newer at a").Sequence).To(BeEquivalentTo(2))
 			Expect(s.table.stamp("newer at b").Sequence).To(BeEquivalentTo(9))
 			Expect(s.table.stamp("only a").IsZero()).To(BeFalse())
@@ -269,7 +269,7 @@
 	})
 
 	It("bears sums and buckets that make no sense", func() {
-		p.a.Receive(begin, "b", Message{Sums: make([]uint32, 3)})
+		p.a.Receive(begin, "b", Message{BucketSums: make([]uint32, 3)})
 		p.a.Receive(begin, "b", Message{Summary: &Summary{Buckets: []int{-1, 64, 1 << 40}}})
 		p.a.Receive(begin, "b", Message{Want: []string{"unknown"}})
 		Expect(p.a.Take().Messages).To(HaveLen(1))
--- a/coordination/gossip/kind.go
+++ b/coordination/gossip/kind.go
@@ -17,8 +17,8 @@
 	// the entry comes. In the second half of its life an entry is in no digest, so that peers that drop it at
 	// different moments don't give it back to each other. Nil keeps all for ever.
 	Lifetime func(Entry) time.Duration
-	// Check refuses an entry that may not be taken from a peer. Nil takes all.
-	Check func(Entry) error
+	// Validate refuses an entry that may not be taken from a peer. Nil takes all.
+	Validate func(Entry) error
 }
 
 // kindState is a kind and how many entries of it there are.
@@ -35,7 +35,7 @@
 	return k.Lifetime(e)
 }
 
-func (k *kindState) accepts(e Entry) bool { return k.Check == nil || k.Check(e) == nil }
+func (k *kindState) accepts(e Entry) bool { return k.Validate == nil || k.Validate(e) == nil }
 
 // kindOf finds the kind with the longest prefix of key, or nil.
 func kindOf(kinds []*kindState, key string) *kindState {
--- a/coordination/gossip/message.go
+++ b/coordination/gossip/message.go
@@ -18,8 +18,8 @@
 	Compare *Digest
 	// Equal answers Compare: the tables are equal.
 	Equal bool
-	// Sums answers Compare: the sums of all buckets of the answering table.
-	Sums []uint32
+	// BucketSums answers Compare: the sums of all buckets of the answering table.
+	BucketSums []uint32
 	// Summary answers Sums: the versions in the buckets that differ.
 	Summary *Summary
 	// Delta answers Summary.
@@ -54,7 +54,7 @@
 // IsZero tells whether a message has no part.
 func (m Message) IsZero() bool {
 	return len(m.Push) == 0 && len(m.Offer) == 0 && len(m.Want) == 0 && m.Compare == nil && !m.Equal &&
-		m.Sums == nil && m.Summary == nil && m.Delta == nil
+		m.BucketSums == nil && m.Summary == nil && m.Delta == nil
 }
 
 // Outgoing is a message and the id of the peer that it goes to.
@@ -68,8 +68,8 @@
 	Messages []Outgoing
 	// Changed are entries that are new here.
 	Changed []Entry
-	// Dropped are the keys whose entries have come to the end of their lives.
-	Dropped []string
+	// Expired are the keys whose entries have come to the end of their lives.
+	Expired []string
 	// Compared are the peers all of whose entries are now here too, as of the comparison.
 	Compared []string
 }
--- a/coordination/gossip/push_test.go
+++ b/coordination/gossip/push_test.go
@@ -17,8 +17,8 @@
 }
 
 var _ = Describe("pushes", func() {
-	newSpreader := func(peers []Peer) *Spreader {
-		s := New(begin, Options{Self: "self", Zone: "z0", Kinds: testKinds(), First: at(1000)}, 1)
+	newSpreader := func(peers []Peer) *Disseminator {
+		s := New(begin, Options{Self: "self", Zone: "z0", Kinds: testKinds(), FirstCompare: at(1000)}, 1)
 		s.SetPeers(begin, peers)
 		return s
 	}
@@ -144,7 +144,7 @@
 })
 
 var _ = Describe("offers", func() {
-	var s *Spreader
+	var s *Disseminator
 	offer := Message{Offer: []Version{{Key: "x", Stamp: Stamp{Epoch: 1, Sequence: 1}}}}
 	asked := func() []string {
 		var to []string
@@ -156,7 +156,7 @@
 		return to
 	}
 	BeforeEach(func() {
-		s = New(begin, Options{Self: "self", Zone: "z0", Kinds: testKinds(), First: at(1000)}, 1)
+		s = New(begin, Options{Self: "self", Zone: "z0", Kinds: testKinds(), FirstCompare: at(1000)}, 1)
 		s.SetPeers(begin, peersOf(2, 3))
 	})
 
@@ -204,7 +204,7 @@
 		first := s.NextStamp(begin, "x")
 		Expect(first.Epoch).To(BeEquivalentTo(begin.UnixMilli()))
 		s.Put(begin, Entry{Key: "x", Stamp: Stamp{Epoch: first.Epoch + 5000, Sequence: 3, Origin: "z"}})
-		Expect(s.NextStamp(begin, "x").Above(s.table.stamp("x"))).To(BeTrue())
-		Expect(s.NextStamp(at(60), "x").Above(s.table.stamp("x"))).To(BeTrue())
+		Expect(s.NextStamp(begin, "x").After(s.table.stamp("x"))).To(BeTrue())
+		Expect(s.NextStamp(at(60), "x").After(s.table.stamp("x"))).To(BeTrue())
 	})
 })
--- a/coordination/gossip/spreader.go
+++ b/coordination/gossip/spreader.go
@@ -27,10 +27,10 @@
 
 // Options of a Spreader.
 type Options struct {
-	Self  string // id of this node
-	Zone  string
-	Kinds []Kind
-	First time.Time // when the first comparison is due
+	Self         string // id of this node
+	Zone         string
+	Kinds        []Kind
+	FirstCompare time.Time // when the first comparison is due
 }
 
 // hotEntry is news that waits to be pushed.
@@ -40,8 +40,8 @@
 	repaired bool   // a comparison brought it
 }
 
-// Spreader holds the table of a node and decides what is sent to whom.
-type Spreader struct {
+// Disseminator holds the table of a node and decides what is sent to whom.
+type Disseminator struct {
 	options  Options
 	random   *rand.Rand
 	table    *table
@@ -59,9 +59,9 @@
 }
 
 // New makes a Spreader with an empty table. All its choices follow from the seed and its inputs.
-func New(now time.Time, options Options, seed uint64) *Spreader {
+func New(now time.Time, options Options, seed uint64) *Disseminator {
 	random := rand.New(rand.NewPCG(seed, 0))
-	return &Spreader{
+	return &Disseminator{
 		options:  options,
 		random:   random,
 		table:    newTable(options.Kinds),
@@ -69,19 +69,19 @@
 		wants:    wants{random: random, byKey: map[string]*want{}},
 		hotIndex: map[string]int{},
 		ageAt:    now.Add(ageInterval),
-		compares: options.First,
+		compares: options.FirstCompare,
 	}
 }
 
 // SetPeers replaces the peers that take part, this node not among them. The slice must not be changed after.
-func (s *Spreader) SetPeers(now time.Time, peers []Peer) { s.contacts.set(now, peers) }
+func (s *Disseminator) SetPeers(now time.Time, peers []Peer) { s.contacts.set(now, peers) }
 
 // SetSyncing tells whether the node is taking over whole tables: what comparisons bring then is not pushed on,
 // as the others have it already.
-func (s *Spreader) SetSyncing(syncing bool) { s.syncing = syncing }
+func (s *Disseminator) SetSyncing(syncing bool) { s.syncing = syncing }
 
 // Get gives the entry of a key.
-func (s *Spreader) Get(key string) (Entry, bool) {
+func (s *Disseminator) Get(key string) (Entry, bool) {
 	r := s.table.find(key)
 	if r == nil || r.phase == hidden {
 		return Entry{}, false
@@ -89,8 +89,8 @@
 	return r.entry, true
 }
 
-// Known gives the newest entry of a key, also one that was dropped and whose stamp is still defended.
-func (s *Spreader) Known(key string) (Entry, bool) {
+// GetWithTombstones gives the newest entry of a key, also one that was dropped and whose stamp is still defended.
+func (s *Disseminator) GetWithTombstones(key string) (Entry, bool) {
 	r := s.table.find(key)
 	if r == nil {
 		return Entry{}, false
@@ -99,7 +99,7 @@
 }
 
 // Each calls f with every entry that is not dropped, in no order.
-func (s *Spreader) Each(f func(Entry)) {
+func (s *Disseminator) Each(f func(Entry)) {
 	for i := range s.table.buckets {
 		for _, r := range s.table.buckets[i].records {
 			if r.phase != hidden {
@@ -110,11 +110,11 @@
 }
 
 // Root is the digest of the table: equal for equal tables.
-func (s *Spreader) Root() uint64 { return s.table.root() }
+func (s *Disseminator) Root() uint64 { return s.table.root() }
 
 // NextStamp gives a stamp above what is known of a key. The epoch is the time of day in milliseconds unless a
 // later one is known: of two writers who know nothing of each other the later wins, as far as clocks agree.
-func (s *Spreader) NextStamp(now time.Time, key string) Stamp {
+func (s *Disseminator) NextStamp(now time.Time, key string) Stamp {
 	known := s.table.stamp(key)
 	epoch := uint64(now.UnixMilli())
 	if epoch > known.Epoch {
@@ -124,12 +124,12 @@
 }
 
 // Publish takes an entry from this node and spreads it. It tells whether the entry was above what was known.
-func (s *Spreader) Publish(now time.Time, e Entry) bool {
+func (s *Disseminator) Publish(now time.Time, e Entry) bool {
 	return s.learn(now, e, hotEntry{key: e.Key})
 }
 
 // Put takes an entry without pushing it on: the caller brings it to the peers. A peer's entry may be refused.
-func (s *Spreader) Put(now time.Time, e Entry) bool {
+func (s *Disseminator) Put(now time.Time, e Entry) bool {
 	kind := kindOf(s.table.kinds, e.Key)
 	if kind == nil || !kind.accepts(e) || !s.table.put(now, e) {
 		return false
@@ -140,7 +140,7 @@
 }
 
 // learn takes an entry and, if it is news, has it pushed on.
-func (s *Spreader) learn(now time.Time, e Entry, hot hotEntry) bool {
+func (s *Disseminator) learn(now time.Time, e Entry, hot hotEntry) bool {
 	if !s.table.put(now, e) {
 		return false
 	}
@@ -162,7 +162,7 @@
 }
 
 // Due is when Tick wants to be called next.
-func (s *Spreader) Due() time.Time {
+func (s *Disseminator) Due() time.Time {
 	return earlier(earlier(s.compares, s.hotAt), s.wants.due())
 }
 
@@ -175,7 +175,7 @@
 }
 
 // Tick does what is due. What may wait goes with the comparisons: each wake-up of the process costs.
-func (s *Spreader) Tick(now time.Time) {
+func (s *Disseminator) Tick(now time.Time) {
 	if !s.hotAt.IsZero() && !now.Before(s.hotAt) {
 		s.flush()
 	}
@@ -188,36 +188,38 @@
 	s.compares = now.Add(CompareInterval)
 	if !now.Before(s.ageAt) {
 		s.ageAt = now.Add(ageInterval)
-		s.effects.Dropped = append(s.effects.Dropped, s.table.age(now)...)
+		s.effects.Expired = append(s.effects.Expired, s.table.age(now)...)
 		s.contacts.turn(now)
 	}
 	if peer, some := s.contacts.partner(CompareInterval); some {
-		s.send(peer.ID, s.Greeting())
+		s.send(peer.ID, s.CompareRequest())
 	}
 }
 
-// Greeting is the message that opens a comparison.
-func (s *Spreader) Greeting() Message { return Message{Compare: &Digest{Root: s.table.root()}} }
+// CompareRequest is the message that opens a comparison.
+func (s *Disseminator) CompareRequest() Message {
+	return Message{Compare: &Digest{Root: s.table.root()}}
+}
 
 // Compare opens a comparison with a peer now.
-func (s *Spreader) Compare(peer string) { s.send(peer, s.Greeting()) }
+func (s *Disseminator) Compare(peer string) { s.send(peer, s.CompareRequest()) }
 
 // Send has a message sent to a peer with the other effects.
-func (s *Spreader) send(to string, m Message) {
+func (s *Disseminator) send(to string, m Message) {
 	if !m.IsZero() {
 		s.effects.Messages = append(s.effects.Messages, Outgoing{To: to, Message: m})
 	}
 }
 
 // Take gives the effects of the steps since the last Take.
-func (s *Spreader) Take() Effects {
+func (s *Disseminator) Take() Effects {
 	taken := s.effects
 	s.effects = Effects{}
 	return taken
 }
 
 // flush pushes the news that waits, each batch to one choice of targets.
-func (s *Spreader) flush() {
+func (s *Disseminator) flush() {
 	own, passed := s.splitHot()
 	s.hot = s.hot[:0]
 	clear(s.hotIndex)
@@ -229,7 +231,7 @@
 }
 
 // splitHot parts the news from here from that of others.
-func (s *Spreader) splitHot() (own, passed []hotEntry) {
+func (s *Disseminator) splitHot() (own, passed []hotEntry) {
 	for _, h := range s.hot {
 		if h.holder == "" {
 			own = append(own, h)
@@ -240,7 +242,7 @@
 	return own, passed
 }
 
-func (s *Spreader) push(hot []hotEntry, targets []Peer) {
+func (s *Disseminator) push(hot []hotEntry, targets []Peer) {
 	if len(hot) == 0 {
 		return
 	}
@@ -256,7 +258,7 @@
 }
 
 // batch puts news into one message for a peer: small values as they are, the others by their stamps.
-func (s *Spreader) batch(hot []hotEntry, target string, offerRepaired bool) Message {
+func (s *Disseminator) batch(hot []hotEntry, target string, offerRepaired bool) Message {
 	var m Message
 	size := 0
 	for _, h := range hot {
@@ -277,7 +279,7 @@
 }
 
 // Receive handles a message of a peer.
-func (s *Spreader) Receive(now time.Time, from string, m Message) {
+func (s *Disseminator) Receive(now time.Time, from string, m Message) {
 	for _, e := range m.Push {
 		s.take(now, from, e, false)
 	}
@@ -293,8 +295,8 @@
 	if m.Equal {
 		s.effects.Compared = append(s.effects.Compared, from)
 	}
-	if m.Sums != nil {
-		s.answerSums(from, m.Sums)
+	if m.BucketSums != nil {
+		s.answerSums(from, m.BucketSums)
 	}
 	if m.Summary != nil {
 		s.answerSummary(now, from, *m.Summary)
@@ -305,7 +307,7 @@
 }
 
 // take accepts an entry of a peer, unless its kind refuses it, and tells whether it was news.
-func (s *Spreader) take(now time.Time, from string, e Entry, repaired bool) bool {
+func (s *Disseminator) take(now time.Time, from string, e Entry, repaired bool) bool {
 	kind := kindOf(s.table.kinds, e.Key)
 	if kind == nil || !kind.accepts(e) {
 		return false
@@ -314,7 +316,7 @@
 }
 
 // entries gives the entries of keys, as many as a message may hold.
-func (s *Spreader) entries(keys []string) []Entry {
+func (s *Disseminator) entries(keys []string) []Entry {
 	var found []Entry
 	size := 0
 	for _, key := range keys {
@@ -330,12 +332,12 @@
 
 // offered asks for what a peer offers and this node lacks: at once if the peer is of the own zone, and else
 // after a moment, as one of the own zone may offer it too. Late are offers that a comparison made.
-func (s *Spreader) offered(now time.Time, from string, versions []Version, late bool) {
+func (s *Disseminator) offered(now time.Time, from string, versions []Version, late bool) {
 	zone, known := s.contacts.zoneOf(from)
 	made := offer{near: !known || zone == s.options.Zone, late: late}
 	var ask []string
 	for _, v := range versions {
-		if v.Stamp.Above(s.table.stamp(v.Key)) && s.wants.add(now, from, v, made) {
+		if v.Stamp.After(s.table.stamp(v.Key)) && s.wants.add(now, from, v, made) {
 			ask = append(ask, v.Key)
 		}
 	}
--- a/coordination/gossip/table.go
+++ b/coordination/gossip/table.go
@@ -88,7 +88,7 @@
 func (t *table) put(now time.Time, e Entry) bool {
 	b := &t.buckets[bucketOf(e.Key)]
 	old := b.records[e.Key]
-	if old != nil && !e.Stamp.Above(old.entry.Stamp) || e.Stamp.IsZero() {
+	if old != nil && !e.Stamp.After(old.entry.Stamp) || e.Stamp.IsZero() {
 		return false
 	}
 	kind := kindOf(t.kinds, e.Key)
--- a/coordination/hashing/hashing.go
+++ b/coordination/hashing/hashing.go
@@ -2,8 +2,8 @@
 // cryptography: whoever chooses the input can make results meet.
 package hashing
 
-// Golden is 2^64 divided by the golden ratio: consecutive multiples are far apart.
-const Golden = 0x9e3779b97f4a7c15
+// GoldenGamma is 2^64 divided by the golden ratio: consecutive multiples are far apart.
+const GoldenGamma = 0x9e3779b97f4a7c15
 
 // Mix is the finalizer of splitmix64 (Steele, Lea and Flood).
 func Mix(x uint64) uint64 {
@@ -16,4 +16,4 @@
 }
 
 // Pair is the hash of a key with its value.
-func Pair(key, value uint64) uint64 { return Mix(key + Mix(value+Golden)) }
+func Pair(key, value uint64) uint64 { return Mix(key + Mix(value+GoldenGamma)) }
--- a/coordination/hashing/hashing_test.go
+++ b/coordination/hashing/hashing_test.go
@@ -11,7 +11,7 @@
 func TestValuesAreFixed(t *testing.T) {
 	state := uint64(0)
 	for i, want := range []uint64{0xe220a8397b1dcdaf, 0x6e789e6aa1b965f4, 0x06c45d188009454f} {
-		state += hashing.Golden
+		state += hashing.GoldenGamma
 		if got := hashing.Mix(state); got != want {
 			t.Errorf("output %d of splitmix64: %#x, not %#x", i, got, want)
 		}
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -10,10 +10,10 @@
 const (
 	// HeartbeatInterval is how often a node tells its monitors that it runs.
 	HeartbeatInterval = 400 * time.Millisecond
-	// SuspectAfter is a monitor's patience: some lost heartbeats, and a pause of a small machine, fit into it.
-	SuspectAfter = 1600 * time.Millisecond
-	// ProbeTime is how long a suspect node, asked directly and through others, may take to answer.
-	ProbeTime = 800 * time.Millisecond
+	// SuspectTimeout is a monitor's patience: some lost heartbeats, and a pause of a small machine, fit into it.
+	SuspectTimeout = 1600 * time.Millisecond
+	// ProbeTimeout is how long a suspect node, asked directly and through others, may take to answer.
+	ProbeTimeout = 800 * time.Millisecond
 	// wakeGap is from which gap between its own ticks on a node takes itself to have been stopped.
 	wakeGap = time.Second
 	// maxStrikes bounds how often the patience with a node is doubled that was suspected for nothing.
@@ -98,8 +98,8 @@
 	return nodes
 }
 
-// Others calls f with each other node in the order of their ids, until f returns false.
-func (m *Membership) Others(f func(ID, *Node) bool) {
+// EachOther calls f with each other node in the order of their ids, until f returns false.
+func (m *Membership) EachOther(f func(ID, *Node) bool) {
 	for _, known := range m.order {
 		if !f(known.id, &known.node) {
 			return
@@ -121,8 +121,8 @@
 	return known
 }
 
-// Learn takes a record of a node that has been spread. What is not newer than what is known changes nothing.
-func (m *Membership) Learn(now time.Time, n Node) {
+// ApplyRecord takes a record of a node that has been spread. What is not newer than what is known changes nothing.
+func (m *Membership) ApplyRecord(now time.Time, n Node) {
 	id := n.ID()
 	if id == m.self.ID() {
 		m.learnSelf(n)
@@ -177,9 +177,9 @@
 // patience is how long a member may be silent.
 func (k *member) patience(now time.Time) time.Duration {
 	if now.Sub(k.strikeAt) > strikeLife {
-		return SuspectAfter
+		return SuspectTimeout
 	}
-	return SuspectAfter << k.strikes
+	return SuspectTimeout << k.strikes
 }
 
 // learnSelf refutes what is said of this node unless it is what the node says itself. An earlier start of the
@@ -202,8 +202,8 @@
 	m.changed(m.self.ID())
 }
 
-// Forget drops a node that is down or has left.
-func (m *Membership) Forget(id ID) {
+// Remove drops a node that is down or has left.
+func (m *Membership) Remove(id ID) {
 	known := m.members[id]
 	if known == nil || known.node.Live() {
 		return
@@ -214,15 +214,15 @@
 	}
 }
 
-// Replaced tells that another process answers at a node's address: it cannot run there any more.
-func (m *Membership) Replaced(id ID) {
+// MarkReplaced tells that another process answers at a node's address: it cannot run there any more.
+func (m *Membership) MarkReplaced(id ID) {
 	if known := m.members[id]; known != nil && known.node.Live() {
 		m.declareDown(known)
 	}
 }
 
-// Heard notes that a message came from a node: as good as a heartbeat.
-func (m *Membership) Heard(now time.Time, from ID, incarnation uint64) {
+// RecordContact notes that a message came from a node: as good as a heartbeat.
+func (m *Membership) RecordContact(now time.Time, from ID, incarnation uint64) {
 	known := m.members[from]
 	if known == nil || incarnation < known.node.Incarnation {
 		return
@@ -241,8 +241,8 @@
 	m.changed(known.id)
 }
 
-// InTouch tells whether this node has lately heard from another machine than its own, or knows of none.
-func (m *Membership) InTouch(now time.Time) bool { return m.inTouchBut(now, "") }
+// HasRecentContact tells whether this node has lately heard from another machine than its own, or knows of none.
+func (m *Membership) HasRecentContact(now time.Time) bool { return m.inTouchBut(now, "") }
 
 // inTouchBut tells the same without the machine of that name.
 func (m *Membership) inTouchBut(now time.Time, name string) bool {
@@ -252,7 +252,7 @@
 			continue
 		}
 		others++
-		if now.Sub(known.heard) <= SuspectAfter {
+		if now.Sub(known.heard) <= SuspectTimeout {
 			return true
 		}
 	}
@@ -263,7 +263,7 @@
 func (m *Membership) Due() time.Time {
 	due := m.nextTick
 	for _, known := range m.watched {
-		if end := known.suspect.Add(ProbeTime); known.node.State == Suspect && end.Before(due) {
+		if end := known.suspect.Add(ProbeTimeout); known.node.State == Suspect && end.Before(due) {
 			due = end
 		}
 	}
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -45,7 +45,7 @@
 			Expect(r).To(HaveLen(len(nodes)))
 			for _, watched := range nodes {
 				monitors := r.monitors(watched)
-				Expect(monitors).To(HaveLen(min(Monitors, size-1)))
+				Expect(monitors).To(HaveLen(min(MonitorCount, size-1)))
 				for _, n := range nodes {
 					isMonitor := slices.Contains(monitors, n.ID())
 					if isMonitor {
@@ -66,7 +66,7 @@
 func viewOf(others int) *Membership {
 	m := New(begin, nodeOf(0), 1)
 	for i := 1; i <= others; i++ {
-		m.Learn(begin, nodeOf(i))
+		m.ApplyRecord(begin, nodeOf(i))
 	}
 	m.Tick(begin)
 	m.Take()
@@ -78,7 +78,7 @@
 	var all Effects
 	for t := from; t <= to; t += HeartbeatInterval / 2 {
 		for _, i := range heard {
-			m.Heard(at(t), nodeOf(i).ID(), 10)
+			m.RecordContact(at(t), nodeOf(i).ID(), 10)
 		}
 		m.Tick(at(t))
 		e := m.Take()
@@ -106,9 +106,9 @@
 			m := New(begin, nodeOf(0), 1)
 			n := nodeOf(1)
 			n.Incarnation, n.State = known.incarnation, known.state
-			m.Learn(begin, n)
+			m.ApplyRecord(begin, n)
 			n.Incarnation, n.State = learnt.incarnation, learnt.state
-			m.Learn(begin, n)
+			m.ApplyRecord(begin, n)
 			got, _ := m.Node(n.ID())
 			Expect(record{got.Incarnation, got.State}).To(Equal(want))
 		},
@@ -125,7 +125,7 @@
 			m := New(begin, nodeOf(0), 1)
 			n := nodeOf(0)
 			n.Incarnation, n.State = incarnation, state
-			m.Learn(begin, n)
+			m.ApplyRecord(begin, n)
 			Expect(m.Self().Incarnation).To(Equal(want))
 			Expect(m.Self().State).To(Equal(Alive))
 			Expect(len(m.Take().Declared) > 0).To(Equal(want != 10))
@@ -144,10 +144,10 @@
 		Expect(m.Take().Declared).To(HaveLen(1))
 		down := nodeOf(0)
 		down.State = Down
-		m.Learn(begin, down)
+		m.ApplyRecord(begin, down)
 		left := nodeOf(0)
 		left.State = Left
-		m.Learn(begin, left)
+		m.ApplyRecord(begin, left)
 		Expect(m.Take().Declared).To(BeEmpty())
 		Expect(play(m, 0, 2*time.Second).Heartbeats).To(BeEmpty())
 	})
@@ -170,14 +170,14 @@
 	It("sends a heartbeat to its three monitors at each interval", func() {
 		m := viewOf(12)
 		e := play(m, HeartbeatInterval, 2*HeartbeatInterval)
-		Expect(e.Heartbeats).To(HaveLen(2 * Monitors))
+		Expect(e.Heartbeats).To(HaveLen(2 * MonitorCount))
 	})
 
 	It("suspects a silent node, asks it and others, and then declares it down", func() {
 		m := viewOf(3)
-		e := play(m, 0, SuspectAfter, 2, 3)
+		e := play(m, 0, SuspectTimeout, 2, 3)
 		Expect(stateOf(m, 1)).To(Equal(Alive))
-		e = play(m, SuspectAfter+HeartbeatInterval/2, SuspectAfter+HeartbeatInterval/2, 2, 3)
+		e = play(m, SuspectTimeout+HeartbeatInterval/2, SuspectTimeout+HeartbeatInterval/2, 2, 3)
 		Expect(stateOf(m, 1)).To(Equal(Suspect))
 		Expect(e.Messages).To(ConsistOf(
 			Outgoing{To: nodeOf(1).ID(), Message: Message{Ping: &Ping{}}},
@@ -185,7 +185,7 @@
 			Outgoing{To: nodeOf(3).ID(), Message: Message{Probe: &Probe{Target: nodeOf(1).ID()}}},
 		))
 		Expect(e.Declared).To(BeEmpty())
-		e = play(m, SuspectAfter+HeartbeatInterval, SuspectAfter+ProbeTime+HeartbeatInterval, 2, 3)
+		e = play(m, SuspectTimeout+HeartbeatInterval, SuspectTimeout+ProbeTimeout+HeartbeatInterval, 2, 3)
 		Expect(e.Declared).To(HaveLen(1))
 		Expect(e.Declared[0].State).To(Equal(Down))
 		Expect(e.Declared[0].Incarnation).To(BeEquivalentTo(10))
@@ -195,36 +195,36 @@
 	DescribeTable("takes back a suspicion",
 		func(sign func(m *Membership, now time.Time)) {
 			m := viewOf(3)
-			play(m, 0, SuspectAfter+HeartbeatInterval/2, 2, 3)
+			play(m, 0, SuspectTimeout+HeartbeatInterval/2, 2, 3)
 			Expect(stateOf(m, 1)).To(Equal(Suspect))
-			sign(m, at(SuspectAfter+HeartbeatInterval))
+			sign(m, at(SuspectTimeout+HeartbeatInterval))
 			Expect(stateOf(m, 1)).To(Equal(Alive))
 		},
-		Entry("at any message", func(m *Membership, now time.Time) { m.Heard(now, nodeOf(1).ID(), 10) }),
+		Entry("at any message", func(m *Membership, now time.Time) { m.RecordContact(now, nodeOf(1).ID(), 10) }),
 		Entry("at an answer", func(m *Membership, now time.Time) {
-			m.Receive(now, nodeOf(1).ID(), Message{Ack: &Ack{Of: nodeOf(1).ID(), Incarnation: 10}})
+			m.Receive(now, nodeOf(1).ID(), Message{Ack: &Ack{Subject: nodeOf(1).ID(), Incarnation: 10}})
 		}),
 		Entry("at an answer through another", func(m *Membership, now time.Time) {
-			m.Receive(now, nodeOf(2).ID(), Message{Ack: &Ack{Of: nodeOf(1).ID(), Incarnation: 10, For: nodeOf(0).ID()}})
+			m.Receive(now, nodeOf(2).ID(), Message{Ack: &Ack{Subject: nodeOf(1).ID(), Incarnation: 10, Requester: nodeOf(0).ID()}})
 		}),
 	)
 
 	It("does not take it back at a sign of an earlier start", func() {
 		m := viewOf(3)
-		play(m, 0, SuspectAfter+HeartbeatInterval/2, 2, 3)
-		m.Heard(at(SuspectAfter+HeartbeatInterval), nodeOf(1).ID(), 9)
-		m.Receive(at(SuspectAfter+HeartbeatInterval), nodeOf(2).ID(), Message{Ack: &Ack{Of: nodeOf(1).ID(), Incarnation: 9}})
+		play(m, 0, SuspectTimeout+HeartbeatInterval/2, 2, 3)
+		m.RecordContact(at(SuspectTimeout+HeartbeatInterval), nodeOf(1).ID(), 9)
+		m.Receive(at(SuspectTimeout+HeartbeatInterval), nodeOf(2).ID(), Message{Ack: &Ack{Subject: nodeOf(1).ID(), Incarnation: 9}})
 		Expect(stateOf(m, 1)).To(Equal(Suspect))
 	})
 
 	It("is more patient with a node that only others hear", func() {
 		m := viewOf(3)
-		play(m, 0, SuspectAfter+HeartbeatInterval/2, 2, 3)
-		m.Receive(at(SuspectAfter+HeartbeatInterval), nodeOf(2).ID(), Message{Ack: &Ack{Of: nodeOf(1).ID(), Incarnation: 10, For: nodeOf(0).ID()}})
-		heard := SuspectAfter + HeartbeatInterval
-		play(m, heard, heard+2*SuspectAfter-HeartbeatInterval, 2, 3)
+		play(m, 0, SuspectTimeout+HeartbeatInterval/2, 2, 3)
+		m.Receive(at(SuspectTimeout+HeartbeatInterval), nodeOf(2).ID(), Message{Ack: &Ack{Subject: nodeOf(1).ID(), Incarnation: 10, Requester: nodeOf(0).ID()}})
+		heard := SuspectTimeout + HeartbeatInterval
+		play(m, heard, heard+2*SuspectTimeout-HeartbeatInterval, 2, 3)
 		Expect(stateOf(m, 1)).To(Equal(Alive))
-		play(m, heard+2*SuspectAfter-HeartbeatInterval, heard+2*SuspectAfter+HeartbeatInterval, 2, 3)
+		play(m, heard+2*SuspectTimeout-HeartbeatInterval, heard+2*SuspectTimeout+HeartbeatInterval, 2, 3)
 		Expect(stateOf(m, 1)).To(Equal(Suspect))
 	})
 
@@ -232,7 +232,7 @@
 		m := viewOf(3)
 		e := play(m, 0, time.Minute)
 		Expect(e.Declared).To(BeEmpty())
-		Expect(m.InTouch(at(time.Minute))).To(BeFalse())
+		Expect(m.HasRecentContact(at(time.Minute))).To(BeFalse())
 	})
 
 	It("that knows one other machine only declares that one down", func() {
@@ -244,9 +244,9 @@
 		m := viewOf(3)
 		mate := nodeOf(0)
 		mate.Role = Control
-		m.Learn(begin, mate)
+		m.ApplyRecord(begin, mate)
 		for t := time.Duration(0); t < 10*time.Second; t += HeartbeatInterval {
-			m.Heard(at(t), mate.ID(), 10)
+			m.RecordContact(at(t), mate.ID(), 10)
 			m.Tick(at(t))
 		}
 		Expect(m.Take().Declared).To(BeEmpty())
@@ -256,19 +256,19 @@
 		m := viewOf(3)
 		play(m, 0, time.Second, 1, 2, 3)
 		woken := time.Minute
-		m.Heard(at(woken), nodeOf(2).ID(), 10)
-		e := play(m, woken, woken+SuspectAfter, 2, 3)
+		m.RecordContact(at(woken), nodeOf(2).ID(), 10)
+		e := play(m, woken, woken+SuspectTimeout, 2, 3)
 		Expect(stateOf(m, 1)).To(Equal(Alive))
 		Expect(e.Declared).To(BeEmpty())
-		play(m, woken+SuspectAfter, woken+SuspectAfter+HeartbeatInterval, 2, 3)
+		play(m, woken+SuspectTimeout, woken+SuspectTimeout+HeartbeatInterval, 2, 3)
 		Expect(stateOf(m, 1)).To(Equal(Suspect))
 	})
 
 	It("that was stopped amid a suspicion drops it", func() {
 		m := viewOf(3)
-		play(m, 0, SuspectAfter+HeartbeatInterval/2, 2, 3)
+		play(m, 0, SuspectTimeout+HeartbeatInterval/2, 2, 3)
 		Expect(stateOf(m, 1)).To(Equal(Suspect))
-		m.Heard(at(time.Minute), nodeOf(2).ID(), 10)
+		m.RecordContact(at(time.Minute), nodeOf(2).ID(), 10)
 		m.Tick(at(time.Minute))
 		Expect(stateOf(m, 1)).To(Equal(Alive))
 		Expect(m.Take().Declared).To(BeEmpty())
@@ -276,11 +276,11 @@
 
 	It("forgets those that are down, and no others", func() {
 		m := viewOf(3)
-		m.Forget(nodeOf(1).ID())
+		m.Remove(nodeOf(1).ID())
 		Expect(m.Nodes()).To(HaveLen(4))
-		m.Replaced(nodeOf(1).ID())
+		m.MarkReplaced(nodeOf(1).ID())
 		Expect(m.Take().Declared).To(HaveLen(1))
-		m.Forget(nodeOf(1).ID())
+		m.Remove(nodeOf(1).ID())
 		Expect(m.Nodes()).To(HaveLen(3))
 	})
 })
@@ -288,15 +288,15 @@
 var _ = Describe("a node that is asked", func() {
 	It("answers a ping, passes a probe on, and passes its answer back", func() {
 		m := viewOf(3)
-		m.Receive(begin, nodeOf(1).ID(), Message{Ping: &Ping{For: nodeOf(2).ID()}})
+		m.Receive(begin, nodeOf(1).ID(), Message{Ping: &Ping{Requester: nodeOf(2).ID()}})
 		Expect(m.Take().Messages).To(Equal([]Outgoing{{
-			To: nodeOf(1).ID(), Message: Message{Ack: &Ack{Of: nodeOf(0).ID(), Incarnation: 10, For: nodeOf(2).ID()}},
+			To: nodeOf(1).ID(), Message: Message{Ack: &Ack{Subject: nodeOf(0).ID(), Incarnation: 10, Requester: nodeOf(2).ID()}},
 		}}))
 		m.Receive(begin, nodeOf(1).ID(), Message{Probe: &Probe{Target: nodeOf(3).ID()}})
 		Expect(m.Take().Messages).To(Equal([]Outgoing{{
-			To: nodeOf(3).ID(), Message: Message{Ping: &Ping{For: nodeOf(1).ID()}},
+			To: nodeOf(3).ID(), Message: Message{Ping: &Ping{Requester: nodeOf(1).ID()}},
 		}}))
-		ack := Ack{Of: nodeOf(3).ID(), Incarnation: 10, For: nodeOf(1).ID()}
+		ack := Ack{Subject: nodeOf(3).ID(), Incarnation: 10, Requester: nodeOf(1).ID()}
 		m.Receive(begin, nodeOf(3).ID(), Message{Ack: &ack})
 		Expect(m.Take().Messages).To(Equal([]Outgoing{{To: nodeOf(1).ID(), Message: Message{Ack: &ack}}}))
 	})
--- a/coordination/membership/message.go
+++ b/coordination/membership/message.go
@@ -9,7 +9,7 @@
 
 // Ping asks for an Ack.
 type Ping struct {
-	For ID // the node that wants to know; the receiver of the Ack passes it on
+	Requester ID // the node that wants to know; the receiver of the Ack passes it on
 }
 
 // Probe asks a node to ping another.
@@ -19,9 +19,9 @@
 
 // Ack tells that a node runs.
 type Ack struct {
-	Of          ID
+	Subject     ID
 	Incarnation uint64
-	For         ID
+	Requester   ID
 }
 
 // Outgoing is a message and the node that it goes to.
--- a/coordination/membership/monitor.go
+++ b/coordination/membership/monitor.go
@@ -86,7 +86,7 @@
 // hears from nobody else is itself cut off: it asks again.
 func (m *Membership) lookSuspect(now time.Time, known *member) {
 	switch {
-	case now.Sub(known.suspect) < ProbeTime:
+	case now.Sub(known.suspect) < ProbeTimeout:
 	case m.inTouchBut(now, known.node.Name):
 		m.declareDown(known)
 	default:
@@ -129,10 +129,10 @@
 // Receive handles a message of another node.
 func (m *Membership) Receive(now time.Time, from ID, message Message) {
 	if message.Ping != nil && !m.leaving {
-		m.send(from, Message{Ack: &Ack{Of: m.self.ID(), Incarnation: m.self.Incarnation, For: message.Ping.For}})
+		m.send(from, Message{Ack: &Ack{Subject: m.self.ID(), Incarnation: m.self.Incarnation, Requester: message.Ping.Requester}})
 	}
 	if message.Probe != nil {
-		m.send(message.Probe.Target, Message{Ping: &Ping{For: from}})
+		m.send(message.Probe.Target, Message{Ping: &Ping{Requester: from}})
 	}
 	if message.Ack != nil {
 		m.acknowledged(now, *message.Ack)
@@ -141,15 +141,15 @@
 
 // acknowledged takes an answer, or passes it on to the node that asked for it.
 func (m *Membership) acknowledged(now time.Time, ack Ack) {
-	if ack.For != "" && ack.For != m.self.ID() {
-		m.send(ack.For, Message{Ack: &ack})
+	if ack.Requester != "" && ack.Requester != m.self.ID() {
+		m.send(ack.Requester, Message{Ack: &ack})
 		return
 	}
-	known := m.members[ack.Of]
+	known := m.members[ack.Subject]
 	if known == nil || ack.Incarnation < known.node.Incarnation {
 		return
 	}
-	if known.node.State == Suspect && ack.For != "" {
+	if known.node.State == Suspect && ack.Requester != "" {
 		known.strike(now) // it runs, only not for this monitor
 	}
 	known.heard = now
--- a/coordination/membership/ring.go
+++ b/coordination/membership/ring.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// Monitors is how many nodes watch each one.
-	Monitors = 3
+	// MonitorCount is how many nodes watch each one.
+	MonitorCount = 3
 	// watchWalk is how far back a node looks for those that it watches. The two roles of a machine count as
 	// one monitor, so some more than Monitors come into question.
-	watchWalk = 4 * Monitors
+	watchWalk = 4 * MonitorCount
 )
 
 // place is a node's place on the ring.
@@ -55,7 +55,7 @@
 		at++
 	}
 	var chosen []place
-	for i := 0; i < len(r) && len(chosen) < Monitors; i++ {
+	for i := 0; i < len(r) && len(chosen) < MonitorCount; i++ {
 		next := r[(at+i)%len(r)]
 		taken := func(c place) bool { return c.name == next.name }
 		if next.name != p.name && !slices.ContainsFunc(chosen, taken) {
--- a/coordination/merkle/merkle.go
+++ b/coordination/merkle/merkle.go
@@ -12,31 +12,31 @@
 
 import "emberquay/coordination/hashing"
 
-// Ranges is the number of leaves: enough that one difference among 100,000 entries brings under 2,000 keys up.
-const Ranges = 64
+// RangeCount is the number of leaves: enough that one difference among 100,000 entries brings under 2,000 keys up.
+const RangeCount = 64
 
 // rangeShift leaves the bits of a key that choose its leaf.
 const rangeShift = 64 - 6
 
 // Tree holds the digests.
 type Tree struct {
-	leaves [Ranges]uint64
+	leaves [RangeCount]uint64
 }
 
-// Range is the leaf of a key.
-func Range(key uint64) int { return int(key >> rangeShift) }
+// RangeOf is the leaf of a key.
+func RangeOf(key uint64) int { return int(key >> rangeShift) }
 
 // Add takes an entry in. Adding the same twice counts twice.
-func (t *Tree) Add(key, value uint64) { t.leaves[Range(key)] += Entry(key, value) }
+func (t *Tree) Add(key, value uint64) { t.leaves[RangeOf(key)] += EntryDigest(key, value) }
 
 // Remove takes out what Add took in.
-func (t *Tree) Remove(key, value uint64) { t.leaves[Range(key)] -= Entry(key, value) }
+func (t *Tree) Remove(key, value uint64) { t.leaves[RangeOf(key)] -= EntryDigest(key, value) }
 
 // Root is the digest of the whole set.
 func (t *Tree) Root() uint64 {
 	root := uint64(0)
 	for at, leaf := range t.leaves {
-		root += hashing.Mix(leaf + uint64(at)*hashing.Golden)
+		root += hashing.Mix(leaf + uint64(at)*hashing.GoldenGamma)
 	}
 	return root
 }
@@ -44,16 +44,16 @@
 // Leaves gives a copy of the digests of all ranges.
 func (t *Tree) Leaves() []uint64 { return append([]uint64(nil), t.leaves[:]...) }
 
-// Differing lists the ranges where two sets of leaves differ. Lists of other lengths than Ranges differ everywhere.
-func Differing(a, b []uint64) []int {
+// DifferingRanges lists the ranges where two sets of leaves differ. Lists of other lengths than Ranges differ everywhere.
+func DifferingRanges(a, b []uint64) []int {
 	var differing []int
-	for at := range Ranges {
-		if len(a) != Ranges || len(b) != Ranges || a[at] != b[at] {
+	for at := range RangeCount {
+		if len(a) != RangeCount || len(b) != RangeCount || a[at] != b[at] {
 			differing = append(differing, at)
 		}
 	}
 	return differing
 }
 
-// Entry is the digest of one entry.
-func Entry(key, value uint64) uint64 { return hashing.Pair(key, value) }
+// EntryDigest is the digest of one entry.
+func EntryDigest(key, value uint64) uint64 { return hashing.Pair(key, value) }
--- a/coordination/merkle/merkle_test.go
+++ b/coordination/merkle/merkle_test.go
@@ -22,7 +22,7 @@
 	It("differs in the range of an entry only", func() {
 		var mine, theirs merkle.Tree
 		mine.Add(7<<60, 1)
-		Expect(merkle.Differing(mine.Leaves(), theirs.Leaves())).To(Equal([]int{merkle.Range(7 << 60)}))
+		Expect(merkle.DifferingRanges(mine.Leaves(), theirs.Leaves())).To(Equal([]int{merkle.RangeOf(7 << 60)}))
 		Expect(mine.Root()).NotTo(Equal(theirs.Root()))
 	})
 
@@ -35,7 +35,7 @@
 
 	It("takes lists of another length for different everywhere", func() {
 		var mine merkle.Tree
-		Expect(merkle.Differing(mine.Leaves(), nil)).To(HaveLen(merkle.Ranges))
+		Expect(merkle.DifferingRanges(mine.Leaves(), nil)).To(HaveLen(merkle.RangeCount))
 	})
 })
 
@@ -60,7 +60,7 @@
 			b.Add(key, 3)
 			same = false
 		}
-		if (a.Root() == b.Root()) != same || (len(merkle.Differing(a.Leaves(), b.Leaves())) == 0) != same {
+		if (a.Root() == b.Root()) != same || (len(merkle.DifferingRanges(a.Leaves(), b.Leaves())) == 0) != same {
 			t.Fatalf("alike is %v", !same)
 		}
 		for _, key := range second {
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -40,8 +40,8 @@
 	return t
 }
 
-// Key is the hash of a record's name.
-func Key(name string) uint64 { return xxhash.Sum64String(name) }
+// KeyOf is the hash of a record's name.
+func KeyOf(name string) uint64 { return xxhash.Sum64String(name) }
 
 // candidate is a member in the order of one key.
 type candidate struct {
@@ -51,9 +51,9 @@
 	away   bool
 }
 
-// Order appends the places in members of all that are not retiring, in the order of a key. Records of the same key and
+// AppendOrder appends the places in members of all that are not retiring, in the order of a key. Records of the same key and
 // home have the same order. A home that no member is in changes nothing.
-func (t *Table) Order(key uint64, home string, into []int) []int {
+func (t *Table) AppendOrder(key uint64, home string, into []int) []int {
 	var space [16]candidate // avoids an allocation for usual numbers of members
 	candidates := space[:0]
 	for at, m := range t.members {
--- a/coordination/placement/placement_test.go
+++ b/coordination/placement/placement_test.go
@@ -29,7 +29,7 @@
 		list := members(zones...)
 		table := placement.NewTable(list)
 		for key := range 200 {
-			order := table.Order(placement.Key(fmt.Sprint(key)), home, nil)
+			order := table.AppendOrder(placement.KeyOf(fmt.Sprint(key)), home, nil)
 			Expect(order).To(HaveLen(len(list)))
 			Expect(order).To(ConsistOf(all(len(list))...))
 			seen := map[string]bool{}
@@ -63,24 +63,24 @@
 		list := members("a", "b", "c")
 		list[1].Retiring = true
 		for key := range 50 {
-			Expect(placement.NewTable(list).Order(uint64(key), "b", nil)).To(ConsistOf(0, 2))
+			Expect(placement.NewTable(list).AppendOrder(uint64(key), "b", nil)).To(ConsistOf(0, 2))
 		}
 	})
 
 	It("ignores a home that no member is in", func() {
 		table := placement.NewTable(members("a", "b", "c"))
-		Expect(table.Order(5, "elsewhere", nil)).To(Equal(table.Order(5, "", nil)))
+		Expect(table.AppendOrder(5, "elsewhere", nil)).To(Equal(table.AppendOrder(5, "", nil)))
 	})
 
 	It("appends, and holds nothing where nobody is", func() {
-		Expect(placement.NewTable(nil).Order(5, "", []int{7})).To(Equal([]int{7}))
+		Expect(placement.NewTable(nil).AppendOrder(5, "", []int{7})).To(Equal([]int{7}))
 	})
 
 	It("spreads keys evenly", func() {
 		table := placement.NewTable(members("a", "b", "c", "d"))
 		counts := make([]int, 4)
 		for key := range 4000 {
-			counts[table.Order(placement.Key(fmt.Sprint(key)), "", nil)[0]]++
+			counts[table.AppendOrder(placement.KeyOf(fmt.Sprint(key)), "", nil)[0]]++
 		}
 		for _, count := range counts {
 			Expect(count).To(BeNumerically("~", 1000, 150))
@@ -93,14 +93,14 @@
 		list[2].Retiring = true
 		after := placement.NewTable(list)
 		for key := range 500 {
-			old := before.Order(uint64(key)*977, "", nil)
+			old := before.AppendOrder(uint64(key)*977, "", nil)
 			var left []int
 			for _, at := range old {
 				if at != 2 {
 					left = append(left, at)
 				}
 			}
-			Expect(after.Order(uint64(key)*977, "", nil)).To(Equal(left))
+			Expect(after.AppendOrder(uint64(key)*977, "", nil)).To(Equal(left))
 		}
 	})
 })
@@ -110,6 +110,6 @@
 	var order []int
 	b.ReportAllocs()
 	for at := range b.N {
-		order = table.Order(uint64(at), "b", order[:0])
+		order = table.AppendOrder(uint64(at), "b", order[:0])
 	}
 }
--- a/internal/lab/sim/commit.go
+++ b/internal/lab/sim/commit.go
@@ -73,7 +73,7 @@
 			if want > 0 && !w.has(commitHoldsOn) {
 				want += hedges(w.now - began)
 			}
-			for _, at := range placesOf(view).Order(placement.Key(record.Root), record.Home, nil) {
+			for _, at := range placesOf(view).AppendOrder(placement.KeyOf(record.Root), record.Home, nil) {
 				m := view.Members[at]
 				if want <= 0 || confirmed[m.ID] {
 					continue
--- a/internal/lab/sim/repair.go
+++ b/internal/lab/sim/repair.go
@@ -103,7 +103,7 @@
 	}
 	for _, program := range p.programs {
 		for _, e := range program.entries {
-			if t.ledger(program.name).News(e) {
+			if t.ledger(program.name).WouldChange(e) {
 				t.write(storeRecord{program: program.name, entry: e})
 			}
 		}
--- a/internal/lab/sim/reserve.go
+++ b/internal/lab/sim/reserve.go
@@ -44,11 +44,11 @@
 	until   time.Duration
 	over    bool
 	first   map[int]budget.Report // of the first round, for oneRound
-	done    func(budget.Action)
+	done    func(budget.Decision)
 }
 
 // reserve asks for a turn's tokens, as storeclient.Client.Reserve does.
-func (e *edge) reserve(p *program, turn string, done func(budget.Action)) {
+func (e *edge) reserve(p *program, turn string, done func(budget.Decision)) {
 	w := e.life.host.world
 	r := &reserving{edge: e, program: p, turn: turn, until: w.now + reserveLimit, done: done}
 	e.life.later(reserveLimit, func() { r.end(budget.Undecided) })
@@ -86,7 +86,7 @@
 	}
 }
 
-func (r *reserving) end(a budget.Action) {
+func (r *reserving) end(a budget.Decision) {
 	if r.over {
 		return
 	}
@@ -124,7 +124,7 @@
 		r.take(at, a, served)
 	})
 	e.life.later(4*retryPause, func() {
-		if !r.over && r.round == round && r.view.Epoch == epoch && !r.attempt.Reported(at) {
+		if !r.over && r.round == round && r.view.Epoch == epoch && !r.attempt.HasReported(at) {
 			r.ask(at, round, whole)
 		}
 	})
@@ -133,31 +133,31 @@
 // take counts an answer and looks what follows.
 func (r *reserving) take(at int, a storewire.ReserveAnswer, served bool) {
 	w := r.edge.life.host.world
-	entries, err := budget.Unpack(a.Entries)
+	entries, err := budget.DecodeEntries(a.Entries)
 	if !served || err != nil || !a.Reply.Complete {
 		return
 	}
-	report := budget.Report{Closed: a.Closed, Settled: a.Settled, Digest: uint64(a.Digest), Whole: a.Whole, Entries: entries}
-	if r.round == 0 && !a.Kept && !report.Closed && report.Settled < r.program.budget {
+	report := budget.Report{TurnClosed: a.Closed, SettledTokens: a.Settled, Digest: uint64(a.Digest), Whole: a.Whole, Entries: entries}
+	if r.round == 0 && !a.Kept && !report.TurnClosed && report.SettledTokens < r.program.budget {
 		return
 	}
-	wasQuorate := r.attempt.Quorate()
-	r.attempt.Report(at, report)
+	wasQuorate := r.attempt.HasQuorum()
+	r.attempt.AddReport(at, report)
 	if r.round == 0 {
 		r.first[at] = report
 	}
-	if w.has(oneRound) && r.attempt.Quorate() && r.round == 0 {
+	if w.has(oneRound) && r.attempt.HasQuorum() && r.round == 0 {
 		r.end(r.atOnce())
 		return
 	}
-	if next := r.attempt.Next(); next != budget.Wait {
+	if next := r.attempt.Decide(); next != budget.Pending {
 		r.end(next)
 		return
 	}
 	switch {
-	case r.attempt.NeedsWhole():
+	case r.attempt.NeedsWholeLists():
 		r.recheck()
-	case r.round == 0 && !wasQuorate && r.attempt.Quorate() && !w.has(reserveWaits):
+	case r.round == 0 && !wasQuorate && r.attempt.HasQuorum() && !w.has(reserveWaits):
 		epoch := r.view.Epoch
 		r.edge.life.later(grace, func() {
 			if !r.over && r.round == 0 && r.view.Epoch == epoch {
@@ -168,25 +168,25 @@
 }
 
 func (r *reserving) recheck() {
-	if !r.attempt.Quorate() {
+	if !r.attempt.HasQuorum() {
 		return
 	}
-	whole := r.attempt.Recheck()
+	whole := r.attempt.StartSecondRound()
 	r.round++
 	r.askAll(whole)
 }
 
 // atOnce decides by the first round of a quorum alone, which oneRound is about.
-func (r *reserving) atOnce() budget.Action {
+func (r *reserving) atOnce() budget.Decision {
 	a := budget.NewAttempt(r.program.budget, len(r.first), len(r.first))
 	n := 0
 	for at := range r.members {
 		if report, ok := r.first[at]; ok {
-			a.Report(n, report)
+			a.AddReport(n, report)
 			n++
 		}
 	}
-	if next := a.Next(); next != budget.Wait {
+	if next := a.Decide(); next != budget.Pending {
 		return next
 	}
 	return budget.Undecided
@@ -197,7 +197,7 @@
 	w := e.life.host.world
 	until := w.now + settleLimit
 	for _, m := range e.view.Members {
-		e.settleAt(m, storewire.Settlement{Program: program, Turn: int64(budget.KeyOf(turn)), Used: used}, until)
+		e.settleAt(m, storewire.Settlement{Program: program, Turn: int64(budget.TurnKeyOf(turn)), Used: used}, until)
 	}
 }
 
@@ -264,13 +264,13 @@
 	p.turns++
 	turn := fmt.Sprintf("%s/%d", p.name, p.turns)
 	l.step(func() {
-		l.edge.reserve(p, turn, func(a budget.Action) {
+		l.edge.reserve(p, turn, func(a budget.Decision) {
 			switch a {
 			case budget.Granted:
 				w.counts.Granted++
 				w.judge.granted()
 				l.edge.stream(p, turn)
-			case budget.Spent:
+			case budget.Exhausted:
 				w.counts.Spent++
 			}
 		})
@@ -289,7 +289,7 @@
 func (e *edge) probeTurn(p *program, try int, until time.Duration, kept func()) {
 	w := e.life.host.world
 	turn := fmt.Sprintf("%s/%d", p.name, try)
-	e.reserve(p, turn, func(a budget.Action) {
+	e.reserve(p, turn, func(a budget.Decision) {
 		switch {
 		case a == budget.Granted:
 			e.commit(turn, kept)
--- a/internal/lab/sim/store.go
+++ b/internal/lab/sim/store.go
@@ -260,14 +260,14 @@
 		reply(storewire.ReserveAnswer{Reply: r})
 		return
 	}
-	key := budget.KeyOf(q.Turn)
+	key := budget.TurnKeyOf(q.Turn)
 	kept := q.Recheck
 	if !q.Recheck {
-		switch t.ledger(q.Program).Find(key) {
+		switch t.ledger(q.Program).CheckReserve(key) {
 		case budget.Opened:
 			t.write(storeRecord{program: q.Program, entry: budget.Entry{Turn: key, Tokens: q.Most, Open: true}})
 			kept = true
-		case budget.Known:
+		case budget.AlreadyOpen:
 			kept = true
 		}
 	}
@@ -275,8 +275,8 @@
 	report := t.ledger(q.Program).Report(key, q.Whole)
 	slices.SortFunc(report.Entries, func(a, b budget.Entry) int { return cmp.Compare(a.Turn, b.Turn) })
 	answer := func() {
-		reply(storewire.ReserveAnswer{Reply: r, Kept: kept, Closed: report.Closed, Settled: report.Settled, Digest: int64(report.Digest),
-			Whole: report.Whole, Entries: budget.Pack(nil, report.Entries)})
+		reply(storewire.ReserveAnswer{Reply: r, Kept: kept, Closed: report.TurnClosed, Settled: report.SettledTokens, Digest: int64(report.Digest),
+			Whole: report.Whole, Entries: budget.EncodeEntries(nil, report.Entries)})
 	}
 	if q.Recheck {
 		t.fenced(answer)
@@ -297,7 +297,7 @@
 		return
 	}
 	for _, s := range q.Settlements {
-		t.write(storeRecord{program: s.Program, entry: budget.Entry{Turn: budget.Key(s.Turn), Tokens: s.Used}})
+		t.write(storeRecord{program: s.Program, entry: budget.Entry{Turn: budget.TurnKey(s.Turn), Tokens: s.Used}})
 	}
 	// As in internal/tier/store the answer does not wait for the disk: what is lost counts at its most.
 	t.fenced(func() { reply(r) })
@@ -370,7 +370,7 @@
 	if known, ok := t.placed[x.ID]; ok {
 		return known
 	}
-	order := placesOf(t.view).Order(placement.Key(x.Root), x.Home, nil)
+	order := placesOf(t.view).AppendOrder(placement.KeyOf(x.Root), x.Home, nil)
 	order = order[:min(len(order), t.view.Copies())]
 	t.placed[x.ID] = order
 	return order
@@ -380,14 +380,14 @@
 func (t *storeTable) digest(member int) uint64 {
 	var sum uint64
 	for _, name := range t.names {
-		sum += merkle.Entry(placement.Key(name), t.programs[name].Digest())
+		sum += merkle.EntryDigest(placement.KeyOf(name), t.programs[name].Digest())
 	}
 	for _, id := range t.order {
-		if t.life.host.world.has(storesMissTurns) && placement.Key(id)%4 == 0 {
+		if t.life.host.world.has(storesMissTurns) && placement.KeyOf(id)%4 == 0 {
 			continue
 		}
 		if slices.Contains(t.places(t.turns[id]), member) {
-			sum += merkle.Entry(placement.Key(id), 1)
+			sum += merkle.EntryDigest(placement.KeyOf(id), 1)
 		}
 	}
 	return sum
--- a/internal/tier/cluster/cluster_test.go
+++ b/internal/tier/cluster/cluster_test.go
@@ -158,7 +158,7 @@
 		var asked atomic.Int32
 		second.cluster.ConfirmAfter(func(_ context.Context, key string, stamp cluster.Stamp) error {
 			entry, known := second.cluster.Get(key)
-			if !known || stamp.Above(entry.Stamp) {
+			if !known || stamp.After(entry.Stamp) {
 				return errors.New("asked before it was there")
 			}
 			if asked.Add(1) < 3 {
--- a/internal/tier/cluster/core/core.go
+++ b/internal/tier/cluster/core/core.go
@@ -21,7 +21,7 @@
 	id         membership.ID
 	address    string
 	random     *rand.Rand
-	gossip     *gossip.Spreader
+	gossip     *gossip.Disseminator
 	membership *membership.Membership
 	join       join
 	rejoin     rejoin
@@ -46,7 +46,7 @@
 		id:         self.ID(),
 		address:    self.Address,
 		random:     random,
-		gossip:     gossip.New(now, gossip.Options{Self: string(self.ID()), Zone: self.Zone, Kinds: kinds(), First: first}, options.Seed),
+		gossip:     gossip.New(now, gossip.Options{Self: string(self.ID()), Zone: self.Zone, Kinds: kinds(), FirstCompare: first}, options.Seed),
 		membership: membership.New(first, self, options.Seed),
 	}
 	c.join.start(now)
@@ -97,8 +97,8 @@
 
 // Has tells whether the entry of a key with that stamp, or a newer one, is or was here.
 func (c *Core) Has(key string, stamp gossip.Stamp) bool {
-	known, some := c.gossip.Known(key)
-	return some && !stamp.Above(known.Stamp)
+	known, some := c.gossip.GetWithTombstones(key)
+	return some && !stamp.After(known.Stamp)
 }
 
 // Get gives the entry of a key.
@@ -156,7 +156,7 @@
 	}
 	c.checkAddress(e, at)
 	c.checkIncarnation(e)
-	c.membership.Heard(now, e.From, e.Incarnation)
+	c.membership.RecordContact(now, e.From, e.Incarnation)
 	for _, m := range e.Gossip {
 		c.gossip.Receive(now, string(e.From), m)
 	}
@@ -191,14 +191,14 @@
 		return // as expected; what was there before has been judged
 	}
 	var replaced []membership.ID
-	c.membership.Others(func(id membership.ID, n *membership.Node) bool {
+	c.membership.EachOther(func(id membership.ID, n *membership.Node) bool {
 		if n.Address == at && id != e.From && n.Live() && n.Incarnation < e.Incarnation {
 			replaced = append(replaced, id)
 		}
 		return true
 	})
 	for _, id := range replaced {
-		c.membership.Replaced(id)
+		c.membership.MarkReplaced(id)
 	}
 }
 
@@ -206,7 +206,7 @@
 // record that is above what it says of itself, so that it refutes.
 func (c *Core) checkIncarnation(e Envelope) {
 	key := NodeKey(e.From)
-	known, some := c.gossip.Known(key)
+	known, some := c.gossip.GetWithTombstones(key)
 	state := membership.State(known.Stamp.Sequence)
 	switch {
 	case !some || known.Stamp.Epoch < e.Incarnation:
@@ -237,7 +237,7 @@
 }
 
 func isSettled(g gossip.Effects, m membership.Effects) bool {
-	return len(g.Messages)+len(g.Changed)+len(g.Dropped)+len(g.Compared)+
+	return len(g.Messages)+len(g.Changed)+len(g.Expired)+len(g.Compared)+
 		len(m.Heartbeats)+len(m.Messages)+len(m.Declared)+len(m.Changed) == 0
 }
 
@@ -248,13 +248,13 @@
 	for _, e := range effects.Changed {
 		c.effects.Changed = append(c.effects.Changed, e)
 		if n, isNode := c.asNode(e); isNode {
-			c.membership.Learn(now, n)
+			c.membership.ApplyRecord(now, n)
 		}
 	}
-	for _, key := range effects.Dropped {
+	for _, key := range effects.Expired {
 		c.effects.Dropped = append(c.effects.Dropped, key)
 		if id, isNode := nodeIDOf(key); isNode {
-			c.membership.Forget(id)
+			c.membership.Remove(id)
 			c.effects.Nodes = append(c.effects.Nodes, id)
 		}
 	}
@@ -293,7 +293,7 @@
 // peers are the live nodes besides this one.
 func (c *Core) peers() []gossip.Peer {
 	var peers []gossip.Peer
-	c.membership.Others(func(id membership.ID, n *membership.Node) bool {
+	c.membership.EachOther(func(id membership.ID, n *membership.Node) bool {
 		if n.Live() {
 			peers = append(peers, gossip.Peer{ID: string(id), Zone: n.Zone, Hub: n.Role == membership.Control})
 		}
@@ -321,7 +321,7 @@
 
 // greet opens a comparison with whoever is at an address and tells it of this node.
 func (c *Core) greet(address string) {
-	messages := []gossip.Message{c.gossip.Greeting()}
+	messages := []gossip.Message{c.gossip.CompareRequest()}
 	if own, some := c.gossip.Get(NodeKey(c.id)); some {
 		messages = append(messages, gossip.Message{Push: []gossip.Entry{own}})
 	}
--- a/internal/tier/cluster/core/core_test.go
+++ b/internal/tier/cluster/core/core_test.go
@@ -66,7 +66,7 @@
 	newest := map[string]gossip.Entry{}
 	for _, p := range up {
 		p.core.Each(func(e gossip.Entry) {
-			if e.Stamp.Above(newest[e.Key].Stamp) {
+			if e.Stamp.After(newest[e.Key].Stamp) {
 				newest[e.Key] = e
 			}
 		})
--- a/internal/tier/cluster/core/envelope.go
+++ b/internal/tier/cluster/core/envelope.go
@@ -18,7 +18,7 @@
 // WantsAnswer tells whether the sender waits for what the envelope asks. What wants none may be sent without.
 func (e Envelope) WantsAnswer() bool {
 	for _, m := range e.Gossip {
-		if m.Compare != nil || m.Sums != nil || m.Summary != nil || len(m.Want) > 0 || len(m.Offer) > 0 {
+		if m.Compare != nil || m.BucketSums != nil || m.Summary != nil || len(m.Want) > 0 || len(m.Offer) > 0 {
 			return true
 		}
 	}
--- a/internal/tier/cluster/core/fuzz_test.go
+++ b/internal/tier/cluster/core/fuzz_test.go
@@ -15,7 +15,7 @@
 	for _, e := range []core.Envelope{
 		{From: "front-2/control", Incarnation: 3},
 		{From: "front-2/control", Incarnation: 3, Gossip: []gossip.Message{{Compare: &gossip.Digest{Root: 7}}, {Want: []string{core.ConfigurationKey}}}},
-		{From: "front-2/control", Gossip: []gossip.Message{{Sums: make([]uint32, 16)}, {Summary: &gossip.Summary{Buckets: []int{1, -1, 1 << 30}}}}},
+		{From: "front-2/control", Gossip: []gossip.Message{{BucketSums: make([]uint32, 16)}, {Summary: &gossip.Summary{Buckets: []int{1, -1, 1 << 30}}}}},
 		{From: "front-2/control", Gossip: []gossip.Message{{Delta: &gossip.Delta{Want: []string{"x"}}, Push: []gossip.Entry{{Key: core.NodePrefix + "x/proxy", Value: []byte{1}}}}}},
 	} {
 		data, err := core.Envelopes.Encode(core.ToWire(e))
--- a/internal/tier/cluster/core/join.go
+++ b/internal/tier/cluster/core/join.go
@@ -95,7 +95,7 @@
 func (c *Core) openHubs() []string {
 	var open []string
 	covered := map[string]bool{c.address: true}
-	c.membership.Others(func(id membership.ID, n *membership.Node) bool {
+	c.membership.EachOther(func(id membership.ID, n *membership.Node) bool {
 		if n.Role != membership.Control || !n.Live() {
 			return true
 		}
--- a/internal/tier/cluster/core/kinds.go
+++ b/internal/tier/cluster/core/kinds.go
@@ -36,8 +36,8 @@
 	return []gossip.Kind{
 		{Prefix: "", Limit: maxOthers},
 		{Prefix: ReceiverPrefix, Limit: maxReceivers, Lifetime: receiverLife},
-		{Prefix: NodePrefix, Limit: maxNodes, Lifetime: nodeLife, Check: checkNode},
-		{Prefix: retiredReportPrefix, Ephemeral: true, Check: refuseRetired},
+		{Prefix: NodePrefix, Limit: maxNodes, Lifetime: nodeLife, Validate: checkNode},
+		{Prefix: retiredReportPrefix, Ephemeral: true, Validate: refuseRetired},
 	}
 }
 
--- a/internal/tier/cluster/core/rejoin.go
+++ b/internal/tier/cluster/core/rejoin.go
@@ -57,7 +57,7 @@
 		return
 	}
 	interval, tries := lostInterval, 1
-	if !c.membership.InTouch(now) {
+	if !c.membership.HasRecentContact(now) {
 		interval, tries = cutInterval, cutTries
 	}
 	jitter := time.Duration(c.random.Int64N(int64(interval / 4)))
@@ -88,7 +88,7 @@
 // isLiveAt tells whether a live node is known at an address.
 func (c *Core) isLiveAt(address string) bool {
 	found := false
-	c.membership.Others(func(_ membership.ID, n *membership.Node) bool {
+	c.membership.EachOther(func(_ membership.ID, n *membership.Node) bool {
 		found = n.Address == address && n.Live()
 		return !found
 	})
--- a/internal/tier/cluster/core/wire.go
+++ b/internal/tier/cluster/core/wire.go
@@ -207,7 +207,7 @@
 		Offer: each(m.Offer, versionToWire),
 		Want:  m.Want,
 		Equal: m.Equal,
-		Sums:  sumsToWire(m.Sums),
+		Sums:  sumsToWire(m.BucketSums),
 	}
 	if m.Compare != nil {
 		root := int64(m.Compare.Root)
@@ -228,11 +228,11 @@
 		return gossip.Message{}, err
 	}
 	m := gossip.Message{
-		Push:  each(w.Push, EntryFromWire),
-		Offer: each(w.Offer, versionFromWire),
-		Want:  w.Want,
-		Equal: w.Equal,
-		Sums:  sums,
+		Push:       each(w.Push, EntryFromWire),
+		Offer:      each(w.Offer, versionFromWire),
+		Want:       w.Want,
+		Equal:      w.Equal,
+		BucketSums: sums,
 	}
 	if w.Compare != nil {
 		m.Compare = &gossip.Digest{Root: uint64(*w.Compare)}
@@ -271,14 +271,14 @@
 func membershipToWire(m membership.Message) wireMembership {
 	var w wireMembership
 	if m.Ping != nil {
-		w.Ping = &wirePing{For: string(m.Ping.For)}
+		w.Ping = &wirePing{For: string(m.Ping.Requester)}
 	}
 	if m.Probe != nil {
 		target := string(m.Probe.Target)
 		w.Probe = &target
 	}
 	if m.Ack != nil {
-		w.Ack = &wireAck{Of: string(m.Ack.Of), Incarnation: int64(m.Ack.Incarnation), For: string(m.Ack.For)}
+		w.Ack = &wireAck{Of: string(m.Ack.Subject), Incarnation: int64(m.Ack.Incarnation), For: string(m.Ack.Requester)}
 	}
 	return w
 }
@@ -286,13 +286,13 @@
 func membershipFromWire(w wireMembership) membership.Message {
 	var m membership.Message
 	if w.Ping != nil {
-		m.Ping = &membership.Ping{For: membership.ID(w.Ping.For)}
+		m.Ping = &membership.Ping{Requester: membership.ID(w.Ping.For)}
 	}
 	if w.Probe != nil {
 		m.Probe = &membership.Probe{Target: membership.ID(*w.Probe)}
 	}
 	if w.Ack != nil {
-		m.Ack = &membership.Ack{Of: membership.ID(w.Ack.Of), Incarnation: uint64(w.Ack.Incarnation), For: membership.ID(w.Ack.For)}
+		m.Ack = &membership.Ack{Subject: membership.ID(w.Ack.Of), Incarnation: uint64(w.Ack.Incarnation), Requester: membership.ID(w.Ack.For)}
 	}
 	return m
 }
--- a/internal/tier/cluster/core/wire_test.go
+++ b/internal/tier/cluster/core/wire_test.go
@@ -46,7 +46,7 @@
 		m.Compare = &gossip.Digest{Root: rapid.Uint64().Draw(t, "root")}
 	}
 	for range rapid.IntRange(0, 64).Draw(t, "sums") {
-		m.Sums = append(m.Sums, rapid.Uint32().Draw(t, "sum"))
+		m.BucketSums = append(m.BucketSums, rapid.Uint32().Draw(t, "sum"))
 	}
 	if rapid.Bool().Draw(t, "summary") {
 		m.Summary = &gossip.Summary{Buckets: []int{rapid.IntRange(0, 63).Draw(t, "bucket")}, Versions: drawVersions(t), Whole: rapid.Bool().Draw(t, "whole")}
@@ -60,13 +60,13 @@
 func drawMembership(t *rapid.T) membership.Message {
 	var m membership.Message
 	if rapid.Bool().Draw(t, "ping") {
-		m.Ping = &membership.Ping{For: membership.ID(rapid.String().Draw(t, "for"))}
+		m.Ping = &membership.Ping{Requester: membership.ID(rapid.String().Draw(t, "for"))}
 	}
 	if rapid.Bool().Draw(t, "probe") {
 		m.Probe = &membership.Probe{Target: membership.ID(rapid.String().Draw(t, "target"))}
 	}
 	if rapid.Bool().Draw(t, "ack") {
-		m.Ack = &membership.Ack{Of: membership.ID(rapid.String().Draw(t, "of")), Incarnation: rapid.Uint64().Draw(t, "incarnation")}
+		m.Ack = &membership.Ack{Subject: membership.ID(rapid.String().Draw(t, "of")), Incarnation: rapid.Uint64().Draw(t, "incarnation")}
 	}
 	return m
 }
--- a/internal/tier/cluster/core/world_test.go
+++ b/internal/tier/cluster/core/world_test.go
@@ -189,7 +189,7 @@
 // check holds what must hold at every step.
 func (p *process) check(effects core.Effects) {
 	for _, e := range effects.Changed {
-		Expect(e.Stamp.Above(p.newest[e.Key])).To(BeTrue(), "%s went backwards at %s", e.Key, p.node.ID())
+		Expect(e.Stamp.After(p.newest[e.Key])).To(BeTrue(), "%s went backwards at %s", e.Key, p.node.ID())
 		p.newest[e.Key] = e.Stamp
 	}
 	if p.readyAt.IsZero() && p.core.Ready() {
--- a/internal/tier/controlplane/keep.go
+++ b/internal/tier/controlplane/keep.go
@@ -100,7 +100,7 @@
 
 // has writes what is there unless the file has what is asked for.
 func (k *keeper) has(command keepCommand, failed func(error)) error {
-	if stamp, some := k.saved[command.key]; some && !command.stamp.Above(stamp) {
+	if stamp, some := k.saved[command.key]; some && !command.stamp.After(stamp) {
 		return nil
 	}
 	return k.save(failed)
--- a/internal/tier/store/budgets_test.go
+++ b/internal/tier/store/budgets_test.go
@@ -49,7 +49,7 @@
 	GinkgoHelper()
 	answer, err := n.store.Settle(ctx, storewire.SettleRequest{
 		Header:      storewire.Header{Epoch: int64(c.view.Epoch), Store: n.store.ID()},
-		Settlements: []storewire.Settlement{{Program: "p", Turn: int64(budget.KeyOf(turn)), Used: used}},
+		Settlements: []storewire.Settlement{{Program: "p", Turn: int64(budget.TurnKeyOf(turn)), Used: used}},
 	})
 	Expect(err).NotTo(HaveOccurred())
 	Expect(answer.Reply.Standing).To(Equal(storewire.Served))
--- a/internal/tier/store/crash_test.go
+++ b/internal/tier/store/crash_test.go
@@ -72,7 +72,7 @@
 			continue
 		}
 		_, err := c.node.store.Settle(ctx, storewire.SettleRequest{Header: c.header(),
-			Settlements: []storewire.Settlement{{Program: "p", Turn: int64(budget.KeyOf(turn)), Used: 2}}})
+			Settlements: []storewire.Settlement{{Program: "p", Turn: int64(budget.TurnKeyOf(turn)), Used: 2}}})
 		Expect(err).NotTo(HaveOccurred())
 		c.used[turn] = 2
 		return
@@ -95,14 +95,14 @@
 	}
 	answer, err := c.node.store.Reserve(ctx, storewire.ReserveRequest{Header: c.header(), Program: "p", Turn: "look", Recheck: true, Whole: true})
 	Expect(err).NotTo(HaveOccurred())
-	entries, err := budget.Unpack(answer.Entries)
+	entries, err := budget.DecodeEntries(answer.Entries)
 	Expect(err).NotTo(HaveOccurred())
-	known := map[budget.Key]budget.Entry{}
+	known := map[budget.TurnKey]budget.Entry{}
 	for _, e := range entries {
 		known[e.Turn] = e
 	}
 	for turn, most := range c.open {
-		e, ok := known[budget.KeyOf(turn)]
+		e, ok := known[budget.TurnKeyOf(turn)]
 		Expect(ok).To(BeTrue(), turn)
 		used, settled := c.used[turn]
 		if e.Open {
--- a/internal/tier/store/inspect_read.go
+++ b/internal/tier/store/inspect_read.go
@@ -147,7 +147,7 @@
 	if err != nil {
 		return err
 	}
-	entries, err := budget.Unpack(program.Entries)
+	entries, err := budget.DecodeEntries(program.Entries)
 	if err != nil {
 		return err
 	}
@@ -250,7 +250,7 @@
 	found := &r.found.Programs
 	for _, name := range slices.Sorted(maps.Keys(r.programs)) {
 		ledger := r.programs[name]
-		one := ProgramFound{Name: name, Settled: ledger.Settled()}
+		one := ProgramFound{Name: name, Settled: ledger.SettledTokens()}
 		for _, e := range ledger.Entries(nil) {
 			if e.Open {
 				one.Open++
--- a/internal/tier/store/log.go
+++ b/internal/tier/store/log.go
@@ -140,7 +140,7 @@
 	if err != nil {
 		return err
 	}
-	entries, err := budget.Unpack(w.Entries)
+	entries, err := budget.DecodeEntries(w.Entries)
 	if err != nil {
 		return err
 	}
@@ -194,7 +194,7 @@
 
 // appendProgram appends entries of a program.
 func (t *table) appendProgram(p *program, entries []budget.Entry, room int) bool {
-	body, err := programCodec.Encode(storewire.Program{Name: p.name, Entries: budget.Pack(nil, entries)})
+	body, err := programCodec.Encode(storewire.Program{Name: p.name, Entries: budget.EncodeEntries(nil, entries)})
 	if err != nil {
 		panic(err)
 	}
--- a/internal/tier/store/programs.go
+++ b/internal/tier/store/programs.go
@@ -35,7 +35,7 @@
 	if p == nil {
 		p = &program{name: name, touched: t.now()}
 		t.programs[name] = p
-		t.programTree.Add(placement.Key(name), 0)
+		t.programTree.Add(placement.KeyOf(name), 0)
 	}
 	return p
 }
@@ -45,7 +45,7 @@
 
 // change runs a change of a ledger and keeps the digests right.
 func (t *table) change(p *program, f func(*budget.Ledger)) {
-	key := placement.Key(p.name)
+	key := placement.KeyOf(p.name)
 	entries := p.ledger.Len()
 	t.programTree.Remove(key, p.ledger.Digest())
 	f(&p.ledger)
@@ -60,14 +60,14 @@
 }
 
 // reserve opens a reservation. It gives Crowded where it can't be kept.
-func (t *table) reserve(p *program, turn budget.Key, most int64) budget.Outcome {
-	outcome := p.ledger.Find(turn)
+func (t *table) reserve(p *program, turn budget.TurnKey, most int64) budget.Outcome {
+	outcome := p.ledger.CheckReserve(turn)
 	if outcome != budget.Opened {
 		return outcome
 	}
 	entry := budget.Entry{Turn: turn, Tokens: max(0, most), Open: true}
 	if t.stalled() || !t.appendProgram(p, []budget.Entry{entry}, reserveRoom) {
-		return budget.Crowded
+		return budget.LedgerFull
 	}
 	t.change(p, func(l *budget.Ledger) { l.Reserve(turn, most) })
 	return outcome
@@ -77,7 +77,7 @@
 func (t *table) merge(p *program, entries []budget.Entry) bool {
 	news := entries[:0:0]
 	for _, e := range entries {
-		if p.ledger.News(e) {
+		if p.ledger.WouldChange(e) {
 			news = append(news, e)
 		}
 	}
@@ -102,7 +102,7 @@
 		if now-p.touched < programLife {
 			continue
 		}
-		t.programTree.Remove(placement.Key(name), p.ledger.Digest())
+		t.programTree.Remove(placement.KeyOf(name), p.ledger.Digest())
 		t.entries -= p.ledger.Len()
 		delete(t.programs, name)
 	}
@@ -113,7 +113,7 @@
 	if p.ledger.Len() > 0 {
 		return
 	}
-	t.programTree.Remove(placement.Key(p.name), p.ledger.Digest())
+	t.programTree.Remove(placement.KeyOf(p.name), p.ledger.Digest())
 	delete(t.programs, p.name)
 }
 
@@ -122,7 +122,7 @@
 	return storewire.Program{
 		Name:       p.name,
 		IdleMillis: (t.now() - p.touched).Milliseconds(),
-		Entries:    budget.Pack(nil, p.ledger.Entries(nil)),
+		Entries:    budget.EncodeEntries(nil, p.ledger.Entries(nil)),
 	}
 }
 
--- a/internal/tier/store/repair.go
+++ b/internal/tier/store/repair.go
@@ -142,10 +142,10 @@
 		return
 	}
 	if len(a.Turns) > 0 {
-		s.pushTurns(ctx, d, member, s.keysIn(ctx, d, member, merkle.Differing(mine, unsigned(a.Turns))))
+		s.pushTurns(ctx, d, member, s.keysIn(ctx, d, member, merkle.DifferingRanges(mine, unsigned(a.Turns))))
 	}
 	if len(a.Programs) > 0 {
-		s.pushPrograms(ctx, d, member, s.programsIn(ctx, merkle.Differing(programs, unsigned(a.Programs))))
+		s.pushPrograms(ctx, d, member, s.programsIn(ctx, merkle.DifferingRanges(programs, unsigned(a.Programs))))
 	}
 	s.pushStrays(ctx, d, member, settleTime)
 }
@@ -158,7 +158,7 @@
 			return false
 		}
 		for key, x := range t.turns {
-			if !slices.Contains(ranges, merkle.Range(key)) || t.now()-x.arrived < settleTime {
+			if !slices.Contains(ranges, merkle.RangeOf(key)) || t.now()-x.arrived < settleTime {
 				continue
 			}
 			if places := t.placesOf(x); slices.Contains(places, member) && slices.Contains(places, t.self) {
@@ -182,7 +182,7 @@
 			if idle < settleTime || idle > programLife-programFade {
 				continue
 			}
-			if slices.Contains(ranges, merkle.Range(placement.Key(name))) {
+			if slices.Contains(ranges, merkle.RangeOf(placement.KeyOf(name))) {
 				list = append(list, storewire.ProgramDigest{Name: name, Digest: int64(p.ledger.Digest())})
 			}
 		}
--- a/internal/tier/store/serve_client.go
+++ b/internal/tier/store/serve_client.go
@@ -33,11 +33,11 @@
 	if err != nil {
 		return storewire.ReserveAnswer{Reply: busy()}, nil
 	}
-	a.Closed = report.Closed
-	a.Settled = report.Settled
+	a.Closed = report.TurnClosed
+	a.Settled = report.SettledTokens
 	a.Digest = int64(report.Digest)
 	a.Whole = report.Whole
-	a.Entries = budget.Pack(make([]byte, 0, 10*len(report.Entries)), report.Entries)
+	a.Entries = budget.EncodeEntries(make([]byte, 0, 10*len(report.Entries)), report.Entries)
 	return a, nil
 }
 
@@ -47,9 +47,9 @@
 	}
 	// With a machine less a quorum may be made of stores that never heard of what it took part in.
 	a.Reply.Complete = a.Reply.Complete && !t.meta.Unsettled
-	key := budget.KeyOf(q.Turn)
+	key := budget.TurnKeyOf(q.Turn)
 	known := t.programs[q.Program]
-	if q.Recheck || known != nil && known.ledger.Settled() >= q.Budget {
+	if q.Recheck || known != nil && known.ledger.SettledTokens() >= q.Budget {
 		// Spent by what is settled: nothing is kept, or a program that loops would fill the table.
 		if known != nil {
 			*r = known.ledger.Report(key, q.Whole)
@@ -65,11 +65,11 @@
 	p := t.program(q.Program)
 	t.touch(p, t.now())
 	switch t.reserve(p, key, q.Most) {
-	case budget.Crowded:
+	case budget.LedgerFull:
 		t.forgetEmpty(p)
 		a.Reply.Standing = storewire.Busy
 		return false
-	case budget.Opened, budget.Known:
+	case budget.Opened, budget.AlreadyOpen:
 		a.Kept = true
 	}
 	*r = p.ledger.Report(key, q.Whole)
@@ -96,7 +96,7 @@
 		}
 		p := t.program(settlement.Program)
 		t.touch(p, t.now())
-		entry := budget.Entry{Turn: budget.Key(settlement.Turn), Tokens: max(0, settlement.Used)}
+		entry := budget.Entry{Turn: budget.TurnKey(settlement.Turn), Tokens: max(0, settlement.Used)}
 		if !t.merge(p, []budget.Entry{entry}) {
 			a.Reply.Standing = storewire.Busy
 			return false
@@ -174,7 +174,7 @@
 	var positions []journal.Position
 	size := 0
 	for id != "" {
-		x := t.turns[placement.Key(id)]
+		x := t.turns[placement.KeyOf(id)]
 		if x == nil || x.id != id {
 			break
 		}
--- a/internal/tier/store/serve_peer.go
+++ b/internal/tier/store/serve_peer.go
@@ -273,7 +273,7 @@
 		in.turns = append(in.turns, intakeTurn{record: record, head: head, life: life})
 	}
 	for _, p := range programs {
-		entries, err := budget.Unpack(p.Entries)
+		entries, err := budget.DecodeEntries(p.Entries)
 		if err != nil {
 			return nil, err
 		}
@@ -288,7 +288,7 @@
 // take keeps what came. It gives false where there is no room for all of it.
 func (t *table) take(in *intake) bool {
 	for _, x := range in.turns {
-		if x.life <= 0 || t.turns[placement.Key(x.head.ID)] == nil && t.holds(placement.Key(x.head.ID)) {
+		if x.life <= 0 || t.turns[placement.KeyOf(x.head.ID)] == nil && t.holds(placement.KeyOf(x.head.ID)) {
 			continue // its time is over here
 		}
 		if !t.keepTurn(x.record, x.head, x.life) {
--- a/internal/tier/store/table.go
+++ b/internal/tier/store/table.go
@@ -177,6 +177,6 @@
 
 // placesOf gives the places where a turn belongs; valid until the next call.
 func (t *table) placesOf(x *turn) []int {
-	t.scratch = t.places.Order(x.root, x.home, t.scratch[:0])
+	t.scratch = t.places.AppendOrder(x.root, x.home, t.scratch[:0])
 	return t.scratch[:min(len(t.scratch), t.meta.View.Copies())]
 }
--- a/internal/tier/store/turns.go
+++ b/internal/tier/store/turns.go
@@ -63,7 +63,7 @@
 
 // addTurn takes a record into the index. One that is there only gets another position or a longer life.
 func (t *table) addTurn(h storewire.TurnHead, position journal.Position, life time.Duration) *turn {
-	key := placement.Key(h.ID)
+	key := placement.KeyOf(h.ID)
 	now := t.now()
 	if known := t.turns[key]; known != nil {
 		t.moveTurn(known, position)
@@ -74,7 +74,7 @@
 		id:       h.ID,
 		previous: h.Previous,
 		key:      key,
-		root:     placement.Key(h.Root),
+		root:     placement.KeyOf(h.Root),
 		home:     h.Home,
 		position: position,
 		arrived:  now,
@@ -115,7 +115,7 @@
 // extendBefore makes all turns before one live as long as it does.
 func (t *table) extendBefore(x *turn) {
 	for x.previous != "" {
-		key := placement.Key(x.previous)
+		key := placement.KeyOf(x.previous)
 		before := t.turns[key]
 		if before == nil {
 			t.orphans[key] = max(t.orphans[key], x.expires)
@@ -201,7 +201,7 @@
 
 // keepTurn appends a record, whole with its kind, unless it is there. It gives false where there is no room.
 func (t *table) keepTurn(record []byte, h storewire.TurnHead, life time.Duration) bool {
-	if known := t.turns[placement.Key(h.ID)]; known != nil {
+	if known := t.turns[placement.KeyOf(h.ID)]; known != nil {
 		t.extend(known, t.now()+life)
 		return true
 	}
--- a/internal/tier/storeclient/client_test.go
+++ b/internal/tier/storeclient/client_test.go
@@ -228,11 +228,11 @@
 		time.Sleep(100 * time.Millisecond)
 		f.with("s0", func(s *fakeStore) {
 			g.Expect(s.settles).To(Equal(1))
-			g.Expect(s.ledger.Settled()).To(Equal(int64(10)))
+			g.Expect(s.ledger.SettledTokens()).To(Equal(int64(10)))
 		})
 		f.with("s2", func(s *fakeStore) { s.fails = false })
 		time.Sleep(2 * time.Second)
-		f.with("s2", func(s *fakeStore) { g.Expect(s.ledger.Settled()).To(Equal(int64(10))) })
+		f.with("s2", func(s *fakeStore) { g.Expect(s.ledger.SettledTokens()).To(Equal(int64(10))) })
 	})
 }
 
@@ -259,7 +259,7 @@
 		c := f.client("s0", view, 0)
 		c.Settle("p", "1", 2)
 		c.Close()
-		f.with("s1", func(s *fakeStore) { g.Expect(s.ledger.Settled()).To(Equal(int64(2))) })
+		f.with("s1", func(s *fakeStore) { g.Expect(s.ledger.SettledTokens()).To(Equal(int64(2))) })
 		c.Settle("p", "2", 2)
 	})
 }
--- a/internal/tier/storeclient/commit.go
+++ b/internal/tier/storeclient/commit.go
@@ -85,7 +85,7 @@
 func (c *Client) commitIn(ctx context.Context, view *snapshot, record storewire.Turn, confirmed map[string]bool) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	order := view.places.Order(placement.Key(record.Root), record.Home, nil)
+	order := view.places.AppendOrder(placement.KeyOf(record.Root), record.Home, nil)
 	w := &committing{
 		client:    c,
 		view:      view,
--- a/internal/tier/storeclient/fake_test.go
+++ b/internal/tier/storeclient/fake_test.go
@@ -112,14 +112,14 @@
 
 func (f *fakeStores) Reserve(ctx context.Context, address string, q storewire.ReserveRequest) (storewire.ReserveAnswer, error) {
 	return reach(ctx, f, address, func(s *fakeStore, r storewire.Reply) storewire.ReserveAnswer {
-		key := budget.KeyOf(q.Turn)
+		key := budget.TurnKeyOf(q.Turn)
 		a := storewire.ReserveAnswer{Reply: r}
 		if !q.Recheck && r.Standing == storewire.Served {
 			a.Kept = s.ledger.Reserve(key, q.Most) != budget.Closed
 		}
 		report := s.ledger.Report(key, q.Whole)
-		a.Closed, a.Settled, a.Digest, a.Whole = report.Closed, report.Settled, int64(report.Digest), report.Whole
-		a.Entries = budget.Pack(nil, report.Entries)
+		a.Closed, a.Settled, a.Digest, a.Whole = report.TurnClosed, report.SettledTokens, int64(report.Digest), report.Whole
+		a.Entries = budget.EncodeEntries(nil, report.Entries)
 		return a
 	})
 }
@@ -128,7 +128,7 @@
 	return reach(ctx, f, address, func(s *fakeStore, r storewire.Reply) storewire.Acknowledgement {
 		s.settles++
 		for _, settlement := range q.Settlements {
-			s.ledger.Merge(budget.Entry{Turn: budget.Key(settlement.Turn), Tokens: settlement.Used})
+			s.ledger.Merge(budget.Entry{Turn: budget.TurnKey(settlement.Turn), Tokens: settlement.Used})
 		}
 		return storewire.Acknowledgement{Reply: r}
 	})
--- a/internal/tier/storeclient/reserve.go
+++ b/internal/tier/storeclient/reserve.go
@@ -94,18 +94,18 @@
 		case <-ctx.Done():
 			return Undecided, true
 		}
-		switch w.attempt.Next() {
+		switch w.attempt.Decide() {
 		case budget.Granted:
 			return Granted, true
-		case budget.Spent:
+		case budget.Exhausted:
 			return Spent, true
 		case budget.Undecided:
 			return Undecided, true
 		}
 		switch {
-		case w.attempt.NeedsWhole() || w.round == 0 && w.attempt.Quorate() && w.allTold():
+		case w.attempt.NeedsWholeLists() || w.round == 0 && w.attempt.HasQuorum() && w.allTold():
 			w.recheck(ctx)
-		case w.round == 0 && grace == nil && w.attempt.Quorate():
+		case w.round == 0 && grace == nil && w.attempt.HasQuorum():
 			timer := time.NewTimer(max(leastGrace, time.Since(w.started)))
 			defer timer.Stop()
 			grace = timer.C
@@ -117,7 +117,7 @@
 func (w *reserving) allTold() bool {
 	missing := 0
 	for at, m := range w.members {
-		if !w.attempt.Reported(at) && !w.client.suspect(w.view.view.Members[m].Address) {
+		if !w.attempt.HasReported(at) && !w.client.suspect(w.view.view.Members[m].Address) {
 			missing++
 		}
 	}
@@ -126,10 +126,10 @@
 
 // recheck asks all once more what they know by now.
 func (w *reserving) recheck(ctx context.Context) {
-	if !w.attempt.Quorate() {
+	if !w.attempt.HasQuorum() {
 		return
 	}
-	w.request.Whole = w.attempt.Recheck()
+	w.request.Whole = w.attempt.StartSecondRound()
 	w.request.Recheck = true
 	w.round++
 	w.failed = 0
@@ -163,7 +163,7 @@
 	}
 	report, ok := reportOf(a.answer)
 	if served && ok && a.answer.Reply.Complete && w.counts(a.answer, report) {
-		w.attempt.Report(a.member, report)
+		w.attempt.AddReport(a.member, report)
 		return
 	}
 	w.failed++
@@ -178,17 +178,17 @@
 // counts says whether an answer may be reported: in the first round the store has to keep the reservation, unless it
 // says why the turn can't run anyway.
 func (w *reserving) counts(a storewire.ReserveAnswer, r budget.Report) bool {
-	return w.round > 0 || a.Kept || r.Closed || r.Settled >= w.request.Budget
+	return w.round > 0 || a.Kept || r.TurnClosed || r.SettledTokens >= w.request.Budget
 }
 
 // reportOf reads what a store knows.
 func reportOf(a storewire.ReserveAnswer) (budget.Report, bool) {
-	entries, err := budget.Unpack(a.Entries)
+	entries, err := budget.DecodeEntries(a.Entries)
 	return budget.Report{
-		Closed:  a.Closed,
-		Settled: a.Settled,
-		Digest:  uint64(a.Digest),
-		Whole:   a.Whole,
-		Entries: entries,
+		TurnClosed:    a.Closed,
+		SettledTokens: a.Settled,
+		Digest:        uint64(a.Digest),
+		Whole:         a.Whole,
+		Entries:       entries,
 	}, err == nil
 }
--- a/internal/tier/storeclient/settle.go
+++ b/internal/tier/storeclient/settle.go
@@ -29,7 +29,7 @@
 // Settle tells the stores what a turn has used: every token that its client was sent, or that it may have been sent. 0
 // withdraws the reservation. It returns at once; the stores know within some 10 ms, or once they can be reached.
 func (c *Client) Settle(program, turn string, used int64) {
-	c.settle.add(storewire.Settlement{Program: program, Turn: int64(budget.KeyOf(turn)), Used: used})
+	c.settle.add(storewire.Settlement{Program: program, Turn: int64(budget.TurnKeyOf(turn)), Used: used})
 }
 
 // settler repeats settlements until all stores know them.
--- a/internal/tier/storewire/fuzz_test.go
+++ b/internal/tier/storewire/fuzz_test.go
@@ -21,7 +21,7 @@
 	f.Add(turn)
 	f.Add(view)
 	f.Add(storewire.AppendListed(nil, storewire.Listed{Key: 7, Placed: true}))
-	f.Add(budget.Pack(nil, []budget.Entry{{Turn: 1, Tokens: 5, Open: true}, {Turn: 2, Tokens: 9}}))
+	f.Add(budget.EncodeEntries(nil, []budget.Entry{{Turn: 1, Tokens: 5, Open: true}, {Turn: 2, Tokens: 9}}))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if turn, err := storewire.DecodeTurn(data); err == nil {
 			again, err := storewire.EncodeTurn(turn)
@@ -39,8 +39,8 @@
 		}
 		_, _ = storewire.Keys(data)
 		_, _ = storewire.ListedTurns(data)
-		if entries, err := budget.Unpack(data); err == nil {
-			same, err := budget.Unpack(budget.Pack(nil, entries))
+		if entries, err := budget.DecodeEntries(data); err == nil {
+			same, err := budget.DecodeEntries(budget.EncodeEntries(nil, entries))
 			if err != nil || len(same) != len(entries) {
 				t.Fatalf("%v comes back as %v: %v", entries, same, err)
 			}
