--- a/coordination/budget/attempt.go
+++ b/coordination/budget/attempt.go
@@ -1,184 +1,187 @@
 package budget
 
-// Decision is what an attempt wants next.
+// Decision is the state of an attempt after the reports so far.
 type Decision int
 
-// The actions.
+// Possible decisions.
 const (
 	// Pending: more reports are needed.
 	Pending Decision = iota
 	// Granted: the turn may run.
 	Granted
-	// Exhausted: settled turns alone reach the budget.
+	// Exhausted: the settled turns alone use up the budget.
 	Exhausted
-	// Undecided: turns that are still open decide, or the turn itself was settled before.
+	// Undecided: whether the budget suffices depends on turns that are still open, or the turn itself is already settled.
 	Undecided
 )
 
-// Attempt decides on one turn. Members are numbered from 0.
+// Attempt decides whether one turn may run. Members are numbered from 0.
 type Attempt struct {
-	budget  int64
-	members int
-	quorum  int
-
-	reports  []Report
-	reported []bool
-	kept     int  // members that keep the reservation and whose report counts
-	second   bool // the reports were asked for after a quorum had kept the reservation
-	whole    bool // Recheck asked for whole lists
+	budgetTokens int64
+	members      int
+	quorum       int
+
+	reports        []Report
+	reported       []bool
+	reportCount    int  // members with a valid report in this round
+	secondRound    bool // the reports were requested after a quorum had stored the reservation
+	wholeRequested bool // StartSecondRound requested whole lists
 }
 
-// NewAttempt begins an attempt at a budget of tokens; quorum is how many of the members have to keep the reservation.
-func NewAttempt(budget int64, members, quorum int) *Attempt {
+// NewAttempt returns an attempt to reserve from a budget of tokens. The quorum is the number of members that must store
+// the reservation.
+func NewAttempt(budgetTokens int64, members, quorum int) *Attempt {
 	return &Attempt{
-		budget:   budget,
-		members:  members,
-		quorum:   quorum,
-		reports:  make([]Report, members),
-		reported: make([]bool, members),
+		budgetTokens: budgetTokens,
+		members:      members,
+		quorum:       quorum,
+		reports:      make([]Report, members),
+		reported:     make([]bool, members),
 	}
 }
 
-// AddReport takes the report of a member that is complete: it knows all that it should. In the first round the member has
-// to have the reservation on its disk. A report that was asked for before Recheck must not be given after it.
-func (a *Attempt) AddReport(member int, r Report) {
+// AddReport adds the report of a complete member, one that holds all the entries it is responsible for. In the first round
+// the member must have the reservation on disk. A report requested before StartSecondRound must not be added after it.
+func (a *Attempt) AddReport(member int, report Report) {
 	if a.reported[member] {
 		return
 	}
 	a.reported[member] = true
-	a.reports[member] = r
-	a.kept++
+	a.reports[member] = report
+	a.reportCount++
 }
 
-// HasReported says whether a member has reported in this round.
+// HasReported reports whether a member has reported in this round.
 func (a *Attempt) HasReported(member int) bool { return a.reported[member] }
 
-// HasQuorum says whether a quorum has reported in this round. In the first round, Next waits for all members then; the
-// caller may end that by Recheck.
-func (a *Attempt) HasQuorum() bool { return a.kept >= a.quorum }
+// HasQuorum reports whether a quorum has reported in this round. With a quorum in the first round, Decide waits for all
+// members before it grants; the caller may stop waiting by calling StartSecondRound.
+func (a *Attempt) HasQuorum() bool { return a.reportCount >= a.quorum }
 
-// StartSecondRound begins a second round: every member is to be asked once more. It says whether whole lists are needed. It must
-// only be called when Quorate.
+// StartSecondRound discards the reports so far; the caller then asks every member again. It reports whether whole lists are
+// needed. It panics unless HasQuorum.
 func (a *Attempt) StartSecondRound() (whole bool) {
 	if !a.HasQuorum() {
-		panic("budget: recheck without a quorum")
+		panic("budget: second round started without a quorum")
 	}
-	a.whole = !a.union().exact
-	a.second = true
-	a.kept = 0
+	a.wholeRequested = !a.combine().exact
+	a.secondRound = true
+	a.reportCount = 0
 	clear(a.reports)
 	clear(a.reported)
-	return a.whole
+	return a.wholeRequested
 }
 
-// NeedsWholeLists says that all that can be known has come, but not exactly enough: another Recheck brings whole lists.
+// NeedsWholeLists reports whether all expected reports are in but their upper bounds are too coarse to decide. Another call
+// of StartSecondRound then requests whole lists.
 func (a *Attempt) NeedsWholeLists() bool {
-	if !a.enough() {
+	if !a.reportsSuffice() {
 		return false
 	}
-	u := a.union()
-	return !u.exact && u.settled+u.open >= a.budget
+	total := a.combine()
+	return !total.exact && total.settledTokens+total.openTokens >= a.budgetTokens
 }
 
-// enough says whether the reports of this round would do for a grant.
-func (a *Attempt) enough() bool {
-	return a.kept == a.members && a.kept >= a.quorum || a.second && a.HasQuorum()
+// reportsSuffice reports whether the reports of this round suffice for a grant: those of all members, or in the second round
+// those of a quorum.
+func (a *Attempt) reportsSuffice() bool {
+	return a.reportCount == a.members && a.reportCount >= a.quorum || a.secondRound && a.HasQuorum()
 }
 
-// Decide says what follows from the reports so far.
+// Decide evaluates the reports so far.
 func (a *Attempt) Decide() Decision {
 	for _, r := range a.reports {
 		if r.TurnClosed {
 			return Undecided
 		}
-		if r.SettledTokens >= a.budget {
-			return Exhausted // what one store knows to be used is used
+		if r.SettledTokens >= a.budgetTokens {
+			return Exhausted // usage known to a single store is enough
 		}
 	}
 	if !a.HasQuorum() {
 		return Pending
 	}
-	u := a.union()
+	total := a.combine()
 	switch {
-	case u.exact && u.settled >= a.budget:
+	case total.exact && total.settledTokens >= a.budgetTokens:
 		return Exhausted
-	case !a.enough():
-		return Pending // the others may know that some of the open ones have ended
-	case u.settled+u.open < a.budget:
+	case !a.reportsSuffice():
+		return Pending // other members may know that some open turns are settled
+	case total.settledTokens+total.openTokens < a.budgetTokens:
 		return Granted
-	case u.exact:
+	case total.exact:
 		return Undecided
 	}
 	return Pending
 }
 
-// union is what the reports know together.
-type union struct {
-	settled, open int64
-	exact         bool // else both are upper bounds
+// totals holds the token sums over all reports of a round.
+type totals struct {
+	settledTokens, openTokens int64
+	exact                     bool // otherwise both sums are upper bounds
 }
 
-func (a *Attempt) union() union {
-	whole, alike := a.shapes()
-	if whole {
-		return a.listed()
+func (a *Attempt) combine() totals {
+	allWhole, sameSettled := a.compareReports()
+	if allWhole {
+		return a.combineWholeLists()
 	}
-	u := union{exact: alike}
-	open := map[TurnKey]int64{}
-	for at, r := range a.reports {
-		if !a.reported[at] {
+	total := totals{exact: sameSettled}
+	openByTurn := map[TurnKey]int64{}
+	for member, r := range a.reports {
+		if !a.reported[member] {
 			continue
 		}
-		if alike {
-			u.settled = r.SettledTokens
+		if sameSettled {
+			total.settledTokens = r.SettledTokens
 		} else {
-			u.settled += r.SettledTokens // a turn may count more than once
+			total.settledTokens += r.SettledTokens // may count a turn more than once
 		}
 		for _, e := range r.Entries {
 			if e.Open {
-				open[e.Turn] = max(open[e.Turn], e.Tokens)
+				openByTurn[e.Turn] = max(openByTurn[e.Turn], e.Tokens)
 			}
 		}
 	}
-	for _, tokens := range open {
-		u.open += tokens
+	for _, tokens := range openByTurn {
+		total.openTokens += tokens
 	}
-	return u
+	return total
 }
 
-// shapes says whether all reports list all entries, and whether all know the same settled entries.
-func (a *Attempt) shapes() (whole, alike bool) {
-	whole, alike = true, true
+// compareReports reports whether all reports list all entries, and whether all cover the same settled entries.
+func (a *Attempt) compareReports() (allWhole, sameSettled bool) {
+	allWhole, sameSettled = true, true
 	first := -1
-	for at, r := range a.reports {
-		if !a.reported[at] {
+	for member, r := range a.reports {
+		if !a.reported[member] {
 			continue
 		}
 		if first < 0 {
-			first = at
+			first = member
 		}
-		whole = whole && r.Whole
-		alike = alike && r.Digest == a.reports[first].Digest
+		allWhole = allWhole && r.Whole
+		sameSettled = sameSettled && r.Digest == a.reports[first].Digest
 	}
-	return whole, alike
+	return allWhole, sameSettled
 }
 
-// listed is the union of whole lists.
-func (a *Attempt) listed() union {
-	var together Ledger
-	for at, r := range a.reports {
-		if !a.reported[at] {
+// combineWholeLists merges whole lists and sums them up.
+func (a *Attempt) combineWholeLists() totals {
+	var merged Ledger
+	for member, r := range a.reports {
+		if !a.reported[member] {
 			continue
 		}
 		for _, e := range r.Entries {
-			together.Merge(e)
+			merged.Merge(e)
 		}
 	}
-	u := union{settled: together.settled, exact: true}
-	for _, s := range together.entries {
+	total := totals{settledTokens: merged.settledTokens, exact: true}
+	for _, s := range merged.entries {
 		if s < 0 {
-			u.open += int64(^s)
+			total.openTokens += int64(^s)
 		}
 	}
-	return u
+	return total
 }
--- a/coordination/budget/ledger.go
+++ b/coordination/budget/ledger.go
@@ -1,20 +1,20 @@
-// Package budget decides how many tokens the turns of a program may use together, by reservations that a quorum of
-// stores keeps. It is pure: Ledger is what one store knows of one program, Attempt decides on one turn from the stores'
-// reports:
+// Package budget limits the tokens that the turns of a program use together, by reservations stored at a quorum of
+// stores. It does no I/O: a Ledger holds the entries that one store knows of one program, an Attempt decides on one turn
+// from the reports of the stores:
 //
 //	// at each store
-//	outcome := ledger.Reserve(key, most)      // on the disk before the report leaves
+//	outcome := ledger.Reserve(key, maxTokens) // on disk before the report is sent
 //	report := ledger.Report(key, whole)
 //	// at the proxy
 //	attempt := budget.NewAttempt(budgetTokens, members, quorum)
-//	attempt.Report(member, report)            // as reports come
-//	switch attempt.Next() { case budget.Granted: ... case budget.Recheck: ... }
+//	attempt.AddReport(member, report)         // as reports arrive
+//	switch attempt.Decide() { case budget.Granted: ... }
 //
-// Invariant: the tokens of all granted turns together stay below the budget plus the most of one of them. It rests on
-// this: a turn is granted on reports that either came from all members, or were asked for after a quorum had kept its
-// reservation. Of all granted turns take the one whose reservation was the last to reach a quorum: its reports name all
-// the others, each with what it used or may use, and their sum was below the budget. Two rounds are needed where not all
-// answer: of three turns that race, each may see only one of the others in a single round of quorums.
+// Invariant: the tokens of all granted turns together stay below the budget plus the largest reservation among them.
+// Proof: a turn is granted on reports that either came from all members, or were requested after a quorum had stored its
+// reservation. Of all granted turns, take the one whose reservation reached a quorum last: its reports list all the
+// others, each with the tokens it used or may use, and their sum was below the budget. Two rounds are needed when not all
+// members answer: of three concurrent turns, each may see only one of the others in a single round of quorums.
 package budget
 
 import (
@@ -26,82 +26,82 @@
 	"emberquay/coordination/hashing"
 )
 
-// TurnKey names a turn within its program: a hash of its id.
+// TurnKey identifies a turn within its program: a hash of the turn's id.
 type TurnKey uint64
 
 // TurnKeyOf hashes the id of a turn.
 func TurnKeyOf(id string) TurnKey { return TurnKey(xxhash.Sum64String(id)) }
 
-// Entry is what is known of a turn.
+// Entry is the reservation of a turn, or its settlement.
 type Entry struct {
 	Turn   TurnKey
-	Tokens int64 // at most, while it is open; else what it used
+	Tokens int64 // tokens reserved while it is open, tokens used once it is settled
 	Open   bool
 }
 
-// MaxEntries bounds the turns of one program, those withdrawn included: far above what programs start before they are
-// over, and 100 KB of memory.
+// MaxEntries bounds the entries of one program, withdrawn turns included. It is far above the number of turns that a
+// program starts in its lifetime, and takes 100 KB of memory.
 const MaxEntries = 4096
 
-// wholeEntries is how many entries a report lists in any case, about 1 KB.
-const wholeEntries = 64
+// maxUnabridgedEntries is the number of entries up to which a report lists all of them, about 1 KB.
+const maxUnabridgedEntries = 64
 
-// Outcome says what became of a reservation at a store.
+// Outcome is the result of a reservation at a store.
 type Outcome int
 
-// The outcomes.
+// Possible outcomes.
 const (
-	Opened      Outcome = iota // it is new
-	AlreadyOpen                // it was open before
-	Closed                     // the turn was settled or withdrawn: it is never opened again
-	LedgerFull                 // the program has MaxEntries already
+	Opened      Outcome = iota // the reservation is new
+	AlreadyOpen                // the turn already has an open reservation
+	Closed                     // the turn was settled or withdrawn; it cannot be opened again
+	LedgerFull                 // the program already has MaxEntries entries
 )
 
-// Ledger is what one store knows of one program. The zero value is empty.
+// Ledger holds the entries that one store knows of one program. The zero value is empty.
 type Ledger struct {
-	entries map[TurnKey]state
-	settled int64
-	sum     uint64 // digest of the settled entries
-	all     uint64 // digest of all entries
+	entries       map[TurnKey]entryState
+	settledTokens int64
+	settledDigest uint64 // digest of the settled entries
+	entriesDigest uint64 // digest of all entries
 }
 
-// state is an entry without its key: tokens, or the ones' complement of them while it is open.
-type state int64
+// entryState is an entry without its key: its tokens, or their ones' complement while the entry is open.
+type entryState int64
 
-func stateOf(e Entry) state {
+func entryStateOf(e Entry) entryState {
 	if e.Open {
-		return ^state(e.Tokens)
+		return ^entryState(e.Tokens)
 	}
-	return state(e.Tokens)
+	return entryState(e.Tokens)
 }
 
-func (s state) entry(k TurnKey) Entry {
+func (s entryState) entry(k TurnKey) Entry {
 	if s < 0 {
 		return Entry{Turn: k, Tokens: int64(^s), Open: true}
 	}
 	return Entry{Turn: k, Tokens: int64(s)}
 }
 
-// Len counts the entries.
+// Len returns the number of entries.
 func (l *Ledger) Len() int { return len(l.entries) }
 
-// SettledTokens is what the settled turns used.
-func (l *Ledger) SettledTokens() int64 { return l.settled }
+// SettledTokens returns the tokens used by settled turns.
+func (l *Ledger) SettledTokens() int64 { return l.settledTokens }
 
-// Digest stands for all entries.
-func (l *Ledger) Digest() uint64 { return l.all }
+// Digest returns a digest of all entries.
+func (l *Ledger) Digest() uint64 { return l.entriesDigest }
 
-// Reserve opens a reservation of at most so many tokens.
-func (l *Ledger) Reserve(turn TurnKey, most int64) Outcome {
+// Reserve opens a reservation of at most maxTokens for a turn.
+func (l *Ledger) Reserve(turn TurnKey, maxTokens int64) Outcome {
 	outcome := l.CheckReserve(turn)
 	if outcome == Opened {
-		l.put(Entry{Turn: turn, Tokens: max(0, most), Open: true})
+		l.put(Entry{Turn: turn, Tokens: max(0, maxTokens), Open: true})
 	}
 	return outcome
 }
 
-// CheckReserve gives Known or Closed for a turn that has an entry, else Crowded or, if there is room, Opened: what Reserve would
-// come to.
+// CheckReserve returns what Reserve would return, without changing the ledger: AlreadyOpen or Closed for a turn that has
+// an entry, otherwise Opened, or LedgerFull if there is no room.
 func (l *Ledger) CheckReserve(turn TurnKey) Outcome {
 	s, ok := l.entries[turn]
 	switch {
@@ -115,31 +115,32 @@
 	return Opened
 }
 
-// WouldChange says whether Merge would change anything.
+// WouldChange reports whether Merge would change the ledger.
 func (l *Ledger) WouldChange(e Entry) bool {
 	s, ok := l.entries[e.Turn]
 	if !ok {
-		// An open one must never be lost, or the budget could be passed; nor one that used tokens.
+		// Dropping an open entry, or one that used tokens, could let the program exceed its budget.
 		return len(l.entries) < MaxEntries || e.Open || e.Tokens > 0
 	}
 	return newer(s.entry(e.Turn), e)
 }
 
-// Merge takes in what another holder knows, and says whether it was news. A settled entry replaces an open one; of two
-// settled ones the greater stays. Beyond MaxEntries only withdrawals of turns that are not known are left out.
+// Merge adds an entry of another replica and reports whether the ledger changed. A settled entry replaces an open one; of
+// two settled or two open entries the one with more tokens wins. Beyond MaxEntries only withdrawals of unknown turns are
+// ignored.
 func (l *Ledger) Merge(e Entry) bool {
 	e.Tokens = max(0, e.Tokens)
 	if !l.WouldChange(e) {
 		return false
 	}
 	if s, ok := l.entries[e.Turn]; ok {
-		l.drop(s.entry(e.Turn))
+		l.remove(s.entry(e.Turn))
 	}
 	l.put(e)
 	return true
 }
 
-// newer says whether e says more than what is known of the same turn.
+// newer reports whether e supersedes the known entry of the same turn.
 func newer(known, e Entry) bool {
 	if known.Open != e.Open {
 		return known.Open
@@ -149,55 +150,56 @@
 
 func (l *Ledger) put(e Entry) {
 	if l.entries == nil {
-		l.entries = map[TurnKey]state{}
+		l.entries = map[TurnKey]entryState{}
 	}
-	l.entries[e.Turn] = stateOf(e)
-	l.all += digest(e)
+	l.entries[e.Turn] = entryStateOf(e)
+	l.entriesDigest += entryDigest(e)
 	if !e.Open {
-		l.settled += e.Tokens
-		l.sum += digest(e)
+		l.settledTokens += e.Tokens
+		l.settledDigest += entryDigest(e)
 	}
 }
 
-func (l *Ledger) drop(e Entry) {
+func (l *Ledger) remove(e Entry) {
 	delete(l.entries, e.Turn)
-	l.all -= digest(e)
+	l.entriesDigest -= entryDigest(e)
 	if !e.Open {
-		l.settled -= e.Tokens
-		l.sum -= digest(e)
+		l.settledTokens -= e.Tokens
+		l.settledDigest -= entryDigest(e)
 	}
 }
 
-func digest(e Entry) uint64 {
-	return hashing.Pair(uint64(e.Turn), uint64(stateOf(e)))
+func entryDigest(e Entry) uint64 {
+	return hashing.Pair(uint64(e.Turn), uint64(entryStateOf(e)))
 }
 
-// Entries appends all entries, in no order.
-func (l *Ledger) Entries(to []Entry) []Entry {
+// Entries appends all entries to dst, in no particular order.
+func (l *Ledger) Entries(dst []Entry) []Entry {
 	for k, s := range l.entries {
-		to = append(to, s.entry(k))
+		dst = append(dst, s.entry(k))
 	}
-	return to
+	return dst
 }
 
-// Report is what a store tells of a program to the one that wants a turn.
+// Report is what a store answers to a reservation of a turn: the other turns of the program.
 type Report struct {
-	TurnClosed    bool   // the turn itself was settled before
-	SettledTokens int64  // what the others used that are settled
-	Digest        uint64 // of the settled entries
-	Whole         bool   // Entries holds the settled ones too, not only those that are open
+	TurnClosed    bool   // the turn itself is already settled
+	SettledTokens int64  // tokens used by the other settled turns
+	Digest        uint64 // of the other settled entries
+	Whole         bool   // Entries includes settled entries, not only open ones
 	Entries       []Entry
 }
 
-// Report tells of all turns but the one that asks. Long lists leave the settled entries out, unless whole is wanted.
+// Report returns a report on all turns except the given one. Lists of more than maxUnabridgedEntries omit settled entries
+// unless whole is set.
 func (l *Ledger) Report(turn TurnKey, whole bool) Report {
-	r := Report{SettledTokens: l.settled, Digest: l.sum, Whole: whole || len(l.entries) <= wholeEntries}
-	own, ok := l.entries[turn]
-	if ok && own >= 0 {
-		e := own.entry(turn)
+	r := Report{SettledTokens: l.settledTokens, Digest: l.settledDigest, Whole: whole || len(l.entries) <= maxUnabridgedEntries}
+	ownState, ok := l.entries[turn]
+	if ok && ownState >= 0 {
+		e := ownState.entry(turn)
 		r.TurnClosed = true
 		r.SettledTokens -= e.Tokens
-		r.Digest -= digest(e)
+		r.Digest -= entryDigest(e)
 	}
 	for k, s := range l.entries {
 		if k != turn && (r.Whole || s < 0) {
@@ -207,19 +209,19 @@
 	return r
 }
 
-// ErrMalformedEntries: bytes that hold no entries.
+// ErrMalformedEntries is returned for bytes that are not encoded entries.
 var ErrMalformedEntries = eris.New("budget: malformed entries")
 
-// EncodeEntries appends entries as bytes, about 10 each.
-func EncodeEntries(to []byte, entries []Entry) []byte {
+// EncodeEntries appends the encoded entries to dst, about 10 bytes each.
+func EncodeEntries(dst []byte, entries []Entry) []byte {
 	for _, e := range entries {
-		to = binary.BigEndian.AppendUint64(to, uint64(e.Turn))
-		to = binary.AppendVarint(to, int64(stateOf(e)))
+		dst = binary.BigEndian.AppendUint64(dst, uint64(e.Turn))
+		dst = binary.AppendVarint(dst, int64(entryStateOf(e)))
 	}
-	return to
+	return dst
 }
 
-// DecodeEntries reads them. Error: ErrEntries.
+// DecodeEntries decodes the result of EncodeEntries. It fails with ErrMalformedEntries.
 func DecodeEntries(data []byte) ([]Entry, error) {
 	entries := make([]Entry, 0, len(data)/10)
 	for len(data) > 0 {
@@ -231,7 +233,7 @@
 		if n <= 0 {
 			return nil, ErrMalformedEntries
 		}
-		entries = append(entries, state(s).entry(k))
+		entries = append(entries, entryState(s).entry(k))
 		data = data[8+n:]
 	}
 	return entries, nil
--- a/coordination/gossip/compare.go
+++ b/coordination/gossip/compare.go
@@ -6,38 +6,38 @@
 	"time"
 )
 
-// freshNews is how long an entry that came is taken to be still on its way to the others by pushes: a
-// comparison offers it instead of sending its large value once more.
-const freshNews = time.Second
+// pushInFlightTime is the time after an entry's arrival during which pushes are assumed to be still spreading it.
+// Until then a comparison offers a large value instead of sending it a second time.
+const pushInFlightTime = time.Second
 
-// answerCompare tells a peer that the tables are equal, or the sums of this one.
-func (s *Disseminator) answerCompare(from string, d Digest) {
-	if d.Root == s.table.root() {
-		s.send(from, Message{Equal: true})
+// handleCompare answers that the tables are equal, or sends the bucket sums of this node's table.
+func (d *Disseminator) handleCompare(from string, digest Digest) {
+	if digest.Root == d.table.root() {
+		d.send(from, Message{Equal: true})
 		return
 	}
-	s.send(from, Message{BucketSums: s.table.sums()})
+	d.send(from, Message{BucketSums: d.table.foldedSums()})
 }
 
-// answerSums sends the versions of the buckets that differ. If none does, folded sums are equal by chance, or
-// the tables have become equal since: then all are sent.
-func (s *Disseminator) answerSums(from string, sums []uint32) {
+// handleBucketSums sends the versions in the buckets that differ. If none differs, either folded sums collide or the
+// tables have become equal in the meantime; it then sends the versions in all buckets.
+func (d *Disseminator) handleBucketSums(from string, sums []uint32) {
 	if len(sums) != bucketCount {
 		return
 	}
 	differing := make([]int, 0, bucketCount)
 	for i, sum := range sums {
-		if sum != fold(s.table.buckets[i].sum) {
+		if sum != fold32(d.table.buckets[i].sum) {
 			differing = append(differing, i)
 		}
 	}
 	if len(differing) == 0 {
-		differing = everyBucket()
+		differing = allBuckets()
 	}
-	s.send(from, Message{Summary: s.summary(differing)})
+	d.send(from, Message{Summary: d.buildSummary(differing)})
 }
 
-func everyBucket() []int {
+func allBuckets() []int {
 	all := make([]int, bucketCount)
 	for i := range all {
 		all[i] = i
@@ -45,19 +45,19 @@
 	return all
 }
 
-// summary lists whole buckets, as many as a message may hold. A random one comes first, so that where they
-// are too many each gets its turn.
-func (s *Disseminator) summary(buckets []int) *Summary {
-	first := s.random.IntN(len(buckets))
-	m := Summary{Whole: s.syncing}
+// buildSummary lists the versions in as many whole buckets as fit into a message. It starts at a random bucket, so
+// that repeated comparisons cover all buckets even if they don't fit into one message.
+func (d *Disseminator) buildSummary(buckets []int) *Summary {
+	first := d.random.IntN(len(buckets))
+	m := Summary{Whole: d.syncing}
 	for i := range buckets {
-		if len(m.Versions) > maxVersions {
+		if len(m.Versions) > maxMessageVersions {
 			m.Partial = true
 			break
 		}
 		index := buckets[(first+i)%len(buckets)]
 		m.Buckets = append(m.Buckets, index)
-		for key, r := range s.table.buckets[index].records {
+		for key, r := range d.table.buckets[index].records {
 			if r.inDigest() {
 				m.Versions = append(m.Versions, Version{Key: key, Stamp: r.entry.Stamp})
 			}
@@ -67,37 +67,37 @@
 	return &m
 }
 
-// answerSummary sends what the peer lacks in the buckets that it listed and asks for what this node lacks.
-func (s *Disseminator) answerSummary(now time.Time, from string, summary Summary) {
+// handleSummary sends the entries that the peer lacks in the listed buckets and requests those that this node lacks.
+func (d *Disseminator) handleSummary(now time.Time, from string, summary Summary) {
 	delta := Delta{Partial: summary.Partial}
-	theirs := make(map[string]Stamp, len(summary.Versions))
+	peerStamps := make(map[string]Stamp, len(summary.Versions))
 	for _, v := range summary.Versions {
-		theirs[v.Key] = v.Stamp
-		if v.Stamp.After(s.table.stamp(v.Key)) {
+		peerStamps[v.Key] = v.Stamp
+		if v.Stamp.After(d.table.stamp(v.Key)) {
 			delta.Want = append(delta.Want, v.Key)
 		}
 	}
 	size := 0
-	for _, r := range s.lacking(summary, theirs) {
+	for _, r := range d.recordsMissingAtPeer(summary, peerStamps) {
 		switch {
-		case size > maxPush:
+		case size > maxMessageBytes:
 			delta.Partial = true
-		case !summary.Whole && onItsWay(now, r):
+		case !summary.Whole && likelyInFlight(now, r):
 			delta.Offer = append(delta.Offer, r.version())
 		default:
 			delta.Entries = append(delta.Entries, r.entry)
 			size += len(r.entry.Value) + len(r.entry.Key)
 		}
 	}
-	s.send(from, Message{Delta: &delta})
+	d.send(from, Message{Delta: &delta})
 }
 
-// lacking gives the records that a peer with that summary lacks, in the order of their keys. A dropped entry
-// whose stamp is defended is among them where the peer shows an older one.
-func (s *Disseminator) lacking(summary Summary, theirs map[string]Stamp) []*record {
+// recordsMissingAtPeer returns the records that the sender of a summary lacks, sorted by key. They include a tombstone
+// if the peer lists an older version of its key.
+func (d *Disseminator) recordsMissingAtPeer(summary Summary, peerStamps map[string]Stamp) []*record {
 	var found []*record
-	for key, stamp := range theirs {
-		if r := s.table.find(key); r != nil && !r.kind.Ephemeral && r.entry.Stamp.After(stamp) {
+	for key, stamp := range peerStamps {
+		if r := d.table.find(key); r != nil && !r.kind.Ephemeral && r.entry.Stamp.After(stamp) {
 			found = append(found, r)
 		}
 	}
@@ -105,8 +105,8 @@
 		if index < 0 || index >= bucketCount {
 			continue
 		}
-		for key, r := range s.table.buckets[index].records {
-			if _, has := theirs[key]; !has && r.inDigest() {
+		for key, r := range d.table.buckets[index].records {
+			if _, isListed := peerStamps[key]; !isListed && r.inDigest() {
 				found = append(found, r)
 			}
 		}
@@ -115,44 +115,44 @@
 	return found
 }
 
-// takeDelta takes what this node lacked and sends what the peer lacks.
-func (s *Disseminator) takeDelta(now time.Time, from string, delta Delta) {
-	news := 0
+// handleDelta applies the entries that this node lacked and sends those that the peer lacks.
+func (d *Disseminator) handleDelta(now time.Time, from string, delta Delta) {
+	newEntries := 0
 	for _, e := range delta.Entries {
-		if s.take(now, from, e, true) {
-			news++
+		if d.receiveEntry(now, from, e, true) {
+			newEntries++
 		}
 	}
 	if len(delta.Offer) > 0 {
-		s.offered(now, from, delta.Offer, true)
+		d.receiveOffers(now, from, delta.Offer, true)
 	}
-	s.answerDelta(now, from, delta.Want)
+	d.sendWanted(now, from, delta.Want)
 	switch {
-	case delta.Partial && news > 0:
-		s.Compare(from) // not without news: what is refused here would be sent again and again
+	case delta.Partial && newEntries > 0:
+		d.Compare(from) // only after progress: entries rejected here would be sent again and again
 	case !delta.Partial && len(delta.Offer) == 0:
-		s.effects.Compared = append(s.effects.Compared, from)
+		d.effects.Compared = append(d.effects.Compared, from)
 	}
 }
 
-// answerDelta sends what a peer lacks after a comparison.
-func (s *Disseminator) answerDelta(now time.Time, from string, want []string) {
+// sendWanted sends the entries that a peer requested at the end of a comparison, or offers them.
+func (d *Disseminator) sendWanted(now time.Time, from string, want []string) {
 	var offer []Version
 	var push []string
 	for _, key := range want {
-		if r := s.table.find(key); r != nil && onItsWay(now, r) {
+		if r := d.table.find(key); r != nil && likelyInFlight(now, r) {
 			offer = append(offer, r.version())
 		} else {
 			push = append(push, key)
 		}
 	}
-	s.send(from, Message{Push: s.entries(push)})
+	d.send(from, Message{Push: d.entriesFor(push)})
 	if len(offer) > 0 {
-		s.send(from, Message{Delta: &Delta{Offer: offer}})
+		d.send(from, Message{Delta: &Delta{Offer: offer}})
 	}
 }
 
-// onItsWay tells whether a record is large and so new that pushes are likely to bring it to all.
-func onItsWay(now time.Time, r *record) bool {
-	return len(r.entry.Value) > largeValue && now.Sub(r.came) < freshNews
+// likelyInFlight reports whether a record is large and so new that pushes are likely to bring it to all peers.
+func likelyInFlight(now time.Time, r *record) bool {
+	return len(r.entry.Value) > maxPushedValueBytes && now.Sub(r.receivedAt) < pushInFlightTime
 }
--- a/coordination/gossip/doc.go
+++ b/coordination/gossip/doc.go
@@ -1,21 +1,21 @@
-// Package gossip spreads the entries of a table among peers: epidemic dissemination with reconciliation by
-// digests (Demers et al., "Epidemic algorithms for replicated database maintenance", 1987).
+// Package gossip replicates a table of entries among peers by rumor mongering and anti-entropy with digests
+// (Demers et al., "Epidemic algorithms for replicated database maintenance", 1987).
 //
-// A Spreader is pure: time, messages and the seed of its choices come in as arguments, messages and changes
-// go out as effects.
+// A Disseminator does no I/O and is deterministic: time, messages and the random seed are arguments, messages
+// to send and changed entries are returned as effects.
 //
-//	s := gossip.New(gossip.Options{Self: "a/proxy", Zone: "z1", Kinds: kinds}, seed)
-//	s.SetPeers(now, peers)
-//	s.Publish(now, gossip.Entry{Key: "configuration", Value: body, Stamp: stamp})
-//	s.Receive(now, from, message) // for each message that arrives
-//	s.Tick(now)                   // once s.Due() has come
-//	for _, out := range s.Take().Messages { ... }
+//	d := gossip.New(now, gossip.Options{Self: "a/proxy", Zone: "z1", Kinds: kinds}, seed)
+//	d.SetPeers(now, peers)
+//	d.Publish(now, gossip.Entry{Key: "configuration", Value: body, Stamp: stamp})
+//	d.Receive(now, from, message) // for each message that arrives
+//	d.Tick(now)                   // once d.Due() is reached
+//	for _, out := range d.Take().Messages { ... }
 //
-// What is new is pushed to a few peers, and by those to whom it was new to a few more. In the background a
-// digest is compared with one peer in turn; where it differs both send what the other lacks. Large values are
-// offered by their stamp and sent to those who ask.
+// New entries are pushed to a few peers; a peer to which an entry is new pushes it to a few more. In the
+// background each node periodically compares digests with one peer; where they differ, both send the entries
+// that the other lacks. Large values are offered by key and stamp and sent on request.
 //
-// Invariants: the stamp of a key never falls at a node, also after its entry was dropped, for several times
-// the entry's lifetime; what is not above the known stamp changes nothing, so messages may be lost, repeated
-// and reordered. The caller owns the Spreader: one goroutine.
+// Invariants: the stamp of a key never decreases at a node, and remains as a tombstone for several lifetimes
+// after its entry has expired; an entry whose stamp is not newer than the known one changes nothing, so
+// messages may be lost, duplicated and reordered. A Disseminator must be used by one goroutine at a time.
 package gossip
--- a/coordination/gossip/entry.go
+++ b/coordination/gossip/entry.go
@@ -2,14 +2,15 @@
 
 import "cmp"
 
-// Stamp orders the values of a key: by epoch, then sequence, then origin. The zero stamp is below all others.
+// Stamp is the version of an entry. Stamps are ordered by epoch, then sequence, then origin; the zero stamp is
+// the lowest.
 type Stamp struct {
 	Epoch    uint64
 	Sequence uint64
 	Origin   string
 }
 
-// Compare gives -1, 0 or 1 as s is below, equal to or above other.
+// Compare returns -1, 0 or 1 as s is lower than, equal to or higher than other.
 func (s Stamp) Compare(other Stamp) int {
 	return cmp.Or(
 		cmp.Compare(s.Epoch, other.Epoch),
@@ -18,13 +19,13 @@
 	)
 }
 
-// After tells whether s replaces other.
+// After reports whether s is newer than other.
 func (s Stamp) After(other Stamp) bool { return s.Compare(other) > 0 }
 
-// IsZero tells whether s is the stamp of nothing.
+// IsZero reports whether s is the zero stamp, which no entry has.
 func (s Stamp) IsZero() bool { return s == Stamp{} }
 
-// Entry is one value of the table. Values are not changed once they are in an entry.
+// Entry is a key of the table with its value and version. A value must not be modified once it is in an entry.
 type Entry struct {
 	Key   string
 	Value []byte
--- a/coordination/gossip/gossip_test.go
+++ b/coordination/gossip/gossip_test.go
@@ -38,7 +38,7 @@
 
 func largeOf(key string, sequence uint64) Entry {
 	e := entryOf(key, sequence)
-	e.Value = make([]byte, largeValue+1)
+	e.Value = make([]byte, maxPushedValueBytes+1)
 	return e
 }
 
@@ -104,28 +104,28 @@
 		t.put(begin, entryOf("t/a", 5))
 		Expect(t.root()).NotTo(Equal(empty))
 
-		Expect(t.age(at(5))).To(BeEmpty())
+		Expect(t.expire(at(5))).To(BeEmpty())
 		Expect(t.root()).To(Equal(empty), "in its second half it is in no digest")
-		Expect(t.find("t/a").phase).To(Equal(quiet))
+		Expect(t.find("t/a").phase).To(Equal(aging))
 
-		Expect(t.age(at(10))).To(ConsistOf("t/a"))
-		Expect(t.age(at(11))).To(BeEmpty())
+		Expect(t.expire(at(10))).To(ConsistOf("t/a"))
+		Expect(t.expire(at(11))).To(BeEmpty())
 		Expect(t.put(at(12), entryOf("t/a", 4))).To(BeFalse(), "an older one does not come back")
 		Expect(t.put(at(12), entryOf("t/a", 5))).To(BeFalse())
 
-		t.age(at(50))
+		t.expire(at(50))
 		Expect(t.find("t/a")).To(BeNil())
-		Expect(t.mortal).To(BeEmpty())
+		Expect(t.expiring).To(BeEmpty())
 		Expect(t.root()).To(Equal(empty))
 	})
 
 	It("takes a newer entry in place of a dropped one", func() {
 		t.put(begin, entryOf("t/a", 5))
-		t.age(at(10))
+		t.expire(at(10))
 		Expect(t.put(at(12), entryOf("t/a", 6))).To(BeTrue())
-		Expect(t.find("t/a").phase).To(Equal(listed))
-		Expect(t.kinds[1].count).To(Equal(1))
-		Expect(t.kinds[1].hidden).To(Equal(0))
+		Expect(t.find("t/a").phase).To(Equal(active))
+		Expect(t.kinds[1].visible).To(Equal(1))
+		Expect(t.kinds[1].tombstones).To(Equal(0))
 	})
 
 	It("keeps ephemeral entries out of the digests", func() {
@@ -226,7 +226,7 @@
 		},
 		tableEntry("many entries", 9_000, 10),
 		tableEntry("large entries", 60, 100_000),
-		tableEntry("one entry above the bound of a message", 2, 2*maxPush),
+		tableEntry("one entry above the bound of a message", 2, 2*maxMessageBytes),
 	)
 
 	It("ends though an entry is refused", func() {
@@ -246,8 +246,8 @@
 		p.b.Compare("a")
 		Expect(p.exchange(at(0.1))).To(BeEmpty())
 		Expect(p.b.table.stamp("x").IsZero()).To(BeTrue())
-		Expect(p.b.Due()).To(BeTemporally("<=", at(0.1+lateWait.Seconds())))
-		p.b.Tick(at(0.1 + lateWait.Seconds()))
+		Expect(p.b.Due()).To(BeTemporally("<=", at(0.1+comparisonOfferWait.Seconds())))
+		p.b.Tick(at(0.1 + comparisonOfferWait.Seconds()))
 		p.exchange(at(0.6))
 		Expect(p.b.table.stamp("x").IsZero()).To(BeFalse())
 
@@ -261,7 +261,7 @@
 
 	It("shows a dropped entry's stamp to one that has an older value", func() {
 		p.a.Put(begin, entryOf("t/x", 2))
-		p.a.table.age(at(10))
+		p.a.table.expire(at(10))
 		p.b.Put(at(9), entryOf("t/x", 1))
 		p.b.Compare("a")
 		p.exchange(at(11))
--- a/coordination/gossip/kind.go
+++ b/coordination/gossip/kind.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// Kind says how the entries whose keys begin with a prefix are kept. The longest prefix decides; an entry of
-// no kind is dropped.
+// Kind is the policy for entries whose keys have a prefix. The longest matching prefix applies; an entry that
+// matches no kind is rejected.
 type Kind struct {
 	Prefix string
-	// Ephemeral entries are pushed only: no digest holds them, and a lost one stays lost.
+	// Ephemeral entries are only pushed: they are in no digest, so a lost one is not recovered.
 	Ephemeral bool
-	// Limit bounds the entries of the kind; new keys beyond it are dropped.
+	// Limit bounds the number of entries of the kind; new keys beyond it are rejected.
 	Limit int
-	// Lifetime tells how long an entry is kept after it came here; 0 keeps it for ever. It is asked once, when
-	// the entry comes. In the second half of its life an entry is in no digest, so that peers that drop it at
-	// different moments don't give it back to each other. Nil keeps all for ever.
+	// Lifetime returns how long an entry is kept after its arrival at this node; 0 keeps it forever. It is called
+	// once, when the entry arrives. In the second half of its lifetime an entry is in no digest, so that peers at
+	// which it expires at different times don't send it back to each other. Nil keeps all entries forever.
 	Lifetime func(Entry) time.Duration
-	// Validate refuses an entry that may not be taken from a peer. Nil takes all.
+	// Validate returns an error for an entry that must not be accepted from a peer. Nil accepts all.
 	Validate func(Entry) error
 }
 
-// kindState is a kind and how many entries of it there are.
+// kindState is a kind with the counts of its entries.
 type kindState struct {
 	Kind
-	count  int // visible entries
-	hidden int // dropped entries whose stamps are still defended
+	visible    int // entries that have not expired
+	tombstones int // expired entries whose stamps are kept
 }
 
 func (k *kindState) lifetime(e Entry) time.Duration {
@@ -37,7 +37,7 @@
 
 func (k *kindState) accepts(e Entry) bool { return k.Validate == nil || k.Validate(e) == nil }
 
-// kindOf finds the kind with the longest prefix of key, or nil.
+// kindOf returns the kind with the longest prefix of key, or nil.
 func kindOf(kinds []*kindState, key string) *kindState {
 	var best *kindState
 	for _, k := range kinds {
--- a/coordination/gossip/message.go
+++ b/coordination/gossip/message.go
@@ -1,32 +1,32 @@
 package gossip
 
-// Version is a key and the stamp of its value, without the value.
+// Version is a key and its stamp, without the value.
 type Version struct {
 	Key   string
 	Stamp Stamp
 }
 
-// Message is what peers send each other. Its parts are independent; most messages have one.
+// Message is a message between peers. Its fields are independent; most messages set only one.
 type Message struct {
-	// Push brings entries: news, or what was asked for.
+	// Push holds entries: new ones, or the answer to Want.
 	Push []Entry
-	// Offer names entries that the sender has and that are large or many; who lacks one asks for it.
+	// Offer lists entries that are too large or too many to push; a receiver that lacks one requests it by Want.
 	Offer []Version
-	// Want asks for the entries of keys.
+	// Want requests the entries of these keys.
 	Want []string
-	// Compare opens a comparison. The answer is Equal or Sums.
+	// Compare starts a comparison of tables. The answer is Equal or BucketSums.
 	Compare *Digest
-	// Equal answers Compare: the tables are equal.
+	// Equal answers Compare when the tables are equal.
 	Equal bool
-	// BucketSums answers Compare: the sums of all buckets of the answering table.
+	// BucketSums answers Compare when the tables differ: the folded sums of all buckets of the responder.
 	BucketSums []uint32
-	// Summary answers Sums: the versions in the buckets that differ.
+	// Summary answers BucketSums: the versions in the buckets that differ.
 	Summary *Summary
 	// Delta answers Summary.
 	Delta *Delta
 }
 
-// Digest is the sum of a whole table.
+// Digest is the digest of a whole table.
 type Digest struct {
 	Root uint64
 }
@@ -35,41 +35,43 @@
 type Summary struct {
 	Buckets  []int
 	Versions []Version
-	// Whole asks for large values too, also where pushes may still bring them.
+	// Whole requests large values even if pushes are likely to bring them.
 	Whole bool
-	// Partial tells that more buckets differ than the message could hold.
+	// Partial reports that more buckets differ than fit into the message.
 	Partial bool
 }
 
-// Delta is the difference to a summary: what its sender lacks, and the keys of what the answering one lacks.
+// Delta is the difference to a summary: the entries that the sender of the summary lacks, and the keys of those
+// that the responder lacks.
 type Delta struct {
 	Entries []Entry
 	Want    []string
-	// Offer names large entries that pushes may still bring.
+	// Offer lists large entries that pushes are likely to bring.
 	Offer []Version
-	// Partial tells that more differs than this message or the summary could hold.
+	// Partial reports that more entries differ than fit into this message or the summary.
 	Partial bool
 }
 
-// IsZero tells whether a message has no part.
+// IsZero reports whether no field of a message is set.
 func (m Message) IsZero() bool {
 	return len(m.Push) == 0 && len(m.Offer) == 0 && len(m.Want) == 0 && m.Compare == nil && !m.Equal &&
 		m.BucketSums == nil && m.Summary == nil && m.Delta == nil
 }
 
-// Outgoing is a message and the id of the peer that it goes to.
+// Outgoing is a message with the id of its recipient.
 type Outgoing struct {
 	To      string
 	Message Message
 }
 
-// Effects is what a step asks of the caller, in order.
+// Effects are the results of calls that the caller has to carry out, in order.
 type Effects struct {
 	Messages []Outgoing
-	// Changed are entries that are new here.
+	// Changed holds the entries that are new at this node.
 	Changed []Entry
-	// Expired are the keys whose entries have come to the end of their lives.
+	// Expired holds the keys whose entries have reached the end of their lifetimes.
 	Expired []string
-	// Compared are the peers all of whose entries are now here too, as of the comparison.
+	// Compared holds the peers with which a comparison is complete: this node now has all the entries that they
+	// had at the time of the comparison.
 	Compared []string
 }
--- a/coordination/gossip/peers.go
+++ b/coordination/gossip/peers.go
@@ -8,51 +8,55 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Peer is another process that takes part.
+// Peer is another process that takes part in the gossip.
 type Peer struct {
 	ID   string
 	Zone string
-	// Hub marks one of the few that every other compares with often.
+	// Hub marks one of the few peers with which all others compare often.
 	Hub bool
 }
 
 const (
-	// allContacts is up to how many peers are all contacts. Beyond it a node keeps to a few, so that its
-	// connections stay few.
-	allContacts = 16
-	// nearContacts and farContacts are how many contacts it keeps in its own and in other zones, hubs apart.
-	nearContacts = 6
-	farContacts  = 4
-	// contactTurn is how often one contact is exchanged for another, so that no part stays apart.
-	contactTurn = 30 * time.Second
-
-	// nearFanOut is how many peers of the own zone news is pushed to: the successor on the ring of the zone's
-	// ids, so that without losses all of a zone hear of it, and others at random, so that they soon do.
-	nearFanOut = 3
-	// crossings is how many pushes of one news leave a zone, expected: bytes between zones are priced.
-	crossings = 4
-
-	// hubComparisons bounds the comparisons a second that each hub is expected to take from all others.
-	hubComparisons = 20
+	// fullMeshPeers is the number of peers up to which a node talks to all of them. Beyond it, a node talks only
+	// to a few contacts, to keep its connections few.
+	fullMeshPeers = 16
+	// sameZoneContacts and otherZoneContacts are the numbers of contacts in the own zone and in other zones, not
+	// counting hubs.
+	sameZoneContacts  = 6
+	otherZoneContacts = 4
+	// contactRotationInterval is how often a contact is replaced by another, so that no group of nodes stays
+	// disconnected.
+	contactRotationInterval = 30 * time.Second
+
+	// sameZoneFanOut is the number of peers of the own zone that a new entry is pushed to: the successor on the ring
+	// of the zone's hashed ids, so that it reaches the whole zone if no message is lost, and others at random, so
+	// that it does so quickly.
+	sameZoneFanOut = 3
+	// crossZonePushes is the expected number of pushes of a new entry that leave a zone. It is low because traffic
+	// between zones is charged by the byte.
+	crossZonePushes = 4
+
+	// hubComparesPerSecond bounds the expected number of comparisons per second at each hub.
+	hubComparesPerSecond = 20
 )
 
-// contacts are the peers that a node talks to.
+// contacts holds the peers of a node and those among them that it talks to.
 type contacts struct {
-	self     string
-	zone     string
-	next     Peer // the successor in the own zone; empty if there is none
-	random   *rand.Rand
-	all      []Peer
-	near     []Peer // chosen, of the own zone
-	far      []Peer // chosen, of other zones
-	hubs     []Peer // all of them
-	zoneSize int    // peers of the own zone, this one included
-	turnAt   time.Time
+	self         string
+	zone         string
+	successor    Peer // the next peer of the own zone on the ring; zero if there is none
+	random       *rand.Rand
+	peers        []Peer
+	sameZone     []Peer // contacts in the own zone
+	otherZones   []Peer // contacts in other zones
+	hubs         []Peer // all hubs
+	zoneSize     int    // nodes of the own zone, this one included
+	nextRotation time.Time
 }
 
-// set takes the present peers. Chosen ones that are still there stay chosen.
-func (c *contacts) set(now time.Time, peers []Peer) {
-	c.all = peers
+// setPeers replaces the peers. Contacts that are still present remain contacts.
+func (c *contacts) setPeers(now time.Time, peers []Peer) {
+	c.peers = peers
 	c.hubs = c.hubs[:0]
 	c.zoneSize = 1
 	present := make(map[string]Peer, len(peers))
@@ -65,78 +69,78 @@
 			c.zoneSize++
 		}
 	}
-	c.near = keep(c.near, present, func(p Peer) bool { return p.Zone == c.zone })
-	c.far = keep(c.far, present, func(p Peer) bool { return p.Zone != c.zone })
-	c.next = c.successor()
+	c.sameZone = retain(c.sameZone, present, func(p Peer) bool { return p.Zone == c.zone })
+	c.otherZones = retain(c.otherZones, present, func(p Peer) bool { return p.Zone != c.zone })
+	c.successor = c.findSuccessor()
 	c.fill()
-	if c.turnAt.IsZero() {
-		c.turnAt = now.Add(contactTurn)
+	if c.nextRotation.IsZero() {
+		c.nextRotation = now.Add(contactRotationInterval)
 	}
 }
 
-// successor is the peer of the own zone whose hashed id follows that of this node.
-func (c *contacts) successor() Peer {
+// findSuccessor returns the peer of the own zone whose hashed id follows that of this node on the ring.
+func (c *contacts) findSuccessor() Peer {
 	var next Peer
-	var least uint64
-	own := xxhash.Sum64String(c.self)
-	for _, p := range c.all {
-		distance := xxhash.Sum64String(p.ID) - own // modulo 2^64: around the ring
-		if p.Zone == c.zone && (next.ID == "" || distance < least) {
-			next, least = p, distance
+	var shortest uint64
+	ownHash := xxhash.Sum64String(c.self)
+	for _, p := range c.peers {
+		distance := xxhash.Sum64String(p.ID) - ownHash // modulo 2^64: around the ring
+		if p.Zone == c.zone && (next.ID == "" || distance < shortest) {
+			next, shortest = p, distance
 		}
 	}
 	return next
 }
 
-func keep(chosen []Peer, present map[string]Peer, belongs func(Peer) bool) []Peer {
+func retain(chosen []Peer, present map[string]Peer, belongs func(Peer) bool) []Peer {
 	kept := chosen[:0]
 	for _, old := range chosen {
-		if p, there := present[old.ID]; there && belongs(p) {
+		if p, found := present[old.ID]; found && belongs(p) {
 			kept = append(kept, p)
 		}
 	}
 	return kept
 }
 
-// fill chooses contacts until there are enough.
+// fill adds random contacts until there are enough.
 func (c *contacts) fill() {
-	near, far := nearContacts, farContacts
-	if len(c.all) <= allContacts {
-		near, far = allContacts, allContacts
+	sameZone, otherZones := sameZoneContacts, otherZoneContacts
+	if len(c.peers) <= fullMeshPeers {
+		sameZone, otherZones = fullMeshPeers, fullMeshPeers
 	}
-	if c.zoneSize-1 < near {
-		far += near - (c.zoneSize - 1)
+	if c.zoneSize-1 < sameZone {
+		otherZones += sameZone - (c.zoneSize - 1)
 	}
-	c.near = c.choose(c.near, near, func(p Peer) bool { return p.Zone == c.zone })
-	c.far = c.choose(c.far, far, func(p Peer) bool { return p.Zone != c.zone })
+	c.sameZone = c.topUp(c.sameZone, sameZone, func(p Peer) bool { return p.Zone == c.zone })
+	c.otherZones = c.topUp(c.otherZones, otherZones, func(p Peer) bool { return p.Zone != c.zone })
 }
 
-func (c *contacts) choose(chosen []Peer, want int, belongs func(Peer) bool) []Peer {
-	if len(chosen) >= want {
+func (c *contacts) topUp(chosen []Peer, count int, belongs func(Peer) bool) []Peer {
+	if len(chosen) >= count {
 		return chosen
 	}
-	var free []Peer
-	for _, p := range c.all {
+	var candidates []Peer
+	for _, p := range c.peers {
 		if belongs(p) && !slices.ContainsFunc(chosen, func(q Peer) bool { return q.ID == p.ID }) {
-			free = append(free, p)
+			candidates = append(candidates, p)
 		}
 	}
-	c.random.Shuffle(len(free), func(i, j int) { free[i], free[j] = free[j], free[i] })
-	return append(chosen, free[:min(len(free), want-len(chosen))]...)
+	c.random.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
+	return append(chosen, candidates[:min(len(candidates), count-len(chosen))]...)
 }
 
-// turn exchanges one contact once its time has come.
-func (c *contacts) turn(now time.Time) {
-	if now.Before(c.turnAt) || len(c.all) <= allContacts {
+// rotate replaces a contact in the own zone and one in another zone when the rotation is due.
+func (c *contacts) rotate(now time.Time) {
+	if now.Before(c.nextRotation) || len(c.peers) <= fullMeshPeers {
 		return
 	}
-	c.turnAt = now.Add(contactTurn)
-	c.near = c.without(c.near)
-	c.far = c.without(c.far)
+	c.nextRotation = now.Add(contactRotationInterval)
+	c.sameZone = c.dropRandom(c.sameZone)
+	c.otherZones = c.dropRandom(c.otherZones)
 	c.fill()
 }
 
-func (c *contacts) without(chosen []Peer) []Peer {
+func (c *contacts) dropRandom(chosen []Peer) []Peer {
 	if len(chosen) == 0 {
 		return chosen
 	}
@@ -144,33 +148,33 @@
 	return slices.Delete(chosen, i, i+1)
 }
 
-// targets chooses whom to push news to. An originator crosses to several zones for certain; a forwarder
-// crosses with a chance that lets few copies leave its zone.
-func (c *contacts) targets(originator bool) []Peer {
-	chosen := c.some(c.near, nearFanOut)
-	if len(chosen) > 0 && c.next.ID != "" && !slices.ContainsFunc(chosen, func(p Peer) bool { return p.ID == c.next.ID }) {
-		chosen[len(chosen)-1] = c.next
+// pushTargets chooses the peers to push new entries to. Entries published by this node always go to several other
+// zones; forwarded ones leave the zone with a probability that keeps the number of such pushes low.
+func (c *contacts) pushTargets(published bool) []Peer {
+	chosen := c.sample(c.sameZone, sameZoneFanOut)
+	if len(chosen) > 0 && c.successor.ID != "" && !slices.ContainsFunc(chosen, func(p Peer) bool { return p.ID == c.successor.ID }) {
+		chosen[len(chosen)-1] = c.successor
 	}
 	switch {
-	case originator:
-		return append(chosen, c.onePerZone(crossings)...)
-	case len(c.near) == 0 || c.random.Float64()*float64(c.zoneSize) < crossings:
-		return append(chosen, c.some(c.far, 1)...)
+	case published:
+		return append(chosen, c.onePerZone(crossZonePushes)...)
+	case len(c.sameZone) == 0 || c.random.Float64()*float64(c.zoneSize) < crossZonePushes:
+		return append(chosen, c.sample(c.otherZones, 1)...)
 	}
 	return chosen
 }
 
-// some draws up to n of the peers.
-func (c *contacts) some(peers []Peer, n int) []Peer {
+// sample draws up to n of the peers at random.
+func (c *contacts) sample(peers []Peer, n int) []Peer {
 	drawn := slices.Clone(peers)
 	c.random.Shuffle(len(drawn), func(i, j int) { drawn[i], drawn[j] = drawn[j], drawn[i] })
 	return drawn[:min(n, len(drawn))]
 }
 
-// onePerZone draws up to n far contacts of different zones.
+// onePerZone draws up to n contacts in distinct other zones.
 func (c *contacts) onePerZone(n int) []Peer {
 	var chosen []Peer
-	for _, p := range c.some(c.far, len(c.far)) {
+	for _, p := range c.sample(c.otherZones, len(c.otherZones)) {
 		if len(chosen) < n && !slices.ContainsFunc(chosen, func(q Peer) bool { return q.Zone == p.Zone }) {
 			chosen = append(chosen, p)
 		}
@@ -178,31 +182,31 @@
 	return chosen
 }
 
-// partner chooses whom to compare with: a hub every other time, less often where that would be too much for
-// the hubs, any contact otherwise.
-func (c *contacts) partner(interval time.Duration) (Peer, bool) {
-	if len(c.hubs) > 0 && c.random.Float64() < c.hubShare(interval) {
+// comparePeer chooses a peer to compare with: half of the time a hub, less often if that would overload the hubs, and
+// otherwise a random contact.
+func (c *contacts) comparePeer(interval time.Duration) (Peer, bool) {
+	if len(c.hubs) > 0 && c.random.Float64() < c.hubProbability(interval) {
 		return c.hubs[c.random.IntN(len(c.hubs))], true
 	}
-	n := len(c.near) + len(c.far)
+	n := len(c.sameZone) + len(c.otherZones)
 	if n == 0 {
 		return Peer{}, false
 	}
 	i := c.random.IntN(n)
-	if i < len(c.near) {
-		return c.near[i], true
+	if i < len(c.sameZone) {
+		return c.sameZone[i], true
 	}
-	return c.far[i-len(c.near)], true
+	return c.otherZones[i-len(c.sameZone)], true
 }
 
-func (c *contacts) hubShare(interval time.Duration) float64 {
-	perSecond := float64(len(c.all)+1) / interval.Seconds()
-	return min(0.5, hubComparisons*float64(len(c.hubs))/perSecond)
+func (c *contacts) hubProbability(interval time.Duration) float64 {
+	perSecond := float64(len(c.peers)+1) / interval.Seconds()
+	return min(0.5, hubComparesPerSecond*float64(len(c.hubs))/perSecond)
 }
 
-// zoneOf gives the zone of a peer, if it is known.
+// zoneOf returns the zone of a peer, if it is known.
 func (c *contacts) zoneOf(id string) (string, bool) {
-	for _, list := range [...][]Peer{c.near, c.far, c.hubs, c.all} {
+	for _, list := range [...][]Peer{c.sameZone, c.otherZones, c.hubs, c.peers} {
 		for _, p := range list {
 			if p.ID == id {
 				return p.Zone, true
--- a/coordination/gossip/push_test.go
+++ b/coordination/gossip/push_test.go
@@ -54,9 +54,9 @@
 				Expect(far[zone]).To(BeFalse())
 				far[zone] = true
 			}
-			toNext = toNext || out.To == s.contacts.next.ID
+			toNext = toNext || out.To == s.contacts.successor.ID
 		}
-		Expect(near).To(Equal(nearFanOut))
+		Expect(near).To(Equal(sameZoneFanOut))
 		Expect(far).To(HaveLen(3))
 		Expect(toNext).To(BeTrue())
 	})
@@ -87,7 +87,7 @@
 				}
 			}
 		}
-		Expect(crossed).To(BeNumerically("~", 1000*crossings/101, 20))
+		Expect(crossed).To(BeNumerically("~", 1000*crossZonePushes/101, 20))
 	})
 
 	It("offer large values, and many that a comparison brought", func() {
@@ -100,7 +100,7 @@
 		Expect(offered).To(HaveEach("large"))
 
 		var many []Entry
-		for i := range manyRepaired + 1 {
+		for i := range maxRepairedPushes + 1 {
 			many = append(many, entryOf(fmt.Sprint(i), 1))
 		}
 		s.Receive(begin, "z0-1", Message{Delta: &Delta{Entries: many}})
@@ -128,14 +128,14 @@
 
 	It("keep to few contacts among many, and to all among few", func() {
 		s := newSpreader(peersOf(4, 100))
-		Expect(len(s.contacts.near)).To(Equal(nearContacts))
-		Expect(len(s.contacts.far)).To(Equal(farContacts))
-		kept := s.contacts.near[0].ID
+		Expect(len(s.contacts.sameZone)).To(Equal(sameZoneContacts))
+		Expect(len(s.contacts.otherZones)).To(Equal(otherZoneContacts))
+		kept := s.contacts.sameZone[0].ID
 		s.SetPeers(begin, peersOf(4, 101))
-		Expect(s.contacts.near[0].ID).To(Equal(kept))
+		Expect(s.contacts.sameZone[0].ID).To(Equal(kept))
 		s.SetPeers(begin, peersOf(2, 5))
-		Expect(len(s.contacts.near)).To(Equal(5))
-		Expect(len(s.contacts.far)).To(Equal(5))
+		Expect(len(s.contacts.sameZone)).To(Equal(5))
+		Expect(len(s.contacts.otherZones)).To(Equal(5))
 		s.SetPeers(begin, nil)
 		s.Publish(begin, entryOf("x", 1))
 		s.Tick(at(2000))
@@ -175,8 +175,8 @@
 
 	It("of another zone are asked for when none of the own comes", func() {
 		s.Receive(begin, "z1-1", offer)
-		Expect(s.Due()).To(BeTemporally("<=", begin.Add(farWait)))
-		s.Tick(begin.Add(farWait))
+		Expect(s.Due()).To(BeTemporally("<=", begin.Add(otherZoneOfferWait)))
+		s.Tick(begin.Add(otherZoneOfferWait))
 		Expect(asked()).To(ConsistOf("z1-1"))
 	})
 
@@ -184,11 +184,11 @@
 		s.Receive(begin, "z0-1", offer)
 		s.Receive(begin, "z0-2", offer)
 		asked()
-		s.Tick(begin.Add(askTimeout))
+		s.Tick(begin.Add(requestTimeout))
 		Expect(asked()).To(ConsistOf("z0-2"))
-		s.Tick(begin.Add(2 * askTimeout))
+		s.Tick(begin.Add(2 * requestTimeout))
 		Expect(asked()).To(BeEmpty())
-		Expect(s.wants.byKey).To(BeEmpty())
+		Expect(s.wanted.byKey).To(BeEmpty())
 	})
 
 	It("of what is here are not asked for", func() {
--- a/coordination/gossip/spreader.go
+++ b/coordination/gossip/spreader.go
@@ -7,25 +7,26 @@
 )
 
 const (
-	// CompareInterval is how often a digest is compared with one peer.
+	// CompareInterval is how often a node compares digests with one peer.
 	CompareInterval = 400 * time.Millisecond
-	// batchDelay is how long news waits for more, to go in one message.
+	// batchDelay is how long a new entry waits for others to share a message with.
 	batchDelay = 10 * time.Millisecond
-	// ageInterval is how often entries with a lifetime are looked at.
-	ageInterval = time.Second
-	// largeValue is from how many bytes on a value is offered instead of pushed.
-	largeValue = 2 << 10
-	// manyRepaired is from how many entries on those that a comparison brought are offered instead of pushed:
-	// most peers have them already.
-	manyRepaired = 16
-	// maxHot bounds the news that waits to be pushed; what is over it is left to the comparisons.
-	maxHot = 8 << 10
-	// maxPush bounds the bytes of values in one message, and maxVersions the versions; one entry always fits.
-	maxPush     = 256 << 10
-	maxVersions = 2000
+	// expiryInterval is how often entries with a lifetime are checked for expiry.
+	expiryInterval = time.Second
+	// maxPushedValueBytes is the size above which a value is offered instead of pushed.
+	maxPushedValueBytes = 2 << 10
+	// maxRepairedPushes is the number of pending entries from comparisons above which these are offered instead of
+	// pushed, as most peers have them already.
+	maxRepairedPushes = 16
+	// maxPendingPushes bounds the entries waiting to be pushed; further ones spread by comparisons only.
+	maxPendingPushes = 8 << 10
+	// maxMessageBytes bounds the bytes of values in one message, and maxMessageVersions the versions. They are
+	// checked before an entry is added, so a single larger entry fits.
+	maxMessageBytes    = 256 << 10
+	maxMessageVersions = 2000
 )
 
-// Options of a Spreader.
+// Options configure a Disseminator.
 type Options struct {
 	Self         string // id of this node
 	Zone         string
@@ -33,140 +34,141 @@
 	FirstCompare time.Time // when the first comparison is due
 }
 
-// hotEntry is news that waits to be pushed.
-type hotEntry struct {
+// pendingPush is a new entry that waits to be pushed.
+type pendingPush struct {
 	key      string
-	holder   string // the peer that sent it, or empty if it is from here
-	repaired bool   // a comparison brought it
+	source   string // the peer that sent it, or empty if published by this node
+	repaired bool   // received in a comparison
 }
 
-// Disseminator holds the table of a node and decides what is sent to whom.
+// Disseminator is the gossip state machine of a node. It holds the node's table and decides which messages to send.
 type Disseminator struct {
 	options  Options
 	random   *rand.Rand
 	table    *table
 	contacts contacts
-	wants    wants
-	syncing  bool // what comparisons bring is not pushed on
+	wanted   wantedEntries
+	syncing  bool // entries received in comparisons are not pushed
 
-	hot      []hotEntry
-	hotIndex map[string]int // of a key in hot
-	hotAt    time.Time      // when hot is due; zero if there is none
-	ageAt    time.Time
-	compares time.Time // when the next comparison is due
+	pending      []pendingPush
+	pendingIndex map[string]int // key to index in pending
+	flushAt      time.Time      // when pending is due to be pushed; zero if it is empty
+	nextExpiry   time.Time
+	nextCompare  time.Time // when the next comparison is due
 
 	effects Effects
 }
 
-// New makes a Spreader with an empty table. All its choices follow from the seed and its inputs.
+// New returns a Disseminator with an empty table. Its behavior is determined by the seed and the calls.
 func New(now time.Time, options Options, seed uint64) *Disseminator {
 	random := rand.New(rand.NewPCG(seed, 0))
 	return &Disseminator{
-		options:  options,
-		random:   random,
-		table:    newTable(options.Kinds),
-		contacts: contacts{self: options.Self, zone: options.Zone, random: random},
-		wants:    wants{random: random, byKey: map[string]*want{}},
-		hotIndex: map[string]int{},
-		ageAt:    now.Add(ageInterval),
-		compares: options.FirstCompare,
+		options:      options,
+		random:       random,
+		table:        newTable(options.Kinds),
+		contacts:     contacts{self: options.Self, zone: options.Zone, random: random},
+		wanted:       wantedEntries{random: random, byKey: map[string]*wantedEntry{}},
+		pendingIndex: map[string]int{},
+		nextExpiry:   now.Add(expiryInterval),
+		nextCompare:  options.FirstCompare,
 	}
 }
 
-// SetPeers replaces the peers that take part, this node not among them. The slice must not be changed after.
-func (s *Disseminator) SetPeers(now time.Time, peers []Peer) { s.contacts.set(now, peers) }
+// SetPeers replaces the peers, which must not include this node. The slice must not be modified afterwards.
+func (d *Disseminator) SetPeers(now time.Time, peers []Peer) { d.contacts.setPeers(now, peers) }
 
-// SetSyncing tells whether the node is taking over whole tables: what comparisons bring then is not pushed on,
-// as the others have it already.
-func (s *Disseminator) SetSyncing(syncing bool) { s.syncing = syncing }
+// SetSyncing sets whether the node is copying whole tables from its peers. Entries received in comparisons are then
+// not pushed, as the other nodes have them already.
+func (d *Disseminator) SetSyncing(syncing bool) { d.syncing = syncing }
 
-// Get gives the entry of a key.
-func (s *Disseminator) Get(key string) (Entry, bool) {
-	r := s.table.find(key)
-	if r == nil || r.phase == hidden {
+// Get returns the entry of a key, if it has not expired.
+func (d *Disseminator) Get(key string) (Entry, bool) {
+	r := d.table.find(key)
+	if r == nil || r.phase == tombstone {
 		return Entry{}, false
 	}
 	return r.entry, true
 }
 
-// GetWithTombstones gives the newest entry of a key, also one that was dropped and whose stamp is still defended.
-func (s *Disseminator) GetWithTombstones(key string) (Entry, bool) {
-	r := s.table.find(key)
+// GetWithTombstones returns the newest entry of a key, even if it has expired and remains only as a tombstone.
+func (d *Disseminator) GetWithTombstones(key string) (Entry, bool) {
+	r := d.table.find(key)
 	if r == nil {
 		return Entry{}, false
 	}
 	return r.entry, true
 }
 
-// Each calls f with every entry that is not dropped, in no order.
-func (s *Disseminator) Each(f func(Entry)) {
-	for i := range s.table.buckets {
-		for _, r := range s.table.buckets[i].records {
-			if r.phase != hidden {
+// Each calls f with every entry that has not expired, in no particular order.
+func (d *Disseminator) Each(f func(Entry)) {
+	for i := range d.table.buckets {
+		for _, r := range d.table.buckets[i].records {
+			if r.phase != tombstone {
 				f(r.entry)
 			}
 		}
 	}
 }
 
-// Root is the digest of the table: equal for equal tables.
-func (s *Disseminator) Root() uint64 { return s.table.root() }
+// Root returns the digest of the table. Equal tables have equal digests.
+func (d *Disseminator) Root() uint64 { return d.table.root() }
 
-// NextStamp gives a stamp above what is known of a key. The epoch is the time of day in milliseconds unless a
-// later one is known: of two writers who know nothing of each other the later wins, as far as clocks agree.
-func (s *Disseminator) NextStamp(now time.Time, key string) Stamp {
-	known := s.table.stamp(key)
+// NextStamp returns a stamp newer than the known one of a key. The epoch is the wall clock in milliseconds unless a
+// later epoch is known: of two concurrent writers the later one wins, as far as their clocks agree.
+func (d *Disseminator) NextStamp(now time.Time, key string) Stamp {
+	known := d.table.stamp(key)
 	epoch := uint64(now.UnixMilli())
 	if epoch > known.Epoch {
-		return Stamp{Epoch: epoch, Origin: s.options.Self}
+		return Stamp{Epoch: epoch, Origin: d.options.Self}
 	}
-	return Stamp{Epoch: known.Epoch, Sequence: known.Sequence + 1, Origin: s.options.Self}
+	return Stamp{Epoch: known.Epoch, Sequence: known.Sequence + 1, Origin: d.options.Self}
 }
 
-// Publish takes an entry from this node and spreads it. It tells whether the entry was above what was known.
-func (s *Disseminator) Publish(now time.Time, e Entry) bool {
-	return s.learn(now, e, hotEntry{key: e.Key})
+// Publish adds an entry of this node and pushes it to peers. It reports whether the entry was newer than the known one.
+func (d *Disseminator) Publish(now time.Time, e Entry) bool {
+	return d.apply(now, e, pendingPush{key: e.Key})
 }
 
-// Put takes an entry without pushing it on: the caller brings it to the peers. A peer's entry may be refused.
-func (s *Disseminator) Put(now time.Time, e Entry) bool {
-	kind := kindOf(s.table.kinds, e.Key)
-	if kind == nil || !kind.accepts(e) || !s.table.put(now, e) {
+// Put adds an entry without pushing it: the caller delivers it to the peers. It rejects an entry that its kind does
+// not validate, and reports whether the entry was added.
+func (d *Disseminator) Put(now time.Time, e Entry) bool {
+	kind := kindOf(d.table.kinds, e.Key)
+	if kind == nil || !kind.accepts(e) || !d.table.put(now, e) {
 		return false
 	}
-	delete(s.wants.byKey, e.Key)
-	s.effects.Changed = append(s.effects.Changed, e)
+	delete(d.wanted.byKey, e.Key)
+	d.effects.Changed = append(d.effects.Changed, e)
 	return true
 }
 
-// learn takes an entry and, if it is news, has it pushed on.
-func (s *Disseminator) learn(now time.Time, e Entry, hot hotEntry) bool {
-	if !s.table.put(now, e) {
+// apply adds an entry and, if it is new, queues it for a push.
+func (d *Disseminator) apply(now time.Time, e Entry, push pendingPush) bool {
+	if !d.table.put(now, e) {
 		return false
 	}
-	delete(s.wants.byKey, e.Key)
-	s.effects.Changed = append(s.effects.Changed, e)
-	if s.syncing && hot.repaired || len(s.hot) >= maxHot {
+	delete(d.wanted.byKey, e.Key)
+	d.effects.Changed = append(d.effects.Changed, e)
+	if d.syncing && push.repaired || len(d.pending) >= maxPendingPushes {
 		return true
 	}
-	if at, waits := s.hotIndex[e.Key]; waits {
-		s.hot[at] = hot
+	if index, isPending := d.pendingIndex[e.Key]; isPending {
+		d.pending[index] = push
 		return true
 	}
-	s.hotIndex[e.Key] = len(s.hot)
-	s.hot = append(s.hot, hot)
-	if s.hotAt.IsZero() {
-		s.hotAt = now.Add(batchDelay)
+	d.pendingIndex[e.Key] = len(d.pending)
+	d.pending = append(d.pending, push)
+	if d.flushAt.IsZero() {
+		d.flushAt = now.Add(batchDelay)
 	}
 	return true
 }
 
-// Due is when Tick wants to be called next.
-func (s *Disseminator) Due() time.Time {
-	return earlier(earlier(s.compares, s.hotAt), s.wants.due())
+// Due returns when Tick must next be called.
+func (d *Disseminator) Due() time.Time {
+	return earlier(earlier(d.nextCompare, d.flushAt), d.wanted.nextDue())
 }
 
-// earlier gives the earlier of two times; the zero time is no time.
+// earlier returns the earlier of two times; the zero time counts as unset.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
@@ -174,154 +176,155 @@
 	return a
 }
 
-// Tick does what is due. What may wait goes with the comparisons: each wake-up of the process costs.
-func (s *Disseminator) Tick(now time.Time) {
-	if !s.hotAt.IsZero() && !now.Before(s.hotAt) {
-		s.flush()
+// Tick performs the work that is due. Work that may wait is done along with the comparisons, because each wake-up of
+// the process costs CPU time.
+func (d *Disseminator) Tick(now time.Time) {
+	if !d.flushAt.IsZero() && !now.Before(d.flushAt) {
+		d.flush()
 	}
-	for _, ask := range s.wants.expired(now) {
-		s.send(ask.to, Message{Want: ask.keys})
+	for _, request := range d.wanted.dueRequests(now) {
+		d.send(request.to, Message{Want: request.keys})
 	}
-	if now.Before(s.compares) {
+	if now.Before(d.nextCompare) {
 		return
 	}
-	s.compares = now.Add(CompareInterval)
-	if !now.Before(s.ageAt) {
-		s.ageAt = now.Add(ageInterval)
-		s.effects.Expired = append(s.effects.Expired, s.table.age(now)...)
-		s.contacts.turn(now)
+	d.nextCompare = now.Add(CompareInterval)
+	if !now.Before(d.nextExpiry) {
+		d.nextExpiry = now.Add(expiryInterval)
+		d.effects.Expired = append(d.effects.Expired, d.table.expire(now)...)
+		d.contacts.rotate(now)
 	}
-	if peer, some := s.contacts.partner(CompareInterval); some {
-		s.send(peer.ID, s.CompareRequest())
+	if peer, found := d.contacts.comparePeer(CompareInterval); found {
+		d.send(peer.ID, d.CompareRequest())
 	}
 }
 
-// CompareRequest is the message that opens a comparison.
-func (s *Disseminator) CompareRequest() Message {
-	return Message{Compare: &Digest{Root: s.table.root()}}
+// CompareRequest returns the message that starts a comparison.
+func (d *Disseminator) CompareRequest() Message {
+	return Message{Compare: &Digest{Root: d.table.root()}}
 }
 
-// Compare opens a comparison with a peer now.
-func (s *Disseminator) Compare(peer string) { s.send(peer, s.CompareRequest()) }
+// Compare starts a comparison with a peer immediately.
+func (d *Disseminator) Compare(peer string) { d.send(peer, d.CompareRequest()) }
 
-// Send has a message sent to a peer with the other effects.
-func (s *Disseminator) send(to string, m Message) {
+// send adds a message to a peer to the effects, unless it is empty.
+func (d *Disseminator) send(to string, m Message) {
 	if !m.IsZero() {
-		s.effects.Messages = append(s.effects.Messages, Outgoing{To: to, Message: m})
+		d.effects.Messages = append(d.effects.Messages, Outgoing{To: to, Message: m})
 	}
 }
 
-// Take gives the effects of the steps since the last Take.
-func (s *Disseminator) Take() Effects {
-	taken := s.effects
-	s.effects = Effects{}
+// Take returns the effects of all calls since the last Take.
+func (d *Disseminator) Take() Effects {
+	taken := d.effects
+	d.effects = Effects{}
 	return taken
 }
 
-// flush pushes the news that waits, each batch to one choice of targets.
-func (s *Disseminator) flush() {
-	own, passed := s.splitHot()
-	s.hot = s.hot[:0]
-	clear(s.hotIndex)
-	s.hotAt = time.Time{}
-	s.push(own, s.contacts.targets(true))
-	if len(passed) > 0 {
-		s.push(passed, s.contacts.targets(false))
+// flush pushes the pending entries: those published here and those forwarded each to their own choice of targets.
+func (d *Disseminator) flush() {
+	published, forwarded := d.splitPending()
+	d.pending = d.pending[:0]
+	clear(d.pendingIndex)
+	d.flushAt = time.Time{}
+	d.push(published, d.contacts.pushTargets(true))
+	if len(forwarded) > 0 {
+		d.push(forwarded, d.contacts.pushTargets(false))
 	}
 }
 
-// splitHot parts the news from here from that of others.
-func (s *Disseminator) splitHot() (own, passed []hotEntry) {
-	for _, h := range s.hot {
-		if h.holder == "" {
-			own = append(own, h)
+// splitPending separates pending entries published by this node from those of other nodes.
+func (d *Disseminator) splitPending() (published, forwarded []pendingPush) {
+	for _, h := range d.pending {
+		if h.source == "" {
+			published = append(published, h)
 		} else {
-			passed = append(passed, h)
+			forwarded = append(forwarded, h)
 		}
 	}
-	return own, passed
+	return published, forwarded
 }
 
-func (s *Disseminator) push(hot []hotEntry, targets []Peer) {
-	if len(hot) == 0 {
+func (d *Disseminator) push(pushes []pendingPush, targets []Peer) {
+	if len(pushes) == 0 {
 		return
 	}
 	repaired := 0
-	for _, h := range hot {
+	for _, h := range pushes {
 		if h.repaired {
 			repaired++
 		}
 	}
 	for _, target := range targets {
-		s.send(target.ID, s.batch(hot, target.ID, repaired > manyRepaired))
+		d.send(target.ID, d.buildPush(pushes, target.ID, repaired > maxRepairedPushes))
 	}
 }
 
-// batch puts news into one message for a peer: small values as they are, the others by their stamps.
-func (s *Disseminator) batch(hot []hotEntry, target string, offerRepaired bool) Message {
+// buildPush returns a message with new entries for a peer: it pushes small values and offers large ones.
+func (d *Disseminator) buildPush(pushes []pendingPush, target string, offerRepaired bool) Message {
 	var m Message
 	size := 0
-	for _, h := range hot {
-		r := s.table.find(h.key)
-		if h.holder == target || r == nil || r.phase == hidden {
+	for _, h := range pushes {
+		r := d.table.find(h.key)
+		if h.source == target || r == nil || r.phase == tombstone {
 			continue
 		}
-		offered := len(r.entry.Value) > largeValue || size > maxPush || h.repaired && offerRepaired
+		asOffer := len(r.entry.Value) > maxPushedValueBytes || size > maxMessageBytes || h.repaired && offerRepaired
 		switch {
-		case !offered || r.kind.Ephemeral:
+		case !asOffer || r.kind.Ephemeral:
 			m.Push = append(m.Push, r.entry)
 			size += len(r.entry.Value)
-		case len(m.Offer) < maxVersions:
+		case len(m.Offer) < maxMessageVersions:
 			m.Offer = append(m.Offer, r.version())
 		}
 	}
 	return m
 }
 
-// Receive handles a message of a peer.
-func (s *Disseminator) Receive(now time.Time, from string, m Message) {
+// Receive handles a message from a peer.
+func (d *Disseminator) Receive(now time.Time, from string, m Message) {
 	for _, e := range m.Push {
-		s.take(now, from, e, false)
+		d.receiveEntry(now, from, e, false)
 	}
 	if len(m.Offer) > 0 {
-		s.offered(now, from, m.Offer, false)
+		d.receiveOffers(now, from, m.Offer, false)
 	}
 	if len(m.Want) > 0 {
-		s.send(from, Message{Push: s.entries(m.Want)})
+		d.send(from, Message{Push: d.entriesFor(m.Want)})
 	}
 	if m.Compare != nil {
-		s.answerCompare(from, *m.Compare)
+		d.handleCompare(from, *m.Compare)
 	}
 	if m.Equal {
-		s.effects.Compared = append(s.effects.Compared, from)
+		d.effects.Compared = append(d.effects.Compared, from)
 	}
 	if m.BucketSums != nil {
-		s.answerSums(from, m.BucketSums)
+		d.handleBucketSums(from, m.BucketSums)
 	}
 	if m.Summary != nil {
-		s.answerSummary(now, from, *m.Summary)
+		d.handleSummary(now, from, *m.Summary)
 	}
 	if m.Delta != nil {
-		s.takeDelta(now, from, *m.Delta)
+		d.handleDelta(now, from, *m.Delta)
 	}
 }
 
-// take accepts an entry of a peer, unless its kind refuses it, and tells whether it was news.
-func (s *Disseminator) take(now time.Time, from string, e Entry, repaired bool) bool {
-	kind := kindOf(s.table.kinds, e.Key)
+// receiveEntry applies an entry from a peer, unless its kind rejects it, and reports whether it was new.
+func (d *Disseminator) receiveEntry(now time.Time, from string, e Entry, repaired bool) bool {
+	kind := kindOf(d.table.kinds, e.Key)
 	if kind == nil || !kind.accepts(e) {
 		return false
 	}
-	return s.learn(now, e, hotEntry{key: e.Key, holder: from, repaired: repaired})
+	return d.apply(now, e, pendingPush{key: e.Key, source: from, repaired: repaired})
 }
 
-// entries gives the entries of keys, as many as a message may hold.
-func (s *Disseminator) entries(keys []string) []Entry {
+// entriesFor returns the entries of as many of the keys as fit into a message.
+func (d *Disseminator) entriesFor(keys []string) []Entry {
 	var found []Entry
 	size := 0
 	for _, key := range keys {
-		r := s.table.find(key)
-		if r == nil || size > maxPush {
+		r := d.table.find(key)
+		if r == nil || size > maxMessageBytes {
 			continue
 		}
 		found = append(found, r.entry)
@@ -330,16 +333,16 @@
 	return found
 }
 
-// offered asks for what a peer offers and this node lacks: at once if the peer is of the own zone, and else
-// after a moment, as one of the own zone may offer it too. Late are offers that a comparison made.
-func (s *Disseminator) offered(now time.Time, from string, versions []Version, late bool) {
-	zone, known := s.contacts.zoneOf(from)
-	made := offer{near: !known || zone == s.options.Zone, late: late}
-	var ask []string
+// receiveOffers requests the offered entries that this node lacks: immediately if the peer is in the own zone, otherwise
+// after a delay in which a peer of the own zone may offer them too. Offers made in a comparison always wait.
+func (d *Disseminator) receiveOffers(now time.Time, from string, versions []Version, fromComparison bool) {
+	zone, known := d.contacts.zoneOf(from)
+	kind := offerOrigin{sameZone: !known || zone == d.options.Zone, fromComparison: fromComparison}
+	var request []string
 	for _, v := range versions {
-		if v.Stamp.After(s.table.stamp(v.Key)) && s.wants.add(now, from, v, made) {
-			ask = append(ask, v.Key)
+		if v.Stamp.After(d.table.stamp(v.Key)) && d.wanted.add(now, from, v, kind) {
+			request = append(request, v.Key)
 		}
 	}
-	s.send(from, Message{Want: slices.Clip(ask)})
+	d.send(from, Message{Want: slices.Clip(request)})
 }
--- a/coordination/gossip/table.go
+++ b/coordination/gossip/table.go
@@ -8,47 +8,48 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// bucketCount is how many parts a digest has. A difference costs the keys and stamps of one part.
+// bucketCount is the number of buckets of a table. For each bucket that differs, a comparison exchanges the keys and
+// stamps of all its entries.
 const bucketCount = 64
 
-// defendedLives is how many lifetimes the stamp of a dropped entry is defended: an older value that a peer
-// kept behind a cut must not come back.
-const defendedLives = 5
+// tombstoneLifetimes is the age, in lifetimes of the entry, up to which its stamp is kept. The tombstone rejects an older
+// value that a peer kept during a network partition.
+const tombstoneLifetimes = 5
 
-// phase is how far an entry with a lifetime has come.
+// phase is the stage of an entry in its lifetime.
 type phase uint8
 
 const (
-	listed phase = iota // visible and in the digests
-	quiet               // visible; no longer in the digests
-	hidden              // dropped for the owner; its stamp is defended
+	active    phase = iota // visible and in the digests
+	aging                  // visible, but no longer in the digests
+	tombstone              // expired; only its stamp still counts
 )
 
-// record is an entry in the table.
+// record is an entry of the table with its bookkeeping.
 type record struct {
-	entry Entry
-	kind  *kindState
-	sum   uint64 // of key and stamp
-	came  time.Time
-	life  time.Duration // 0: for ever
-	phase phase
+	entry       Entry
+	kind        *kindState
+	versionHash uint64 // hash of key and stamp
+	receivedAt  time.Time
+	lifetime    time.Duration // 0 for no expiry
+	phase       phase
 }
 
-// bucket is the part of the table whose keys have the same hash modulo bucketCount.
+// bucket holds the records whose keys have the same hash modulo bucketCount.
 type bucket struct {
-	sum     uint64 // of the sums of its listed, not ephemeral records, modulo 2^64
+	sum     uint64 // sum of the version hashes of its records that are in digests, modulo 2^64
 	records map[string]*record
 }
 
-// table holds the newest entry of each key.
+// table holds the newest entry of each key, tombstones included.
 type table struct {
-	kinds   []*kindState
-	buckets [bucketCount]bucket
-	mortal  map[string]*record // those with a lifetime
+	kinds    []*kindState
+	buckets  [bucketCount]bucket
+	expiring map[string]*record // records with a lifetime, by key
 }
 
 func newTable(kinds []Kind) *table {
-	t := &table{mortal: map[string]*record{}}
+	t := &table{expiring: map[string]*record{}}
 	for _, k := range kinds {
 		t.kinds = append(t.kinds, &kindState{Kind: k})
 	}
@@ -60,8 +61,8 @@
 
 func bucketOf(key string) int { return int(xxhash.Sum64String(key) % bucketCount) }
 
-// sumOf hashes a key and its stamp.
-func sumOf(e Entry) uint64 {
+// hashVersion hashes a key and its stamp.
+func hashVersion(e Entry) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(e.Key)
@@ -73,10 +74,10 @@
 	return d.Sum64()
 }
 
-// find gives the record of a key, hidden ones too, or nil.
+// find returns the record of a key, tombstones included, or nil.
 func (t *table) find(key string) *record { return t.buckets[bucketOf(key)].records[key] }
 
-// stamp gives the newest stamp of a key, also of a hidden record; the zero stamp if there is none.
+// stamp returns the newest stamp of a key, including that of a tombstone, or the zero stamp.
 func (t *table) stamp(key string) Stamp {
 	if r := t.find(key); r != nil {
 		return r.entry.Stamp
@@ -84,7 +85,7 @@
 	return Stamp{}
 }
 
-// put takes an entry that is above what is known of its key and tells whether it did.
+// put adds an entry if its stamp is newer than the known one of its key and its kind has room. It reports whether it did.
 func (t *table) put(now time.Time, e Entry) bool {
 	b := &t.buckets[bucketOf(e.Key)]
 	old := b.records[e.Key]
@@ -92,66 +93,67 @@
 		return false
 	}
 	kind := kindOf(t.kinds, e.Key)
-	if kind == nil || !t.room(kind, old) {
+	if kind == nil || !t.hasRoom(kind, old) {
 		return false
 	}
 	if old != nil {
 		t.remove(b, old)
 	}
-	t.insert(b, &record{entry: e, kind: kind, sum: sumOf(e), came: now, life: kind.lifetime(e)})
+	t.insert(b, &record{entry: e, kind: kind, versionHash: hashVersion(e), receivedAt: now, lifetime: kind.lifetime(e)})
 	return true
 }
 
-// room tells whether an entry of the kind may come in place of old, which may be nil.
-func (t *table) room(kind *kindState, old *record) bool {
-	return old != nil && old.phase != hidden || kind.count < kind.Limit
+// hasRoom reports whether the limit of the kind allows an entry in place of old, which may be nil.
+func (t *table) hasRoom(kind *kindState, old *record) bool {
+	return old != nil && old.phase != tombstone || kind.visible < kind.Limit
 }
 
 func (t *table) insert(b *bucket, r *record) {
 	b.records[r.entry.Key] = r
-	r.kind.count++
+	r.kind.visible++
 	if !r.kind.Ephemeral {
-		b.sum += r.sum
+		b.sum += r.versionHash
 	}
-	if r.life > 0 {
-		t.mortal[r.entry.Key] = r
+	if r.lifetime > 0 {
+		t.expiring[r.entry.Key] = r
 	}
 }
 
 func (t *table) remove(b *bucket, r *record) {
-	t.advance(r, hidden)
-	r.kind.hidden--
+	t.advance(r, tombstone)
+	r.kind.tombstones--
 	delete(b.records, r.entry.Key)
-	delete(t.mortal, r.entry.Key)
+	delete(t.expiring, r.entry.Key)
 }
 
-// advance brings a record to a later phase and keeps the sums and counts.
+// advance moves a record to a later phase and updates the sums and counts.
 func (t *table) advance(r *record, to phase) {
-	if r.phase < quiet && to >= quiet && !r.kind.Ephemeral {
-		t.buckets[bucketOf(r.entry.Key)].sum -= r.sum
+	if r.phase < aging && to >= aging && !r.kind.Ephemeral {
+		t.buckets[bucketOf(r.entry.Key)].sum -= r.versionHash
 	}
-	if r.phase < hidden && to == hidden {
-		r.kind.count--
-		r.kind.hidden++
+	if r.phase < tombstone && to == tombstone {
+		r.kind.visible--
+		r.kind.tombstones++
 	}
 	r.phase = max(r.phase, to)
 }
 
-// age moves the records with a lifetime on and gives the keys that are no longer visible.
-func (t *table) age(now time.Time) (dropped []string) {
-	for key, r := range t.mortal {
-		age := now.Sub(r.came)
+// expire advances the records with a lifetime and returns the keys that have just expired. It removes tombstones that
+// are too old or too many.
+func (t *table) expire(now time.Time) (dropped []string) {
+	for key, r := range t.expiring {
+		age := now.Sub(r.receivedAt)
 		before := r.phase
 		switch {
-		case age >= r.life:
-			t.advance(r, hidden)
-		case age >= r.life/2:
-			t.advance(r, quiet)
+		case age >= r.lifetime:
+			t.advance(r, tombstone)
+		case age >= r.lifetime/2:
+			t.advance(r, aging)
 		}
-		if before != hidden && r.phase == hidden {
+		if before != tombstone && r.phase == tombstone {
 			dropped = append(dropped, key)
 		}
-		if r.phase == hidden && (age >= defendedLives*r.life || r.kind.hidden > r.kind.Limit || r.kind.Ephemeral) {
+		if r.phase == tombstone && (age >= tombstoneLifetimes*r.lifetime || r.kind.tombstones > r.kind.Limit || r.kind.Ephemeral) {
 			t.remove(&t.buckets[bucketOf(key)], r)
 		}
 	}
@@ -161,10 +163,10 @@
 
 func (r *record) version() Version { return Version{Key: r.entry.Key, Stamp: r.entry.Stamp} }
 
-// inDigest tells whether a record is one that peers compare.
-func (r *record) inDigest() bool { return r.phase == listed && !r.kind.Ephemeral }
+// inDigest reports whether a record is part of the digests.
+func (r *record) inDigest() bool { return r.phase == active && !r.kind.Ephemeral }
 
-// root is the digest of the whole table.
+// root returns the digest of the whole table.
 func (t *table) root() uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -176,14 +178,14 @@
 	return d.Sum64()
 }
 
-// sums gives the digest of each bucket, folded to 32 bits. Equal folded sums of different buckets are found
-// out when one of them changes next.
-func (t *table) sums() []uint32 {
+// foldedSums returns the sum of each bucket, folded to 32 bits. A collision of the folded sums of different buckets
+// lasts until one of the buckets changes.
+func (t *table) foldedSums() []uint32 {
 	sums := make([]uint32, bucketCount)
 	for i := range t.buckets {
-		sums[i] = fold(t.buckets[i].sum)
+		sums[i] = fold32(t.buckets[i].sum)
 	}
 	return sums
 }
 
-func fold(sum uint64) uint32 { return uint32(sum>>32) ^ uint32(sum) }
+func fold32(sum uint64) uint32 { return uint32(sum>>32) ^ uint32(sum) }
--- a/coordination/gossip/wants.go
+++ b/coordination/gossip/wants.go
@@ -8,117 +8,117 @@
 )
 
 const (
-	// farWait is how long at most an offer from another zone waits for one from the own zone.
-	farWait = 150 * time.Millisecond
-	// lateWait is how long at least an offer that a comparison made waits for one by a push, and twice that at
-	// most if it comes from another zone.
-	lateWait = 400 * time.Millisecond
-	// askTimeout is after what time another peer that offered the same is asked.
-	askTimeout = 400 * time.Millisecond
-	// maxWants bounds what is asked for at a time; more is left to the comparisons.
-	maxWants = 4 << 10
+	// otherZoneOfferWait is the longest time that an offer from another zone waits for one from the own zone.
+	otherZoneOfferWait = 150 * time.Millisecond
+	// comparisonOfferWait is how long an offer made in a comparison waits for a push or a pushed offer: between half
+	// of it and all of it if the peer is in the own zone, otherwise between once and twice as long.
+	comparisonOfferWait = 400 * time.Millisecond
+	// requestTimeout is the time after which an unanswered request is sent to another peer that offered the entry.
+	requestTimeout = 400 * time.Millisecond
+	// maxWantedEntries bounds the entries wanted at a time; further ones are left to the comparisons.
+	maxWantedEntries = 4 << 10
 )
 
-// want is an entry that was offered and has not come yet.
-type want struct {
-	stamp Stamp
-	asked bool
-	from  string    // who is asked, or will be
-	other string    // who else offered it
-	at    time.Time // when it is asked for, or given up
+// wantedEntry is an entry that was offered and has not arrived yet.
+type wantedEntry struct {
+	stamp      Stamp
+	requested  bool
+	source     string    // the peer that is or will be asked
+	fallback   string    // another peer that offered it, or empty
+	nextAction time.Time // when it is requested, requested again or given up
 }
 
-// wants are the entries that were offered and have not come yet.
-type wants struct {
+// wantedEntries holds the entries that were offered and have not arrived yet.
+type wantedEntries struct {
 	random *rand.Rand
-	byKey  map[string]*want
+	byKey  map[string]*wantedEntry
 }
 
-// ask is a question for entries to a peer.
-type ask struct {
+// request asks a peer for entries.
+type request struct {
 	to   string
 	keys []string
 }
 
-// offer says how an offer was made.
-type offer struct {
-	near bool // by a peer of the own zone
-	late bool // by a comparison, not by a push
+// offerOrigin describes where an offer comes from.
+type offerOrigin struct {
+	sameZone       bool // made by a peer of the own zone
+	fromComparison bool // made in a comparison, not by a push
 }
 
-// wait is how long an offer waits for a better one.
-func (w *wants) wait(o offer) time.Duration {
+// offerDelay returns how long to wait for a better source of the entry before requesting it.
+func (w *wantedEntries) offerDelay(origin offerOrigin) time.Duration {
 	switch {
-	case o.late && o.near:
-		return w.between(lateWait/2, lateWait)
-	case o.late:
-		return w.between(lateWait, 2*lateWait)
-	case o.near:
+	case origin.fromComparison && origin.sameZone:
+		return w.randomBetween(comparisonOfferWait/2, comparisonOfferWait)
+	case origin.fromComparison:
+		return w.randomBetween(comparisonOfferWait, 2*comparisonOfferWait)
+	case origin.sameZone:
 		return 0
 	}
-	return w.between(farWait/4, farWait)
+	return w.randomBetween(otherZoneOfferWait/4, otherZoneOfferWait)
 }
 
-func (w *wants) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(w.random.Int64N(int64(most-least)))
+func (w *wantedEntries) randomBetween(shortest, longest time.Duration) time.Duration {
+	return shortest + time.Duration(w.random.Int64N(int64(longest-shortest)))
 }
 
-// add notes an offer and tells whether it is to be asked for at once.
-func (w *wants) add(now time.Time, from string, v Version, o offer) bool {
-	wait := w.wait(o)
+// add records an offer and reports whether the entry is to be requested immediately.
+func (w *wantedEntries) add(now time.Time, peer string, v Version, origin offerOrigin) bool {
+	delay := w.offerDelay(origin)
 	known := w.byKey[v.Key]
-	same := known != nil && known.stamp.Compare(v.Stamp) >= 0
+	isKnown := known != nil && known.stamp.Compare(v.Stamp) >= 0
 	switch {
-	case same && (known.asked || !now.Add(wait).Before(known.at)):
-		known.other = from
+	case isKnown && (known.requested || !now.Add(delay).Before(known.nextAction)):
+		known.fallback = peer
 		return false
-	case known == nil && len(w.byKey) >= maxWants:
+	case known == nil && len(w.byKey) >= maxWantedEntries:
 		return false
-	case wait > 0:
-		w.byKey[v.Key] = &want{stamp: v.Stamp, from: from, at: now.Add(wait)}
+	case delay > 0:
+		w.byKey[v.Key] = &wantedEntry{stamp: v.Stamp, source: peer, nextAction: now.Add(delay)}
 		return false
 	}
-	w.byKey[v.Key] = &want{stamp: v.Stamp, asked: true, from: from, at: now.Add(askTimeout)}
+	w.byKey[v.Key] = &wantedEntry{stamp: v.Stamp, requested: true, source: peer, nextAction: now.Add(requestTimeout)}
 	return true
 }
 
-// due is when expired wants to be called, or zero.
-func (w *wants) due() time.Time {
+// nextDue returns when dueRequests must be called next, or the zero time.
+func (w *wantedEntries) nextDue() time.Time {
 	var due time.Time
-	for _, one := range w.byKey {
-		due = earlier(due, one.at)
+	for _, entry := range w.byKey {
+		due = earlier(due, entry.nextAction)
 	}
 	return due
 }
 
-// expired gives the questions that are due, and gives up those that nobody else can answer.
-func (w *wants) expired(now time.Time) []ask {
-	var asks []ask
+// dueRequests returns the requests that are due, and gives up on entries that no other peer has offered.
+func (w *wantedEntries) dueRequests(now time.Time) []request {
+	var requests []request
 	for _, key := range slices.Sorted(maps.Keys(w.byKey)) {
-		one := w.byKey[key]
-		if now.Before(one.at) {
+		entry := w.byKey[key]
+		if now.Before(entry.nextAction) {
 			continue
 		}
-		if one.asked {
-			one.from, one.other = one.other, ""
+		if entry.requested {
+			entry.source, entry.fallback = entry.fallback, ""
 		}
-		if one.from == "" {
+		if entry.source == "" {
 			delete(w.byKey, key)
 			continue
 		}
-		one.asked = true
-		one.at = now.Add(askTimeout)
-		asks = appendAsk(asks, one.from, key)
+		entry.requested = true
+		entry.nextAction = now.Add(requestTimeout)
+		requests = appendRequest(requests, entry.source, key)
 	}
-	return asks
+	return requests
 }
 
-func appendAsk(asks []ask, to, key string) []ask {
-	for i := range asks {
-		if asks[i].to == to {
-			asks[i].keys = append(asks[i].keys, key)
-			return asks
+func appendRequest(requests []request, to, key string) []request {
+	for i := range requests {
+		if requests[i].to == to {
+			requests[i].keys = append(requests[i].keys, key)
+			return requests
 		}
 	}
-	return append(asks, ask{to: to, keys: []string{key}})
+	return append(requests, request{to: to, keys: []string{key}})
 }
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -8,54 +8,55 @@
 )
 
 const (
-	// HeartbeatInterval is how often a node tells its monitors that it runs.
+	// HeartbeatInterval is how often a node sends heartbeats to its monitors.
 	HeartbeatInterval = 400 * time.Millisecond
-	// SuspectTimeout is a monitor's patience: some lost heartbeats, and a pause of a small machine, fit into it.
+	// SuspectTimeout is the silence after which a monitor suspects a node. It tolerates several lost heartbeats, and a
+	// pause of a small machine.
 	SuspectTimeout = 1600 * time.Millisecond
-	// ProbeTimeout is how long a suspect node, asked directly and through others, may take to answer.
+	// ProbeTimeout is how long a suspect node, pinged directly and through others, may take to answer.
 	ProbeTimeout = 800 * time.Millisecond
-	// wakeGap is from which gap between its own ticks on a node takes itself to have been stopped.
-	wakeGap = time.Second
-	// maxStrikes bounds how often the patience with a node is doubled that was suspected for nothing.
-	maxStrikes = 3
-	// strikeLife is after what time without a new one a node's strikes are forgotten.
-	strikeLife = 30 * time.Second
-	// probeHelpers is how many others are asked to ping a suspect node.
+	// pauseThreshold is the gap between its own ticks above which a node assumes that its process was paused.
+	pauseThreshold = time.Second
+	// maxTimeoutDoublings bounds how often SuspectTimeout is doubled for a node that was wrongly suspected.
+	maxTimeoutDoublings = 3
+	// falseSuspicionMemory is the time after the last false suspicion of a node at which its count is reset.
+	falseSuspicionMemory = 30 * time.Second
+	// probeHelpers is the number of other nodes asked to ping a suspect node.
 	probeHelpers = 3
 )
 
-// member is what is known of another node.
+// member is this node's view of another node.
 type member struct {
-	id       ID
-	node     Node // State is Alive, Suspect, Down or Left
-	heard    time.Time
-	since    time.Time // when this node began to watch it
-	suspect  time.Time // when the present suspicion began, or was renewed
-	strikes  int       // suspicions that proved wrong though no heartbeat had come
-	strikeAt time.Time
+	id                 ID
+	node               Node // last known record; State is Suspect during a local suspicion
+	lastHeard          time.Time
+	watchedSince       time.Time // when this node began to monitor it
+	suspectedAt        time.Time // when the current suspicion began or was renewed
+	falseSuspicions    int       // recent suspicions that proved wrong although no heartbeat had arrived
+	lastFalseSuspicion time.Time
 }
 
-// Membership is a node's view of all others.
+// Membership is a node's view of itself and all other nodes.
 type Membership struct {
 	self    Node
 	leaving bool
 	random  *rand.Rand
 	members map[ID]*member
-	order   []*member // all of them, in the order of their ids
+	order   []*member // all members, sorted by id
 	ring    ring
 
-	stale    bool // the ring has changed
-	monitors []ID
-	watched  []*member
+	ringChanged bool // monitors and watched are out of date
+	monitors    []ID
+	watched     []*member
 
-	lastTick time.Time
-	wokenAt  time.Time
-	nextTick time.Time
+	lastTick      time.Time
+	resumedAt     time.Time
+	nextHeartbeat time.Time
 
 	effects Effects
 }
 
-// New makes the view of a node that knows only itself. The first heartbeats are due at first.
+// New returns the view of a node that knows only itself. The first heartbeats are due at first.
 func New(first time.Time, self Node, seed uint64) *Membership {
 	m := &Membership{
 		self:    self,
@@ -63,221 +64,222 @@
 		members: map[ID]*member{},
 	}
 	m.ring.add(self)
-	m.stale = true
-	m.nextTick = first
+	m.ringChanged = true
+	m.nextHeartbeat = first
 	return m
 }
 
-// Self is this node as it tells of itself.
+// Self returns this node as it declares itself.
 func (m *Membership) Self() Node { return m.self }
 
-// Node gives a node by its id.
+// Node returns the node with an id, if it is known.
 func (m *Membership) Node(id ID) (Node, bool) {
 	if id == m.self.ID() {
 		return m.self, true
 	}
-	known := m.members[id]
-	if known == nil {
+	peer := m.members[id]
+	if peer == nil {
 		return Node{}, false
 	}
-	return known.node, true
+	return peer.node, true
 }
 
-// Nodes gives all known nodes, this one among them, in the order of their ids.
+// Nodes returns all known nodes including this one, sorted by id.
 func (m *Membership) Nodes() []Node {
 	nodes := make([]Node, 0, len(m.order)+1)
-	own := m.self.ID()
-	at, _ := m.position(own)
-	for _, known := range m.order[:at] {
-		nodes = append(nodes, known.node)
+	ownID := m.self.ID()
+	index, _ := m.orderIndex(ownID)
+	for _, peer := range m.order[:index] {
+		nodes = append(nodes, peer.node)
 	}
 	nodes = append(nodes, m.self)
-	for _, known := range m.order[at:] {
-		nodes = append(nodes, known.node)
+	for _, peer := range m.order[index:] {
+		nodes = append(nodes, peer.node)
 	}
 	return nodes
 }
 
-// EachOther calls f with each other node in the order of their ids, until f returns false.
+// EachOther calls f with each node except this one, in the order of their ids, until f returns false.
 func (m *Membership) EachOther(f func(ID, *Node) bool) {
-	for _, known := range m.order {
-		if !f(known.id, &known.node) {
+	for _, peer := range m.order {
+		if !f(peer.id, &peer.node) {
 			return
 		}
 	}
 }
 
-// position is where an id is, or belongs, in the order.
-func (m *Membership) position(id ID) (int, bool) {
-	return slices.BinarySearchFunc(m.order, id, func(known *member, id ID) int { return cmp.Compare(known.id, id) })
+// orderIndex returns the index in order at which an id is or would be inserted, and whether it is there.
+func (m *Membership) orderIndex(id ID) (int, bool) {
+	return slices.BinarySearchFunc(m.order, id, func(peer *member, id ID) int { return cmp.Compare(peer.id, id) })
 }
 
-// meet begins to know a node.
-func (m *Membership) meet(id ID) *member {
-	known := &member{id: id}
-	m.members[id] = known
-	at, _ := m.position(id)
-	m.order = slices.Insert(m.order, at, known)
-	return known
+// addMember adds a node to the members.
+func (m *Membership) addMember(id ID) *member {
+	peer := &member{id: id}
+	m.members[id] = peer
+	index, _ := m.orderIndex(id)
+	m.order = slices.Insert(m.order, index, peer)
+	return peer
 }
 
-// ApplyRecord takes a record of a node that has been spread. What is not newer than what is known changes nothing.
+// ApplyRecord applies a record of a node received by gossip. It ignores a record that is not newer than the known one.
 func (m *Membership) ApplyRecord(now time.Time, n Node) {
 	id := n.ID()
 	if id == m.self.ID() {
-		m.learnSelf(n)
+		m.applyOwnRecord(n)
 		return
 	}
-	known := m.members[id]
-	if known != nil && !newer(n, known.node) {
+	peer := m.members[id]
+	if peer != nil && !newer(n, peer.node) {
 		return
 	}
-	if known == nil {
-		known = m.meet(id)
+	if peer == nil {
+		peer = m.addMember(id)
 	}
-	if known.node.Name != "" && known.node.Live() {
-		m.ring.remove(known.node)
+	if peer.node.Name != "" && peer.node.Live() {
+		m.ring.remove(peer.node)
 	}
-	m.countStrike(now, known, n)
-	known.node = n
-	known.heard = now
-	known.suspect = time.Time{}
+	m.countRefutation(now, peer, n)
+	peer.node = n
+	peer.lastHeard = now
+	peer.suspectedAt = time.Time{}
 	if n.Live() {
 		m.ring.add(n)
 	}
-	m.stale = true
-	m.changed(id)
+	m.ringChanged = true
+	m.noteChange(id)
 }
 
-// newer tells whether a record replaces what is known: a higher incarnation, or a later state of the same.
+// newer reports whether a record supersedes the known one: it has a higher incarnation, or a later state of the same
+// incarnation.
 func newer(n, known Node) bool {
-	rank := known.State
-	if rank == Suspect {
-		rank = Alive
+	knownState := known.State
+	if knownState == Suspect {
+		knownState = Alive
 	}
-	return n.Incarnation > known.Incarnation || n.Incarnation == known.Incarnation && n.State > rank
+	return n.Incarnation > known.Incarnation || n.Incarnation == known.Incarnation && n.State > knownState
 }
 
-// countStrike lengthens the patience with a node that refutes that it is down: a cut in one direction only
-// would otherwise have it declared down again and again.
-func (m *Membership) countStrike(now time.Time, known *member, n Node) {
-	if known.node.State == Down && n.State == Alive && known.node.Address == n.Address {
-		known.strike(now)
+// countRefutation counts a false suspicion of a node that refutes that it is down. Without the longer timeout, a
+// one-way network partition would have it declared down again and again.
+func (m *Membership) countRefutation(now time.Time, peer *member, n Node) {
+	if peer.node.State == Down && n.State == Alive && peer.node.Address == n.Address {
+		peer.recordFalseSuspicion(now)
 	}
 }
 
-func (k *member) strike(now time.Time) {
-	if now.Sub(k.strikeAt) > strikeLife {
-		k.strikes = 0
+func (k *member) recordFalseSuspicion(now time.Time) {
+	if now.Sub(k.lastFalseSuspicion) > falseSuspicionMemory {
+		k.falseSuspicions = 0
 	}
-	k.strikes = min(k.strikes+1, maxStrikes)
-	k.strikeAt = now
+	k.falseSuspicions = min(k.falseSuspicions+1, maxTimeoutDoublings)
+	k.lastFalseSuspicion = now
 }
 
-// patience is how long a member may be silent.
-func (k *member) patience(now time.Time) time.Duration {
-	if now.Sub(k.strikeAt) > strikeLife {
+// suspectTimeout returns how long the member may be silent before it is suspected.
+func (k *member) suspectTimeout(now time.Time) time.Duration {
+	if now.Sub(k.lastFalseSuspicion) > falseSuspicionMemory {
 		return SuspectTimeout
 	}
-	return SuspectTimeout << k.strikes
+	return SuspectTimeout << k.falseSuspicions
 }
 
-// learnSelf refutes what is said of this node unless it is what the node says itself. An earlier start of the
-// process may have had a higher incarnation, where the clock was set back since.
-func (m *Membership) learnSelf(n Node) {
-	ours := n.Incarnation < m.self.Incarnation || n.Incarnation == m.self.Incarnation && n.State == m.self.State
-	if ours || m.leaving && n.Incarnation <= m.self.Incarnation {
+// applyOwnRecord refutes a record of this node that contradicts its own. The record may have a higher incarnation, from an
+// earlier start of the process, if the clock was set back since then.
+func (m *Membership) applyOwnRecord(n Node) {
+	isOwn := n.Incarnation < m.self.Incarnation || n.Incarnation == m.self.Incarnation && n.State == m.self.State
+	if isOwn || m.leaving && n.Incarnation <= m.self.Incarnation {
 		return
 	}
 	m.self.Incarnation = n.Incarnation + 1
 	m.declare(m.self)
-	m.changed(m.self.ID())
+	m.noteChange(m.self.ID())
 }
 
-// Leave marks this node as one that ends as planned.
+// Leave declares that this node shuts down as planned.
 func (m *Membership) Leave() {
 	m.leaving = true
 	m.self.State = Left
 	m.declare(m.self)
-	m.changed(m.self.ID())
+	m.noteChange(m.self.ID())
 }
 
-// Remove drops a node that is down or has left.
+// Remove removes a node that is down or has left. It ignores other nodes.
 func (m *Membership) Remove(id ID) {
-	known := m.members[id]
-	if known == nil || known.node.Live() {
+	peer := m.members[id]
+	if peer == nil || peer.node.Live() {
 		return
 	}
 	delete(m.members, id)
-	if at, found := m.position(id); found {
-		m.order = slices.Delete(m.order, at, at+1)
+	if index, found := m.orderIndex(id); found {
+		m.order = slices.Delete(m.order, index, index+1)
 	}
 }
 
-// MarkReplaced tells that another process answers at a node's address: it cannot run there any more.
+// MarkReplaced declares a node down because another process answers at its address, so it cannot be running there.
 func (m *Membership) MarkReplaced(id ID) {
-	if known := m.members[id]; known != nil && known.node.Live() {
-		m.declareDown(known)
+	if peer := m.members[id]; peer != nil && peer.node.Live() {
+		m.declareDown(peer)
 	}
 }
 
-// RecordContact notes that a message came from a node: as good as a heartbeat.
+// RecordContact records that a message arrived from a node, which counts as a heartbeat.
 func (m *Membership) RecordContact(now time.Time, from ID, incarnation uint64) {
-	known := m.members[from]
-	if known == nil || incarnation < known.node.Incarnation {
+	peer := m.members[from]
+	if peer == nil || incarnation < peer.node.Incarnation {
 		return
 	}
-	known.heard = now
-	m.clear(known)
+	peer.lastHeard = now
+	m.clearSuspicion(peer)
 }
 
-// clear ends a suspicion.
-func (m *Membership) clear(known *member) {
-	if known.node.State != Suspect {
+// clearSuspicion sets a suspect member back to alive.
+func (m *Membership) clearSuspicion(peer *member) {
+	if peer.node.State != Suspect {
 		return
 	}
-	known.node.State = Alive
-	known.suspect = time.Time{}
-	m.changed(known.id)
+	peer.node.State = Alive
+	peer.suspectedAt = time.Time{}
+	m.noteChange(peer.id)
 }
 
-// HasRecentContact tells whether this node has lately heard from another machine than its own, or knows of none.
-func (m *Membership) HasRecentContact(now time.Time) bool { return m.inTouchBut(now, "") }
+// HasRecentContact reports whether this node has recently heard from another machine, or knows of no other.
+func (m *Membership) HasRecentContact(now time.Time) bool { return m.hasRecentContactExcept(now, "") }
 
-// inTouchBut tells the same without the machine of that name.
-func (m *Membership) inTouchBut(now time.Time, name string) bool {
+// hasRecentContactExcept is HasRecentContact without regard to the machine of that name.
+func (m *Membership) hasRecentContactExcept(now time.Time, name string) bool {
 	others := 0
-	for _, known := range m.order {
-		if !known.node.Live() || known.node.Name == m.self.Name || known.node.Name == name {
+	for _, peer := range m.order {
+		if !peer.node.Live() || peer.node.Name == m.self.Name || peer.node.Name == name {
 			continue
 		}
 		others++
-		if now.Sub(known.heard) <= SuspectTimeout {
+		if now.Sub(peer.lastHeard) <= SuspectTimeout {
 			return true
 		}
 	}
 	return others == 0
 }
 
-// Due is when Tick wants to be called next.
+// Due returns when Tick must next be called.
 func (m *Membership) Due() time.Time {
-	due := m.nextTick
-	for _, known := range m.watched {
-		if end := known.suspect.Add(ProbeTimeout); known.node.State == Suspect && end.Before(due) {
-			due = end
+	due := m.nextHeartbeat
+	for _, peer := range m.watched {
+		if timeout := peer.suspectedAt.Add(ProbeTimeout); peer.node.State == Suspect && timeout.Before(due) {
+			due = timeout
 		}
 	}
 	return due
 }
 
-// Take gives the effects of the steps since the last Take.
+// Take returns the effects of all calls since the last Take.
 func (m *Membership) Take() Effects {
 	taken := m.effects
 	m.effects = Effects{}
 	return taken
 }
 
-func (m *Membership) changed(id ID) { m.effects.Changed = append(m.effects.Changed, id) }
+func (m *Membership) noteChange(id ID) { m.effects.Changed = append(m.effects.Changed, id) }
 
 func (m *Membership) declare(n Node) { m.effects.Declared = append(m.effects.Declared, n) }
 
--- a/coordination/membership/message.go
+++ b/coordination/membership/message.go
@@ -1,42 +1,42 @@
 package membership
 
-// Message is what nodes ask each other besides heartbeats, which have no content. Its parts are independent.
+// Message is a message between nodes other than a heartbeat, which has no content. Its fields are independent.
 type Message struct {
 	Ping  *Ping
 	Probe *Probe
 	Ack   *Ack
 }
 
-// Ping asks for an Ack.
+// Ping requests an Ack from the receiver.
 type Ping struct {
-	Requester ID // the node that wants to know; the receiver of the Ack passes it on
+	Requester ID // the node that the Ack is forwarded to; empty if it is the sender
 }
 
-// Probe asks a node to ping another.
+// Probe asks the receiver to ping another node on behalf of the sender.
 type Probe struct {
 	Target ID
 }
 
-// Ack tells that a node runs.
+// Ack reports that a node is running.
 type Ack struct {
 	Subject     ID
 	Incarnation uint64
 	Requester   ID
 }
 
-// Outgoing is a message and the node that it goes to.
+// Outgoing is a message with its recipient.
 type Outgoing struct {
 	To      ID
 	Message Message
 }
 
-// Effects is what a step asks of the caller.
+// Effects are the results of calls that the caller has to carry out.
 type Effects struct {
-	// Heartbeats are the nodes that a heartbeat goes to: any message does.
+	// Heartbeats holds the nodes to send a heartbeat to. Any message counts as one.
 	Heartbeats []ID
 	Messages   []Outgoing
-	// Declared are records to be spread: others declared down, this node with a new incarnation.
+	// Declared holds records to spread by gossip: nodes declared down, and this node when it refutes or leaves.
 	Declared []Node
-	// Changed are the nodes whose view here has changed.
+	// Changed holds the nodes whose record or suspicion here has changed.
 	Changed []ID
 }
--- a/coordination/membership/monitor.go
+++ b/coordination/membership/monitor.go
@@ -5,76 +5,77 @@
 	"time"
 )
 
-// Tick sends the heartbeats that are due and looks at the nodes that this one watches.
+// Tick sends the heartbeats that are due and checks the nodes that this node monitors.
 func (m *Membership) Tick(now time.Time) {
-	m.refresh(now)
-	m.noticeGap(now)
-	if !now.Before(m.nextTick) {
-		m.nextTick = now.Add(HeartbeatInterval)
+	m.refreshMonitoring(now)
+	m.detectPause(now)
+	if !now.Before(m.nextHeartbeat) {
+		m.nextHeartbeat = now.Add(HeartbeatInterval)
 		if !m.leaving {
 			m.effects.Heartbeats = append(m.effects.Heartbeats, m.monitors...)
 		}
 	}
-	for _, known := range m.watched {
-		m.look(now, known)
+	for _, peer := range m.watched {
+		m.checkMember(now, peer)
 	}
 }
 
-// refresh works out whom this node tells and watches, after the ring has changed.
-func (m *Membership) refresh(now time.Time) {
-	if !m.stale {
+// refreshMonitoring recomputes the monitors of this node and the nodes that it watches, if the ring has changed.
+func (m *Membership) refreshMonitoring(now time.Time) {
+	if !m.ringChanged {
 		return
 	}
-	m.stale = false
+	m.ringChanged = false
 	m.monitors = m.ring.monitors(m.self)
 	before := m.watched
 	m.watched = nil
 	for _, id := range m.ring.predecessors(m.self) {
-		known := m.members[id]
-		if !slices.Contains(m.ring.monitors(known.node), m.self.ID()) {
+		peer := m.members[id]
+		if !slices.Contains(m.ring.monitors(peer.node), m.self.ID()) {
 			continue
 		}
-		if !slices.Contains(before, known) {
-			known.since = now
+		if !slices.Contains(before, peer) {
+			peer.watchedSince = now
 		}
-		m.watched = append(m.watched, known)
+		m.watched = append(m.watched, peer)
 	}
-	for _, known := range before {
-		if !slices.Contains(m.watched, known) {
-			m.clear(known)
+	for _, peer := range before {
+		if !slices.Contains(m.watched, peer) {
+			m.clearSuspicion(peer)
 		}
 	}
 }
 
-// noticeGap starts the patience with all anew when this process was stopped: it has heard nobody because it
-// did not listen.
-func (m *Membership) noticeGap(now time.Time) {
-	if !m.lastTick.IsZero() && now.Sub(m.lastTick) > wakeGap {
-		m.wokenAt = now
-		for _, known := range m.watched {
-			m.clear(known)
+// detectPause restarts the timeouts of all watched nodes if this process was paused: it heard nothing because it was
+// not receiving.
+func (m *Membership) detectPause(now time.Time) {
+	if !m.lastTick.IsZero() && now.Sub(m.lastTick) > pauseThreshold {
+		m.resumedAt = now
+		for _, peer := range m.watched {
+			m.clearSuspicion(peer)
 		}
 	}
 	m.lastTick = now
 }
 
-// look judges one watched node.
-func (m *Membership) look(now time.Time, known *member) {
+// checkMember suspects a watched node that was silent for too long, and follows up on a suspicion.
+func (m *Membership) checkMember(now time.Time, peer *member) {
 	switch {
-	case !known.node.Live():
-	case known.node.State == Suspect:
-		m.lookSuspect(now, known)
-	case now.Sub(m.lastSign(known)) > known.patience(now):
-		known.node.State = Suspect
-		m.changed(known.id)
-		m.probe(now, known)
+	case !peer.node.Live():
+	case peer.node.State == Suspect:
+		m.checkSuspect(now, peer)
+	case now.Sub(m.lastActivity(peer)) > peer.suspectTimeout(now):
+		peer.node.State = Suspect
+		m.noteChange(peer.id)
+		m.probe(now, peer)
 	}
 }
 
-// lastSign is when a node was heard last, or when the patience with it began.
-func (m *Membership) lastSign(known *member) time.Time {
-	last := known.heard
-	for _, other := range [...]time.Time{known.since, m.wokenAt} {
+// lastActivity returns when the timeout of a member started: when it was last heard from, when this node began to watch
+// it, or when this process resumed from a pause, whichever is latest.
+func (m *Membership) lastActivity(peer *member) time.Time {
+	last := peer.lastHeard
+	for _, other := range [...]time.Time{peer.watchedSince, m.resumedAt} {
 		if other.After(last) {
 			last = other
 		}
@@ -82,36 +83,36 @@
 	return last
 }
 
-// lookSuspect declares a suspect node down once neither it nor another has answered in time. A monitor that
-// hears from nobody else is itself cut off: it asks again.
-func (m *Membership) lookSuspect(now time.Time, known *member) {
+// checkSuspect declares a suspect node down if no answer has arrived in time, neither directly nor through another node.
+// A monitor that hears from no other machine is itself disconnected, so it probes again instead.
+func (m *Membership) checkSuspect(now time.Time, peer *member) {
 	switch {
-	case now.Sub(known.suspect) < ProbeTimeout:
-	case m.inTouchBut(now, known.node.Name):
-		m.declareDown(known)
+	case now.Sub(peer.suspectedAt) < ProbeTimeout:
+	case m.hasRecentContactExcept(now, peer.node.Name):
+		m.declareDown(peer)
 	default:
-		m.probe(now, known)
+		m.probe(now, peer)
 	}
 }
 
-func (m *Membership) declareDown(known *member) {
-	m.ring.remove(known.node)
-	m.stale = true
-	known.node.State = Down
-	m.declare(known.node)
-	m.changed(known.id)
+func (m *Membership) declareDown(peer *member) {
+	m.ring.remove(peer.node)
+	m.ringChanged = true
+	peer.node.State = Down
+	m.declare(peer.node)
+	m.noteChange(peer.id)
 }
 
-// probe asks a suspect node directly and through others.
-func (m *Membership) probe(now time.Time, known *member) {
-	known.suspect = now
-	m.send(known.id, Message{Ping: &Ping{}})
-	for _, helper := range m.helpers(known.node) {
-		m.send(helper, Message{Probe: &Probe{Target: known.id}})
+// probe pings a suspect node directly and through other nodes.
+func (m *Membership) probe(now time.Time, peer *member) {
+	peer.suspectedAt = now
+	m.send(peer.id, Message{Ping: &Ping{}})
+	for _, helper := range m.helpers(peer.node) {
+		m.send(helper, Message{Probe: &Probe{Target: peer.id}})
 	}
 }
 
-// helpers chooses the other monitors of a node and some that are not.
+// helpers returns the other monitors of a node and, if these are too few, random other nodes.
 func (m *Membership) helpers(n Node) []ID {
 	chosen := slices.DeleteFunc(m.ring.monitors(n), func(id ID) bool { return id == m.self.ID() })
 	for range 2 * probeHelpers {
@@ -119,14 +120,14 @@
 			break
 		}
 		p := m.ring[m.random.IntN(len(m.ring))]
-		if p.name != m.self.Name && p.name != n.Name && !slices.Contains(chosen, p.id) {
+		if p.machine != m.self.Name && p.machine != n.Name && !slices.Contains(chosen, p.id) {
 			chosen = append(chosen, p.id)
 		}
 	}
 	return chosen
 }
 
-// Receive handles a message of another node.
+// Receive handles a message from another node.
 func (m *Membership) Receive(now time.Time, from ID, message Message) {
 	if message.Ping != nil && !m.leaving {
 		m.send(from, Message{Ack: &Ack{Subject: m.self.ID(), Incarnation: m.self.Incarnation, Requester: message.Ping.Requester}})
@@ -135,23 +136,23 @@
 		m.send(message.Probe.Target, Message{Ping: &Ping{Requester: from}})
 	}
 	if message.Ack != nil {
-		m.acknowledged(now, *message.Ack)
+		m.handleAck(now, *message.Ack)
 	}
 }
 
-// acknowledged takes an answer, or passes it on to the node that asked for it.
-func (m *Membership) acknowledged(now time.Time, ack Ack) {
+// handleAck processes an answer, or forwards it to the node that requested it.
+func (m *Membership) handleAck(now time.Time, ack Ack) {
 	if ack.Requester != "" && ack.Requester != m.self.ID() {
 		m.send(ack.Requester, Message{Ack: &ack})
 		return
 	}
-	known := m.members[ack.Subject]
-	if known == nil || ack.Incarnation < known.node.Incarnation {
+	peer := m.members[ack.Subject]
+	if peer == nil || ack.Incarnation < peer.node.Incarnation {
 		return
 	}
-	if known.node.State == Suspect && ack.Requester != "" {
-		known.strike(now) // it runs, only not for this monitor
+	if peer.node.State == Suspect && ack.Requester != "" {
+		peer.recordFalseSuspicion(now) // the node is running, but its heartbeats don't reach this monitor
 	}
-	known.heard = now
-	m.clear(known)
+	peer.lastHeard = now
+	m.clearSuspicion(peer)
 }
--- a/coordination/membership/node.go
+++ b/coordination/membership/node.go
@@ -2,10 +2,10 @@
 
 import "strconv"
 
-// Role is what a process of the tier does.
+// Role is the function of a process of the tier.
 type Role uint8
 
-// The roles.
+// Roles of processes.
 const (
 	Proxy Role = iota + 1
 	Control
@@ -14,7 +14,7 @@
 
 var roleNames = [...]string{"unknown", "proxy", "control", "store"}
 
-// String names the role.
+// String returns the name of the role.
 func (r Role) String() string {
 	if int(r) < len(roleNames) {
 		return roleNames[r]
@@ -22,13 +22,13 @@
 	return "role " + strconv.Itoa(int(r))
 }
 
-// Valid tells whether r is one of the roles.
+// Valid reports whether r is one of the roles.
 func (r Role) Valid() bool { return r >= Proxy && r <= Store }
 
-// State is what is known of a node. For one incarnation it only rises.
+// State is the known state of a node. For one incarnation it only advances, except that a suspicion may be withdrawn.
 type State uint8
 
-// The states. Suspect is the opinion of one monitor and is never spread.
+// States of nodes. Suspect is local to one monitor and is never spread.
 const (
 	Alive State = iota
 	Suspect
@@ -38,7 +38,7 @@
 
 var stateNames = [...]string{"alive", "suspect", "down", "left"}
 
-// String names the state.
+// String returns the name of the state.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
@@ -46,25 +46,25 @@
 	return "state " + strconv.Itoa(int(s))
 }
 
-// ID names a process: two roles of one machine are two nodes.
+// ID identifies a process. Two roles on one machine are two nodes.
 type ID string
 
-// IDOf gives the id of the process of a role on the machine of that node name.
+// IDOf returns the id of the process with a role on the machine with that name.
 func IDOf(name string, role Role) ID { return ID(name + "/" + role.String()) }
 
 // Node is one process of the tier.
 type Node struct {
-	Name        string // of the machine
+	Name        string // name of the machine
 	Role        Role
 	Zone        string
 	Region      string
-	Address     string // where its internal protocol is served, ip:port
-	Incarnation uint64 // a later start of the process and a refutation have a higher one
+	Address     string // ip:port of its internal protocol
+	Incarnation uint64 // increases with each start of the process and each refutation
 	State       State
 }
 
-// ID names the node's process.
+// ID returns the id of the node.
 func (n Node) ID() ID { return IDOf(n.Name, n.Role) }
 
-// Live tells whether the node counts as running: a suspect one still does.
+// Live reports whether the node counts as running, which includes suspect nodes.
 func (n Node) Live() bool { return n.State <= Suspect }
--- a/coordination/membership/ring.go
+++ b/coordination/membership/ring.go
@@ -8,57 +8,57 @@
 )
 
 const (
-	// MonitorCount is how many nodes watch each one.
+	// MonitorCount is the number of monitors of each node.
 	MonitorCount = 3
-	// watchWalk is how far back a node looks for those that it watches. The two roles of a machine count as
-	// one monitor, so some more than Monitors come into question.
-	watchWalk = 4 * MonitorCount
+	// watchSearchLimit is the number of predecessors among which a node looks for those that it watches. It exceeds
+	// MonitorCount because several nodes on one machine count as one monitor.
+	watchSearchLimit = 4 * MonitorCount
 )
 
-// place is a node's place on the ring.
-type place struct {
-	hash uint64
-	id   ID
-	name string // of the machine
+// ringPosition is a node's position on the ring.
+type ringPosition struct {
+	hash    uint64
+	id      ID
+	machine string // name of the machine
 }
 
-// ring holds the nodes that count as running in the order of the hashes of their ids.
-type ring []place
+// ring holds the nodes that count as running, sorted by the hashes of their ids.
+type ring []ringPosition
 
-func placeOf(n Node) place {
+func ringPositionOf(n Node) ringPosition {
 	id := n.ID()
-	return place{hash: xxhash.Sum64String(string(id)), id: id, name: n.Name}
+	return ringPosition{hash: xxhash.Sum64String(string(id)), id: id, machine: n.Name}
 }
 
-func comparePlaces(a, b place) int {
+func compareRingPositions(a, b ringPosition) int {
 	return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.id, b.id))
 }
 
 func (r *ring) add(n Node) {
-	p := placeOf(n)
-	if at, found := slices.BinarySearchFunc(*r, p, comparePlaces); !found {
-		*r = slices.Insert(*r, at, p)
+	p := ringPositionOf(n)
+	if index, found := slices.BinarySearchFunc(*r, p, compareRingPositions); !found {
+		*r = slices.Insert(*r, index, p)
 	}
 }
 
 func (r *ring) remove(n Node) {
-	if at, found := slices.BinarySearchFunc(*r, placeOf(n), comparePlaces); found {
-		*r = slices.Delete(*r, at, at+1)
+	if index, found := slices.BinarySearchFunc(*r, ringPositionOf(n), compareRingPositions); found {
+		*r = slices.Delete(*r, index, index+1)
 	}
 }
 
-// monitors gives the nodes that watch one: its successors, of different machines and none of its own.
+// monitors returns the nodes that watch a node: its nearest successors on distinct machines other than its own.
 func (r ring) monitors(n Node) []ID {
-	p := placeOf(n)
-	at, found := slices.BinarySearchFunc(r, p, comparePlaces)
+	p := ringPositionOf(n)
+	start, found := slices.BinarySearchFunc(r, p, compareRingPositions)
 	if found {
-		at++
+		start++
 	}
-	var chosen []place
+	var chosen []ringPosition
 	for i := 0; i < len(r) && len(chosen) < MonitorCount; i++ {
-		next := r[(at+i)%len(r)]
-		taken := func(c place) bool { return c.name == next.name }
-		if next.name != p.name && !slices.ContainsFunc(chosen, taken) {
+		next := r[(start+i)%len(r)]
+		sameMachine := func(c ringPosition) bool { return c.machine == next.machine }
+		if next.machine != p.machine && !slices.ContainsFunc(chosen, sameMachine) {
 			chosen = append(chosen, next)
 		}
 	}
@@ -69,12 +69,12 @@
 	return ids
 }
 
-// predecessors gives the ids before a node's place, the nearest first: among them are all that it watches.
+// predecessors returns the ids before a node's position, nearest first. They include all nodes that it watches.
 func (r ring) predecessors(n Node) []ID {
-	at, _ := slices.BinarySearchFunc(r, placeOf(n), comparePlaces)
+	start, _ := slices.BinarySearchFunc(r, ringPositionOf(n), compareRingPositions)
 	var ids []ID
-	for i := 1; i <= min(len(r), watchWalk); i++ {
-		p := r[(at-i+2*len(r))%len(r)]
+	for i := 1; i <= min(len(r), watchSearchLimit); i++ {
+		p := r[(start-i+2*len(r))%len(r)]
 		if p.id != n.ID() {
 			ids = append(ids, p.id)
 		}
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -1,12 +1,12 @@
-// Package placement says at which stores a record belongs, by rendezvous hashing (Thaler and Ravishankar): every caller
-// with the same members comes to the same order, and a change of members moves only what it has to.
+// Package placement assigns records to stores by rendezvous hashing (Thaler and Ravishankar): all callers with the same
+// members compute the same order, and a change of members moves no more records than necessary.
 //
 //	table := placement.NewTable(members)
-//	order := table.Order(placement.Key(root), home, nil)
-//	places := order[:copies]
+//	order := table.AppendOrder(placement.KeyOf(root), homeZone, nil)
+//	chosen := order[:copies]
 //
-// The order takes distinct zones first: the member of greatest weight of each zone, the home zone's before all, then the
-// second of each zone, and so on. Retiring members are left out. A Table is immutable.
+// The order alternates between zones: first the member of greatest weight of each zone, then the second of each zone, and
+// so on; in each of these groups the home zone comes first. Retiring members are left out. A Table is immutable.
 package placement
 
 import (
@@ -18,86 +18,86 @@
 	"emberquay/coordination/hashing"
 )
 
-// Member is a place.
+// Member is a store that records can be assigned to.
 type Member struct {
-	Name     string // stays the same when the member comes back without what it held
+	Name     string // unchanged if the member returns with an empty disk
 	Zone     string
 	Retiring bool
 }
 
-// Table holds the members.
+// Table assigns keys to members.
 type Table struct {
-	members []Member
-	hashes  []uint64
+	members    []Member
+	nameHashes []uint64
 }
 
-// NewTable makes a table; the members are copied.
+// NewTable returns a table of a copy of the members.
 func NewTable(members []Member) *Table {
-	t := &Table{members: slices.Clone(members), hashes: make([]uint64, len(members))}
-	for at, m := range members {
-		t.hashes[at] = xxhash.Sum64String(m.Name)
+	t := &Table{members: slices.Clone(members), nameHashes: make([]uint64, len(members))}
+	for index, m := range members {
+		t.nameHashes[index] = xxhash.Sum64String(m.Name)
 	}
 	return t
 }
 
-// KeyOf is the hash of a record's name.
+// KeyOf returns the key of a record: the hash of its name.
 func KeyOf(name string) uint64 { return xxhash.Sum64String(name) }
 
-// candidate is a member in the order of one key.
+// candidate is a member with its sort criteria for one key.
 type candidate struct {
-	at     int
-	weight uint64
-	round  int // how many of its zone come before it
-	away   bool
+	index           int
+	weight          uint64
+	zoneRank        int // number of members of its zone with greater weight
+	outsideHomeZone bool
 }
 
-// AppendOrder appends the places in members of all that are not retiring, in the order of a key. Records of the same key and
-// home have the same order. A home that no member is in changes nothing.
-func (t *Table) AppendOrder(key uint64, home string, into []int) []int {
-	var space [16]candidate // avoids an allocation for usual numbers of members
-	candidates := space[:0]
-	for at, m := range t.members {
+// AppendOrder appends to dst the indexes of all members that are not retiring, in the order for a key and a home zone.
+// A home zone without members has no effect.
+func (t *Table) AppendOrder(key uint64, homeZone string, dst []int) []int {
+	var buffer [16]candidate // avoids an allocation for common numbers of members
+	candidates := buffer[:0]
+	for index, m := range t.members {
 		if !m.Retiring {
-			candidates = append(candidates, candidate{at: at, weight: hashing.Mix(key ^ t.hashes[at]), away: m.Zone != home})
+			candidates = append(candidates, candidate{index: index, weight: hashing.Mix(key ^ t.nameHashes[index]), outsideHomeZone: m.Zone != homeZone})
 		}
 	}
-	slices.SortFunc(candidates, heavier)
-	for at := range candidates {
-		candidates[at].round = t.before(candidates[:at], candidates[at])
+	slices.SortFunc(candidates, compareWeight)
+	for index := range candidates {
+		candidates[index].zoneRank = t.countSameZone(candidates[:index], candidates[index])
 	}
 	slices.SortFunc(candidates, func(a, b candidate) int {
-		if c := cmp.Compare(a.round, b.round); c != 0 {
+		if c := cmp.Compare(a.zoneRank, b.zoneRank); c != 0 {
 			return c
 		}
-		if a.away != b.away {
-			if b.away {
+		if a.outsideHomeZone != b.outsideHomeZone {
+			if b.outsideHomeZone {
 				return -1
 			}
 			return 1
 		}
-		return heavier(a, b)
+		return compareWeight(a, b)
 	})
 	for _, c := range candidates {
-		into = append(into, c.at)
+		dst = append(dst, c.index)
 	}
-	return into
+	return dst
 }
 
-// before counts the members of the same zone among those of greater weight.
-func (t *Table) before(greater []candidate, c candidate) int {
+// countSameZone returns the number of members of c's zone among those of greater weight.
+func (t *Table) countSameZone(heavier []candidate, c candidate) int {
 	count := 0
-	for _, g := range greater {
-		if t.members[g.at].Zone == t.members[c.at].Zone {
+	for _, g := range heavier {
+		if t.members[g.index].Zone == t.members[c.index].Zone {
 			count++
 		}
 	}
 	return count
 }
 
-// heavier puts the greater weight first; the place decides between equals, so that the order is total.
-func heavier(a, b candidate) int {
+// compareWeight orders by descending weight, and equal weights by index, so that the order is total.
+func compareWeight(a, b candidate) int {
 	if c := cmp.Compare(b.weight, a.weight); c != 0 {
 		return c
 	}
-	return cmp.Compare(a.at, b.at)
+	return cmp.Compare(a.index, b.index)
 }
