--- a/coordination/budget/ledger_test.go
+++ b/coordination/budget/ledger_test.go
@@ -45,7 +45,7 @@
 		Expect(ledger.SettledTokens()).To(Equal(int64(4)))
 	})
 
-	It("reports the others, not the turn that asks", func() {
+	It("reports all turns except the requesting one", func() {
 		ledger.Reserve(1, 10)
 		ledger.Reserve(2, 7)
 		ledger.Merge(settled(3, 5))
@@ -57,7 +57,7 @@
 		Expect(ledger.Report(3, false).TurnClosed).To(BeTrue())
 	})
 
-	It("lists only what is open once it is long, unless all is wanted", func() {
+	It("lists only open entries in long reports, unless the whole list is requested", func() {
 		for turn := range budget.TurnKey(100) {
 			ledger.Merge(settled(turn, 1))
 		}
@@ -69,7 +69,7 @@
 		Expect(ledger.Report(300, true).Entries).To(HaveLen(101))
 	})
 
-	It("has a digest of what it holds, not of how it came", func() {
+	It("has a digest that depends on its entries only, not on how they arrived", func() {
 		ledger.Reserve(1, 10)
 		ledger.Merge(settled(1, 4))
 		ledger.Merge(settled(2, 3))
@@ -81,7 +81,7 @@
 		Expect(ledger.Digest()).NotTo(Equal(other.Digest()))
 	})
 
-	It("is bounded, but loses nothing that counts", func() {
+	It("is bounded, but drops no open entry and none with tokens", func() {
 		for turn := range budget.TurnKey(budget.MaxEntries) {
 			ledger.Reserve(turn, 1)
 		}
@@ -92,13 +92,13 @@
 		Expect(ledger.Merge(settled(5, 0))).To(BeTrue())
 	})
 
-	It("takes tokens below zero for none", func() {
+	It("treats negative tokens as zero", func() {
 		ledger.Reserve(1, -5)
 		ledger.Merge(settled(2, -5))
 		Expect(ledger.Report(9, true).Entries).To(ConsistOf(open(1, 0), settled(2, 0)))
 	})
 
-	It("packs its entries", func() {
+	It("encodes and decodes its entries", func() {
 		ledger.Reserve(1, 1<<40)
 		ledger.Reserve(2, 0)
 		ledger.Merge(settled(1<<63, 0))
@@ -109,7 +109,7 @@
 	})
 })
 
-// reportOf makes the report of a store that knows these entries.
+// reportOf returns the report of a store that has these entries. Unless whole is set, it omits settled entries.
 func reportOf(whole bool, entries ...budget.Entry) budget.Report {
 	var ledger budget.Ledger
 	for _, e := range entries {
@@ -130,8 +130,8 @@
 	return report
 }
 
-// compact marks reports that list only what is open.
-const compact = false
+// withoutSettled is the whole argument of reportOf for reports that list only open entries.
+const withoutSettled = false
 
 var _ = DescribeTable("one round of three stores, budget 10",
 	func(action budget.Decision, reports ...budget.Report) {
@@ -141,31 +141,31 @@
 		}
 		Expect(attempt.Decide()).To(Equal(action))
 	},
-	Entry("none has answered", budget.Pending),
-	Entry("one has answered", budget.Pending, reportOf(true)),
-	Entry("a quorum alone does not grant", budget.Pending, reportOf(true), reportOf(true)),
-	Entry("all do", budget.Granted, reportOf(true), reportOf(true), reportOf(true)),
-	Entry("one below the budget", budget.Granted, reportOf(true, settled(1, 9)), reportOf(true), reportOf(true)),
-	Entry("one store knows it to be spent", budget.Exhausted, reportOf(true, settled(1, 10))),
-	Entry("spent by what they know together", budget.Exhausted,
+	Entry("no member has answered", budget.Pending),
+	Entry("one member has answered", budget.Pending, reportOf(true)),
+	Entry("a quorum alone does not suffice in the first round", budget.Pending, reportOf(true), reportOf(true)),
+	Entry("all members have answered", budget.Granted, reportOf(true), reportOf(true), reportOf(true)),
+	Entry("settled tokens one below the budget", budget.Granted, reportOf(true, settled(1, 9)), reportOf(true), reportOf(true)),
+	Entry("exhausted by the settled turns of one store", budget.Exhausted, reportOf(true, settled(1, 10))),
+	Entry("exhausted by the settled turns of several stores", budget.Exhausted,
 		reportOf(true, settled(1, 5)), reportOf(true, settled(2, 5)), reportOf(true)),
-	Entry("open turns decide", budget.Undecided, reportOf(true, open(1, 10)), reportOf(true), reportOf(true)),
-	Entry("a turn that some know to be settled counts as settled", budget.Granted,
+	Entry("open turns fill the budget", budget.Undecided, reportOf(true, open(1, 10)), reportOf(true), reportOf(true)),
+	Entry("a turn that is settled at one store counts as settled", budget.Granted,
 		reportOf(true, open(1, 10)), reportOf(true, settled(1, 2)), reportOf(true, open(1, 10))),
-	Entry("the turn itself was closed", budget.Undecided, budget.Report{TurnClosed: true, Whole: true}),
-	Entry("long lists that are alike", budget.Granted, reportOf(compact, settled(1, 4), open(2, 5)),
-		reportOf(compact, settled(1, 4)), reportOf(compact, settled(1, 4), open(2, 5))),
-	Entry("long lists that are alike and spent with what is open", budget.Undecided,
-		reportOf(compact, settled(1, 4), open(2, 5)), reportOf(compact, settled(1, 4), open(3, 5)),
-		reportOf(compact, settled(1, 4))),
-	Entry("long lists that differ, but are small enough", budget.Granted,
-		reportOf(compact, settled(1, 4)), reportOf(compact, settled(1, 4), settled(2, 1)), reportOf(compact)),
-	Entry("long lists that differ and may hold the same", budget.Pending,
-		reportOf(compact, settled(1, 4)), reportOf(compact, settled(1, 4), settled(2, 3)), reportOf(compact)),
+	Entry("the turn itself is closed", budget.Undecided, budget.Report{TurnClosed: true, Whole: true}),
+	Entry("abridged lists with equal settled entries", budget.Granted, reportOf(withoutSettled, settled(1, 4), open(2, 5)),
+		reportOf(withoutSettled, settled(1, 4)), reportOf(withoutSettled, settled(1, 4), open(2, 5))),
+	Entry("abridged lists with equal settled entries, where open turns fill the budget", budget.Undecided,
+		reportOf(withoutSettled, settled(1, 4), open(2, 5)), reportOf(withoutSettled, settled(1, 4), open(3, 5)),
+		reportOf(withoutSettled, settled(1, 4))),
+	Entry("abridged lists with different settled entries whose upper bound is below the budget", budget.Granted,
+		reportOf(withoutSettled, settled(1, 4)), reportOf(withoutSettled, settled(1, 4), settled(2, 1)), reportOf(withoutSettled)),
+	Entry("abridged lists with different settled entries that may overlap", budget.Pending,
+		reportOf(withoutSettled, settled(1, 4)), reportOf(withoutSettled, settled(1, 4), settled(2, 3)), reportOf(withoutSettled)),
 )
 
 var _ = Describe("a second round", func() {
-	It("grants by a quorum", func() {
+	It("grants on the reports of a quorum", func() {
 		attempt := budget.NewAttempt(10, 3, 2)
 		attempt.AddReport(0, reportOf(true))
 		attempt.AddReport(1, reportOf(true))
@@ -176,11 +176,11 @@
 		Expect(attempt.Decide()).To(Equal(budget.Granted))
 	})
 
-	It("asks for whole lists where digests do not tell enough", func() {
+	It("requests whole lists if the upper bounds reach the budget", func() {
 		attempt := budget.NewAttempt(10, 3, 2)
-		attempt.AddReport(0, reportOf(compact, settled(1, 4)))
-		attempt.AddReport(1, reportOf(compact, settled(1, 4), settled(2, 3)))
-		attempt.AddReport(2, reportOf(compact, settled(1, 4)))
+		attempt.AddReport(0, reportOf(withoutSettled, settled(1, 4)))
+		attempt.AddReport(1, reportOf(withoutSettled, settled(1, 4), settled(2, 3)))
+		attempt.AddReport(2, reportOf(withoutSettled, settled(1, 4)))
 		Expect(attempt.NeedsWholeLists()).To(BeTrue())
 		Expect(attempt.StartSecondRound()).To(BeTrue())
 		attempt.AddReport(0, reportOf(true, settled(1, 4)))
@@ -188,7 +188,7 @@
 		Expect(attempt.Decide()).To(Equal(budget.Granted))
 	})
 
-	It("must not begin without a quorum", func() {
+	It("panics if started without a quorum", func() {
 		attempt := budget.NewAttempt(10, 3, 2)
 		attempt.AddReport(0, reportOf(true))
 		Expect(func() { attempt.StartSecondRound() }).To(Panic())
--- a/coordination/budget/model_test.go
+++ b/coordination/budget/model_test.go
@@ -9,18 +9,19 @@
 	"emberquay/coordination/budget"
 )
 
-// The model: stores that crash and lose their disks, proxies that reserve, settle and die, and a network that delays,
-// repeats and loses messages. It follows the rules of the stores' runtime: fences, completeness, catching up.
+// The model simulates stores that crash and lose their disks, proxies that reserve, settle and crash, and a network that
+// delays, duplicates and loses messages. Its stores follow the rules of the real ones: fencing by view epoch, no answers
+// while incomplete, and catching up from other stores.
 
-// modelStore is a machine with a disk. Its memory runs ahead of its disk.
+// modelStore is a store with a disk. Its memory may be newer than its disk.
 type modelStore struct {
-	disk     int // drawn anew when the disk is lost
-	memory   map[budget.TurnKey]budget.Entry
-	durable  map[budget.TurnKey]budget.Entry
-	fence    int
-	complete bool
-	compared map[int]bool // disks it has caught up with
-	waiting  []modelMessage
+	disk          int // id of the disk, replaced when the disk is lost
+	memory        map[budget.TurnKey]budget.Entry
+	durable       map[budget.TurnKey]budget.Entry
+	fence         int
+	complete      bool
+	comparedWith  map[int]bool // by disk: the stores it has caught up from
+	unsentAnswers []modelMessage
 }
 
 func (s *modelStore) ledger() *budget.Ledger {
@@ -34,24 +35,24 @@
 func (s *modelStore) merge(e budget.Entry) {
 	l := s.ledger()
 	l.Merge(e)
-	s.take(l)
+	s.setMemory(l)
 }
 
-func (s *modelStore) take(l *budget.Ledger) {
+func (s *modelStore) setMemory(l *budget.Ledger) {
 	s.memory = map[budget.TurnKey]budget.Entry{}
 	for _, e := range l.Entries(nil) {
 		s.memory[e.Turn] = e
 	}
 }
 
-// sync brings the memory to the disk and lets the answers go that waited for it.
+// sync writes the memory to the disk and sends the answers that waited for it.
 func (s *modelStore) sync(m *model) {
 	s.durable = maps.Clone(s.memory)
-	m.messages = append(m.messages, s.waiting...)
-	s.waiting = nil
+	m.messages = append(m.messages, s.unsentAnswers...)
+	s.unsentAnswers = nil
 }
 
-// modelView is the list of disks in force, by machine.
+// modelView is the list of current disks, by store.
 type modelView struct {
 	epoch int
 	disks []int
@@ -60,34 +61,34 @@
 type modelKind int
 
 const (
-	askReserve modelKind = iota
-	askRecheck
-	askSettle
-	tellReport
+	reserveRequest modelKind = iota
+	recheckRequest
+	settleRequest
+	reportAnswer
 )
 
 type modelMessage struct {
-	kind   modelKind
-	view   int // epoch
-	disk   int // that is meant
-	store  int
-	turn   budget.TurnKey
-	most   int64 // or used
-	round  int
-	whole  bool
-	report budget.Report
+	kind      modelKind
+	viewEpoch int
+	disk      int // the addressed disk
+	store     int
+	turn      budget.TurnKey
+	tokens    int64 // reserved tokens, used tokens in a settleRequest, -1 in an answer if the reservation was not stored
+	round     int
+	whole     bool
+	report    budget.Report
 }
 
-// modelTurn is a turn and its proxy's attempt.
+// modelTurn is a turn with its proxy's attempt.
 type modelTurn struct {
-	key     budget.TurnKey
-	most    int64
-	view    modelView
-	attempt *budget.Attempt
-	round   int
-	verdict budget.Decision
-	over    bool  // settled, withdrawn, or its proxy died
-	used    int64 // once over
+	key        budget.TurnKey
+	maxTokens  int64
+	view       modelView
+	attempt    *budget.Attempt
+	round      int
+	decision   budget.Decision
+	finished   bool  // settled, withdrawn, or its proxy crashed
+	usedTokens int64 // set once finished
 }
 
 type model struct {
@@ -98,16 +99,16 @@
 	view      modelView
 	turns     []*modelTurn
 	messages  []modelMessage
-	disks     int
+	lastDisk  int
 }
 
 func newModel(t *rapid.T, stores, tolerance int) *model {
 	m := &model{t: t, tolerance: tolerance, budget: rapid.Int64Range(4, 8).Draw(t, "budget")}
 	m.view.epoch = 1
 	for range stores {
-		m.disks++
-		m.stores = append(m.stores, &modelStore{disk: m.disks, fence: 1, complete: true, memory: map[budget.TurnKey]budget.Entry{}})
-		m.view.disks = append(m.view.disks, m.disks)
+		m.lastDisk++
+		m.stores = append(m.stores, &modelStore{disk: m.lastDisk, fence: 1, complete: true, memory: map[budget.TurnKey]budget.Entry{}})
+		m.view.disks = append(m.view.disks, m.lastDisk)
 	}
 	return m
 }
@@ -119,79 +120,79 @@
 
 func (m *model) send(t *modelTurn, kind modelKind, whole bool) {
 	for store, disk := range t.view.disks {
-		m.messages = append(m.messages, modelMessage{kind: kind, view: t.view.epoch, disk: disk, store: store,
-			turn: t.key, most: t.most, round: t.round, whole: whole})
+		m.messages = append(m.messages, modelMessage{kind: kind, viewEpoch: t.view.epoch, disk: disk, store: store,
+			turn: t.key, tokens: t.maxTokens, round: t.round, whole: whole})
 	}
 }
 
-func (m *model) begin() {
-	t := &modelTurn{key: budget.TurnKey(len(m.turns) + 1), most: rapid.Int64Range(3, 8).Draw(m.t, "most")}
+func (m *model) startTurn() {
+	t := &modelTurn{key: budget.TurnKey(len(m.turns) + 1), maxTokens: rapid.Int64Range(3, 8).Draw(m.t, "most")}
 	m.turns = append(m.turns, t)
-	m.restart(t)
+	m.startAttempt(t)
 }
 
-// restart begins an attempt under the newest view.
-func (m *model) restart(t *modelTurn) {
+// startAttempt starts an attempt under the newest view.
+func (m *model) startAttempt(t *modelTurn) {
 	t.view = modelView{epoch: m.view.epoch, disks: slices.Clone(m.view.disks)}
 	t.attempt = budget.NewAttempt(m.budget, len(m.stores), m.quorum())
-	t.round += 10 // answers to earlier rounds don't count
-	m.send(t, askReserve, false)
+	t.round += 10 // answers to earlier rounds are ignored
+	m.send(t, reserveRequest, false)
 }
 
-// deliver takes one message.
+// deliver handles one message at its recipient.
 func (m *model) deliver(x modelMessage) {
-	if x.kind == tellReport {
-		m.hear(x)
+	if x.kind == reportAnswer {
+		m.receiveReport(x)
 		return
 	}
 	s := m.stores[x.store]
-	if s.disk != x.disk || x.view < s.fence {
+	if s.disk != x.disk || x.viewEpoch < s.fence {
 		return
 	}
-	s.fence = x.view
-	answer := modelMessage{kind: tellReport, store: x.store, turn: x.turn, round: x.round}
+	s.fence = x.viewEpoch
+	answer := modelMessage{kind: reportAnswer, store: x.store, turn: x.turn, round: x.round}
 	switch x.kind {
-	case askSettle:
-		s.merge(budget.Entry{Turn: x.turn, Tokens: x.most})
+	case settleRequest:
+		s.merge(budget.Entry{Turn: x.turn, Tokens: x.tokens})
 		return
-	case askReserve:
+	case reserveRequest:
 		l := s.ledger()
 		if l.SettledTokens() < m.budget {
-			l.Reserve(x.turn, x.most)
-			s.take(l)
+			l.Reserve(x.turn, x.tokens)
+			s.setMemory(l)
 		} else if _, known := s.memory[x.turn]; !known {
-			answer.most = -1 // not kept
+			answer.tokens = -1 // not stored
 		}
 	}
 	answer.report = s.ledger().Report(x.turn, x.whole || rapid.Bool().Draw(m.t, "whole"))
 	if !s.complete {
 		return
 	}
-	if answer.most < 0 && !answer.report.TurnClosed && answer.report.SettledTokens < m.budget {
+	if answer.tokens < 0 && !answer.report.TurnClosed && answer.report.SettledTokens < m.budget {
 		return
 	}
-	if x.kind == askRecheck {
+	if x.kind == recheckRequest {
 		m.messages = append(m.messages, answer)
 		return
 	}
-	s.waiting = append(s.waiting, answer)
+	s.unsentAnswers = append(s.unsentAnswers, answer)
 }
 
-// hear takes a report at the proxy.
-func (m *model) hear(x modelMessage) {
+// receiveReport handles a report at the proxy.
+func (m *model) receiveReport(x modelMessage) {
 	t := m.turns[x.turn-1]
-	if t.over || t.verdict != budget.Pending || x.round != t.round {
+	if t.finished || t.decision != budget.Pending || x.round != t.round {
 		return
 	}
 	t.attempt.AddReport(x.store, x.report)
-	t.verdict = t.attempt.Decide()
-	switch t.verdict {
+	t.decision = t.attempt.Decide()
+	switch t.decision {
 	case budget.Pending:
 		if t.attempt.NeedsWholeLists() {
 			m.recheck(t)
 		}
 	case budget.Granted:
-		m.check()
+		m.checkInvariant()
 	default:
 		m.finish(t, 0)
 	}
@@ -200,57 +201,58 @@
 func (m *model) recheck(t *modelTurn) {
 	whole := t.attempt.StartSecondRound()
 	t.round++
-	m.send(t, askRecheck, whole)
+	m.send(t, recheckRequest, whole)
 }
 
-// finish settles a turn.
-func (m *model) finish(t *modelTurn, used int64) {
-	t.over = true
-	t.used = used
-	kept := t.most
-	t.most = used
-	m.send(t, askSettle, false)
-	t.most = kept
+// finish settles a turn at the tokens it used.
+func (m *model) finish(t *modelTurn, usedTokens int64) {
+	t.finished = true
+	t.usedTokens = usedTokens
+	maxTokens := t.maxTokens
+	t.maxTokens = usedTokens
+	m.send(t, settleRequest, false)
+	t.maxTokens = maxTokens
 }
 
-// check: all that was granted, at what it used or may use yet, is below the budget and the most of one turn.
-func (m *model) check() {
-	sum, most := int64(0), int64(0)
+// checkInvariant fails unless the granted turns, each at its used or reserved tokens, together stay below the budget plus
+// the largest reservation of one of them.
+func (m *model) checkInvariant() {
+	total, largest := int64(0), int64(0)
 	for _, t := range m.turns {
-		if t.verdict != budget.Granted {
+		if t.decision != budget.Granted {
 			continue
 		}
-		most = max(most, t.most)
-		if t.over {
-			sum += t.used
+		largest = max(largest, t.maxTokens)
+		if t.finished {
+			total += t.usedTokens
 		} else {
-			sum += t.most
+			total += t.maxTokens
 		}
 	}
-	if sum >= m.budget+most {
-		m.t.Fatalf("%d tokens of a budget of %d, the most of one turn being %d", sum, m.budget, most)
+	if total >= m.budget+largest {
+		m.t.Fatalf("granted turns use %d tokens of a budget of %d; the largest reservation is %d", total, m.budget, largest)
 	}
 }
 
-// wipe loses a disk, if so many may be lost.
-func (m *model) wipe(s *modelStore) {
-	lost := 0
+// loseDisk replaces the disk of a store by an empty one, if another loss is tolerated.
+func (m *model) loseDisk(s *modelStore) {
+	incomplete := 0
 	for _, other := range m.stores {
 		if !other.complete {
-			lost++
+			incomplete++
 		}
 	}
-	if lost >= m.tolerance || !s.complete {
+	if incomplete >= m.tolerance || !s.complete {
 		return
 	}
-	m.disks++
-	*s = modelStore{disk: m.disks, compared: map[int]bool{}, memory: map[budget.TurnKey]budget.Entry{}}
+	m.lastDisk++
+	*s = modelStore{disk: m.lastDisk, comparedWith: map[int]bool{}, memory: map[budget.TurnKey]budget.Entry{}}
 	m.view.epoch++
 	m.view.disks = slices.Clone(m.view.disks)
 	m.view.disks[slices.Index(m.stores, s)] = s.disk
 }
 
-// catchUp compares an incomplete store with one other.
+// catchUp copies the entries of another store to an incomplete one.
 func (m *model) catchUp(s, other *modelStore) {
 	if s.complete || !other.complete || s == other {
 		return
@@ -260,54 +262,54 @@
 	for _, e := range other.memory {
 		s.merge(e)
 	}
-	s.compared[other.disk] = true
+	s.comparedWith[other.disk] = true
 	others := len(m.stores) - 1
-	need := min(others, max(len(m.stores)-m.tolerance, len(m.stores)-m.quorum()+1))
-	if len(s.compared) >= need {
+	needed := min(others, max(len(m.stores)-m.tolerance, len(m.stores)-m.quorum()+1))
+	if len(s.comparedWith) >= needed {
 		s.complete = true
 		s.sync(m)
 	}
 }
 
-func (m *model) step() {
+func (m *model) randomStep() {
 	store := m.stores[rapid.IntRange(0, len(m.stores)-1).Draw(m.t, "store")]
 	switch rapid.IntRange(0, 25).Draw(m.t, "event") {
 	case 0, 1:
 		if len(m.turns) < 8 {
-			m.begin()
+			m.startTurn()
 		}
 	case 2:
-		m.wipe(store)
+		m.loseDisk(store)
 	case 3:
-		store.memory = maps.Clone(store.durable) // a crash
+		store.memory = maps.Clone(store.durable) // the store crashes
 		if store.memory == nil {
 			store.memory = map[budget.TurnKey]budget.Entry{}
 		}
-		store.waiting = nil
+		store.unsentAnswers = nil
 	case 4:
 		m.catchUp(store, m.stores[rapid.IntRange(0, len(m.stores)-1).Draw(m.t, "other")])
 	case 5, 6, 7:
 		store.sync(m)
 	case 8, 9, 10, 11:
-		m.proxyStep()
+		m.randomProxyStep()
 	case 12, 13, 14, 15, 16, 17, 18, 19:
-		m.exchange(store)
+		m.randomExchange(store)
 	default:
-		m.deliverSome()
+		m.deliverRandom()
 	}
 }
 
-// proxyStep does something at the proxy of a turn.
-func (m *model) proxyStep() {
+// randomProxyStep performs a random action of the proxy of a turn.
+func (m *model) randomProxyStep() {
 	if len(m.turns) == 0 {
 		return
 	}
 	t := m.turns[rapid.IntRange(0, len(m.turns)-1).Draw(m.t, "turn")]
-	if t.over {
+	if t.finished {
 		return
 	}
-	if t.verdict == budget.Granted {
-		m.finish(t, rapid.Int64Range(0, t.most).Draw(m.t, "used"))
+	if t.decision == budget.Granted {
+		m.finish(t, rapid.Int64Range(0, t.maxTokens).Draw(m.t, "used"))
 		return
 	}
 	switch rapid.IntRange(0, 3).Draw(m.t, "proxy") {
@@ -317,29 +319,29 @@
 		}
 	case 2:
 		if t.view.epoch < m.view.epoch {
-			m.restart(t)
+			m.startAttempt(t)
 		}
 	case 3:
-		m.finish(t, 0) // gives up
+		m.finish(t, 0) // the proxy gives up
 	}
 }
 
-// exchange lets a store answer all that a turn has asked it.
-func (m *model) exchange(s *modelStore) {
+// randomExchange delivers all messages between a random turn and a store.
+func (m *model) randomExchange(s *modelStore) {
 	if len(m.turns) == 0 {
 		return
 	}
-	m.exchangeTurn(m.turns[rapid.IntRange(0, len(m.turns)-1).Draw(m.t, "turn")], s)
+	m.exchange(m.turns[rapid.IntRange(0, len(m.turns)-1).Draw(m.t, "turn")], s)
 }
 
-func (m *model) exchangeTurn(t *modelTurn, s *modelStore) {
-	at := slices.Index(m.stores, s)
-	for range 2 { // the calls, then the answers
-		mine := func(x modelMessage) bool { return x.turn == t.key && x.store == at }
-		waiting := slices.Clone(m.messages)
-		m.messages = slices.DeleteFunc(m.messages, mine)
-		for _, x := range waiting {
-			if mine(x) {
+func (m *model) exchange(t *modelTurn, s *modelStore) {
+	store := slices.Index(m.stores, s)
+	for range 2 { // the requests, then the answers
+		matches := func(x modelMessage) bool { return x.turn == t.key && x.store == store }
+		inFlight := slices.Clone(m.messages)
+		m.messages = slices.DeleteFunc(m.messages, matches)
+		for _, x := range inFlight {
+			if matches(x) {
 				m.deliver(x)
 			}
 		}
@@ -347,16 +349,16 @@
 	}
 }
 
-// deliverSome delivers a message, which may come once more later, or loses it.
-func (m *model) deliverSome() {
+// deliverRandom delivers a random message, or duplicates or loses it.
+func (m *model) deliverRandom() {
 	if len(m.messages) == 0 {
 		return
 	}
-	at := rapid.IntRange(0, len(m.messages)-1).Draw(m.t, "message")
-	x := m.messages[at]
+	index := rapid.IntRange(0, len(m.messages)-1).Draw(m.t, "message")
+	x := m.messages[index]
 	fate := rapid.IntRange(0, 9).Draw(m.t, "fate")
 	if fate > 0 {
-		m.messages = slices.Delete(m.messages, at, at+1)
+		m.messages = slices.Delete(m.messages, index, index+1)
 	}
 	if fate < 9 {
 		m.deliver(x)
--- a/coordination/budget/race_test.go
+++ b/coordination/budget/race_test.go
@@ -7,27 +7,27 @@
 	"emberquay/coordination/budget"
 )
 
-// A racer is one of two reservations that race at three stores. What it does next is the event of its number: the
-// first round's call to a store, then the second round's.
+// racer is one of two concurrent reservations at three stores. Its next events are the calls of the first round to the
+// stores, then those of the second round.
 type racer struct {
-	first, second [3]bool // calls that have been answered
-	round         int
-	reports       [3]budget.Report // of the round
-	verdict       budget.Decision
+	firstRound, secondRound [3]bool // by store: the call was answered
+	round                   int
+	reports                 [3]budget.Report // of the current round
+	decision                budget.Decision
 }
 
-// race is a state of two racers.
+// race is a state of three stores and two racers.
 type race struct {
 	ledgers [3]budget.Ledger
 	racers  [2]racer
 }
 
 const (
-	raceBudget = 10
-	raceMost   = 10
+	raceBudget    = 10
+	raceMaxTokens = 10
 )
 
-// attempt works out what a racer knows by now.
+// attempt rebuilds the attempt of a racer from the reports it has received.
 func (r *racer) attempt() *budget.Attempt {
 	attempt := budget.NewAttempt(raceBudget, 3, 2)
 	if r.round == 1 {
@@ -35,31 +35,31 @@
 		attempt.AddReport(1, budget.Report{Whole: true})
 		attempt.StartSecondRound()
 	}
-	answered := r.first
+	answered := r.firstRound
 	if r.round == 1 {
-		answered = r.second
+		answered = r.secondRound
 	}
-	for store, yes := range answered {
-		if yes {
+	for store, hasAnswered := range answered {
+		if hasAnswered {
 			attempt.AddReport(store, r.reports[store])
 		}
 	}
 	return attempt
 }
 
-// answer delivers a racer's call to a store and its answer.
-func (s race) answer(who, store int) race {
+// answer returns the state after a racer's call to a store and the store's answer.
+func (s race) answer(racerIndex, store int) race {
 	s.ledgers[store] = copyOf(&s.ledgers[store])
-	r := &s.racers[who]
-	key := budget.TurnKey(who + 1)
+	r := &s.racers[racerIndex]
+	key := budget.TurnKey(racerIndex + 1)
 	if r.round == 0 {
-		s.ledgers[store].Reserve(key, raceMost)
-		r.first[store] = true
+		s.ledgers[store].Reserve(key, raceMaxTokens)
+		r.firstRound[store] = true
 	} else {
-		r.second[store] = true
+		r.secondRound[store] = true
 	}
 	r.reports[store] = s.ledgers[store].Report(key, true)
-	r.verdict = r.attempt().Decide()
+	r.decision = r.attempt().Decide()
 	return s
 }
 
@@ -71,51 +71,51 @@
 	return c
 }
 
-// explore runs through all interleavings. Each racer may begin its second round as soon as a quorum has answered.
-func (s race) explore(t *testing.T, seen map[string]bool, ends map[string]int) {
-	name := fmt.Sprint(s.racers, s.ledgers[0].Len(), s.ledgers[1].Len(), s.ledgers[2].Len())
-	if seen[name] {
+// explore visits all interleavings. A racer may start its second round as soon as a quorum has answered.
+func (s race) explore(t *testing.T, seen map[string]bool, outcomes map[string]int) {
+	stateKey := fmt.Sprint(s.racers, s.ledgers[0].Len(), s.ledgers[1].Len(), s.ledgers[2].Len())
+	if seen[stateKey] {
 		return
 	}
-	seen[name] = true
-	if s.racers[0].verdict == budget.Granted && s.racers[1].verdict == budget.Granted {
-		t.Fatalf("both granted: %+v", s.racers)
+	seen[stateKey] = true
+	if s.racers[0].decision == budget.Granted && s.racers[1].decision == budget.Granted {
+		t.Fatalf("both reservations are granted: %+v", s.racers)
 	}
-	moved := false
-	for who := range s.racers {
-		r := &s.racers[who]
-		if r.verdict != budget.Pending {
+	hasSuccessor := false
+	for racerIndex := range s.racers {
+		r := &s.racers[racerIndex]
+		if r.decision != budget.Pending {
 			continue
 		}
 		for store := range 3 {
-			if r.round == 0 && !r.first[store] || r.round == 1 && !r.second[store] {
-				moved = true
-				s.answer(who, store).explore(t, seen, ends)
+			if r.round == 0 && !r.firstRound[store] || r.round == 1 && !r.secondRound[store] {
+				hasSuccessor = true
+				s.answer(racerIndex, store).explore(t, seen, outcomes)
 			}
 		}
 		if r.round == 0 && r.attempt().HasQuorum() {
-			moved = true
+			hasSuccessor = true
 			next := s
-			next.racers[who].round = 1
-			next.racers[who].reports = [3]budget.Report{}
-			next.explore(t, seen, ends)
+			next.racers[racerIndex].round = 1
+			next.racers[racerIndex].reports = [3]budget.Report{}
+			next.explore(t, seen, outcomes)
 		}
 	}
-	if !moved {
-		ends[fmt.Sprint(s.racers[0].verdict, s.racers[1].verdict)]++
+	if !hasSuccessor {
+		outcomes[fmt.Sprint(s.racers[0].decision, s.racers[1].decision)]++
 	}
 }
 
-// Of two reservations that race, in every interleaving of their calls, at most one is granted where the budget holds
-// only one.
+// Of two concurrent reservations, of which the budget allows only one, at most one is granted in every interleaving of
+// their calls.
 func TestTwoRacingReservations(t *testing.T) {
 	seen := map[string]bool{}
-	ends := map[string]int{}
-	race{}.explore(t, seen, ends)
+	outcomes := map[string]int{}
+	race{}.explore(t, seen, outcomes)
 	if len(seen) < 1000 {
-		t.Fatalf("only %d states", len(seen))
+		t.Fatalf("explored only %d states", len(seen))
 	}
-	if ends[fmt.Sprint(budget.Granted, budget.Undecided)] == 0 || ends[fmt.Sprint(budget.Undecided, budget.Granted)] == 0 {
-		t.Fatalf("no interleaving grants one: %v", ends)
+	if outcomes[fmt.Sprint(budget.Granted, budget.Undecided)] == 0 || outcomes[fmt.Sprint(budget.Undecided, budget.Granted)] == 0 {
+		t.Fatalf("some reservation is granted in no interleaving: %v", outcomes)
 	}
 }
--- a/coordination/gossip/push_test.go
+++ b/coordination/gossip/push_test.go
@@ -17,10 +17,10 @@
 }
 
 var _ = Describe("pushes", func() {
-	newSpreader := func(peers []Peer) *Disseminator {
-		s := New(begin, Options{Self: "self", Zone: "z0", Kinds: testKinds(), FirstCompare: at(1000)}, 1)
-		s.SetPeers(begin, peers)
-		return s
+	newDisseminator := func(peers []Peer) *Disseminator {
+		d := New(testStart, Options{Self: "self", Zone: "z0", Kinds: testKinds(), FirstCompare: at(1000)}, 1)
+		d.SetPeers(testStart, peers)
+		return d
 	}
 
 	pushed := func(effects Effects) (keys, offered []string) {
@@ -35,54 +35,54 @@
 		return keys, offered
 	}
 
-	It("go to a few of the own zone and one of each other, the successor among them, in one message each", func() {
-		s := newSpreader(peersOf(4, 30))
-		s.Publish(begin, entryOf("x", 1))
-		s.Publish(begin, entryOf("y", 1))
-		Expect(s.Due()).To(Equal(begin.Add(batchDelay)))
-		s.Tick(begin)
-		Expect(s.Take().Messages).To(BeEmpty())
-		s.Tick(begin.Add(batchDelay))
+	It("go in one message each to a few peers of the own zone, including the successor, and to one peer of each other zone", func() {
+		d := newDisseminator(peersOf(4, 30))
+		d.Publish(testStart, entryOf("x", 1))
+		d.Publish(testStart, entryOf("y", 1))
+		Expect(d.Due()).To(Equal(testStart.Add(batchDelay)))
+		d.Tick(testStart)
+		Expect(d.Take().Messages).To(BeEmpty())
+		d.Tick(testStart.Add(batchDelay))
 		near, far := 0, map[string]bool{}
 		toNext := false
-		for _, out := range s.Take().Messages {
+		for _, out := range d.Take().Messages {
 			Expect(out.Message.Push).To(HaveLen(2))
-			zone, _ := s.contacts.zoneOf(out.To)
+			zone, _ := d.contacts.zoneOf(out.To)
 			if zone == "z0" {
 				near++
 			} else {
 				Expect(far[zone]).To(BeFalse())
 				far[zone] = true
 			}
-			toNext = toNext || out.To == s.contacts.successor.ID
+			toNext = toNext || out.To == d.contacts.successor.ID
 		}
 		Expect(near).To(Equal(sameZoneFanOut))
 		Expect(far).To(HaveLen(3))
 		Expect(toNext).To(BeTrue())
 	})
 
-	It("pass on what was news, not to the one it came from, and nothing twice", func() {
-		s := newSpreader(peersOf(1, 2))
-		s.Receive(begin, "z0-1", Message{Push: []Entry{entryOf("x", 1)}})
-		s.Receive(begin, "z0-1", Message{Push: []Entry{entryOf("x", 1)}})
-		s.Tick(begin.Add(batchDelay))
-		effects := s.Take()
+	It("forward new entries once, but not back to their source", func() {
+		d := newDisseminator(peersOf(1, 2))
+		d.Receive(testStart, "z0-1", Message{Push: []Entry{entryOf("x", 1)}})
+		d.Receive(testStart, "z0-1", Message{Push: []Entry{entryOf("x", 1)}})
+		d.Tick(testStart.Add(batchDelay))
+		effects := d.Take()
 		Expect(effects.Changed).To(HaveLen(1))
 		Expect(effects.Messages).To(HaveLen(1))
 		Expect(effects.Messages[0].To).To(Equal("z0-0"))
-		s.Receive(at(1), "z0-0", Message{Push: []Entry{entryOf("x", 1)}})
-		s.Tick(at(2))
-		Expect(s.Take()).To(Equal(Effects{}))
+		d.Receive(at(1), "z0-0", Message{Push: []Entry{entryOf("x", 1)}})
+		d.Tick(at(2))
+		Expect(d.Take()).To(Equal(Effects{}))
 	})
 
-	It("of many forwarders of a zone few leave it", func() {
-		s := newSpreader(peersOf(4, 100))
+	It("leave the zone from few of many forwarders", func() {
+		d := newDisseminator(peersOf(4, 100))
 		crossed := 0
 		for i := range 1000 {
-			s.Receive(begin, "z0-1", Message{Push: []Entry{entryOf("x", uint64(i+1))}})
-			s.Tick(begin.Add(batchDelay))
-			for _, out := range s.Take().Messages {
-				if zone, _ := s.contacts.zoneOf(out.To); zone != "z0" {
+			d.Receive(testStart, "z0-1", Message{Push: []Entry{entryOf("x", uint64(i+1))}})
+			d.Tick(testStart.Add(batchDelay))
+			for _, out := range d.Take().Messages {
+				if zone, _ := d.contacts.zoneOf(out.To); zone != "z0" {
 					crossed++
 				}
 			}
@@ -90,12 +90,12 @@
 		Expect(crossed).To(BeNumerically("~", 1000*crossZonePushes/101, 20))
 	})
 
-	It("offer large values, and many that a comparison brought", func() {
-		s := newSpreader(peersOf(1, 3))
-		s.Publish(begin, largeOf("large", 1))
-		s.Publish(begin, entryOf("small", 1))
-		s.Tick(begin.Add(batchDelay))
-		keys, offered := pushed(s.Take())
+	It("offer large values, and entries from comparisons if there are many", func() {
+		d := newDisseminator(peersOf(1, 3))
+		d.Publish(testStart, largeOf("large", 1))
+		d.Publish(testStart, entryOf("small", 1))
+		d.Tick(testStart.Add(batchDelay))
+		keys, offered := pushed(d.Take())
 		Expect(keys).To(HaveEach("small"))
 		Expect(offered).To(HaveEach("large"))
 
@@ -103,52 +103,52 @@
 		for i := range maxRepairedPushes + 1 {
 			many = append(many, entryOf(fmt.Sprint(i), 1))
 		}
-		s.Receive(begin, "z0-1", Message{Delta: &Delta{Entries: many}})
-		s.Tick(begin.Add(batchDelay))
-		keys, offered = pushed(s.Take())
+		d.Receive(testStart, "z0-1", Message{Delta: &Delta{Entries: many}})
+		d.Tick(testStart.Add(batchDelay))
+		keys, offered = pushed(d.Take())
 		Expect(keys).To(BeEmpty())
 		Expect(offered).To(HaveLen(2 * len(many)))
 	})
 
-	It("pass nothing on that a comparison brings while whole tables are taken over", func() {
-		s := newSpreader(peersOf(1, 3))
-		s.SetSyncing(true)
-		s.Receive(begin, "z0-1", Message{Delta: &Delta{Entries: []Entry{entryOf("x", 1)}}})
-		s.Receive(begin, "z0-1", Message{Push: []Entry{entryOf("y", 1)}})
-		s.Tick(begin.Add(batchDelay))
-		keys, _ := pushed(s.Take())
+	It("do not forward entries from comparisons during a sync", func() {
+		d := newDisseminator(peersOf(1, 3))
+		d.SetSyncing(true)
+		d.Receive(testStart, "z0-1", Message{Delta: &Delta{Entries: []Entry{entryOf("x", 1)}}})
+		d.Receive(testStart, "z0-1", Message{Push: []Entry{entryOf("y", 1)}})
+		d.Tick(testStart.Add(batchDelay))
+		keys, _ := pushed(d.Take())
 		Expect(keys).To(HaveEach("y"))
 	})
 
-	It("refuse what its kind refuses", func() {
-		s := newSpreader(nil)
-		s.Receive(begin, "z0-1", Message{Push: []Entry{entryOf("no/x", 1)}})
-		Expect(s.Take().Changed).To(BeEmpty())
+	It("are ignored if the kind rejects the entry", func() {
+		d := newDisseminator(nil)
+		d.Receive(testStart, "z0-1", Message{Push: []Entry{entryOf("no/x", 1)}})
+		Expect(d.Take().Changed).To(BeEmpty())
 	})
 
-	It("keep to few contacts among many, and to all among few", func() {
-		s := newSpreader(peersOf(4, 100))
-		Expect(len(s.contacts.sameZone)).To(Equal(sameZoneContacts))
-		Expect(len(s.contacts.otherZones)).To(Equal(otherZoneContacts))
-		kept := s.contacts.sameZone[0].ID
-		s.SetPeers(begin, peersOf(4, 101))
-		Expect(s.contacts.sameZone[0].ID).To(Equal(kept))
-		s.SetPeers(begin, peersOf(2, 5))
-		Expect(len(s.contacts.sameZone)).To(Equal(5))
-		Expect(len(s.contacts.otherZones)).To(Equal(5))
-		s.SetPeers(begin, nil)
-		s.Publish(begin, entryOf("x", 1))
-		s.Tick(at(2000))
-		Expect(s.Take().Messages).To(BeEmpty())
+	It("use few contacts among many peers, and all peers if there are few", func() {
+		d := newDisseminator(peersOf(4, 100))
+		Expect(len(d.contacts.sameZone)).To(Equal(sameZoneContacts))
+		Expect(len(d.contacts.otherZones)).To(Equal(otherZoneContacts))
+		kept := d.contacts.sameZone[0].ID
+		d.SetPeers(testStart, peersOf(4, 101))
+		Expect(d.contacts.sameZone[0].ID).To(Equal(kept))
+		d.SetPeers(testStart, peersOf(2, 5))
+		Expect(len(d.contacts.sameZone)).To(Equal(5))
+		Expect(len(d.contacts.otherZones)).To(Equal(5))
+		d.SetPeers(testStart, nil)
+		d.Publish(testStart, entryOf("x", 1))
+		d.Tick(at(2000))
+		Expect(d.Take().Messages).To(BeEmpty())
 	})
 })
 
 var _ = Describe("offers", func() {
-	var s *Disseminator
+	var d *Disseminator
 	offer := Message{Offer: []Version{{Key: "x", Stamp: Stamp{Epoch: 1, Sequence: 1}}}}
 	asked := func() []string {
 		var to []string
-		for _, out := range s.Take().Messages {
+		for _, out := range d.Take().Messages {
 			if len(out.Message.Want) > 0 {
 				to = append(to, out.To)
 			}
@@ -156,55 +156,55 @@
 		return to
 	}
 	BeforeEach(func() {
-		s = New(begin, Options{Self: "self", Zone: "z0", Kinds: testKinds(), FirstCompare: at(1000)}, 1)
-		s.SetPeers(begin, peersOf(2, 3))
+		d = New(testStart, Options{Self: "self", Zone: "z0", Kinds: testKinds(), FirstCompare: at(1000)}, 1)
+		d.SetPeers(testStart, peersOf(2, 3))
 	})
 
-	It("of the own zone are asked for at once, and once only", func() {
-		s.Receive(begin, "z0-1", offer)
-		s.Receive(begin, "z0-2", offer)
+	It("from the own zone are requested immediately, and only once", func() {
+		d.Receive(testStart, "z0-1", offer)
+		d.Receive(testStart, "z0-2", offer)
 		Expect(asked()).To(ConsistOf("z0-1"))
 	})
 
-	It("of another zone wait, and give way to one of the own", func() {
-		s.Receive(begin, "z1-1", offer)
+	It("from another zone wait, and are superseded by one from the own zone", func() {
+		d.Receive(testStart, "z1-1", offer)
 		Expect(asked()).To(BeEmpty())
-		s.Receive(begin, "z0-2", offer)
+		d.Receive(testStart, "z0-2", offer)
 		Expect(asked()).To(ConsistOf("z0-2"))
 	})
 
-	It("of another zone are asked for when none of the own comes", func() {
-		s.Receive(begin, "z1-1", offer)
-		Expect(s.Due()).To(BeTemporally("<=", begin.Add(otherZoneOfferWait)))
-		s.Tick(begin.Add(otherZoneOfferWait))
+	It("from another zone are requested if none from the own zone arrives", func() {
+		d.Receive(testStart, "z1-1", offer)
+		Expect(d.Due()).To(BeTemporally("<=", testStart.Add(otherZoneOfferWait)))
+		d.Tick(testStart.Add(otherZoneOfferWait))
 		Expect(asked()).To(ConsistOf("z1-1"))
 	})
 
-	It("are asked of another when the first does not answer, and then given up", func() {
-		s.Receive(begin, "z0-1", offer)
-		s.Receive(begin, "z0-2", offer)
+	It("are requested from a second peer if the first does not answer, and then given up", func() {
+		d.Receive(testStart, "z0-1", offer)
+		d.Receive(testStart, "z0-2", offer)
 		asked()
-		s.Tick(begin.Add(requestTimeout))
+		d.Tick(testStart.Add(requestTimeout))
 		Expect(asked()).To(ConsistOf("z0-2"))
-		s.Tick(begin.Add(2 * requestTimeout))
+		d.Tick(testStart.Add(2 * requestTimeout))
 		Expect(asked()).To(BeEmpty())
-		Expect(s.wanted.byKey).To(BeEmpty())
+		Expect(d.wanted.byKey).To(BeEmpty())
 	})
 
-	It("of what is here are not asked for", func() {
-		s.Put(begin, entryOf("x", 1))
-		s.Receive(begin, "z0-1", offer)
+	It("of known entries are not requested", func() {
+		d.Put(testStart, entryOf("x", 1))
+		d.Receive(testStart, "z0-1", offer)
 		Expect(asked()).To(BeEmpty())
 	})
 })
 
 var _ = Describe("the next stamp of a key", func() {
-	It("is above what is known, whatever the clock says", func() {
-		s := New(begin, Options{Self: "self", Kinds: testKinds()}, 1)
-		first := s.NextStamp(begin, "x")
-		Expect(first.Epoch).To(BeEquivalentTo(begin.UnixMilli()))
-		s.Put(begin, Entry{Key: "x", Stamp: Stamp{Epoch: first.Epoch + 5000, Sequence: 3, Origin: "z"}})
-		Expect(s.NextStamp(begin, "x").After(s.table.stamp("x"))).To(BeTrue())
-		Expect(s.NextStamp(at(60), "x").After(s.table.stamp("x"))).To(BeTrue())
+	It("is newer than the known stamp, whatever the clock shows", func() {
+		d := New(testStart, Options{Self: "self", Kinds: testKinds()}, 1)
+		first := d.NextStamp(testStart, "x")
+		Expect(first.Epoch).To(BeEquivalentTo(testStart.UnixMilli()))
+		d.Put(testStart, Entry{Key: "x", Stamp: Stamp{Epoch: first.Epoch + 5000, Sequence: 3, Origin: "z"}})
+		Expect(d.NextStamp(testStart, "x").After(d.table.stamp("x"))).To(BeTrue())
+		Expect(d.NextStamp(at(60), "x").After(d.table.stamp("x"))).To(BeTrue())
 	})
 })
--- a/coordination/gossip/spreader.go
+++ b/coordination/gossip/spreader.go
@@ -235,11 +235,11 @@
 
 // splitPending separates pending entries published by this node from those of other nodes.
 func (d *Disseminator) splitPending() (published, forwarded []pendingPush) {
-	for _, h := range d.pending {
-		if h.source == "" {
-			published = append(published, h)
+	for _, push := range d.pending {
+		if push.source == "" {
+			published = append(published, push)
 		} else {
-			forwarded = append(forwarded, h)
+			forwarded = append(forwarded, push)
 		}
 	}
 	return published, forwarded
@@ -250,8 +250,8 @@
 		return
 	}
 	repaired := 0
-	for _, h := range pushes {
-		if h.repaired {
+	for _, push := range pushes {
+		if push.repaired {
 			repaired++
 		}
 	}
@@ -264,12 +264,12 @@
 func (d *Disseminator) buildPush(pushes []pendingPush, target string, offerRepaired bool) Message {
 	var m Message
 	size := 0
-	for _, h := range pushes {
-		r := d.table.find(h.key)
-		if h.source == target || r == nil || r.phase == tombstone {
+	for _, push := range pushes {
+		r := d.table.find(push.key)
+		if push.source == target || r == nil || r.phase == tombstone {
 			continue
 		}
-		asOffer := len(r.entry.Value) > maxPushedValueBytes || size > maxMessageBytes || h.repaired && offerRepaired
+		asOffer := len(r.entry.Value) > maxPushedValueBytes || size > maxMessageBytes || push.repaired && offerRepaired
 		switch {
 		case !asOffer || r.kind.Ephemeral:
 			m.Push = append(m.Push, r.entry)
--- a/coordination/hashing/hashing_test.go
+++ b/coordination/hashing/hashing_test.go
@@ -6,8 +6,8 @@
 	"emberquay/coordination/hashing"
 )
 
-// Stores of different builds compare digests: what these give must not change. The first three are the outputs of
-// splitmix64 from the seed 0, as its authors give them.
+// The results must not change, because stores of different builds compare digests. The expected values are the first
+// three outputs of splitmix64 from the seed 0, as published by its authors.
 func TestValuesAreFixed(t *testing.T) {
 	state := uint64(0)
 	for i, want := range []uint64{0xe220a8397b1dcdaf, 0x6e789e6aa1b965f4, 0x06c45d188009454f} {
@@ -17,6 +17,6 @@
 		}
 	}
 	if a, b := hashing.Pair(1, 2), hashing.Pair(2, 1); a == b {
-		t.Errorf("key and value are not told apart: %#x", a)
+		t.Errorf("swapping key and value gives the same hash: %#x", a)
 	}
 }
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -168,20 +168,20 @@
 	}
 }
 
-func (k *member) recordFalseSuspicion(now time.Time) {
-	if now.Sub(k.lastFalseSuspicion) > falseSuspicionMemory {
-		k.falseSuspicions = 0
+func (p *member) recordFalseSuspicion(now time.Time) {
+	if now.Sub(p.lastFalseSuspicion) > falseSuspicionMemory {
+		p.falseSuspicions = 0
 	}
-	k.falseSuspicions = min(k.falseSuspicions+1, maxTimeoutDoublings)
-	k.lastFalseSuspicion = now
+	p.falseSuspicions = min(p.falseSuspicions+1, maxTimeoutDoublings)
+	p.lastFalseSuspicion = now
 }
 
 // suspectTimeout returns how long the member may be silent before it is suspected.
-func (k *member) suspectTimeout(now time.Time) time.Duration {
-	if now.Sub(k.lastFalseSuspicion) > falseSuspicionMemory {
+func (p *member) suspectTimeout(now time.Time) time.Duration {
+	if now.Sub(p.lastFalseSuspicion) > falseSuspicionMemory {
 		return SuspectTimeout
 	}
-	return SuspectTimeout << k.falseSuspicions
+	return SuspectTimeout << p.falseSuspicions
 }
 
 // applyOwnRecord refutes a record of this node that contradicts its own. The record may have a higher incarnation, from an
--- a/coordination/merkle/merkle_test.go
+++ b/coordination/merkle/merkle_test.go
@@ -19,27 +19,27 @@
 }
 
 var _ = Describe("a tree", func() {
-	It("differs in the range of an entry only", func() {
+	It("differs only in the range of an added entry", func() {
 		var mine, theirs merkle.Tree
 		mine.Add(7<<60, 1)
 		Expect(merkle.DifferingRanges(mine.Leaves(), theirs.Leaves())).To(Equal([]int{merkle.RangeOf(7 << 60)}))
 		Expect(mine.Root()).NotTo(Equal(theirs.Root()))
 	})
 
-	It("differs by the value of an entry", func() {
+	It("differs if the value of an entry differs", func() {
 		var mine, theirs merkle.Tree
 		mine.Add(9, 1)
 		theirs.Add(9, 2)
 		Expect(mine.Root()).NotTo(Equal(theirs.Root()))
 	})
 
-	It("takes lists of another length for different everywhere", func() {
+	It("treats lists of another length as different in all ranges", func() {
 		var mine merkle.Tree
 		Expect(merkle.DifferingRanges(mine.Leaves(), nil)).To(HaveLen(merkle.RangeCount))
 	})
 })
 
-// Trees are alike exactly if the sets are, whatever the order of changes.
+// Two trees are equal if and only if their sets are equal, whatever the order of the changes.
 func TestSets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		keys := rapid.SliceOfDistinct(rapid.Uint64(), rapid.ID[uint64])
@@ -61,7 +61,7 @@
 			same = false
 		}
 		if (a.Root() == b.Root()) != same || (len(merkle.DifferingRanges(a.Leaves(), b.Leaves())) == 0) != same {
-			t.Fatalf("alike is %v", !same)
+			t.Fatalf("trees are equal: %v", !same)
 		}
 		for _, key := range second {
 			if !set[key] {
@@ -69,7 +69,7 @@
 			}
 		}
 		if a.Root() != b.Root() {
-			t.Fatal("removing does not undo adding")
+			t.Fatal("Remove does not undo Add")
 		}
 	})
 }
--- a/coordination/placement/placement_test.go
+++ b/coordination/placement/placement_test.go
@@ -15,7 +15,7 @@
 	RunSpecs(t, "placement")
 }
 
-// members gives one member to each zone named.
+// members returns one member in each of the zones listed.
 func members(zones ...string) []placement.Member {
 	var list []placement.Member
 	for at, zone := range zones {
@@ -31,7 +31,7 @@
 		for key := range 200 {
 			order := table.AppendOrder(placement.KeyOf(fmt.Sprint(key)), home, nil)
 			Expect(order).To(HaveLen(len(list)))
-			Expect(order).To(ConsistOf(all(len(list))...))
+			Expect(order).To(ConsistOf(indexes(len(list))...))
 			seen := map[string]bool{}
 			for _, at := range order[:firstZones] {
 				seen[list[at].Zone] = true
@@ -43,14 +43,14 @@
 		}
 	},
 	Entry("three zones", []string{"a", "b", "c"}, "", 3),
-	Entry("three zones of two", []string{"a", "a", "b", "b", "c", "c"}, "", 3),
+	Entry("three zones of two members each", []string{"a", "a", "b", "b", "c", "c"}, "", 3),
 	Entry("a home zone", []string{"a", "a", "b", "b", "c", "c"}, "b", 3),
 	Entry("uneven zones", []string{"a", "a", "a", "a", "b"}, "a", 2),
 	Entry("one zone", []string{"a", "a", "a"}, "a", 1),
 	Entry("one member", []string{"a"}, "", 1),
 )
 
-func all(count int) []any {
+func indexes(count int) []any {
 	var list []any
 	for at := range count {
 		list = append(list, at)
@@ -67,12 +67,12 @@
 		}
 	})
 
-	It("ignores a home that no member is in", func() {
+	It("ignores a home zone without members", func() {
 		table := placement.NewTable(members("a", "b", "c"))
 		Expect(table.AppendOrder(5, "elsewhere", nil)).To(Equal(table.AppendOrder(5, "", nil)))
 	})
 
-	It("appends, and holds nothing where nobody is", func() {
+	It("appends nothing if there are no members", func() {
 		Expect(placement.NewTable(nil).AppendOrder(5, "", []int{7})).To(Equal([]int{7}))
 	})
 
@@ -87,7 +87,7 @@
 		}
 	})
 
-	It("moves only what a member that goes had", func() {
+	It("moves only the keys of a member that is removed", func() {
 		list := members("a", "b", "c", "d")
 		before := placement.NewTable(list)
 		list[2].Retiring = true
