--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -7,7 +7,7 @@
 
 func TestPCGIsSeeded(t *testing.T) {
 	a, b, c := NewPCG(1), NewPCG(1), NewPCG(2)
-	x, y, z := a.Next(), b.Next(), c.Next()
+	x, y, z := a.Uint32(), b.Uint32(), c.Uint32()
 	if x != y || x == z {
 		t.Fatalf("same seed %d %d, other seed %d", x, y, z)
 	}
@@ -17,8 +17,8 @@
 	g := NewPCG(7)
 	var counts [10]int
 	for range 10_000 {
-		counts[g.Below(10)]++
-		if u := g.Unit(); u < 0 || u >= 1 {
+		counts[g.IntN(10)]++
+		if u := g.Float64(); u < 0 || u >= 1 {
 			t.Fatalf("%v is not in [0, 1)", u)
 		}
 	}
@@ -31,29 +31,29 @@
 
 func TestMeansFollow(t *testing.T) {
 	var mean float64
-	Smooth(&mean, 10)
+	UpdateEWMA(&mean, 10)
 	if mean != 10 {
 		t.Errorf("the first of a series gave %v", mean)
 	}
-	Smooth(&mean, 20)
+	UpdateEWMA(&mean, 20)
 	if mean != 12 {
 		t.Errorf("10 and 20 gave %v", mean)
 	}
-	var ill Share
+	var ill Fraction
 	for range 50 {
-		ill.Seen(true)
+		ill.Observe(true)
 	}
 	if ill < 0.99 || ill > 1 {
 		t.Errorf("50 of 50 gave %v", ill)
 	}
-	ill.Seen(false)
+	ill.Observe(false)
 	if math.Abs(float64(ill)-0.8) > 0.01 {
 		t.Errorf("one more that had it not gave %v", ill)
 	}
 }
 
 func TestWhatFadesIsCountedOverItsSpan(t *testing.T) {
-	var f Fading
+	var f DecayingCount
 	for at := range int64(100) {
 		f.Add(1, at*10, 100)
 	}
@@ -63,19 +63,19 @@
 }
 
 func TestAWindowHalvesAndGrows(t *testing.T) {
-	w := Window(FirstWindow)
-	w.Refused(20)
+	w := ConcurrencyWindow(InitialWindow)
+	w.OnRefusal(20)
 	if w != 4 {
 		t.Errorf("8, refused with 20 out, gave %v", w)
 	}
 	for range 4 {
-		w.Answered()
+		w.OnSuccess()
 	}
 	if w < 4.8 || w > 5 {
 		t.Errorf("a windowful answered gave %v", w)
 	}
 	for range 9 {
-		w.Refused(0)
+		w.OnRefusal(0)
 	}
 	if w != 1 {
 		t.Errorf("refused often gave %v", w)
@@ -84,12 +84,12 @@
 
 func TestPausesDoubleAndDiffer(t *testing.T) {
 	for times, want := range []int64{5, 10, 20, 40, 40} {
-		if got := Doubled(int64(5), times, 3); got != want {
+		if got := Backoff(int64(5), times, 3); got != want {
 			t.Errorf("doubled %d times: %d", times, got)
 		}
 	}
 	for chance, want := range map[float64]int64{0: 75, 0.5: 100, 1: 125} {
-		if got := Jittered(int64(100), 0.25, chance); got != want {
+		if got := Jitter(int64(100), 0.25, chance); got != want {
 			t.Errorf("chance %v gave %d", chance, got)
 		}
 	}
--- a/admission/dispatch/buckets.go
+++ b/admission/dispatch/buckets.go
@@ -191,7 +191,7 @@
 	e.lastResponse = now
 	if sentAt > e.rejectionCountedAt || e.rejectionCountedAt == 0 {
 		e.rejectionCountedAt = now
-		e.window.Refused(len(e.inFlight) + 1)
+		e.window.OnRefusal(len(e.inFlight) + 1)
 	}
 }
 
@@ -202,15 +202,15 @@
 	if e.consecutiveFailures < 2 {
 		return
 	}
-	backoff := admission.Jittered(admission.Doubled(baseBackoff, e.consecutiveFailures, maxBackoffDoublings), backoffJitter, chance)
+	backoff := admission.Jitter(admission.Backoff(baseBackoff, e.consecutiveFailures, maxBackoffDoublings), backoffJitter, chance)
 	e.backoffUntil = max(e.backoffUntil, now.Add(backoff))
 	e.probed = false
 }
 
 // recordError records a call that failed after the receiver had accepted it.
 func (e *endpoint) recordError(now Instant) {
-	e.errors = admission.Share(e.errorRate(now))
-	e.errors.Seen(true)
+	e.errors = admission.Fraction(e.errorRate(now))
+	e.errors.Observe(true)
 	e.errorsAt = now
 }
 
--- a/admission/dispatch/choice.go
+++ b/admission/dispatch/choice.go
@@ -123,7 +123,7 @@
 			candidates++
 		}
 	}
-	first, second := d.random.Below(candidates), d.random.Below(candidates)
+	first, second := d.random.IntN(candidates), d.random.IntN(candidates)
 	var chosen *endpoint
 	for i, e := range free {
 		if d.costs[i] > minCost+noiseMs {
--- a/admission/dispatch/dispatch.go
+++ b/admission/dispatch/dispatch.go
@@ -184,7 +184,7 @@
 	q.attempt++
 	if e.Engine != nil {
 		q.pendingPrefillTokens = q.uncachedTokens(d.now, e)
-		admission.Smooth(&s.meanUncachedTokens, q.minUncachedTokens)
+		admission.UpdateEWMA(&s.meanUncachedTokens, q.minUncachedTokens)
 		e.prefixes.add(d.now, q.Prefix, e.Engine.KVCapacityTokens)
 	}
 	e.callSent(q)
--- a/admission/dispatch/outcome.go
+++ b/admission/dispatch/outcome.go
@@ -90,24 +90,24 @@
 	case Success:
 		e.recordResponse(d.now)
 		e.consecutiveFailures = 0
-		e.errors.Seen(false)
-		e.window.Answered()
+		e.errors.Observe(false)
+		e.window.OnSuccess()
 		d.updateEstimate(s, q, o)
 		if expected := d.estimate(s, q).total(); expected > 0 {
-			admission.Smooth(&e.relativeDuration, float64(o.Duration)/float64(expected))
+			admission.UpdateEWMA(&e.relativeDuration, float64(o.Duration)/float64(expected))
 		}
 	case ErrorResponse:
 		e.recordResponse(d.now)
 		e.consecutiveFailures = 0
 		e.recordError(d.now)
 	case Full:
-		e.rejected(d.now, q.sentAt, o.RetryAfter, time.Duration(d.random.Unit()*float64(expected)))
+		e.rejected(d.now, q.sentAt, o.RetryAfter, time.Duration(d.random.Float64()*float64(expected)))
 	case Misdirected:
 		e.misdirected = true
 	case Cancelled:
 		if q.isOverdue(d.now) { // the client gave up a call whose response never started
 			e.recordError(d.now)
-			e.recordFailure(d.now, d.random.Unit())
+			e.recordFailure(d.now, d.random.Float64())
 		}
 	default:
 		if o.Kind.MayHaveRun() {
@@ -123,10 +123,10 @@
 	responding := e.lastResponse > q.sentAt
 	switch {
 	case responding && kind == NotConnected:
-		e.window.Refused(len(e.inFlight) + 1)
-		e.backoffUntil = max(e.backoffUntil, d.now.Add(time.Duration(d.random.Unit()*float64(expected))))
+		e.window.OnRefusal(len(e.inFlight) + 1)
+		e.backoffUntil = max(e.backoffUntil, d.now.Add(time.Duration(d.random.Float64()*float64(expected))))
 	case responding && kind == TimedOut:
 	default:
-		e.recordFailure(d.now, d.random.Unit())
+		e.recordFailure(d.now, d.random.Float64())
 	}
 }
--- a/admission/dispatch/programs_test.go
+++ b/admission/dispatch/programs_test.go
@@ -287,7 +287,7 @@
 // sendTurn sends a program's current turn to a proxy.
 func (m *programModel) sendTurn(a *agent, retry bool) {
 	p := a.usualProxy
-	if retry || m.random.Below(8) == 0 {
+	if retry || m.random.IntN(8) == 0 {
 		p = m.proxyInSameZone(p)
 	}
 	if p.d == nil { // no power: the connection fails after a second
@@ -321,7 +321,7 @@
 // proxyInSameZone returns a random proxy of the same zone.
 func (m *programModel) proxyInSameZone(as *programProxy) *programProxy {
 	for {
-		if p := m.proxies[m.random.Below(len(m.proxies))]; p.zone == as.zone {
+		if p := m.proxies[m.random.IntN(len(m.proxies))]; p.zone == as.zone {
 			return p
 		}
 	}
@@ -357,7 +357,7 @@
 		return
 	}
 	a.resends++
-	m.after(time.Duration(100+m.random.Below(300))*time.Millisecond, func() { m.sendTurn(a, false) })
+	m.after(time.Duration(100+m.random.IntN(300))*time.Millisecond, func() { m.sendTurn(a, false) })
 }
 
 // turnSucceeded sends the next turn after a pause, or ends the program.
@@ -375,9 +375,9 @@
 		m.end(a, worth)
 		return
 	}
-	a.parts = append(slices.Clone(a.parts), PrefixPart{ID: uint64(m.random.Next()) | 1<<40,
+	a.parts = append(slices.Clone(a.parts), PrefixPart{ID: uint64(m.random.Uint32()) | 1<<40,
 		Tokens: 3*a.turns[a.turn-1].outputTokens + a.turns[a.turn].inputTokens})
-	m.after(time.Duration(50+m.random.Below(250))*time.Millisecond, func() { m.sendTurn(a, false) })
+	m.after(time.Duration(50+m.random.IntN(250))*time.Millisecond, func() { m.sendTurn(a, false) })
 }
 
 func (m *programModel) end(a *agent, worth float64) {
@@ -388,22 +388,22 @@
 // startProgram starts a program of one of two kinds: a few turns with much input, or many with little.
 func (m *programModel) startProgram() {
 	m.startCount++
-	a := &agent{id: fmt.Sprint("p", m.startCount), startedAt: m.now, priority: 1, usualProxy: m.proxies[m.random.Below(len(m.proxies))]}
-	turns, input := 2+m.random.Below(5), 1030
-	if m.random.Below(100) < 28 {
-		turns, input, a.priority = 6+m.random.Below(11), 514, 0
+	a := &agent{id: fmt.Sprint("p", m.startCount), startedAt: m.now, priority: 1, usualProxy: m.proxies[m.random.IntN(len(m.proxies))]}
+	turns, input := 2+m.random.IntN(5), 1030
+	if m.random.IntN(100) < 28 {
+		turns, input, a.priority = 6+m.random.IntN(11), 514, 0
 	}
 	idleDuration := time.Duration(0)
 	for range turns {
-		t := agentTurn{inputTokens: input/2 + m.random.Below(input), outputTokens: 4 + m.random.Below(15)}
+		t := agentTurn{inputTokens: input/2 + m.random.IntN(input), outputTokens: 4 + m.random.IntN(15)}
 		t.outputTokens *= 3
 		a.turns = append(a.turns, t)
 		idleDuration += 31*time.Millisecond + programFirstToken + time.Duration(float64(t.inputTokens)/programPrefillTokensPerMs*float64(time.Millisecond)) +
 			time.Duration(t.outputTokens)*programStep + 175*time.Millisecond
 	}
 	a.target = time.Duration(programTargetFactor*float64(idleDuration)) + programObjective
-	kind := uint64(1 + 3*a.priority + m.random.Below(3))
-	a.parts = []PrefixPart{{ID: kind, Tokens: programSharedTokens}, {ID: uint64(m.random.Next()) | 1<<40, Tokens: a.turns[0].inputTokens}}
+	kind := uint64(1 + 3*a.priority + m.random.IntN(3))
+	a.parts = []PrefixPart{{ID: kind, Tokens: programSharedTokens}, {ID: uint64(m.random.Uint32()) | 1<<40, Tokens: a.turns[0].inputTokens}}
 	m.sendTurn(a, false)
 }
 
@@ -416,7 +416,7 @@
 		rate *= m.burstFactor
 	}
 	m.startProgram()
-	m.after(time.Duration(2*m.random.Unit()/rate*float64(time.Second)), m.startPrograms)
+	m.after(time.Duration(2*m.random.Float64()/rate*float64(time.Second)), m.startPrograms)
 }
 
 func (m *programModel) receivers() []Receiver {
--- a/admission/dispatch/queue.go
+++ b/admission/dispatch/queue.go
@@ -230,7 +230,7 @@
 	refusal := Refusal{Request: q.ID, Status: q.failureStatus, MayHaveRun: q.mayHaveRun, Reason: reason}
 	if !q.mayHaveRun {
 		refusal.Status = StatusServiceUnavailable
-		spread := 1 + retryAfterJitter*d.random.Unit()
+		spread := 1 + retryAfterJitter*d.random.Float64()
 		refusal.RetryAfter = time.Duration(spread * float64(max(wait, minWakeDelay)))
 	}
 	d.effects.Refusals = append(d.effects.Refusals, refusal)
--- a/admission/dispatch/sim_test.go
+++ b/admission/dispatch/sim_test.go
@@ -240,13 +240,13 @@
 	}
 	n := *t
 	n.turn++
-	n.parts = append(slices.Clone(t.parts), PrefixPart{ID: uint64(1000*n.session + n.turn + 10), Tokens: 200 + s.random.Below(800)})
+	n.parts = append(slices.Clone(t.parts), PrefixPart{ID: uint64(1000*n.session + n.turn + 10), Tokens: 200 + s.random.IntN(800)})
 	n.wasSent = false
-	s.after(time.Duration(50+s.random.Below(200))*time.Millisecond, func() { s.turn(p, &n) })
+	s.after(time.Duration(50+s.random.IntN(200))*time.Millisecond, func() { s.turn(p, &n) })
 }
 
 func (s *simulation) turn(p *simProxy, t *simTurn) {
-	t.submittedAt, t.tokens = s.now, 10+s.random.Below(70)
+	t.submittedAt, t.tokens = s.now, 10+s.random.IntN(70)
 	s.result.offered[t.priority]++
 	id := RequestID(fmt.Sprint(t.session, ".", t.turn))
 	p.turns[id] = t
@@ -270,11 +270,11 @@
 			return
 		}
 		session++
-		kind := s.random.Below(4)
-		t := &simTurn{session: session, turns: 2 + s.random.Below(5), priority: s.random.Below(2),
-			parts: []PrefixPart{{ID: uint64(kind + 1), Tokens: 2500}, {ID: uint64(1000 * session), Tokens: 200 + s.random.Below(800)}}}
-		s.turn(s.proxies[s.random.Below(len(s.proxies))], t)
-		s.after(time.Duration(2*s.random.Unit()/rate*float64(time.Second)), begin)
+		kind := s.random.IntN(4)
+		t := &simTurn{session: session, turns: 2 + s.random.IntN(5), priority: s.random.IntN(2),
+			parts: []PrefixPart{{ID: uint64(kind + 1), Tokens: 2500}, {ID: uint64(1000 * session), Tokens: 200 + s.random.IntN(800)}}}
+		s.turn(s.proxies[s.random.IntN(len(s.proxies))], t)
+		s.after(time.Duration(2*s.random.Float64()/rate*float64(time.Second)), begin)
 	}
 	begin()
 }
--- a/admission/dispatch/state.go
+++ b/admission/dispatch/state.go
@@ -87,13 +87,13 @@
 	idHash               uint64 // hash of the instance id
 	probed               bool   // responded since it was new, blocked or in backoff; until then one call at a time
 	misdirected          bool   // another instance answers at its address: no calls until its address changes
-	window               admission.Window
+	window               admission.ConcurrencyWindow
 	blockedUntil         Instant // end of the Retry-After of a rejection
 	rejectionCountedAt   Instant // when a rejection last reduced the window; those of earlier calls are not counted
 	backoffUntil         Instant // after failures
 	consecutiveFailures  int
-	lastResponse         Instant         // when a response last started or a rejection came
-	errors               admission.Share // share of recent calls that failed, as of errorsAt
+	lastResponse         Instant            // when a response last started or a rejection came
+	errors               admission.Fraction // share of recent calls that failed, as of errorsAt
 	errorsAt             Instant
 	relativeDuration     float64 // of its calls, as a multiple of the expected duration; 0: unknown
 	inFlight             []*request
@@ -115,7 +115,7 @@
 type endedCall struct{ sent, ended Instant }
 
 func newEndpoint(r Receiver) *endpoint {
-	return &endpoint{Receiver: r, idHash: xxhash.Sum64String(string(r.ID)), window: admission.Window(max(1, r.Slots))}
+	return &endpoint{Receiver: r, idHash: xxhash.Sum64String(string(r.ID)), window: admission.ConcurrencyWindow(max(1, r.Slots))}
 }
 
 // updateListing applies a new list entry of the receiver.
@@ -124,7 +124,7 @@
 		e.misdirected = false
 	}
 	if r.Slots > e.Slots {
-		e.window = admission.Window(r.Slots)
+		e.window = admission.ConcurrencyWindow(r.Slots)
 	}
 	e.Receiver = r
 }
--- a/admission/dispatch/usual.go
+++ b/admission/dispatch/usual.go
@@ -60,11 +60,11 @@
 		d.estimates[estimate.class] = estimate
 	}
 	estimate.lastUsed = d.submitted
-	admission.Smooth(&estimate.duration, float64(o.Duration))
+	admission.UpdateEWMA(&estimate.duration, float64(o.Duration))
 	if o.TimeToFirstByte > 0 {
-		admission.Smooth(&estimate.timeToFirstByte, float64(o.TimeToFirstByte))
+		admission.UpdateEWMA(&estimate.timeToFirstByte, float64(o.TimeToFirstByte))
 	}
-	admission.Smooth(&s.meanDuration, float64(o.Duration))
+	admission.UpdateEWMA(&s.meanDuration, float64(o.Duration))
 }
 
 func (d *Dispatcher) evictEstimate() {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -38,14 +38,14 @@
 
 type adapter struct {
 	instances map[int64]*instance
-	lists     map[int64][]control.Entry
+	lists     map[int64][]control.ReceiverEntry
 	heard     []*instance // those with an event in this batch, in order
 	now       control.Time
 	running   bool // inside a batch
 }
 
 func run(in io.Reader, out io.Writer) error {
-	d := &adapter{instances: map[int64]*instance{}, lists: map[int64][]control.Entry{}}
+	d := &adapter{instances: map[int64]*instance{}, lists: map[int64][]control.ReceiverEntry{}}
 	lines, w := simwire.NewReader(in), bufio.NewWriterSize(out, 1<<16)
 	round := ""
 	for {
@@ -86,7 +86,7 @@
 // commit lets every instance that heard something decide, and writes what they all had to say.
 func (d *adapter) commit(w io.Writer) {
 	for _, i := range d.heard {
-		i.guard(func() { i.sender.Settle() })
+		i.guard(func() { i.sender.Schedule() })
 		w.Write(i.reply.Bytes())
 		i.reply.Reset()
 		i.listed = false
@@ -119,7 +119,7 @@
 
 func (d *adapter) directory(l *simwire.Line, lines *simwire.Reader) error {
 	ref, count := l.Whole("Ref", 0, 15), l.Whole("Elements", 0, 1<<24)
-	var entries []control.Entry
+	var entries []control.ReceiverEntry
 	for range count {
 		m, err := lines.Next()
 		if err != nil {
@@ -128,7 +128,7 @@
 		if m.Name != "M" {
 			return fmt.Errorf("line %d: %s: an entry M was expected", m.No, m.Name)
 		}
-		e := control.Entry{
+		e := control.ReceiverEntry{
 			Receiver:    control.ReceiverID(m.Whole("Receiver", 0, math.MaxUint32)),
 			Rate:        m.OptNumber("Units"),
 			Destination: m.Whole("Destination", math.MinInt64, math.MaxInt64),
@@ -137,11 +137,11 @@
 		}
 		switch c := m.Word("Condition"); c {
 		case "up":
-			e.Listing = control.Up
+			e.State = control.Up
 		case "draining":
-			e.Listing = control.Draining
+			e.State = control.Draining
 		case "removed":
-			e.Listing = control.Removed
+			e.State = control.Removed
 		default:
 			m.Fault("Condition", fmt.Sprintf("%q is not known", c))
 		}
@@ -189,36 +189,36 @@
 			Retry:       l.Flag("Retry"),
 			Returned:    l.Flag("Returned"),
 		}
-		return i.call(l, func() { s.Take(a) })
+		return i.call(l, func() { s.HandleArrival(a) })
 	case "ATTEMPT_END":
 		id, n := l.Word("OpId"), int(l.Whole("SeqNo", 0, math.MaxInt32))
 		l.Whole("Receiver", 0, math.MaxUint32)
 		r := result(l)
-		return i.call(l, func() { s.Ended(id, n, r) })
+		return i.call(l, func() { s.HandleResult(id, n, r) })
 	case "PING_RESULT": // none is asked for
 		l.Whole("Receiver", 0, math.MaxUint32)
 		result(l)
 		return nil
 	case "ABORTED":
 		id := l.Word("OpId")
-		return i.call(l, func() { s.Withdrawn(id) })
+		return i.call(l, func() { s.Withdraw(id) })
 	case "ACK_FIRST":
 		id := l.Word("OpId")
-		return i.call(l, func() { s.Started(id) })
+		return i.call(l, func() { s.HandleResponseStart(id) })
 	case "BELL":
 		l.Whole("Mark", 0, math.MaxInt64)
-		return i.call(l, func() { s.Clock(d.now) })
+		return i.call(l, func() { s.SetTime(d.now) })
 	case "PEER_DATA":
 		from := int(l.Whole("Neighbour", 0, math.MaxInt32))
 		content, err := hex.DecodeString(strings.TrimSuffix(l.Word("Content"), "-"))
 		if err != nil {
 			l.Fault("Content", "no hex digits")
 		}
-		return i.call(l, func() { s.Noted(from, content) })
+		return i.call(l, func() { s.HandlePeerNote(from, content) })
 	case "UPDATE":
 		scope := l.Word("Scope")
 		if scope == "Error" {
-			return i.call(l, func() { s.Unwatched() })
+			return i.call(l, func() { s.HandleWatchEnd() })
 		}
 		ref := l.Whole("Ref", 0, 15)
 		l.Whole("Generation", 0, math.MaxInt64)
@@ -230,7 +230,7 @@
 		case scope != "Partial" && scope != "Complete" && scope != "Persisted":
 			l.Fault("Scope", fmt.Sprintf("%q is not known", scope))
 		}
-		return i.call(l, func() { s.Listed(scope != "Partial", entries) })
+		return i.call(l, func() { s.UpdateReceivers(scope != "Partial", entries) })
 	}
 	return fmt.Errorf("line %d: %s: no such message", l.No, l.Name)
 }
@@ -256,7 +256,7 @@
 		i.fault(err.Error())
 		return nil
 	}
-	i.guard(func() { i.sender.Clock(d.now) })
+	i.guard(func() { i.sender.SetTime(d.now) })
 	return nil
 }
 
@@ -265,7 +265,7 @@
 	if !i.listed {
 		i.listed = true
 		d.heard = append(d.heard, i)
-		i.guard(func() { i.sender.Clock(d.now) })
+		i.guard(func() { i.sender.SetTime(d.now) })
 	}
 }
 
@@ -280,7 +280,7 @@
 
 func result(l *simwire.Line) control.Result {
 	r := control.Result{
-		Closed: l.Flag("Final"),
+		Final:  l.Flag("Final"),
 		Took:   control.Time(l.OptWhole("TookUs", 0, math.MaxInt64) / perTenth),
 		Report: l.Numbers("HealthInfo"),
 	}
@@ -291,13 +291,13 @@
 	case "server_error":
 		r.Outcome = control.Errored
 	case "turned_away":
-		r.Outcome, r.Wait = control.Full, control.Time(remark*(1000/perTenth))
+		r.Outcome, r.RetryAfter = control.Refused, control.Time(remark*(1000/perTenth))
 	case "no_answer":
 		r.Outcome = control.NoAnswer
 	case "no_connection":
 		r.Outcome = control.NoConnection
 	case "connection_lost":
-		r.Outcome = control.Lost
+		r.Outcome = control.ConnectionLost
 	case "called_off":
 		r.Outcome = control.Cancelled
 	case "not_sent":
@@ -322,17 +322,17 @@
 	i.say("OVERLOAD_REPLY Who=%d OpId=%s ComeBackUs=%d", i.who, text, comeBack*perTenth)
 }
 
-func (i *instance) Undeliverable(text string) { i.say("END_FAILED Who=%d OpId=%s", i.who, text) }
+func (i *instance) MarkUndeliverable(text string) { i.say("END_FAILED Who=%d OpId=%s", i.who, text) }
 
-func (i *instance) Wake(at control.Time, mark int64) {
+func (i *instance) WakeAt(at control.Time, mark int64) {
 	i.say("SLEEP Who=%d InstantUs=%d Mark=%d", i.who, at*perTenth, mark)
 }
 
-func (i *instance) Close(to control.ReceiverID) { i.say("CLOSE Who=%d Receiver=%d", i.who, to) }
+func (i *instance) CloseIdle(to control.ReceiverID) { i.say("CLOSE Who=%d Receiver=%d", i.who, to) }
 
-func (i *instance) Watch() { i.say("SUBSCRIBE Who=%d Enable=1", i.who) }
+func (i *instance) WatchReceivers() { i.say("SUBSCRIBE Who=%d Enable=1", i.who) }
 
-func (i *instance) Note(content []byte) {
+func (i *instance) Broadcast(content []byte) {
 	i.say("SAY Who=%d To=all Content=%s", i.who, hex.EncodeToString(content))
 }
 
--- a/control/buckets.go
+++ b/control/buckets.go
@@ -29,7 +29,7 @@
 				delete(s.buckets, oldest.key)
 			}
 		}
-		b = &bucket{key: key, window: admission.FirstWindow}
+		b = &bucket{key: key, window: admission.InitialWindow}
 		s.buckets[key] = b
 	}
 	return b
@@ -88,7 +88,7 @@
 	case told && (b.fulls < 2 || !limited):
 		return 0
 	case limited:
-		return admission.Jittered(admission.Doubled(s.freeing(limit, 1), b.fulls-1, 1), 0.5, s.chance.Unit())
+		return admission.Jitter(admission.Backoff(s.freeing(limit, 1), b.fulls-1, 1), 0.5, s.chance.Float64())
 	}
 	return backOff(r, b.fulls-1)
 }
@@ -122,5 +122,5 @@
 
 // backOff is a usual call, doubled so many times, the default pause at most.
 func backOff(r *receiver, times int) Time {
-	return min(defaultPause, admission.Doubled(cmp.Or(Time(r.dest.pace), defaultPause), times, 9))
+	return min(defaultPause, admission.Backoff(cmp.Or(Time(r.dest.pace), defaultPause), times, 9))
 }
--- a/control/connections.go
+++ b/control/connections.go
@@ -10,7 +10,7 @@
 func (s *Sender) hangUp(r *receiver) {
 	each, idle := float64(len(r.dest.receivers)), float64(s.span("Permissions.ConnIdleUs", 0))
 	due := r.dest.arrived*idle > each*float64(s.now-s.began+s.longestSLA) || s.opened[r.kind] >= 6
-	few := s.senders() <= max(admission.FirstWindow, s.capacity(r)*r.dest.pace/float64(Second)/each)
+	few := s.senders() <= max(admission.InitialWindow, s.capacity(r)*r.dest.pace/float64(Second)/each)
 	scarce := !few && (s.crowded[r.kind] || !due)
 	if r.connected && len(r.calls) == 0 && (scarce || s.now-r.idleSince >= s.keep()) {
 		s.close(r)
@@ -19,7 +19,7 @@
 
 func (s *Sender) close(r *receiver) {
 	r.connected = false
-	s.out.Close(r.id)
+	s.out.CloseIdle(r.id)
 }
 
 // keep is how long an idle connection is trusted: until it closes by itself, but once one that had been idle
--- a/control/control.go
+++ b/control/control.go
@@ -27,16 +27,16 @@
 	firstPace    = 10          // parts of an SLA time: a guess at a usual call until the first answer
 )
 
-// Clock tells the time of the calls that follow.
-func (s *Sender) Clock(now Time) {
+// SetTime tells the time of the calls that follow.
+func (s *Sender) SetTime(now Time) {
 	s.began = cmp.Or(s.began, now)
 	s.now = max(s.now, now)
 }
 
-// Take takes a text in; from here on it is owed one final answer. Where the list names other destinations but
+// HandleArrival takes a text in; from here on it is owed one final answer. Where the list names other destinations but
 // not its own, it is refused before anything is kept of it, unless it was taken on before a restart.
-func (s *Sender) Take(a Arrival) {
-	if s.destinations[a.Destination] == nil && len(s.receivers) > 0 && !a.Owed {
+func (s *Sender) HandleArrival(a Arrival) {
+	if s.destinations[a.Destination] == nil && len(s.receivers) > 0 && !a.Recovered {
 		s.out.Nack(a.ID, s.advice(defaultPause))
 		return
 	}
@@ -48,11 +48,11 @@
 	s.seq++
 	t := &text{id: a.ID, seq: s.seq, product: p, dest: s.destination(a.Destination), key: a.Key,
 		validUntil: s.now + a.TimeLeft, wantedBy: s.now + p.sla - max(0, p.validity-a.TimeLeft),
-		submits: a.Submits, mayHaveRun: a.RanSince > 0, ranSince: a.RanSince, ranZone: a.RanZone,
-		within: s.within(s.brands[a.Brand]), owed: a.Owed}
+		submits: a.Attempts, mayHaveRun: a.FirstRunAt > 0, ranSince: a.FirstRunAt, ranZone: a.FirstRunZone,
+		within: s.within(s.brands[a.Brand]), owed: a.Recovered}
 	s.texts[t.id] = t
 	t.dest.arrived++
-	admission.Smooth(&s.meanValue, p.value)
+	admission.UpdateEWMA(&s.meanValue, p.value)
 	if p.inOrder && t.key != "" {
 		k := s.line(t.key)
 		k.texts = append(k.texts, t)
@@ -63,8 +63,8 @@
 	s.hold(t)
 }
 
-// Withdrawn: nobody wants the text any more; a submit of it that is out is called off.
-func (s *Sender) Withdrawn(id string) {
+// Withdraw: nobody wants the text any more; a submit of it that is out is called off.
+func (s *Sender) Withdraw(id string) {
 	t := s.texts[id]
 	if t == nil {
 		return
@@ -75,23 +75,23 @@
 	s.finish(t)
 }
 
-// Started: the answer has begun, the submit is the client's now; its end is still told.
-func (s *Sender) Started(id string) {
+// HandleResponseStart: the answer has begun, the submit is the client's now; its end is still told.
+func (s *Sender) HandleResponseStart(id string) {
 	if t := s.texts[id]; t != nil {
 		t.over = true
 	}
 }
 
-// Ended hands the result of a submit to the step that waits for it.
-func (s *Sender) Ended(id string, no int, r Result) {
+// HandleResult hands the result of a submit to the step that waits for it.
+func (s *Sender) HandleResult(id string, no int, r Result) {
 	if t := s.texts[id]; t != nil && t.out != nil && t.out.no == no {
 		t.next(r)
 	}
 }
 
-// Settle decides what goes now; call it once after all news of a batch. It walks the destinations that
+// Schedule decides what goes now; call it once after all news of a batch. It walks the destinations that
 // have texts or calls, not the list: a sender may know thousands and have texts for a few.
-func (s *Sender) Settle() {
+func (s *Sender) Schedule() {
 	s.watch()
 	for _, d := range s.busy {
 		for _, r := range d.receivers {
@@ -162,6 +162,6 @@
 	if at < math.MaxInt64 && (s.wakeAt <= s.now || at < s.wakeAt) {
 		s.wakeAt = at
 		s.marks++
-		s.out.Wake(at, s.marks)
+		s.out.WakeAt(at, s.marks)
 	}
 }
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -42,13 +42,13 @@
 			return rapid.SampledFrom([][]float64{nil, {0, 10}, {1, 10}, {0.3, 4}, {3, 5}, {0, 0}, {1, 1e-15}, {math.NaN(), 3}, {1}}).Draw(rt, "report")
 		}
 		wait := func(o Outcome) Time {
-			if o != Full {
+			if o != Refused {
 				return 0
 			}
 			return rapid.SampledFrom([]Time{0, 0, 700, 2500, 15000, 36000 * Second}).Draw(rt, "wait")
 		}
-		outcome := rapid.SampledFrom([]Outcome{Delivered, Delivered, Delivered, Delivered, Errored, Full, NoConnection,
-			NoConnection, NoConnection, Lost, Unsent, NoAnswer})
+		outcome := rapid.SampledFrom([]Outcome{Delivered, Delivered, Delivered, Delivered, Errored, Refused, NoConnection,
+			NoConnection, NoConnection, ConnectionLost, Unsent, NoAnswer})
 		rt.Repeat(map[string]func(*rapid.T){
 			"take": func(*rapid.T) {
 				for range rapid.SampledFrom([]int{1, 1, 2, 30}).Draw(rt, "clump") {
@@ -74,24 +74,26 @@
 			},
 			"list": func(*rapid.T) {
 				p := w.to[ReceiverID(rapid.IntRange(11, 16).Draw(rt, "receiver"))]
-				p.Listing = rapid.SampledFrom([]Listing{Up, Up, Draining, Removed}).Draw(rt, "listing")
+				p.State = rapid.SampledFrom([]ReceiverState{Up, Up, Draining, Removed}).Draw(rt, "listing")
 				p.toldAt = w.now
 				whole := rapid.Bool().Draw(rt, "whole")
-				w.step(func() { w.s.Listed(whole, map[bool][]Entry{true: w.entries(), false: {p.Entry}}[whole]) })
+				w.step(func() {
+					w.s.UpdateReceivers(whole, map[bool][]ReceiverEntry{true: w.entries(), false: {p.ReceiverEntry}}[whole])
+				})
 			},
 			"withdraw": func(*rapid.T) {
 				if n > 0 {
 					x := w.texts[fmt.Sprint("t", rapid.IntRange(1, n).Draw(rt, "text"))]
 					x.over = true
-					w.step(func() { w.s.Withdrawn(x.id) })
+					w.step(func() { w.s.Withdraw(x.id) })
 				}
 			},
-			"unwatched": func(*rapid.T) { w.step(func() { w.s.Unwatched() }) },
+			"unwatched": func(*rapid.T) { w.step(func() { w.s.HandleWatchEnd() }) },
 			"stale": func(*rapid.T) {
 				w.step(func() {
-					w.s.Ended("t1", 99, Result{Outcome: Full, Wait: Second})
-					w.s.Ended("never", 0, Result{})
-					w.s.Noted(1, []byte("x"))
+					w.s.HandleResult("t1", 99, Result{Outcome: Refused, RetryAfter: Second})
+					w.s.HandleResult("never", 0, Result{})
+					w.s.HandlePeerNote(1, []byte("x"))
 				})
 			},
 			"": func(*rapid.T) {
@@ -128,12 +130,12 @@
 	expect(t, w, "sent at nought", w.sends, 1)
 	w.advance(2500) // two senders on ten a second: a call every 0.2 s
 	expect(t, w, "sent after the hold", w.sends, 2)
-	w.answer(w.outs()[0], Full, 3*Second)
+	w.answer(w.outs()[0], Refused, 3*Second)
 	w.advance(29000)
 	expect(t, w, "sent in the wait", w.sends, 2)
 	w.advance(1500)
 	expect(t, w, "sent after the wait", w.sends, 3)
-	w.answer(w.outs()[0], Full, 9*Second)
+	w.answer(w.outs()[0], Refused, 9*Second)
 	expect(t, w, "refused at once, as the wait outlasts the validity period", w.nacks, 2)
 	expect(t, w, "with the wait, capped", w.lastNack, 3*Second)
 }
@@ -163,9 +165,9 @@
 	w.answer(w.outs()[0], Delivered, 0, 1, 20)
 	outs := w.outs()
 	expect(t, w, "texts in one call", len(outs), 3)
-	w.answer(outs[0], Full, 500)
-	w.answer(outs[1], Full, 20000)
-	w.answer(outs[2], Full, 0)
+	w.answer(outs[0], Refused, 500)
+	w.answer(outs[1], Refused, 20000)
+	w.answer(outs[2], Refused, 0)
 	sends := w.sends
 	w.advance(19000)
 	expect(t, w, "sent in the longest wait", w.sends, sends)
@@ -185,7 +187,7 @@
 // A call lost behind a receiver that answered others made it look silent.
 func TestACallLostBesideOthersIsNoFailure(t *testing.T) {
 	w := newWorld(1, nil)
-	w.step(func() { w.s.Listed(false, []Entry{{Receiver: 12, Destination: 1, Listing: Removed}}) })
+	w.step(func() { w.s.UpdateReceivers(false, []ReceiverEntry{{Receiver: 12, Destination: 1, State: Removed}}) })
 	w.deliver(1, 1, 10)
 	lost := w.take("lost", "free", 1, "", 8*Second)
 	w.advance(500)
@@ -199,7 +201,7 @@
 	sends := 0
 	for i := range uint64(200) {
 		w := newWorld(i*0x9e3779b97f4a7c15, Settings{"Instances": "200"}) // neighbouring seeds begin alike
-		w.step(func() { w.s.Listed(false, []Entry{{Receiver: 12, Destination: 1, Listing: Removed}}) })
+		w.step(func() { w.s.UpdateReceivers(false, []ReceiverEntry{{Receiver: 12, Destination: 1, State: Removed}}) })
 		fill(w, 2, "free", 1)
 		w.advance(500)
 		w.answer(w.outs()[0], Errored, 0)
@@ -219,7 +221,7 @@
 		w := newWorld(seed, Settings{"Instances": "200"})
 		fill(w, 3, "free", 1)
 		w.advance(500)
-		w.answer(w.outs()[0], Full, 5*Second, 1, 10)
+		w.answer(w.outs()[0], Refused, 5*Second, 1, 10)
 		before := w.sends
 		w.advance(5*Second + 1000)
 		sends += w.sends - before
@@ -260,7 +262,7 @@
 func TestATimeOutIsNoShorterThanTheProcessIsLate(t *testing.T) {
 	for late, want := range map[Time]Time{0: 15 * 3, 1000: 1000} {
 		w := newWorld(1, nil)
-		w.s.ProcessLateness(late)
+		w.s.SetProcessLateness(late)
 		a := w.take("a", "once", 1, "", 8*Second)
 		w.advance(3)
 		w.answer(a, Delivered, 0, 1, 10)
@@ -275,7 +277,7 @@
 		w := newWorld(1, Settings{"Instances": senders})
 		fill(w, 1, "free", 1)
 		w.advance(12000)
-		w.answer(w.outs()[0], Full, Second, 0, 10)
+		w.answer(w.outs()[0], Refused, Second, 0, 10)
 		expect(t, w, "refused among "+senders, w.nacks, nacks)
 	}
 }
@@ -289,7 +291,7 @@
 	w.advance(500)
 	outs := w.outs()
 	for _, x := range outs {
-		w.answer(x, Full, 500, 0, 10)
+		w.answer(x, Refused, 500, 0, 10)
 	}
 	expect(t, w, "calls refused", len(outs), 4)
 	expect(t, w, "rounds counted", w.s.receivers[11].bucket.fulls, 1)
@@ -321,7 +323,7 @@
 	for seed := range uint64(50) {
 		w := newWorld(seed, Settings{"Instances": "80"})
 		fill(w, 1, "free", 1)
-		w.answer(w.outs()[0], Full, 0, 0, 80)
+		w.answer(w.outs()[0], Refused, 0, 0, 80)
 		held := w.s.receivers[11].bucket.heldUntil - w.now
 		least, most = min(least, held), max(most, held)
 	}
@@ -333,11 +335,11 @@
 // Every batch walked the whole list: the two largest days were cut off for their CPU.
 func TestABatchWalksWhatItTouches(t *testing.T) {
 	w := newWorld(1, nil)
-	var list []Entry
+	var list []ReceiverEntry
 	for i := range 10000 {
-		list = append(list, Entry{Receiver: ReceiverID(100 + i), Destination: int64(100 + i/2), Kind: "one"})
+		list = append(list, ReceiverEntry{Receiver: ReceiverID(100 + i), Destination: int64(100 + i/2), Kind: "one"})
 	}
-	w.step(func() { w.s.Listed(false, list) })
+	w.step(func() { w.s.UpdateReceivers(false, list) })
 	fill(w, 3, "free", 1)
 	expect(t, w, "destinations walked", len(w.s.busy), 1)
 	w.answer(w.outs()[0], Delivered, 0, 1, 10)
@@ -345,10 +347,10 @@
 		w.answer(w.outs()[0], Delivered, 0)
 	}
 	expect(t, w, "destinations walked when all is answered", len(w.s.busy), 0)
-	w.step(func() { w.s.Listed(true, w.entries()) })
+	w.step(func() { w.s.UpdateReceivers(true, w.entries()) })
 	expect(t, w, "receivers remembered, the last of a destination for a while", len(w.s.receivers), 5006)
 	w.advance(goneFor)
-	w.step(func() { w.s.Listed(true, w.entries()) })
+	w.step(func() { w.s.UpdateReceivers(true, w.entries()) })
 	expect(t, w, "receivers remembered", len(w.s.receivers), 6)
 }
 
@@ -364,14 +366,14 @@
 	expect(t, w, "connections closed where none was refused", len(w.closed), 0)
 	x := w.give(1)
 	first := x.out
-	w.answer(x, Full, 0)
+	w.answer(x, Refused, 0)
 	other := x.out
 	expect(t, w, "goes to the other receiver at once", other != 0 && other != first, true)
 	w.answer(x, Delivered, 0, 1, 500)
 	expect(t, w, "closed at the other, which refused none", w.closed[len(w.closed)-1], other)
 
 	x = w.give(1)
-	w.answer(x, Full, 0) // at the other; the first one rests already
+	w.answer(x, Refused, 0) // at the other; the first one rests already
 	expect(t, w, "out while both rest", x.out, ReceiverID(0))
 	w.advance(Second)
 	expect(t, w, "sent again within a second", x.out != 0, true)
@@ -414,17 +416,17 @@
 // Kept connections that were reset at their next call made receivers look ill that answered all others.
 func TestKeptConnectionsThatBreakAreNoFailure(t *testing.T) {
 	w := newWorld(1, nil)
-	w.step(func() { w.s.Listed(false, []Entry{{Receiver: 12, Destination: 1, Listing: Removed}}) })
+	w.step(func() { w.s.UpdateReceivers(false, []ReceiverEntry{{Receiver: 12, Destination: 1, State: Removed}}) })
 	x := w.take("a", "free", 1, "", 8*Second)
 	for range 3 {
 		w.advance(100)
 		w.kept = true
-		w.answer(x, Lost, 0)
+		w.answer(x, ConnectionLost, 0)
 		expect(t, w, "failures noted", w.s.receivers[11].fails, 0)
 		expect(t, w, "sent again at once", x.out, ReceiverID(11))
 	}
 	w.kept = false // a new one tells
-	w.answer(x, Lost, 0)
+	w.answer(x, ConnectionLost, 0)
 	w.answer(x, NoConnection, 0)
 	expect(t, w, "failures noted", w.s.receivers[11].fails, 2)
 }
@@ -438,7 +440,7 @@
 	expect(t, w, "refused", w.nacks, 99)
 	expect(t, w, "with when to come back", w.lastNack, defaultPause)
 	expect(t, w, "destinations kept", len(w.s.destinations), 3)
-	w.step(func() { w.s.Listed(true, nil) })
+	w.step(func() { w.s.UpdateReceivers(true, nil) })
 	fill(w, 1, "free", 1)
 	expect(t, w, "refused where the next receiver may be late", w.nacks, 99)
 }
@@ -446,9 +448,9 @@
 // On a long day new receivers replaced old ones all the time; what failed just before it left stayed for ever.
 func TestWhatIsGoneIsForgotten(t *testing.T) {
 	w := newWorld(1, nil)
-	one := func(id ReceiverID, l Listing) {
-		w.to[id] = &place{Entry: Entry{id, 10, int64(id), "apart", "z1", l}, toldAt: w.now}
-		w.step(func() { w.s.Listed(false, []Entry{{id, 10, int64(id), "apart", "z1", l}}) })
+	one := func(id ReceiverID, l ReceiverState) {
+		w.to[id] = &place{ReceiverEntry: ReceiverEntry{id, 10, int64(id), "apart", "z1", l}, toldAt: w.now}
+		w.step(func() { w.s.UpdateReceivers(false, []ReceiverEntry{{id, 10, int64(id), "apart", "z1", l}}) })
 	}
 	for id := ReceiverID(100); id < 400; id++ {
 		one(id, Up)
@@ -486,14 +488,14 @@
 		{"queued", 1, 4 * Second, 0, 0, 1},
 	} {
 		w := newWorld(1, nil)
-		a := Arrival{ID: "a", Product: c.product, Destination: 1, TimeLeft: 3 * Second, Submits: c.submits}
+		a := Arrival{ID: "a", Product: c.product, Destination: 1, TimeLeft: 3 * Second, Attempts: c.submits}
 		x := &sent{id: "a", product: c.product, dest: 1, until: w.now + a.TimeLeft, submits: c.submits}
 		if c.ago > 0 {
-			a.RanSince, a.RanZone = w.now-c.ago, "z1"
-			x.ran, x.ranSince = true, a.RanSince
+			a.FirstRunAt, a.FirstRunZone = w.now-c.ago, "z1"
+			x.ran, x.ranSince = true, a.FirstRunAt
 		}
 		w.texts["a"], w.order = x, []string{"a"}
-		w.step(func() { w.s.Take(a) })
+		w.step(func() { w.s.HandleArrival(a) })
 		expect(t, w, fmt.Sprint(c), fmt.Sprint(w.sends, w.nacks, w.failed), fmt.Sprint(c.sends, c.nacks, c.failed))
 		if w.sends > 0 {
 			w.answer(x, Delivered, 0) // the submits go on being counted from there
@@ -507,7 +509,7 @@
 func TestWhatARestartFindsUntriedIsTried(t *testing.T) {
 	w := newWorld(1, nil)
 	owed := func(id, product string, dest int64) Arrival {
-		return Arrival{ID: id, Product: product, Destination: dest, TimeLeft: 8 * Second, Owed: true}
+		return Arrival{ID: id, Product: product, Destination: dest, TimeLeft: 8 * Second, Recovered: true}
 	}
 	all := []Arrival{owed("far", "free", 99)}
 	for i := range 18 {
@@ -519,12 +521,12 @@
 	for i := range 18 {
 		x := w.texts[fmt.Sprint("a", i)]
 		if x.out != 0 { // the first is refused, and the second is late: from there the destination is contended
-			w.answer(x, Full, 0)
+			w.answer(x, Refused, 0)
 		}
 		expect(t, w, "given up with no call", x.over && x.submits == 0, false)
 	}
-	w.to[99] = &place{Entry: Entry{99, 10, 99, "one", "z1", Up}}
-	w.step(func() { w.s.Listed(false, []Entry{w.to[99].Entry}) })
+	w.to[99] = &place{ReceiverEntry: ReceiverEntry{99, 10, 99, "one", "z1", Up}}
+	w.step(func() { w.s.UpdateReceivers(false, []ReceiverEntry{w.to[99].ReceiverEntry}) })
 	expect(t, w, "submits once its destination is listed", w.texts["far"].submits, 1)
 }
 
@@ -546,14 +548,14 @@
 // On sockets a text's end reaches the platform after the next text of its key has left, if that is let go at once.
 func TestAKeyWaitsUntilThePlatformHasHeard(t *testing.T) {
 	w := newWorld(1, nil)
-	w.s.Untold("a")
+	w.s.NoticePending("a")
 	w.take("k1", "queued", 1, "a", 8*Second)
 	w.take("k2", "queued", 2, "b", 8*Second)
 	expect(t, w, "submits of another key alone", w.sends, 1)
-	w.step(func() { w.s.Told("a") })
+	w.step(func() { w.s.NoticeDelivered("a") })
 	expect(t, w, "submits once it has heard", w.sends, 2)
-	w.s.Untold("c")
-	w.s.Told("c")
+	w.s.NoticePending("c")
+	w.s.NoticeDelivered("c")
 	expect(t, w, "keys kept", len(w.s.keys), 2)
 }
 
@@ -561,8 +563,8 @@
 // start, whatever the submit that follows it comes to.
 func TestAKeyRestsAfterARestart(t *testing.T) {
 	w := newWorld(1, nil)
-	w.hand(Arrival{ID: "k1", Product: "queued", Destination: 1, Key: "a", TimeLeft: 8 * Second, Owed: true, Submits: 1, RanSince: w.now, RanZone: "z1"},
-		Arrival{ID: "k2", Product: "queued", Destination: 1, Key: "a", TimeLeft: 8 * Second, Owed: true})
+	w.hand(Arrival{ID: "k1", Product: "queued", Destination: 1, Key: "a", TimeLeft: 8 * Second, Recovered: true, Attempts: 1, FirstRunAt: w.now, FirstRunZone: "z1"},
+		Arrival{ID: "k2", Product: "queued", Destination: 1, Key: "a", TimeLeft: 8 * Second, Recovered: true})
 	w.texts["k1"].submits++ // that of before the restart
 	w.answer(w.texts["k1"], Delivered, 0)
 	expect(t, w, "submits of the key before its rest is over", w.sends, 1)
@@ -587,11 +589,11 @@
 func TestALateConnectionIsAskedAgain(t *testing.T) {
 	w := newWorld(1, nil)
 	x := w.take("x", "marked", 1, "", 8*Second)
-	w.answer(x, Lost, 0)
+	w.answer(x, ConnectionLost, 0)
 	w.advance(Second)
-	expect(t, w, "the repeat may leave", w.s.Still("x", 1), true)
+	expect(t, w, "the repeat may leave", w.s.MayStillSend("x", 1), true)
 	w.advance(x.ranSince + 3*Second - w.now - 1)
-	expect(t, w, "the repeat may leave when it is known no more", w.s.Still("x", 1), false)
+	expect(t, w, "the repeat may leave when it is known no more", w.s.MayStillSend("x", 1), false)
 }
 
 // Texts that waited for an earlier one of their key were counted as a backlog, and half of them refused.
@@ -609,9 +611,9 @@
 
 // Connections dropped unseen took one text each with them, and those that must not be sent twice were lost.
 func TestAnIdleConnectionThatBrokeTellsOfTheOthers(t *testing.T) {
-	for how, o := range map[string]Outcome{"reset": Lost, "silence": NoAnswer} {
+	for how, o := range map[string]Outcome{"reset": ConnectionLost, "silence": NoAnswer} {
 		w := newWorld(1, Settings{"Permissions.ConnIdleUs": "15000000"})
-		w.step(func() { w.s.Listed(false, []Entry{{Receiver: 12, Destination: 1, Listing: Removed}}) })
+		w.step(func() { w.s.UpdateReceivers(false, []ReceiverEntry{{Receiver: 12, Destination: 1, State: Removed}}) })
 		w.deliver(1, 1, 10)
 		w.deliver(2, 1, 10)
 		w.advance(3 * Second)
@@ -662,7 +664,7 @@
 		first[w.asked[0]/Second]++
 		w.advance(60 * Second)
 		expect(t, w, "asked again while it holds", len(w.asked), 1)
-		w.step(func() { w.s.Unwatched() })
+		w.step(func() { w.s.HandleWatchEnd() })
 		w.advance(10 * Second)
 		expect(t, w, "asked again after it ended", len(w.asked), 2)
 	}
@@ -734,20 +736,22 @@
 	sends, afresh := 0, 0
 	for i := range uint64(200) {
 		before := newWorld(i*0x9e3779b97f4a7c15, Settings{"Instances": "3"})
-		before.step(func() { before.s.Listed(false, []Entry{{Receiver: 12, Destination: 1, Listing: Removed}}) })
+		before.step(func() {
+			before.s.UpdateReceivers(false, []ReceiverEntry{{Receiver: 12, Destination: 1, State: Removed}})
+		})
 		fill(before, 1, "free", 1)
 		before.advance(500)
 		before.answer(before.outs()[0], Errored, 0) // twice: an outage
 		before.answer(before.outs()[0], Errored, 0)
-		before.answer(before.take("w", "free", 2, "", 8*Second), Full, 3*Second, 0.9, 40)
+		before.answer(before.take("w", "free", 2, "", 8*Second), Refused, 3*Second, 0.9, 40)
 		for _, recalled := range []bool{true, false} {
 			w := newWorld(i, Settings{"Instances": "200", "RegistryMode": "ask", "RequestClasses.0.ObjectiveUs": "1000000"})
 			w.now = before.now
 			w.step(func() {
-				w.s.Listed(false, []Entry{{Receiver: 12, Destination: 1, Listing: Removed}})
+				w.s.UpdateReceivers(false, []ReceiverEntry{{Receiver: 12, Destination: 1, State: Removed}})
 				if recalled {
-					for _, l := range before.s.Learnt() {
-						w.s.Recall(l)
+					for _, l := range before.s.History() {
+						w.s.Restore(l)
 					}
 				}
 			})
@@ -777,7 +781,7 @@
 			w := newWorld(i*0x9e3779b97f4a7c15, Settings{"Instances": "200"})
 			fill(w, 2, "free", 1)
 			w.advance(500)
-			w.answer(w.outs()[0], Full, 0, share, 10)
+			w.answer(w.outs()[0], Refused, 0, share, 10)
 			before := w.sends
 			w.advance(5 * Second)
 			sends += w.sends - before
--- a/control/helper_test.go
+++ b/control/helper_test.go
@@ -41,7 +41,7 @@
 }
 
 type place struct {
-	Entry
+	ReceiverEntry
 	toldAt    Time // when the list said it drains or is gone
 	waitUntil Time
 	calls     []Time
@@ -92,16 +92,16 @@
 	kinds := []string{"one", "two", "apart"}
 	for i := range 6 {
 		id := ReceiverID(11 + i)
-		w.to[id] = &place{Entry: Entry{id, 10, int64(1 + i/2), kinds[i/2], []string{"z1", "z2"}[i%2], Up}}
+		w.to[id] = &place{ReceiverEntry: ReceiverEntry{id, 10, int64(1 + i/2), kinds[i/2], []string{"z1", "z2"}[i%2], Up}}
 	}
-	w.step(func() { s.Listed(true, w.entries()) })
+	w.step(func() { s.UpdateReceivers(true, w.entries()) })
 	return w
 }
 
-func (w *world) entries() []Entry {
-	var all []Entry
+func (w *world) entries() []ReceiverEntry {
+	var all []ReceiverEntry
 	for i := range 6 {
-		all = append(all, w.to[ReceiverID(11+i)].Entry)
+		all = append(all, w.to[ReceiverID(11+i)].ReceiverEntry)
 	}
 	return all
 }
@@ -112,9 +112,9 @@
 
 // step makes one batch of one call.
 func (w *world) step(do func()) {
-	w.s.Clock(w.now)
+	w.s.SetTime(w.now)
 	do()
-	w.s.Settle()
+	w.s.Schedule()
 }
 
 func (w *world) take(id, product string, dest int64, key string, left Time) *sent {
@@ -128,7 +128,7 @@
 		for _, a := range all {
 			w.texts[a.ID] = &sent{id: a.ID, product: a.Product, key: a.Key, dest: a.Destination, until: w.now + a.TimeLeft}
 			w.order = append(w.order, a.ID)
-			w.s.Take(a)
+			w.s.HandleArrival(a)
 		}
 	})
 }
@@ -161,29 +161,29 @@
 	p := w.to[t.out]
 	at := t.outAt
 	t.out = 0
-	if !t.ran && o != Full && o != NoConnection && o != Unsent {
+	if !t.ran && o != Refused && o != NoConnection && o != Unsent {
 		t.ran, t.ranSince = true, at
 	}
 	if o == Delivered {
 		t.over = true
 	}
-	if t.product == "queued" && (o == NoAnswer || o == Lost || o == Cancelled) {
+	if t.product == "queued" && (o == NoAnswer || o == ConnectionLost || o == Cancelled) {
 		w.rests[t.key] = w.now + 3000
 	}
 	w.hear(p, o, wait, at)
 	w.step(func() {
-		w.s.Ended(t.id, t.submits-1, Result{Outcome: o, Closed: t.over, Took: w.now - at, Wait: wait, Kept: w.kept,
-			Crowded: w.crowded && o == Full, Nobody: w.nobody && o == NoConnection, Report: report})
+		w.s.HandleResult(t.id, t.submits-1, Result{Outcome: o, Final: t.over, Took: w.now - at, RetryAfter: wait, StaleConn: w.kept,
+			ConnLimitReached: w.crowded && o == Refused, NotListening: w.nobody && o == NoConnection, Report: report})
 	})
 }
 
 // hear keeps what a sender must remember of an outcome: told waits, and who failed before it came back.
 func (w *world) hear(p *place, o Outcome, wait, at Time) {
-	if o == Full || o == Errored || o == Delivered {
+	if o == Refused || o == Errored || o == Delivered {
 		p.good = w.now
 	}
 	switch {
-	case o == Full:
+	case o == Refused:
 		for _, q := range w.to {
 			if wait > 0 && (q == p || q.Destination == p.Destination && p.Kind != "apart") {
 				q.waitUntil = max(q.waitUntil, w.now+wait)
@@ -232,9 +232,9 @@
 		}
 	}
 	for _, t := range w.outs() {
-		p, may := w.to[t.out], w.s.Still(t.id, t.submits-1)
+		p, may := w.to[t.out], w.s.MayStillSend(t.id, t.submits-1)
 		known := !t.ran || t.product == "free" || w.now < t.ranSince+3*Second-1
-		if may != (p.Listing == Up && w.now > p.waitUntil && !t.over && known) {
+		if may != (p.State == Up && w.now > p.waitUntil && !t.over && known) {
 			w.fault("%s may leave late for %d: %v", t.id, t.out, may)
 		}
 	}
@@ -242,7 +242,7 @@
 
 // reach checks the rules that bind every call, probes too: 3, 4 and 6.
 func (w *world) reach(p *place, sameCall bool) {
-	if p.Listing != Up && w.now > p.toldAt+2500 {
+	if p.State != Up && w.now > p.toldAt+2500 {
 		w.fault("rule 3: call to %d, which drains", p.Receiver)
 	}
 	if w.now < p.waitUntil {
@@ -256,7 +256,7 @@
 	if p.since > 0 && w.now < p.since+8*Second { // half of 2 x rate x 2 s: two senders
 		rate := 10.0
 		for _, q := range w.to { // they share what the destination takes
-			if q != p && q.Destination == p.Destination && q.Kind != "apart" && q.Listing != Removed {
+			if q != p && q.Destination == p.Destination && q.Kind != "apart" && q.State != Removed {
 				rate /= 2
 			}
 		}
@@ -320,7 +320,7 @@
 	w.finish(id, true)
 }
 
-func (w *world) Undeliverable(id string) {
+func (w *world) MarkUndeliverable(id string) {
 	w.failed++
 	w.finish(id, false)
 }
@@ -331,8 +331,8 @@
 	}
 }
 
-func (w *world) Wake(at Time, _ int64) { w.wakes = append(w.wakes, at) }
-func (w *world) Watch()                { w.asked = append(w.asked, w.now) }
-func (w *world) Note([]byte)           {}
-func (w *world) Log(string)            {}
-func (w *world) Close(to ReceiverID)   { w.closed = append(w.closed, to) }
+func (w *world) WakeAt(at Time, _ int64) { w.wakes = append(w.wakes, at) }
+func (w *world) WatchReceivers()         { w.asked = append(w.asked, w.now) }
+func (w *world) Broadcast([]byte)        {}
+func (w *world) Log(string)              {}
+func (w *world) CloseIdle(to ReceiverID) { w.closed = append(w.closed, to) }
--- a/control/interface.go
+++ b/control/interface.go
@@ -13,16 +13,16 @@
 // Settings are the instance's settings, name to value, as the caller was given them.
 type Settings map[string]string
 
-// Outlet is what the module calls to have something done.
-type Outlet interface {
+// Actions is what the module calls to have something done.
+type Actions interface {
 	Submit(text string, to ReceiverID, timeout Time) // timeout 0: until the validity period is up
 	Cancel(text string, submit int)
 	Nack(text string, comeBack Time) // comeBack 0: no advice
-	Undeliverable(text string)
-	Wake(at Time, mark int64)
-	Close(to ReceiverID) // this sender's idle connections there
-	Watch()              // the list's changes from now on; asked for where RegistryMode is "ask"
-	Note(content []byte) // to every other sender
+	MarkUndeliverable(text string)
+	WakeAt(at Time, mark int64)
+	CloseIdle(to ReceiverID)  // this sender's idle connections there
+	WatchReceivers()          // the list's changes from now on; asked for where RegistryMode is "ask"
+	Broadcast(content []byte) // to every other sender
 	Log(line string)
 }
 
@@ -37,32 +37,32 @@
 	Retry       bool   // the client hands it in again
 	Returned    bool   // a sender died holding it
 
-	Owed bool // taken on before this process started
+	Recovered bool // taken on before this process started
 
 	// What this sender had done for it before it restarted.
-	Submits  int
-	RanSince Time   // when the first submit that may have run was sent; 0: none
-	RanZone  string // and the zone it went to
+	Attempts     int
+	FirstRunAt   Time   // when the first submit that may have run was sent; 0: none
+	FirstRunZone string // and the zone it went to
 }
 
-// Listing says how the list speaks of a receiver.
-type Listing int
+// ReceiverState says how the list speaks of a receiver.
+type ReceiverState int
 
 // The listings.
 const (
-	Up Listing = iota
+	Up ReceiverState = iota
 	Draining
 	Removed
 )
 
-// Entry is one line of the list of receivers.
-type Entry struct {
+// ReceiverEntry is one line of the list of receivers.
+type ReceiverEntry struct {
 	Receiver    ReceiverID
 	Rate        float64 // calls a second that the destination takes, if the list tells
 	Destination int64
 	Kind        string
 	Zone        string
-	Listing     Listing
+	State       ReceiverState
 }
 
 // Outcome says how a submit ended.
@@ -70,12 +70,12 @@
 
 // The outcomes.
 const (
-	Delivered    Outcome = iota
-	Errored              // the destination answered with an error
-	Full                 // turned away unseen
-	NoAnswer             // timed out
-	NoConnection         // none could be made
-	Lost                 // the connection broke
+	Delivered      Outcome = iota
+	Errored                // the destination answered with an error
+	Refused                // turned away unseen
+	NoAnswer               // timed out
+	NoConnection           // none could be made
+	ConnectionLost         // the connection broke
 	Cancelled
 	Unsent // never left this sender
 )
@@ -86,12 +86,12 @@
 
 // Result is how one submit ended and what came with it.
 type Result struct {
-	Outcome Outcome
-	Closed  bool      // the text has its final answer
-	Kept    bool      // it broke with a connection kept from an earlier call, before any answer
-	Crowded bool      // full, as no connection was left for this sender
-	Nobody  bool      // no connection, as nobody listens there
-	Took    Time      // since it was sent
-	Wait    Time      // told wait, with Full
-	Report  []float64 // in the order of the setting Report.Names; nil if none came, NaN if left out
+	Outcome          Outcome
+	Final            bool      // the text has its final answer
+	StaleConn        bool      // it broke with a connection kept from an earlier call, before any answer
+	ConnLimitReached bool      // full, as no connection was left for this sender
+	NotListening     bool      // no connection, as nobody listens there
+	Took             Time      // since it was sent
+	RetryAfter       Time      // told wait, with Full
+	Report           []float64 // in the order of the setting Report.Names; nil if none came, NaN if left out
 }
--- a/control/listing.go
+++ b/control/listing.go
@@ -19,18 +19,18 @@
 		s.askAt = s.now + 1 + s.askApart()
 	case s.now >= s.askAt:
 		s.askAt = math.MaxInt64
-		s.out.Watch()
+		s.out.WatchReceivers()
 	}
 }
 
 // askApart draws when to ask, within the time in which all senders may, doubled with each try in vain.
 func (s *Sender) askApart() Time {
 	apart := min(s.span("Contract.AskEveryUs", 10*Second)/2, Time(s.senders())*Second/10)
-	return Time(s.chance.Unit() * float64(admission.Doubled(apart, s.asks, 2)))
+	return Time(s.chance.Float64() * float64(admission.Backoff(apart, s.asks, 2)))
 }
 
-// Unwatched: the list could not be asked, or the watch has ended; what was listed still holds.
-func (s *Sender) Unwatched() {
+// HandleWatchEnd: the list could not be asked, or the watch has ended; what was listed still holds.
+func (s *Sender) HandleWatchEnd() {
 	s.asks++
 	s.askAt = s.now + 1 + s.askApart()
 }
--- a/control/outages.go
+++ b/control/outages.go
@@ -23,7 +23,7 @@
 		return true
 	}
 	if s.now >= r.drawAt {
-		r.drawAt, r.draw = s.now+s.span("Contract.FallUs", 2*Second), s.chance.Unit()
+		r.drawAt, r.draw = s.now+s.span("Contract.FallUs", 2*Second), s.chance.Float64()
 	}
 	return float64(s.recent(r)+1) <= s.budget(r)+r.draw
 }
@@ -68,12 +68,12 @@
 	if r.fails++; r.fails == 1 {
 		r.failedSince = s.now
 	}
-	r.ill += admission.Smoothing * (1 - r.ill)
+	r.ill += admission.EWMAWeight * (1 - r.ill)
 	if r.fails == 2 {
 		s.out.Log(fmt.Sprintf("receiver %d down: 2 failures in a row", r.id))
 	}
 	if r.fails > 1 {
-		r.restUntil = s.now + admission.Jittered(admission.Doubled(Second/8, r.fails, 4), 0.25, s.chance.Unit())
+		r.restUntil = s.now + admission.Jitter(admission.Backoff(Second/8, r.fails, 4), 0.25, s.chance.Float64())
 	}
 }
 
--- a/control/outcomes.go
+++ b/control/outcomes.go
@@ -14,8 +14,8 @@
 func (s *Sender) answered(t *text, sub *submit, r Result) {
 	c := sub.call
 	t.out, t.next = nil, nil
-	if r.Outcome == Full && r.Wait > 0 { // one tenth longer, as the clock is rounded down; all of a bundle bind
-		c.to.bucket.waitUntil = max(c.to.bucket.waitUntil, s.now+r.Wait+1)
+	if r.Outcome == Refused && r.RetryAfter > 0 { // one tenth longer, as the clock is rounded down; all of a bundle bind
+		c.to.bucket.waitUntil = max(c.to.bucket.waitUntil, s.now+r.RetryAfter+1)
 	}
 	if !c.heard {
 		c.heard = true
@@ -31,18 +31,18 @@
 	}
 	if r.Outcome == Delivered {
 		s.flow(t.dest, 1)
-		admission.Smooth(&t.dest.pace, float64(r.Took))
-		admission.Smooth(&t.product.pace, float64(r.Took))
+		admission.UpdateEWMA(&t.dest.pace, float64(r.Took))
+		admission.UpdateEWMA(&t.product.pace, float64(r.Took))
 	}
 	if r.Outcome.MayHaveRun() && !t.mayHaveRun {
 		t.mayHaveRun, t.ranSince, t.ranZone = true, c.sent, c.to.zone
 	}
-	mayRunOn := r.Outcome == NoAnswer || r.Outcome == Lost || r.Outcome == Cancelled
+	mayRunOn := r.Outcome == NoAnswer || r.Outcome == ConnectionLost || r.Outcome == Cancelled
 	if k := s.keys[t.key]; k != nil && t.product.inOrder && mayRunOn {
 		k.restUntil = s.now + s.span("Contract.KeyRestUs", 0) + 1
 	}
 	switch {
-	case r.Closed || t.over:
+	case r.Final || t.over:
 		s.finish(t)
 	case s.mayRepeat(t, nil):
 		s.hold(t)
@@ -57,9 +57,9 @@
 	b := r.bucket
 	s.reported(b, res.Report)
 	switch {
-	case c.idle > 0 && (res.Outcome == Lost || res.Outcome == NoAnswer):
+	case c.idle > 0 && (res.Outcome == ConnectionLost || res.Outcome == NoAnswer):
 		s.close(r)
-		if res.Outcome == NoAnswer || res.Kept { // the receiver's fault or the connection's: a new one will tell
+		if res.Outcome == NoAnswer || res.StaleConn { // the receiver's fault or the connection's: a new one will tell
 			r.swallowed = c.idle
 		} else {
 			s.broke(c.idle)
@@ -70,39 +70,39 @@
 		}
 		r.swallowed = 0
 	}
-	if res.Kept && r.fails == 0 { // kept connections break beside a healthy receiver; a new one will tell
+	if res.StaleConn && r.fails == 0 { // kept connections break beside a healthy receiver; a new one will tell
 		return
 	}
 	switch res.Outcome {
 	case Unsent: // no slot was free after all: not at once again
 		r.restUntil = s.now + Second/8
 	case Cancelled:
-	case Full:
+	case Refused:
 		r.answered = s.now
-		barred := res.Wait > s.span("Contract.FallUs", 2*Second)
-		if b.limit == 0 || b.left >= 1 || barred || res.Crowded { // not for its limit: shut, or something is full
+		barred := res.RetryAfter > s.span("Contract.FallUs", 2*Second)
+		if b.limit == 0 || b.left >= 1 || barred || res.ConnLimitReached { // not for its limit: shut, or something is full
 			b.refusedSince, b.refusedAt = cmp.Or(b.refusedSince, s.now), s.now
 			if b.share >= 0.9 {
 				b.refusedFree = s.now
 			}
 		}
-		if res.Crowded {
+		if res.ConnLimitReached {
 			s.crowd(r)
 			return
 		}
 		if sent > b.fullAt { // those refused together count once
 			b.fulls, b.fullAt = b.fulls+1, s.now
-			b.heldUntil = max(b.heldUntil, b.waitUntil, s.now) + s.pause(r, res.Wait > 0)
+			b.heldUntil = max(b.heldUntil, b.waitUntil, s.now) + s.pause(r, res.RetryAfter > 0)
 		}
-		b.strain += admission.Smoothing * (1 - b.strain)
-		s.strain += admission.Smoothing / 4 * (1 - s.strain)
-		b.window.Refused(b.flight)
+		b.strain += admission.EWMAWeight * (1 - b.strain)
+		s.strain += admission.EWMAWeight / 4 * (1 - s.strain)
+		b.window.OnRefusal(b.flight)
 	case Delivered:
 		b.known = true
 		if c.idle == 0 {
 			s.opened[r.kind]++
 		}
-		admission.Smooth(&r.pace, float64(res.Took))
+		admission.UpdateEWMA(&r.pace, float64(res.Took))
 		r.answered = s.now
 		if r.fails > 1 {
 			s.out.Log(fmt.Sprintf("receiver %d back", r.id))
@@ -114,12 +114,12 @@
 			}
 		}
 		r.fails, r.crowds, b.refusedSince, b.refusedFree, b.fulls = 0, 0, 0, 0, b.fulls/2
-		r.ill -= admission.Smoothing * r.ill
-		b.window.Answered()
-		b.strain -= admission.Smoothing * b.strain
-		s.strain -= admission.Smoothing / 4 * s.strain
+		r.ill -= admission.EWMAWeight * r.ill
+		b.window.OnSuccess()
+		b.strain -= admission.EWMAWeight * b.strain
+		s.strain -= admission.EWMAWeight / 4 * s.strain
 	case NoConnection:
-		if !res.Nobody { // its connections may all be taken, and are if it answers others; who is down holds none
+		if !res.NotListening { // its connections may all be taken, and are if it answers others; who is down holds none
 			s.crowded[r.kind] = true
 			if r.answered >= sent {
 				s.crowd(r)
@@ -143,6 +143,6 @@
 func (s *Sender) crowd(r *receiver) {
 	s.crowded[r.kind] = true
 	r.bucket.window.Halve()
-	r.restUntil = s.now + Time(s.chance.Unit()*float64(backOff(r, r.crowds)))
+	r.restUntil = s.now + Time(s.chance.Float64()*float64(backOff(r, r.crowds)))
 	r.crowds++
 }
--- a/control/retries.go
+++ b/control/retries.go
@@ -34,9 +34,9 @@
 	return !t.product.inOrder || k == nil || k.texts[0] == t && rested
 }
 
-// Still is asked before a submit that had to wait for its connection leaves. A second's wait for one is
+// MayStillSend is asked before a submit that had to wait for its connection leaves. A second's wait for one is
 // enough for a repeat to come when it is known no more, and for news of a drain or a wait, which bind it too.
-func (s *Sender) Still(id string, no int) bool {
+func (s *Sender) MayStillSend(id string, no int) bool {
 	t := s.texts[id]
 	out := t != nil && !t.over && t.out != nil && t.out.no == no
 	return out && s.open(t.out.call.to) && s.now < s.repeatEnd(t)
@@ -48,7 +48,7 @@
 	if !t.mayHaveRun || p.repeat == "safe" || (p.repeat == "keyed" && !p.zoned) {
 		s.out.Nack(t.id, s.advice(wait))
 	} else {
-		s.out.Undeliverable(t.id)
+		s.out.MarkUndeliverable(t.id)
 	}
 	s.finish(t)
 }
@@ -73,4 +73,4 @@
 }
 
 // MayHaveRun: the outcome does not prove that the submit had no effect.
-func (o Outcome) MayHaveRun() bool { return o != Full && o != NoConnection && o != Unsent }
+func (o Outcome) MayHaveRun() bool { return o != Refused && o != NoConnection && o != Unsent }
--- a/control/settings.go
+++ b/control/settings.go
@@ -13,8 +13,8 @@
 // How the settings are read; what is read is picked where it is needed.
 
 // New makes an instance. Settings that make no sense are an error that names them.
-func New(seed uint64, set Settings, out Outlet) (*Sender, error) {
-	if err := set.Check(); err != nil {
+func New(seed uint64, set Settings, out Actions) (*Sender, error) {
+	if err := set.Validate(); err != nil {
 		return nil, fmt.Errorf("setting %w", err)
 	}
 	s := newState(seed, set, out)
@@ -90,9 +90,9 @@
 	}
 }
 
-// Check looks at the settings of how a deployment is put together that have a default where they are left out: one
+// Validate looks at the settings of how a deployment is put together that have a default where they are left out: one
 // that makes no sense must not be read as that default in silence. The error begins with the setting.
-func (set Settings) Check() error {
+func (set Settings) Validate() error {
 	if mode := set["RegistryMode"]; mode != "" && mode != "push" && mode != "ask" {
 		return fmt.Errorf("RegistryMode: %q is neither push nor ask", mode)
 	}
--- a/control/state.go
+++ b/control/state.go
@@ -59,7 +59,7 @@
 	zone    string
 	rate    float64
 	fee     float64 // of a route apart, by its zone
-	listing Listing
+	listing ReceiverState
 	left    Time    // when the list named it no more; 0 if it does
 	calls   []*call // out, oldest first
 
@@ -91,12 +91,12 @@
 	fulls        int     // refusals since the last delivery
 	strain       float64 // share of late calls that were refused
 	flight       int
-	window       admission.Window // calls that have been found bearable at once
-	refusedSince Time             // first refusal for another reason than the limit with no delivery after it; 0 if none
-	refusedAt    Time             // the last such
-	refusedFree  Time             // the last refusal with the allowance untouched and no delivery after it
-	waitUntil    Time             // told
-	heldUntil    Time             // by the allowance
+	window       admission.ConcurrencyWindow // calls that have been found bearable at once
+	refusedSince Time                        // first refusal for another reason than the limit with no delivery after it; 0 if none
+	refusedAt    Time                        // the last such
+	refusedFree  Time                        // the last refusal with the allowance untouched and no delivery after it
+	waitUntil    Time                        // told
+	heldUntil    Time                        // by the allowance
 	used         int64
 }
 
@@ -114,7 +114,7 @@
 	busy      bool    // stands in Sender.busy
 	arrived   float64 // texts handed in for it
 	pace      float64
-	through   admission.Fading // texts that got through of late
+	through   admission.DecayingCount // texts that got through of late
 }
 
 // What lasts as long as the instance.
@@ -134,7 +134,7 @@
 
 type brand struct {
 	part float64 // this sender's even part of its share, texts a second
-	sent admission.Fading
+	sent admission.DecayingCount
 }
 
 type keyLine struct {
@@ -143,11 +143,11 @@
 	untold    int // ends that are on their way to the platform
 }
 
-// Untold: a text of the key has an end that the platform has yet to hear; until Told, nothing of the key may go.
-func (s *Sender) Untold(key string) { s.line(key).untold++ }
+// NoticePending: a text of the key has an end that the platform has yet to hear; until Told, nothing of the key may go.
+func (s *Sender) NoticePending(key string) { s.line(key).untold++ }
 
-// Told: it has heard.
-func (s *Sender) Told(key string) {
+// NoticeDelivered: it has heard.
+func (s *Sender) NoticeDelivered(key string) {
 	s.line(key).untold--
 	s.forgetKeys()
 }
@@ -168,7 +168,7 @@
 
 // Sender is one instance of the module.
 type Sender struct {
-	out             Outlet
+	out             Actions
 	set             Settings
 	now             Time
 	began           Time // when it was first told the time
@@ -218,7 +218,7 @@
 	}
 }
 
-func newState(seed uint64, set Settings, out Outlet) *Sender {
+func newState(seed uint64, set Settings, out Actions) *Sender {
 	return &Sender{
 		out: out, set: set, chance: admission.NewPCG(seed),
 		products: map[string]*product{}, texts: map[string]*text{}, keys: map[string]*keyLine{},
@@ -235,15 +235,15 @@
 	return len(r.weighed)
 }
 
-// ProcessLateness tells how much longer than usual a call may take because the caller's own process gets its processor late; 0
+// SetProcessLateness tells how much longer than usual a call may take because the caller's own process gets its processor late; 0
 // until it is told, and where the caller's clock is not that of a machine.
-func (s *Sender) ProcessLateness(by Time) { s.processLateness = by }
+func (s *Sender) SetProcessLateness(by Time) { s.processLateness = by }
 
-// Noted takes a note of another sender. None is sent, so none is expected.
-func (s *Sender) Noted(int, []byte) {}
+// HandlePeerNote takes a note of another sender. None is sent, so none is expected.
+func (s *Sender) HandlePeerNote(int, []byte) {}
 
-// Listed takes news of the list; whole: what is not in it is gone.
-func (s *Sender) Listed(whole bool, entries []Entry) {
+// UpdateReceivers takes news of the list; whole: what is not in it is gone.
+func (s *Sender) UpdateReceivers(whole bool, entries []ReceiverEntry) {
 	s.asks = 0
 	if whole {
 		for _, r := range s.receivers {
@@ -253,10 +253,10 @@
 	for _, e := range entries {
 		r := s.receivers[e.Receiver]
 		if r == nil {
-			if e.Listing == Removed {
+			if e.State == Removed {
 				continue
 			}
-			r = &receiver{id: e.Receiver, dest: s.destination(e.Destination), kind: e.Kind, rank: s.chance.Unit(),
+			r = &receiver{id: e.Receiver, dest: s.destination(e.Destination), kind: e.Kind, rank: s.chance.Float64(),
 				apart: s.perKind("Specifics.RoutesApart", e.Kind) == "true"}
 			r.bundle, _ = strconv.Atoi(s.perKind("Specifics.BundleMax", e.Kind))
 			s.receivers[e.Receiver] = r
@@ -264,10 +264,10 @@
 			at, _ := slices.BinarySearchFunc(r.dest.receivers, r.id, byID)
 			r.dest.receivers = slices.Insert(r.dest.receivers, at, r)
 		}
-		if e.Listing == Removed && r.listing != Removed {
+		if e.State == Removed && r.listing != Removed {
 			s.gone = append(s.gone, r)
 		}
-		r.listing, r.rate, r.zone = e.Listing, e.Rate, e.Zone
+		r.listing, r.rate, r.zone = e.State, e.Rate, e.Zone
 		if r.apart {
 			r.fee, _ = strconv.ParseFloat(s.perName("Specifics.Carriage", "FailureDomains", r.zone), 64)
 		}
--- a/internal/delivery/config/config.go
+++ b/internal/delivery/config/config.go
@@ -168,7 +168,7 @@
 	if err := c.names(); err != nil {
 		return nil, err
 	}
-	if err := c.Settings.Check(); err != nil {
+	if err := c.Settings.Validate(); err != nil {
 		return nil, fmt.Errorf("settings.%w", err)
 	}
 	return c, c.limits(&f)
--- a/internal/delivery/directory/directory_test.go
+++ b/internal/delivery/directory/directory_test.go
@@ -85,13 +85,13 @@
 
 func TestWatchGoesOnAfterItEnds(t *testing.T) {
 	news, asked := follow(t, told(41, true, 1, "active"), "\n"+told(42, false, 2, "active")+"\n", told(43, false, 1, "left")+"hold")
-	want := []control.Entry{
+	want := []control.ReceiverEntry{
 		{Receiver: 1, Rate: 1.5, Destination: 3, Kind: "m2", Zone: "a"},
 		{Receiver: 2, Rate: 1.5, Destination: 3, Kind: "m2", Zone: "a"},
-		{Receiver: 1, Rate: 1.5, Destination: 3, Kind: "m2", Zone: "a", Listing: control.Removed},
+		{Receiver: 1, Rate: 1.5, Destination: 3, Kind: "m2", Zone: "a", State: control.Removed},
 	}
 	for i, w := range want {
-		if n := expect(t, news); n.Whole != (i == 0) || len(n.Hosts) != 1 || n.Hosts[0].Entry != w {
+		if n := expect(t, news); n.Whole != (i == 0) || len(n.Hosts) != 1 || n.Hosts[0].ReceiverEntry != w {
 			t.Errorf("%+v, want %+v", n, w)
 		}
 	}
@@ -100,7 +100,7 @@
 
 func TestWholeListFirstWhereNoneIsKnown(t *testing.T) {
 	news, asked := follow(t, "", told(7, true, 1, "leaving"), "hold")
-	if n := expect(t, news); !n.Whole || n.Hosts[0].Listing != control.Draining || n.Hosts[0].Addr != "10.1.0.1:8443" {
+	if n := expect(t, news); !n.Whole || n.Hosts[0].State != control.Draining || n.Hosts[0].Addr != "10.1.0.1:8443" {
 		t.Errorf("%+v", n)
 	}
 	wants(t, asked, "", "?stream=1&index=7")
@@ -147,7 +147,7 @@
 	news, asked := follow(t, told(41, true, 1, "active"), "\n", told(42, false, 1, "leaving"), "{spoilt}\n", told(43, true, 2, "active"))
 	wants(t, asked, "?stream=1&index=41", "?stream=1&index=41", "?stream=1&index=42", "", "?stream=1&index=43")
 	expect(t, news)
-	if n := expect(t, news); n.Hosts[0].Listing != control.Draining {
+	if n := expect(t, news); n.Hosts[0].State != control.Draining {
 		t.Errorf("%+v", n)
 	}
 }
@@ -157,7 +157,7 @@
 	indented := strings.ReplaceAll(told(42, false, 2, "leaving"), ",", ",\n\n  ")
 	news, asked := follow(t, told(41, true, 1, "active"), "\n"+indented+"\n\n"+told(43, false, 3, "active")+"hold")
 	expect(t, news)
-	if n := expect(t, news); n.Hosts[0].Receiver != 2 || n.Hosts[0].Listing != control.Draining {
+	if n := expect(t, news); n.Hosts[0].Receiver != 2 || n.Hosts[0].State != control.Draining {
 		t.Errorf("%+v", n)
 	}
 	if n := expect(t, news); n.Hosts[0].Receiver != 3 {
--- a/internal/delivery/directory/list.go
+++ b/internal/delivery/directory/list.go
@@ -41,7 +41,7 @@
 
 // Host is one line of it.
 type Host struct {
-	control.Entry
+	control.ReceiverEntry
 	Addr string
 }
 
@@ -107,14 +107,14 @@
 	news := News{Whole: l.Full}
 	named := map[string]bool{}
 	for _, h := range l.hosts {
-		e := control.Entry{Receiver: n.number(h.ID), Rate: h.Weight, Destination: h.Cell, Kind: config.Word(h.Kind), Zone: config.Word(h.Zone)}
+		e := control.ReceiverEntry{Receiver: n.number(h.ID), Rate: h.Weight, Destination: h.Cell, Kind: config.Word(h.Kind), Zone: config.Word(h.Zone)}
 		switch h.State {
 		case "leaving":
-			e.Listing = control.Draining
+			e.State = control.Draining
 		case "left":
-			e.Listing = control.Removed
+			e.State = control.Removed
 		}
-		named[h.ID] = e.Listing != control.Removed
+		named[h.ID] = e.State != control.Removed
 		news.Hosts = append(news.Hosts, Host{e, h.Addr})
 	}
 	n.forget(named, l.Full)
--- a/internal/delivery/receivers/call.go
+++ b/internal/delivery/receivers/call.go
@@ -159,7 +159,7 @@
 		// An answer that does not fit its length is spoilt: whatever it says but for a delivery, the call may
 		// have run.
 		if !c.drain(resp, p.fleet.limits) && r.Outcome != control.Delivered {
-			r = control.Result{Outcome: control.Lost, Report: r.Report}
+			r = control.Result{Outcome: control.ConnectionLost, Report: r.Report}
 		}
 	}
 	if p.gone.Load() {
@@ -176,18 +176,18 @@
 	status, answered := t.on.heard()
 	switch {
 	case status == http.StatusOK: // true, whatever comes after that line
-		r.Outcome, r.Closed = control.Delivered, true
+		r.Outcome, r.Final = control.Delivered, true
 	case errors.Is(err, errTooMany), stop != nil, gaveUp(context.Cause(c.ctx)) && t.on.seal():
 		r.Outcome = control.Unsent
 	default:
 		r.Outcome = failure(context.Cause(c.ctx), t.on != nil, t.wrote.Load() || answered, t.cut.Load())
-		broke := r.Outcome == control.Lost || r.Outcome == control.NoConnection
-		r.Kept = kept && broke && !answered
+		broke := r.Outcome == control.ConnectionLost || r.Outcome == control.NoConnection
+		r.StaleConn = kept && broke && !answered
 		// One whose places are all taken says so in an answer.
-		r.Nobody = r.Outcome == control.NoConnection && errors.Is(err, syscall.ECONNREFUSED)
+		r.NotListening = r.Outcome == control.NoConnection && errors.Is(err, syscall.ECONNREFUSED)
 	}
 	if !errors.Is(err, errCancelled) {
-		slog.Warn("call_failed", "part", "receivers", "text", c.Text, "addr", c.addr, "outcome", r.Outcome, "kept", r.Kept, "err", err)
+		slog.Warn("call_failed", "part", "receivers", "text", c.Text, "addr", c.addr, "outcome", r.Outcome, "kept", r.StaleConn, "err", err)
 	}
 	return r
 }
@@ -222,7 +222,7 @@
 	case errors.Is(cause, errCancelled):
 		return control.Cancelled
 	}
-	return control.Lost
+	return control.ConnectionLost
 }
 
 // read takes from an answer what the module needs; kept: it came on a connection kept from an earlier call.
@@ -230,24 +230,24 @@
 	r := control.Result{Report: p.report(resp.Header.Get(reportHeader))}
 	switch resp.StatusCode {
 	case http.StatusOK:
-		r.Outcome, r.Closed = control.Delivered, true
+		r.Outcome, r.Final = control.Delivered, true
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		r.Outcome = control.Full
+		r.Outcome = control.Refused
 		if resp.Header.Get(noSlotHeader) == "1" {
 			r.Outcome = control.Unsent
 		}
-		if v := resp.Header.Get(waitHeader); v != "" && r.Outcome == control.Full {
+		if v := resp.Header.Get(waitHeader); v != "" && r.Outcome == control.Refused {
 			ms, err := strconv.ParseFloat(v, 64)
 			if err != nil || !(ms >= 0) || ms > 1e9 {
 				slog.Warn("bad_wait", "part", "receivers", "addr", resp.Request.URL.Host, "value", v)
 				break
 			}
-			r.Wait = control.Time(math.Ceil(ms * float64(time.Millisecond/protocol.Tick)))
+			r.RetryAfter = control.Time(math.Ceil(ms * float64(time.Millisecond/protocol.Tick)))
 		}
 	case http.StatusGatewayTimeout:
 		r.Outcome = control.Unsent
 	case http.StatusGone:
-		r.Outcome, r.Closed = control.Unsent, true
+		r.Outcome, r.Final = control.Unsent, true
 	default:
 		r.Outcome = control.Errored
 		if resp.StatusCode != http.StatusInternalServerError {
@@ -255,7 +255,7 @@
 		}
 	}
 	// One that has no place for a connection says so on it, without a report, and closes it.
-	r.Crowded = r.Outcome == control.Full && !kept && resp.Close && r.Wait == 0 && r.Report == nil
+	r.ConnLimitReached = r.Outcome == control.Refused && !kept && resp.Close && r.RetryAfter == 0 && r.Report == nil
 	return r
 }
 
--- a/internal/delivery/receivers/call_test.go
+++ b/internal/delivery/receivers/call_test.go
@@ -84,22 +84,22 @@
 
 func TestAnswers(t *testing.T) {
 	for answer, want := range map[string]control.Result{
-		"200 OK\r\nX-Load-Report: x1=25,x0=0.4\r\n":      {Outcome: control.Delivered, Closed: true, Report: []float64{0.4, 25}},
-		"200 OK\r\nX-Load-Report: x1=25\r\n":             {Outcome: control.Delivered, Closed: true, Report: []float64{math.NaN(), 25}},
-		"200 OK\r\nX-Load-Report: x0=oops\r\n":           {Outcome: control.Delivered, Closed: true},
+		"200 OK\r\nX-Load-Report: x1=25,x0=0.4\r\n":      {Outcome: control.Delivered, Final: true, Report: []float64{0.4, 25}},
+		"200 OK\r\nX-Load-Report: x1=25\r\n":             {Outcome: control.Delivered, Final: true, Report: []float64{math.NaN(), 25}},
+		"200 OK\r\nX-Load-Report: x0=oops\r\n":           {Outcome: control.Delivered, Final: true},
 		"500 No\r\n":                                     {Outcome: control.Errored},
-		"429 No\r\nX-Retry-In-Ms: 12.34\r\n":             {Outcome: control.Full, Wait: 124},
-		"429 No\r\nX-Retry-In-Ms: soon\r\n":              {Outcome: control.Full},
-		"503 No\r\n":                                     {Outcome: control.Full},
+		"429 No\r\nX-Retry-In-Ms: 12.34\r\n":             {Outcome: control.Refused, RetryAfter: 124},
+		"429 No\r\nX-Retry-In-Ms: soon\r\n":              {Outcome: control.Refused},
+		"503 No\r\n":                                     {Outcome: control.Refused},
 		"503 No\r\nX-No-Slot: 1\r\n":                     {Outcome: control.Unsent},
 		"504 No\r\n":                                     {Outcome: control.Unsent},
-		"410 Gone\r\n":                                   {Outcome: control.Unsent, Closed: true},
+		"410 Gone\r\n":                                   {Outcome: control.Unsent, Final: true},
 		"302 Found\r\nLocation: /elsewhere\r\n":          {Outcome: control.Errored},
-		"200 OK\r\nX-Load-Report: x0=1,x1=2,other=3\r\n": {Outcome: control.Delivered, Closed: true, Report: []float64{1, 2}},
+		"200 OK\r\nX-Load-Report: x0=1,x1=2,other=3\r\n": {Outcome: control.Delivered, Final: true, Report: []float64{1, 2}},
 
-		"503 No\r\nConnection: close\r\n":                             {Outcome: control.Full, Crowded: true},
-		"503 No\r\nConnection: close\r\nX-Retry-In-Ms: 1\r\n":         {Outcome: control.Full, Wait: 10},
-		"503 No\r\nConnection: close\r\nX-Load-Report: x0=0,x1=2\r\n": {Outcome: control.Full, Report: []float64{0, 2}},
+		"503 No\r\nConnection: close\r\n":                             {Outcome: control.Refused, ConnLimitReached: true},
+		"503 No\r\nConnection: close\r\nX-Retry-In-Ms: 1\r\n":         {Outcome: control.Refused, RetryAfter: 10},
+		"503 No\r\nConnection: close\r\nX-Load-Report: x0=0,x1=2\r\n": {Outcome: control.Refused, Report: []float64{0, 2}},
 	} {
 		addr, came := standIn(t, func(*http.Request, []byte) string { return answer })
 		got := submit(t, fleet(addr), []byte("x"), time.Second)
@@ -125,7 +125,7 @@
 		if r := submit(t, f, body, time.Second); r.Outcome != control.Delivered {
 			t.Fatal(r)
 		}
-		if r := submit(t, f, body, time.Second); r.Outcome != control.Lost || came.Load() != 2 {
+		if r := submit(t, f, body, time.Second); r.Outcome != control.ConnectionLost || came.Load() != 2 {
 			t.Errorf("%v after %d requests", r, came.Load())
 		}
 	}
@@ -204,7 +204,7 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	if r := submit(t, fleet(l.Addr().String()), []byte("x"), time.Second); r.Outcome != control.NoConnection || !r.Nobody {
+	if r := submit(t, fleet(l.Addr().String()), []byte("x"), time.Second); r.Outcome != control.NoConnection || !r.NotListening {
 		t.Error(r)
 	}
 }
@@ -334,19 +334,19 @@
 		"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + long: control.Delivered,
 		"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort":            control.Delivered,
 		"HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 200 OK\r\nX-Never: ends":   control.Delivered,
-		"HTTP/1.1 20":                                            control.Lost,
-		"HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 2":                   control.Lost,
-		"HTTP/1.1 503 Full\r\nContent-Length: 9\r\n\r\nshort":    control.Lost,
-		"HTTP/1.1 429 Full\r\nX-Retry-In-Ms: 5\r\nX-Never: ends": control.Lost,
-		"\x00\xff\x17 noise\r\n":                                 control.Lost,
-		"noise without an end":                                   control.Lost,
-		"HTTP/1.1 2000 OK\r\nContent-Length: 0\r\n\r\n":          control.Lost,
+		"HTTP/1.1 20":                                            control.ConnectionLost,
+		"HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 2":                   control.ConnectionLost,
+		"HTTP/1.1 503 Full\r\nContent-Length: 9\r\n\r\nshort":    control.ConnectionLost,
+		"HTTP/1.1 429 Full\r\nX-Retry-In-Ms: 5\r\nX-Never: ends": control.ConnectionLost,
+		"\x00\xff\x17 noise\r\n":                                 control.ConnectionLost,
+		"noise without an end":                                   control.ConnectionLost,
+		"HTTP/1.1 2000 OK\r\nContent-Length: 0\r\n\r\n":          control.ConnectionLost,
 	} {
 		addr, conns := raw(t, func(int64) string { return answer })
 		f := fleet(addr)
 		began := time.Now()
 		for range 2 {
-			if r := submit(t, f, []byte("x"), 5*time.Second); r.Outcome != want || r.Closed != (want == control.Delivered) {
+			if r := submit(t, f, []byte("x"), 5*time.Second); r.Outcome != want || r.Final != (want == control.Delivered) {
 				t.Errorf("%.60q: %v, want %v", answer, r.Outcome, want)
 			}
 		}
@@ -456,7 +456,7 @@
 		for range answers {
 			submit(t, f, nil, time.Second)
 		}
-		if r := submit(t, f, nil, time.Second); r.Outcome != control.Lost || r.Kept != kept {
+		if r := submit(t, f, nil, time.Second); r.Outcome != control.ConnectionLost || r.StaleConn != kept {
 			t.Errorf("%v after %d answers", r, answers)
 		}
 	}
--- a/internal/delivery/sender/count.go
+++ b/internal/delivery/sender/count.go
@@ -20,14 +20,14 @@
 
 func (c *Calls) add(r control.Result) {
 	switch r.Outcome {
-	case control.Full:
+	case control.Refused:
 		c.Full++
-		if r.Crowded {
+		if r.ConnLimitReached {
 			c.Crowded++
 		}
 	case control.NoConnection:
 		c.NoConnection++
-	case control.NoAnswer, control.Lost:
+	case control.NoAnswer, control.ConnectionLost:
 		c.NoAnswer++
 	case control.Errored:
 		c.Errored++
--- a/internal/delivery/sender/listing.go
+++ b/internal/delivery/sender/listing.go
@@ -20,26 +20,26 @@
 
 func (s *Sender) hear(news directory.News) {
 	named := map[control.ReceiverID]bool{}
-	entries := make([]control.Entry, 0, len(news.Hosts))
+	entries := make([]control.ReceiverEntry, 0, len(news.Hosts))
 	for _, h := range news.Hosts {
 		before, taken := s.at[h.Addr]
 		switch taken = taken && before != h.Receiver; {
-		case h.Listing == control.Removed:
+		case h.State == control.Removed:
 			s.drop(h.Receiver)
-		case taken && h.Listing == control.Draining: // another has its place already
-			h.Listing = control.Removed
+		case taken && h.State == control.Draining: // another has its place already
+			h.State = control.Removed
 			s.drop(h.Receiver)
 		default:
 			// An address is that of whoever came there last. What is sent to one that was there before would reach
 			// the new one, perhaps of another destination.
 			if taken {
 				s.drop(before)
-				entries = append(entries, control.Entry{Receiver: before, Listing: control.Removed})
+				entries = append(entries, control.ReceiverEntry{Receiver: before, State: control.Removed})
 			}
 			named[h.Receiver] = true
 			s.place(h)
 		}
-		entries = append(entries, h.Entry)
+		entries = append(entries, h.ReceiverEntry)
 	}
 	if news.Whole {
 		for id := range s.listed {
@@ -48,13 +48,13 @@
 			}
 		}
 	}
-	s.module.Listed(news.Whole, entries)
+	s.module.UpdateReceivers(news.Whole, entries)
 	for _, h := range news.Hosts {
 		if l, ok := s.recall[h.Addr]; ok && s.at[h.Addr] == h.Receiver {
 			delete(s.recall, h.Addr)
 			if l.Destination == h.Destination && l.Kind == h.Kind {
-				l.Lesson.Receiver = h.Receiver
-				s.module.Recall(l.Lesson)
+				l.ReceiverHistory.Receiver = h.Receiver
+				s.module.Restore(l.ReceiverHistory)
 			}
 		}
 	}
@@ -76,9 +76,9 @@
 		addr[id] = a
 	}
 	all := slices.SortedFunc(maps.Values(s.recall), func(a, b warmstart.Receiver) int { return cmp.Compare(a.Addr, b.Addr) })
-	for _, l := range s.module.Learnt() {
+	for _, l := range s.module.History() {
 		if e, ok := s.listed[l.Receiver]; ok && addr[l.Receiver] != "" {
-			all = append(all, warmstart.Receiver{Addr: addr[l.Receiver], Destination: e.Destination, Kind: e.Kind, Lesson: l})
+			all = append(all, warmstart.Receiver{Addr: addr[l.Receiver], Destination: e.Destination, Kind: e.Kind, ReceiverHistory: l})
 		}
 	}
 	return s.now(), all
@@ -87,7 +87,7 @@
 // place keeps where a receiver is.
 func (s *Sender) place(h directory.Host) {
 	s.vacate(h.Receiver)
-	s.listed[h.Receiver], s.at[h.Addr] = h.Entry, h.Receiver
+	s.listed[h.Receiver], s.at[h.Addr] = h.ReceiverEntry, h.Receiver
 	s.fleet.Listed(h.Receiver, h.Addr)
 }
 
--- a/internal/delivery/sender/outlet.go
+++ b/internal/delivery/sender/outlet.go
@@ -58,7 +58,7 @@
 func (s *Sender) still(ctx context.Context, id string, no int) bool {
 	answer := make(chan bool, 1)
 	select {
-	case s.mail <- func() { answer <- !s.frozen && s.module.Still(id, no) }:
+	case s.mail <- func() { answer <- !s.frozen && s.module.MayStillSend(id, no) }:
 	case <-ctx.Done():
 		return false
 	}
@@ -87,8 +87,8 @@
 	s.end(&ledger.Notice{ID: id, Nack: true, Delay: comeBack}, Answer{Nacked, comeBack})
 }
 
-// Undeliverable ends a text for good.
-func (s *Sender) Undeliverable(id string) { s.end(&ledger.Notice{ID: id}, Answer{Verdict: Failed}) }
+// MarkUndeliverable ends a text for good.
+func (s *Sender) MarkUndeliverable(id string) { s.end(&ledger.Notice{ID: id}, Answer{Verdict: Failed}) }
 
 // end tells the client where it still waits, else the platform.
 func (s *Sender) end(n *ledger.Notice, a Answer) {
@@ -109,7 +109,7 @@
 		delete(s.texts, n.ID)
 		s.over.add(n.ID, s.limits.Texts)
 		if n.Key = h.Key; n.Key != "" { // at once: the module may let the next of the key go in this very batch
-			s.module.Untold(n.Key)
+			s.module.NoticePending(n.Key)
 		}
 		s.noted(n.ID, s.ledger.Untold(n))
 		s.leave(func() { s.post(n) }, nil)
@@ -123,24 +123,24 @@
 	}
 }
 
-// Wake sets the timer, if nothing earlier is waited for. The module needs no more than one wake. One whose time has come
+// WakeAt sets the timer, if nothing earlier is waited for. The module needs no more than one wake. One whose time has come
 // is waited for no more, even if the timer has not been heard: what came in with it has had the module plan anew, and
 // it would not ask a second time.
-func (s *Sender) Wake(at control.Time, _ int64) {
+func (s *Sender) WakeAt(at control.Time, _ int64) {
 	if now := s.now(); s.wakeAt <= now || at < s.wakeAt {
 		s.wakeAt = at
 		s.timer.Reset(protocol.Span(max(0, at-now)))
 	}
 }
 
-// Close closes the idle connections to a receiver.
-func (s *Sender) Close(to control.ReceiverID) { s.fleet.Close(to) }
+// CloseIdle closes the idle connections to a receiver.
+func (s *Sender) CloseIdle(to control.ReceiverID) { s.fleet.Close(to) }
 
-// Watch has nothing to do here: internal/delivery/directory keeps a watch open from the start, asked for or not.
-func (s *Sender) Watch() {}
+// WatchReceivers has nothing to do here: internal/delivery/directory keeps a watch open from the start, asked for or not.
+func (s *Sender) WatchReceivers() {}
 
-// Note has no way to other senders here; the module sends none.
-func (s *Sender) Note([]byte) {}
+// Broadcast has no way to other senders here; the module sends none.
+func (s *Sender) Broadcast([]byte) {}
 
 // Log writes a line of the module.
 func (s *Sender) Log(line string) { slog.Info("said", "part", "module", "line", line) }
--- a/internal/delivery/sender/sender.go
+++ b/internal/delivery/sender/sender.go
@@ -58,7 +58,7 @@
 	texts    map[string]*held
 	left     map[string]*held // withdrawn, and a call of theirs is out
 	over     recent           // ids of texts that were taken on and have their end
-	listed   map[control.ReceiverID]control.Entry
+	listed   map[control.ReceiverID]control.ReceiverEntry
 	at       map[string]control.ReceiverID // by address, those listed
 	recall   map[string]warmstart.Receiver // of a process before, by address; until the list names them
 	fresh    []*held                       // their clients have yet to hear
@@ -95,14 +95,14 @@
 	s := &Sender{
 		limits: c.Limits, began: time.Now(), mail: make(chan func(), c.Limits.Mailbox),
 		timer: time.NewTimer(time.Hour), ledger: l, fleet: f,
-		texts: map[string]*held{}, left: map[string]*held{}, listed: map[control.ReceiverID]control.Entry{},
+		texts: map[string]*held{}, left: map[string]*held{}, listed: map[control.ReceiverID]control.ReceiverEntry{},
 		at: map[string]control.ReceiverID{}, idle: make(chan struct{}),
 	}
 	var err error
 	if s.module, err = control.New(c.Seed, c.Settings, s); err != nil {
 		return nil, err
 	}
-	s.module.Clock(s.now())
+	s.module.SetTime(s.now())
 	return s, nil
 }
 
@@ -124,7 +124,7 @@
 	for _, n := range due {
 		s.over.add(n.ID, s.limits.Texts)
 		if n.Key != "" {
-			s.module.Untold(n.Key)
+			s.module.NoticePending(n.Key)
 		}
 		s.post(n)
 	}
@@ -158,22 +158,22 @@
 }
 
 func (s *Sender) step(do func()) {
-	s.module.Clock(s.now())
+	s.module.SetTime(s.now())
 	do()
 }
 
 // settle lets the module release what may go, and answers the clients that wait.
 func (s *Sender) settle() {
 	for again := true; again; again = len(s.later) > 0 {
-		s.module.Clock(s.now())
+		s.module.SetTime(s.now())
 		todo := s.later
 		s.later = nil
 		for _, do := range todo {
 			do()
 		}
 		if !s.frozen {
-			s.module.ProcessLateness(protocol.Ticks(wakeUps * s.lateness.Worst()))
-			s.module.Settle()
+			s.module.SetProcessLateness(protocol.Ticks(wakeUps * s.lateness.Worst()))
+			s.module.Schedule()
 		}
 		s.commit()
 	}
@@ -239,7 +239,7 @@
 			s.owed--
 			s.noted(n.ID, s.ledger.Ended(n.ID))
 			if n.Key != "" {
-				s.module.Told(n.Key)
+				s.module.NoticeDelivered(n.Key)
 			}
 		}
 	})
@@ -256,14 +256,14 @@
 		if r.Outcome == control.Delivered {
 			s.counts.Delivered++
 		}
-		if r.Closed {
+		if r.Final {
 			s.over.add(id, s.limits.Texts)
 			s.forget(id)
 		} else {
 			s.noted(id, s.ledger.Answered(id, r.Outcome.MayHaveRun()))
 		}
 	}
-	s.module.Ended(id, no, r)
+	s.module.HandleResult(id, no, r)
 }
 
 // Stop posts that the process is to end: what is owed is worked on, and Idle tells once nothing is left.
--- a/internal/delivery/sender/sender_test.go
+++ b/internal/delivery/sender/sender_test.go
@@ -103,7 +103,7 @@
 		g.t.Fatal(err)
 	}
 	g.Known(directory.News{Whole: true, Hosts: []directory.Host{{Addr: g.addr,
-		Entry: control.Entry{Receiver: 1, Rate: 1000, Destination: 3, Kind: "one"}}}})
+		ReceiverEntry: control.ReceiverEntry{Receiver: 1, Rate: 1000, Destination: 3, Kind: "one"}}}})
 	g.Start(g)
 	g.stop, g.stopped = make(chan struct{}), make(chan struct{})
 	go func(s *Sender, stop, stopped chan struct{}) {
@@ -380,8 +380,8 @@
 	g.hand("t1", "free", 2*time.Second)
 	g.until("out", func() bool { return g.called("t1") == 1 })
 	before := g.still(t.Context(), "t1", 0)
-	drains := control.Entry{Receiver: 1, Rate: 1000, Destination: 3, Kind: "one", Listing: control.Draining}
-	g.Listed(directory.News{Hosts: []directory.Host{{Addr: g.addr, Entry: drains}}})
+	drains := control.ReceiverEntry{Receiver: 1, Rate: 1000, Destination: 3, Kind: "one", State: control.Draining}
+	g.Listed(directory.News{Hosts: []directory.Host{{Addr: g.addr, ReceiverEntry: drains}}})
 	if after := g.still(t.Context(), "t1", 0); !before || after {
 		t.Errorf("it may leave: %v, and for a receiver that drains: %v", before, after)
 	}
@@ -551,8 +551,8 @@
 	list := func(hosts ...directory.Host) {
 		g.Listed(directory.News{Hosts: hosts})
 	}
-	entry := func(id control.ReceiverID, dest int64, l control.Listing, addr string) directory.Host {
-		return directory.Host{Addr: addr, Entry: control.Entry{Receiver: id, Rate: 1000, Destination: dest, Kind: "one", Listing: l}}
+	entry := func(id control.ReceiverID, dest int64, l control.ReceiverState, addr string) directory.Host {
+		return directory.Host{Addr: addr, ReceiverEntry: control.ReceiverEntry{Receiver: id, Rate: 1000, Destination: dest, Kind: "one", State: l}}
 	}
 	list(entry(2, 4, control.Up, g.addr))
 	list(entry(1, 3, control.Draining, g.addr)) // late news of the old one
@@ -673,11 +673,11 @@
 func TestAWakeAskedForWhileOneIsDue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &Sender{began: time.Now(), timer: time.NewTimer(time.Hour)}
-		s.Wake(s.now()+control.Second, 1)
+		s.WakeAt(s.now()+control.Second, 1)
 		time.Sleep(protocol.Span(control.Second))
 		next := s.now() + control.Second
-		s.Wake(next, 2)
-		s.Wake(next+control.Second, 3) // a later one changes nothing
+		s.WakeAt(next, 2)
+		s.WakeAt(next+control.Second, 3) // a later one changes nothing
 		if <-s.timer.C; s.now() != next {
 			t.Errorf("woken %s from the wake that was asked for", protocol.Span(s.now()-next))
 		}
@@ -694,7 +694,7 @@
 		s := &Sender{fleet: receivers.New(config.Limits{}, nil)}
 		s.Tally(time.Second)
 		s.counts.Taken, s.counts.Submits = 3, 4
-		s.counts.add(control.Result{Outcome: control.Full, Crowded: true})
+		s.counts.add(control.Result{Outcome: control.Refused, ConnLimitReached: true})
 		s.count()
 		time.Sleep(time.Second)
 		s.count()
@@ -717,7 +717,7 @@
 	maps.Copy(moved, control.Settings{"Instances": "200", "RegistryMode": "ask", "Contract.FallUs": "1500000", "Contract.RampTimeUs": "12000000",
 		"RequestClasses.0.Name": "status-update", "RequestClasses.0.ObjectiveUs": "1000000", "RequestClasses.0.HardLimitUs": "5000000"})
 	at := func(addr string, id control.ReceiverID, dest int64) directory.Host {
-		return directory.Host{Addr: addr, Entry: control.Entry{Receiver: id, Rate: 5, Destination: dest, Kind: "one"}}
+		return directory.Host{Addr: addr, ReceiverEntry: control.ReceiverEntry{Receiver: id, Rate: 5, Destination: dest, Kind: "one"}}
 	}
 	host := at("127.0.0.1:9", 1, 3)
 	start := func(set control.Settings, kept []warmstart.Receiver, h directory.Host) *Sender {
@@ -732,15 +732,15 @@
 		return s
 	}
 	before := start(settings, nil, host)
-	before.module.Take(control.Arrival{ID: "a", Product: "free", Destination: 3, TimeLeft: 2 * control.Second})
+	before.module.HandleArrival(control.Arrival{ID: "a", Product: "free", Destination: 3, TimeLeft: 2 * control.Second})
 	before.texts["a"] = &held{Text: &ledger.Text{ID: "a"}}
-	before.module.Settle() // the receiver is one that nobody is at: what it tells comes from here
-	before.module.Ended("a", 0, control.Result{Outcome: control.Full, Wait: 2 * control.Second, Report: []float64{0.9, 50}})
+	before.module.Schedule() // the receiver is one that nobody is at: what it tells comes from here
+	before.module.HandleResult("a", 0, control.Result{Outcome: control.Refused, RetryAfter: 2 * control.Second, Report: []float64{0.9, 50}})
 	learntAt, kept := before.Learnt()
-	if len(kept) != 1 || kept[0].Addr != host.Addr || kept[0].WaitUntil != kept[0].RefusedAt+2*control.Second+1 {
+	if len(kept) != 1 || kept[0].Addr != host.Addr || kept[0].RetryAfterUntil != kept[0].RefusedAt+2*control.Second+1 {
 		t.Fatalf("%+v", kept)
 	}
-	kept[0].Cold = learntAt // and it came back just now
+	kept[0].RecoveredAt = learntAt // and it came back just now
 
 	for _, c := range []struct {
 		name string
@@ -754,7 +754,7 @@
 		s := start(moved, kept, c.host)
 		_, now := s.Learnt()
 		i := slices.IndexFunc(now, func(r warmstart.Receiver) bool { return r.Addr == c.host.Addr && r.Destination == c.host.Destination })
-		if wait, cold := now[i].WaitUntil == kept[0].WaitUntil, now[i].Cold == learntAt; wait != c.told || cold != c.told {
+		if wait, cold := now[i].RetryAfterUntil == kept[0].RetryAfterUntil, now[i].RecoveredAt == learntAt; wait != c.told || cold != c.told {
 			t.Errorf("%s: the told wait is known: %v, that it is cold: %v", c.name, wait, cold)
 		}
 		if gone := !slices.ContainsFunc(now, func(r warmstart.Receiver) bool { return r.Addr == host.Addr && r.Destination == 3 }); gone != (c.host.Destination == 4) {
--- a/internal/delivery/sender/texts.go
+++ b/internal/delivery/sender/texts.go
@@ -104,7 +104,7 @@
 		}
 		if err := s.ledger.Taken(t); err != nil {
 			slog.Error("not_kept", "part", "sender", "text", t.ID, "err", err)
-			s.module.Withdrawn(t.ID)
+			s.module.Withdraw(t.ID)
 			full = true
 		}
 	}
@@ -119,9 +119,9 @@
 
 // take tells the module of a text and of all that was done for it; owed: a process before took it on.
 func (s *Sender) take(t *ledger.Text, owed bool) {
-	s.module.Take(control.Arrival{
+	s.module.HandleArrival(control.Arrival{
 		ID: t.ID, Product: t.Product, Destination: t.Destination, TimeLeft: t.ValidUntil - s.now(), Key: t.Key, Brand: t.Brand,
-		Retry: t.Retry, Returned: t.Returned, Owed: owed, Submits: t.Submits, RanSince: t.RanSince, RanZone: t.RanZone,
+		Retry: t.Retry, Returned: t.Returned, Recovered: owed, Attempts: t.Submits, FirstRunAt: t.RanSince, FirstRunZone: t.RanZone,
 	})
 }
 
@@ -139,7 +139,7 @@
 }
 
 func (s *Sender) withdraw(h *held) {
-	s.module.Withdrawn(h.ID)
+	s.module.Withdraw(h.ID)
 	if h.call != nil {
 		s.left[h.ID] = h
 	}
--- a/internal/delivery/warmstart/warmstart.go
+++ b/internal/delivery/warmstart/warmstart.go
@@ -25,7 +25,7 @@
 	Addr        string `json:"addr"`
 	Destination int64  `json:"dest"`
 	Kind        string `json:"kind"`
-	control.Lesson
+	control.ReceiverHistory
 }
 
 type file struct {
@@ -83,12 +83,12 @@
 		return nil, fmt.Errorf("%s: receivers: over %d", path, mostReceivers)
 	}
 	for i, r := range k.Receivers {
-		for _, past := range append([]control.Time{r.Cold, r.FailedSince, r.Refused, r.RefusedAt, r.RefusedFree}, r.Calls...) {
+		for _, past := range append([]control.Time{r.RecoveredAt, r.FailedSince, r.RefusedSince, r.RefusedAt, r.RefusedBelowLimit}, r.CallTimes...) {
 			if past < 0 || past > k.At {
 				return nil, fmt.Errorf("%s: receivers.%d: a moment that is not before it was written", path, i)
 			}
 		}
-		if r.Addr == "" || r.WaitUntil < 0 || r.Fails < 0 || r.Pace < 0 || len(r.Calls) > mostReceivers {
+		if r.Addr == "" || r.RetryAfterUntil < 0 || r.Failures < 0 || r.CallDuration < 0 || len(r.CallTimes) > mostReceivers {
 			return nil, fmt.Errorf("%s: receivers.%d: makes no sense", path, i)
 		}
 	}
--- a/internal/delivery/warmstart/warmstart_test.go
+++ b/internal/delivery/warmstart/warmstart_test.go
@@ -10,7 +10,7 @@
 	"emberquay/control"
 )
 
-var one = Receiver{"127.0.0.1:9", 7, "one", control.Lesson{WaitUntil: 90, Cold: 20, Fails: 2, FailedSince: 10, Refused: 5, RefusedAt: 6, RefusedFree: 6, Calls: []control.Time{30}, Pace: 4.5}}
+var one = Receiver{"127.0.0.1:9", 7, "one", control.ReceiverHistory{RetryAfterUntil: 90, RecoveredAt: 20, Failures: 2, FailedSince: 10, RefusedSince: 5, RefusedAt: 6, RefusedBelowLimit: 6, CallTimes: []control.Time{30}, CallDuration: 4.5}}
 
 func TestWrittenAndRead(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "learnt.json")
@@ -50,7 +50,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		all, err := parse("f", raw, 50)
 		for _, r := range all {
-			if err != nil || r.Addr == "" || r.Cold > 50 || r.Fails < 0 {
+			if err != nil || r.Addr == "" || r.RecoveredAt > 50 || r.Failures < 0 {
 				t.Errorf("%+v %v", r, err)
 			}
 		}
--- a/internal/lab/fleet/node.go
+++ b/internal/lab/fleet/node.go
@@ -67,7 +67,7 @@
 		return err
 	}
 	n.down = false
-	var list []control.Entry
+	var list []control.ReceiverEntry
 	version := n.play.day.Version(n.no, n.play.now)
 	for _, r := range n.play.day.Receivers {
 		if state := n.play.day.State(r, version); state == world.Active || state == world.Leaving {
@@ -76,7 +76,7 @@
 		}
 	}
 	n.step(func() {
-		n.module.Listed(true, list)
+		n.module.UpdateReceivers(true, list)
 		for _, h := range n.inHand() {
 			n.take(h, false)
 		}
@@ -117,11 +117,11 @@
 	c.over = true
 }
 
-func entryOf(r *world.Receiver, state string) control.Entry {
+func entryOf(r *world.Receiver, state string) control.ReceiverEntry {
 	d := r.Destination()
-	listing := map[string]control.Listing{world.Active: control.Up, world.Leaving: control.Draining, world.Left: control.Removed}[state]
-	return control.Entry{Receiver: control.ReceiverID(r.No + 1), Rate: r.Rate, Destination: int64(d.No), Kind: d.Kind.Name,
-		Listing: listing}
+	listing := map[string]control.ReceiverState{world.Active: control.Up, world.Leaving: control.Draining, world.Left: control.Removed}[state]
+	return control.ReceiverEntry{Receiver: control.ReceiverID(r.No + 1), Rate: r.Rate, Destination: int64(d.No), Kind: d.Kind.Name,
+		State: listing}
 }
 
 // told hands on a change of the list.
@@ -130,27 +130,29 @@
 		return
 	}
 	n.play.Referee.Told(n.play.now, n.no, ch.Receiver, ch.State)
-	n.step(func() { n.module.Listed(false, []control.Entry{entryOf(n.play.day.Receivers[ch.Receiver], ch.State)}) })
+	n.step(func() {
+		n.module.UpdateReceivers(false, []control.ReceiverEntry{entryOf(n.play.day.Receivers[ch.Receiver], ch.State)})
+	})
 }
 
 // step makes one batch of one call on the module.
 func (n *node) step(do func()) {
-	n.module.Clock(ticks(n.play.now))
+	n.module.SetTime(ticks(n.play.now))
 	do()
-	n.module.Settle()
+	n.module.Schedule()
 	for len(n.later) > 0 {
 		todo := n.later
 		n.later = nil
 		for _, do := range todo {
 			do()
 		}
-		n.module.Settle()
+		n.module.Schedule()
 	}
 }
 
 func (n *node) take(h *held, retry bool) {
-	n.module.Take(control.Arrival{ID: h.id, Product: h.text.Product.Name, Destination: int64(h.text.Destination), Key: h.text.Key,
-		TimeLeft: ticks(h.text.Validity()) - ticks(n.play.now), Retry: retry, Submits: h.submits, RanSince: h.ranSince})
+	n.module.HandleArrival(control.Arrival{ID: h.id, Product: h.text.Product.Name, Destination: int64(h.text.Destination), Key: h.text.Key,
+		TimeLeft: ticks(h.text.Validity()) - ticks(n.play.now), Retry: retry, Attempts: h.submits, FirstRunAt: h.ranSince})
 }
 
 // Submit sends a call on its way.
@@ -184,7 +186,7 @@
 		c.over = true
 		p.Referee.Broke(p.now, n.no, c.to.No)
 		p.second().NoConnection++
-		p.at(p.now+hop, func() { n.hear(h, c, no, control.Result{Outcome: control.NoConnection, Nobody: true}) })
+		p.at(p.now+hop, func() { n.hear(h, c, no, control.Result{Outcome: control.NoConnection, NotListening: true}) })
 		return
 	}
 	c.began = true
@@ -215,17 +217,17 @@
 	c.over = true
 	if a.Do == world.Reset {
 		p.Referee.CallEnded(p.now, c.no, false)
-		p.at(p.now+hop, func() { n.hear(h, c, no, control.Result{Outcome: control.Lost}) })
+		p.at(p.now+hop, func() { n.hear(h, c, no, control.Result{Outcome: control.ConnectionLost}) })
 		return
 	}
 	c.answered = true
 	p.Referee.CallAnswered(p.now, c.no, a.Status, a.Wait)
-	r := control.Result{Outcome: control.Errored, Wait: protocol.Ticks(a.Wait + protocol.Tick - 1)}
+	r := control.Result{Outcome: control.Errored, RetryAfter: protocol.Ticks(a.Wait + protocol.Tick - 1)}
 	switch a.Status {
 	case 200:
-		r.Outcome, r.Closed = control.Delivered, true
+		r.Outcome, r.Final = control.Delivered, true
 	case 429, 503:
-		r.Outcome = control.Full
+		r.Outcome = control.Refused
 		p.second().Full++
 	}
 	if a.Report.OK {
@@ -245,11 +247,11 @@
 	if r.Outcome.MayHaveRun() && h.ranSince == 0 {
 		h.ranSince = ticks(c.sent)
 	}
-	if r.Closed {
+	if r.Final {
 		delete(n.texts, h.id)
 		p.second().Delivered++
 	}
-	n.step(func() { n.module.Ended(h.id, no, r) })
+	n.step(func() { n.module.HandleResult(h.id, no, r) })
 }
 
 // Cancel gives a call up.
@@ -266,8 +268,8 @@
 	n.end(id, world.Nacked, protocol.Span(comeBack))
 }
 
-// Undeliverable ends a text for good.
-func (n *node) Undeliverable(id string) { n.end(id, world.Failed, 0) }
+// MarkUndeliverable ends a text for good.
+func (n *node) MarkUndeliverable(id string) { n.end(id, world.Failed, 0) }
 
 func (n *node) end(id string, v world.Heard, advice time.Duration) {
 	p, h := n.play, n.texts[id]
@@ -284,8 +286,8 @@
 	p.again(h.text, h.n, v, advice)
 }
 
-// Wake has the module called again.
-func (n *node) Wake(at control.Time, _ int64) {
+// WakeAt has the module called again.
+func (n *node) WakeAt(at control.Time, _ int64) {
 	life := n.life
 	n.play.at(protocol.Span(at-epoch), func() {
 		if n.life == life && !n.down {
@@ -294,14 +296,14 @@
 	})
 }
 
-// Close, Watch, Note and Log have nothing to do here.
-func (n *node) Close(control.ReceiverID) {}
+// CloseIdle, WatchReceivers, Broadcast and Log have nothing to do here.
+func (n *node) CloseIdle(control.ReceiverID) {}
 
-// Watch: the world tells its list by itself.
-func (n *node) Watch() {}
+// WatchReceivers: the world tells its list by itself.
+func (n *node) WatchReceivers() {}
 
-// Note is sent by no module.
-func (n *node) Note([]byte) {}
+// Broadcast is sent by no module.
+func (n *node) Broadcast([]byte) {}
 
 // Log is dropped.
 func (n *node) Log(string) {}
