--- a/admission/means.go
+++ b/admission/means.go
@@ -15,9 +15,9 @@
 type Fraction float64
 
 // Observe takes one event.
-func (s *Fraction) Observe(had bool) {
+func (s *Fraction) Observe(hasProperty bool) {
 	target := Fraction(0)
-	if had {
+	if hasProperty {
 		target = 1
 	}
 	*s += EWMAWeight * (target - *s)
@@ -25,13 +25,13 @@
 
 // DecayingCount counts what came of late: each event fades away exponentially over a span.
 type DecayingCount struct {
-	sum float64
-	at  int64
+	count     float64
+	updatedAt int64
 }
 
 // Add counts n events at a time and gives the count of late; span and now are in one unit.
-func (f *DecayingCount) Add(n float64, now int64, span float64) float64 {
-	f.sum = f.sum*math.Exp(-float64(now-f.at)/span) + n
-	f.at = now
-	return f.sum
+func (f *DecayingCount) Add(n float64, now int64, timeConstant float64) float64 {
+	f.count = f.count*math.Exp(-float64(now-f.updatedAt)/timeConstant) + n
+	f.updatedAt = now
+	return f.count
 }
--- a/admission/pauses.go
+++ b/admission/pauses.go
@@ -12,8 +12,8 @@
 type ConcurrencyWindow float64
 
 // OnRefusal takes a refusal that came while so many calls were out.
-func (w *ConcurrencyWindow) OnRefusal(out int) {
-	*w = min(*w, ConcurrencyWindow(out))
+func (w *ConcurrencyWindow) OnRefusal(inFlight int) {
+	*w = min(*w, ConcurrencyWindow(inFlight))
 	w.Halve()
 }
 
@@ -24,10 +24,12 @@
 func (w *ConcurrencyWindow) OnSuccess() { *w += 1 / *w }
 
 // Backoff is a pause that doubles with each time, up to so many doublings.
-func Backoff[T ~int64](pause T, times, most int) T { return pause << min(times, most) }
+func Backoff[T ~int64](pause T, doublings, maxDoublings int) T {
+	return pause << min(doublings, maxDoublings)
+}
 
 // Jitter is a pause times a random factor between 1-spread and 1+spread, so that not all who were told the
 // same come back at once; chance is drawn from [0, 1).
-func Jitter[T ~int64](pause T, spread, chance float64) T {
-	return T((1 - spread + 2*spread*chance) * float64(pause))
+func Jitter[T ~int64](pause T, spread, random float64) T {
+	return T((1 - spread + 2*spread*random) * float64(pause))
 }
--- a/control/choice.go
+++ b/control/choice.go
@@ -8,33 +8,33 @@
 
 // The choice of a receiver, and the call to it.
 
-// pick finds the receiver for the first held text of a destination that may go; nil if none may.
-func (s *Sender) pick(d *destination) *receiver {
-	var open []*receiver
+// selectReceiver finds the receiver for the first held text of a destination that may go; nil if none may.
+func (s *Sender) selectReceiver(d *destination) *receiver {
+	var available []*receiver
 	for _, r := range d.receivers {
-		if s.now >= r.restUntil && !s.suspect(r) && r.bucket.flight < s.room(r.bucket) && s.mayReach(r) {
-			open = append(open, r)
+		if s.now >= r.backoffUntil && !s.isSilent(r) && r.bucket.inFlight < s.concurrencyLimit(r.bucket) && s.mayCall(r) {
+			available = append(available, r)
 		}
 	}
-	if len(open) > 1 && len(d.queue) > 0 {
-		for _, r := range open {
-			r.merit = s.merit(d.queue[0], r)
+	if len(available) > 1 && len(d.queue) > 0 {
+		for _, r := range available {
+			r.netRevenue = s.netRevenue(d.queue[0], r)
 		}
 	}
-	slices.SortStableFunc(open, func(a, b *receiver) int {
-		if c := cmp.Compare(b.merit, a.merit); c != 0 {
+	slices.SortStableFunc(available, func(a, b *receiver) int {
+		if c := cmp.Compare(b.netRevenue, a.netRevenue); c != 0 {
 			return c
 		}
 		if a.bucket != b.bucket { // routes apart: the free one with most allowance left
-			return int(math.Copysign(1, b.bucket.left-a.bucket.left))
+			return int(math.Copysign(1, b.bucket.remaining-a.bucket.remaining))
 		}
 		// The latest used, whose connection is warm. The first is drawn: were it the first listed, all
 		// senders would choose the same one, whose queue is full while the others stand idle.
-		return cmp.Or(len(a.calls)-len(b.calls), int(b.used-a.used), cmp.Compare(a.rank, b.rank))
+		return cmp.Or(len(a.calls)-len(b.calls), int(b.usedAt-a.usedAt), cmp.Compare(a.tieBreak, b.tieBreak))
 	})
 	for _, t := range d.queue {
-		for _, r := range open {
-			if s.mayRepeat(t, r) && s.hisTurn(t) {
+		for _, r := range available {
+			if s.mayAttempt(t, r) && s.keyAllows(t) {
 				return r
 			}
 		}
@@ -42,56 +42,56 @@
 	return nil
 }
 
-// merit is what a text brings by way of a receiver: its revenue when it would be delivered there, less a fee
+// netRevenue is what a text brings by way of a receiver: its revenue when it would be delivered there, less a fee
 // of a route of its own, which is a share of the mean text's revenue.
-func (s *Sender) merit(t *text, r *receiver) float64 {
-	return s.worth(t, s.now+s.expected(r)) - r.fee*s.meanValue
+func (s *Sender) netRevenue(t *text, r *receiver) float64 {
+	return s.revenueAt(t, s.now+s.estimatedDuration(r)) - r.routeFee*s.meanValue
 }
 
-// expected is how long a call to a receiver takes just now: as its late ones did, and at least as long as one
+// estimatedDuration is how long a call to a receiver takes just now: as its late ones did, and at least as long as one
 // has been out already; as at the destination as a rule once what it told is old.
-func (s *Sender) expected(r *receiver) Time {
-	pace := Time(r.dest.pace)
-	if s.now-r.answered < 10*Second {
-		pace = Time(r.pace)
+func (s *Sender) estimatedDuration(r *receiver) Time {
+	estimate := Time(r.dest.callDuration)
+	if s.now-r.respondedAt < 10*Second {
+		estimate = Time(r.callDuration)
 	}
 	if len(r.calls) > 0 {
-		pace = max(pace, s.now-r.calls[0].sent)
+		estimate = max(estimate, s.now-r.calls[0].sentAt)
 	}
-	return pace
+	return estimate
 }
 
-// send opens one call to a receiver and lets as many held texts ride in it as its kind bundles.
-func (s *Sender) send(r *receiver) {
-	c := &call{to: r, sent: s.now}
-	if idle := s.now - r.idleSince; r.connected && len(r.calls) == 0 && idle < s.idleTime() {
-		c.idle = idle
+// sendCall opens one call to a receiver and lets as many held texts ride in it as its kind bundles.
+func (s *Sender) sendCall(r *receiver) {
+	c := &call{receiver: r, sentAt: s.now}
+	if idle := s.now - r.idleSince; r.connected && len(r.calls) == 0 && idle < s.connIdleTimeout() {
+		c.connIdle = idle
 	}
 	for _, t := range slices.Clone(r.dest.queue) {
-		if len(c.texts) < max(1, r.bundle) && s.mayRepeat(t, r) && s.hisTurn(t) {
-			s.submit(t, c)
+		if len(c.unanswered) < max(1, r.maxBundle) && s.mayAttempt(t, r) && s.keyAllows(t) {
+			s.sendAttempt(t, c)
 		}
 	}
 	r.calls = append(r.calls, c)
-	s.recent(r) // forgets the older ones
-	r.weighed = append(r.weighed, s.now)
-	r.used, r.connected = s.now, true
-	r.bucket.flight++
-	r.bucket.left--
-	s.holdAtNought(r.bucket)
-	r.bucket.used = s.seq
-	r.dest.flight++
-	s.callsOut++
+	s.recentCalls(r) // forgets the older ones
+	r.callTimes = append(r.callTimes, s.now)
+	r.usedAt, r.connected = s.now, true
+	r.bucket.inFlight++
+	r.bucket.remaining--
+	s.pauseIfExhausted(r.bucket)
+	r.bucket.usedSeq = s.lastSeq
+	r.dest.inFlight++
+	s.callsInFlight++
 }
 
-// submit sends one text; what is to be done with its result is left in the text.
-func (s *Sender) submit(t *text, c *call) {
+// sendAttempt sends one text; what is to be done with its result is left in the text.
+func (s *Sender) sendAttempt(t *text, c *call) {
 	i := slices.Index(t.dest.queue, t)
 	t.dest.queue = slices.Delete(t.dest.queue, i, i+1)
-	sub := &submit{no: t.submits, call: c}
-	t.submits++
-	t.out = sub
-	c.texts = append(c.texts, t)
-	t.next = func(r Result) { s.answered(t, sub, r) }
-	s.out.Submit(t.id, c.to.id, s.timeout(t))
+	att := &attempt{number: t.attempts, call: c}
+	t.attempts++
+	t.current = att
+	c.unanswered = append(c.unanswered, t)
+	t.onResult = func(r Result) { s.completeAttempt(t, att, r) }
+	s.actions.Submit(t.id, c.receiver.id, s.attemptTimeout(t))
 }
--- a/control/control.go
+++ b/control/control.go
@@ -20,16 +20,16 @@
 )
 
 const (
-	defaultPause = Second      // of a bucket that reads nought or refuses, where no wait is told: the design's
-	bucketCap    = 1024        // buckets remembered, as many as the document keeps bearer queues
-	spare        = 0.125       // share of a limit left for the calls of others that a sender has not seen yet
-	goneFor      = 60 * Second // what is listed no more is remembered so long, if it may matter again
-	firstPace    = 10          // parts of an SLA time: a guess at a usual call until the first answer
+	defaultPause     = Second      // of a bucket that reads nought or refuses, where no wait is told: the design's
+	maxBuckets       = 1024        // buckets remembered, as many as the document keeps bearer queues
+	reservedShare    = 0.125       // share of a limit left for the calls of others that a sender has not seen yet
+	removedRetention = 60 * Second // what is listed no more is remembered so long, if it may matter again
+	slaPerFirstCall  = 10          // parts of an SLA time: a guess at a usual call until the first answer
 )
 
 // SetTime tells the time of the calls that follow.
 func (s *Sender) SetTime(now Time) {
-	s.began = cmp.Or(s.began, now)
+	s.startedAt = cmp.Or(s.startedAt, now)
 	s.now = max(s.now, now)
 }
 
@@ -37,30 +37,30 @@
 // not its own, it is refused before anything is kept of it, unless it was taken on before a restart.
 func (s *Sender) HandleArrival(a Arrival) {
 	if s.destinations[a.Destination] == nil && len(s.receivers) > 0 && !a.Recovered {
-		s.out.Nack(a.ID, s.advice(defaultPause))
+		s.actions.Nack(a.ID, s.retryAdvice(defaultPause))
 		return
 	}
 	p := s.products[a.Product]
 	if p == nil { // not in the settings: nothing allows a repeat
-		p = &product{name: a.Product, pace: float64(Second) / 10}
+		p = &product{name: a.Product, callDuration: float64(Second) / 10}
 		s.products[a.Product] = p
 	}
-	s.seq++
-	t := &text{id: a.ID, seq: s.seq, product: p, dest: s.destination(a.Destination), key: a.Key,
-		validUntil: s.now + a.TimeLeft, wantedBy: s.now + p.sla - max(0, p.validity-a.TimeLeft),
-		submits: a.Attempts, mayHaveRun: a.FirstRunAt > 0, ranSince: a.FirstRunAt, ranZone: a.FirstRunZone,
-		within: s.within(s.brands[a.Brand]), owed: a.Recovered}
+	s.lastSeq++
+	t := &text{id: a.ID, seq: s.lastSeq, product: p, dest: s.destination(a.Destination), key: a.Key,
+		validUntil: s.now + a.TimeLeft, slaDeadline: s.now + p.sla - max(0, p.validity-a.TimeLeft),
+		attempts: a.Attempts, mayHaveRun: a.FirstRunAt > 0, firstRunAt: a.FirstRunAt, firstRunZone: a.FirstRunZone,
+		revenueShare: s.brandRevenueShare(s.brands[a.Brand]), recovered: a.Recovered}
 	s.texts[t.id] = t
-	t.dest.arrived++
+	t.dest.arrivals++
 	admission.UpdateEWMA(&s.meanValue, p.value)
 	if p.inOrder && t.key != "" {
-		k := s.line(t.key)
+		k := s.keyQueue(t.key)
 		k.texts = append(k.texts, t)
 		if t.mayHaveRun { // its call broke with the process before
-			k.restUntil = s.now + s.span("Contract.KeyRestUs", 0) + 1
+			k.pausedUntil = s.now + s.duration("Contract.KeyRestUs", 0) + 1
 		}
 	}
-	s.hold(t)
+	s.enqueue(t)
 }
 
 // Withdraw: nobody wants the text any more; a submit of it that is out is called off.
@@ -69,8 +69,8 @@
 	if t == nil {
 		return
 	}
-	if t.out != nil && s.set["Permissions.MayCancel"] == "true" {
-		s.out.Cancel(t.id, t.out.no)
+	if t.current != nil && s.settings["Permissions.MayCancel"] == "true" {
+		s.actions.Cancel(t.id, t.current.number)
 	}
 	s.finish(t)
 }
@@ -78,90 +78,90 @@
 // HandleResponseStart: the answer has begun, the submit is the client's now; its end is still told.
 func (s *Sender) HandleResponseStart(id string) {
 	if t := s.texts[id]; t != nil {
-		t.over = true
+		t.finished = true
 	}
 }
 
 // HandleResult hands the result of a submit to the step that waits for it.
-func (s *Sender) HandleResult(id string, no int, r Result) {
-	if t := s.texts[id]; t != nil && t.out != nil && t.out.no == no {
-		t.next(r)
+func (s *Sender) HandleResult(id string, number int, r Result) {
+	if t := s.texts[id]; t != nil && t.current != nil && t.current.number == number {
+		t.onResult(r)
 	}
 }
 
 // Schedule decides what goes now; call it once after all news of a batch. It walks the destinations that
 // have texts or calls, not the list: a sender may know thousands and have texts for a few.
 func (s *Sender) Schedule() {
-	s.watch()
-	for _, d := range s.busy {
+	s.startWatch()
+	for _, d := range s.active {
 		for _, r := range d.receivers {
 			r.bucket = s.bucketOf(r)
 		}
-		s.refuseLate(d)
+		s.rejectLate(d)
 	}
-	for s.callsOut < s.slots {
+	for s.callsInFlight < s.maxCalls {
 		var best *receiver
-		for _, d := range s.busy {
-			if r := s.pick(d); r != nil && (best == nil || d.flight < best.dest.flight) {
+		for _, d := range s.active {
+			if r := s.selectReceiver(d); r != nil && (best == nil || d.inFlight < best.dest.inFlight) {
 				best = r
 			}
 		}
 		if best == nil {
 			break
 		}
-		s.send(best)
+		s.sendCall(best)
 	}
-	s.busy = slices.DeleteFunc(s.busy, func(d *destination) bool {
-		d.busy = len(d.queue)+d.flight > 0
+	s.active = slices.DeleteFunc(s.active, func(d *destination) bool {
+		d.active = len(d.queue)+d.inFlight > 0
 		for _, r := range d.receivers {
-			s.hangUp(r)
-			d.busy = d.busy || r.connected && s.keep() < s.idleTime()
+			s.closeUnneeded(r)
+			d.active = d.active || r.connected && s.maxIdle() < s.connIdleTimeout()
 		}
-		if !d.busy && len(d.receivers) == 0 { // never listed
+		if !d.active && len(d.receivers) == 0 { // never listed
 			delete(s.destinations, d.id)
 		}
-		return !d.busy
+		return !d.active
 	})
-	s.plan()
+	s.scheduleWake()
 }
 
-// plan asks to be woken when time alone next changes what may be done.
-func (s *Sender) plan() {
-	at := Time(math.MaxInt64)
-	due := func(t Time) {
+// scheduleWake asks to be woken when time alone next changes what may be done.
+func (s *Sender) scheduleWake() {
+	next := Time(math.MaxInt64)
+	consider := func(t Time) {
 		if t > s.now {
-			at = min(at, t)
+			next = min(next, t)
 		}
 	}
-	due(s.askAt)
-	for _, d := range s.busy {
+	consider(s.watchAt)
+	for _, d := range s.active {
 		for _, t := range d.queue {
-			due(t.validUntil - s.usual(t) + 1)
-			due(s.repeatEnd(t))
+			consider(t.validUntil - s.typicalDuration(t) + 1)
+			consider(s.repeatDeadline(t))
 			if k := s.keys[t.key]; k != nil {
-				due(k.restUntil)
+				consider(k.pausedUntil)
 			}
 		}
 		for _, r := range d.receivers {
 			if len(r.calls) > 0 {
-				due(max(r.calls[0].sent, r.answered) + s.patience(r) + 1)
+				consider(max(r.calls[0].sentAt, r.respondedAt) + s.silenceLimit(r) + 1)
 			}
 			if len(r.calls)+len(d.queue) > 0 {
-				due(r.restUntil)
-				due(r.bucket.waitUntil)
-				due(r.bucket.heldUntil)
-				if s.struck(r) {
-					due(r.drawAt)
-					if len(r.weighed) > 0 {
-						due(r.weighed[0] + s.span("Contract.FallUs", 2*Second))
+				consider(r.backoffUntil)
+				consider(r.bucket.retryAfterUntil)
+				consider(r.bucket.pausedUntil)
+				if s.needsRecoveryBudget(r) {
+					consider(r.redrawAt)
+					if len(r.callTimes) > 0 {
+						consider(r.callTimes[0] + s.duration("Contract.FallUs", 2*Second))
 					}
 				}
 			}
 		}
 	}
-	if at < math.MaxInt64 && (s.wakeAt <= s.now || at < s.wakeAt) {
-		s.wakeAt = at
-		s.marks++
-		s.out.WakeAt(at, s.marks)
+	if next < math.MaxInt64 && (s.wakeAt <= s.now || next < s.wakeAt) {
+		s.wakeAt = next
+		s.lastMark++
+		s.actions.WakeAt(next, s.lastMark)
 	}
 }
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -193,7 +193,7 @@
 	w.advance(500)
 	w.deliver(1, 1, 10)
 	w.answer(lost, NoAnswer, 0)
-	expect(t, w, "failures noted", w.s.receivers[11].fails, 0)
+	expect(t, w, "failures noted", w.s.receivers[11].failures, 0)
 }
 
 // One call a window was always allowed: with 200 senders that alone pushed a returning receiver over.
@@ -294,7 +294,7 @@
 		w.answer(x, Refused, 500, 0, 10)
 	}
 	expect(t, w, "calls refused", len(outs), 4)
-	expect(t, w, "rounds counted", w.s.receivers[11].bucket.fulls, 1)
+	expect(t, w, "rounds counted", w.s.receivers[11].bucket.refusals, 1)
 }
 
 // Many senders read the same allowance: each sent until it was refused, and refused calls used the limit up.
@@ -324,7 +324,7 @@
 		w := newWorld(seed, Settings{"Instances": "80"})
 		fill(w, 1, "free", 1)
 		w.answer(w.outs()[0], Refused, 0, 0, 80)
-		held := w.s.receivers[11].bucket.heldUntil - w.now
+		held := w.s.receivers[11].bucket.pausedUntil - w.now
 		least, most = min(least, held), max(most, held)
 	}
 	if least < 3*Second/2 || most > 5*Second/2 || most-least < Second/2 { // a part, and half to one and a half
@@ -341,15 +341,15 @@
 	}
 	w.step(func() { w.s.UpdateReceivers(false, list) })
 	fill(w, 3, "free", 1)
-	expect(t, w, "destinations walked", len(w.s.busy), 1)
+	expect(t, w, "destinations walked", len(w.s.active), 1)
 	w.answer(w.outs()[0], Delivered, 0, 1, 10)
 	for len(w.outs()) > 0 {
 		w.answer(w.outs()[0], Delivered, 0)
 	}
-	expect(t, w, "destinations walked when all is answered", len(w.s.busy), 0)
+	expect(t, w, "destinations walked when all is answered", len(w.s.active), 0)
 	w.step(func() { w.s.UpdateReceivers(true, w.entries()) })
 	expect(t, w, "receivers remembered, the last of a destination for a while", len(w.s.receivers), 5006)
-	w.advance(goneFor)
+	w.advance(removedRetention)
 	w.step(func() { w.s.UpdateReceivers(true, w.entries()) })
 	expect(t, w, "receivers remembered", len(w.s.receivers), 6)
 }
@@ -422,13 +422,13 @@
 		w.advance(100)
 		w.kept = true
 		w.answer(x, ConnectionLost, 0)
-		expect(t, w, "failures noted", w.s.receivers[11].fails, 0)
+		expect(t, w, "failures noted", w.s.receivers[11].failures, 0)
 		expect(t, w, "sent again at once", x.out, ReceiverID(11))
 	}
 	w.kept = false // a new one tells
 	w.answer(x, ConnectionLost, 0)
 	w.answer(x, NoConnection, 0)
-	expect(t, w, "failures noted", w.s.receivers[11].fails, 2)
+	expect(t, w, "failures noted", w.s.receivers[11].failures, 2)
 }
 
 // Texts for destinations that do not exist were held, and each left a destination behind.
@@ -463,10 +463,10 @@
 		one(id, Removed)
 		w.advance(Second)
 	}
-	w.advance(goneFor)
+	w.advance(removedRetention)
 	one(999, Up)
 	expect(t, w, "receivers, destinations and buckets kept",
-		fmt.Sprint(len(w.s.receivers), len(w.s.destinations), len(w.s.buckets) < 5, len(w.s.gone)), "7 4 true 0")
+		fmt.Sprint(len(w.s.receivers), len(w.s.destinations), len(w.s.buckets) < 5, len(w.s.removed)), "7 4 true 0")
 }
 
 // A sender that restarts still owes what it had taken: what may have run and how often it was sent binds it.
@@ -538,8 +538,8 @@
 			w := newWorld(1, Settings{"Instances": "40", "Report.Names": names})
 			r := w.s.receivers[11] // ten a second for forty senders: a call in four seconds, the SLA time is two
 			r.bucket = w.s.bucketOf(r)
-			r.bucket.fulls, r.dest.pace = 2, 400
-			held := w.s.pause(r, told)
+			r.bucket.refusals, r.dest.callDuration = 2, 400
+			held := w.s.refusalPause(r, told)
 			expect(t, w, fmt.Sprint("reports ", names, ", told ", told, ", held ", held), held >= Second, longer)
 		}
 	}
@@ -688,7 +688,7 @@
 	expect(t, w, "by the zone without a fee", cheap.out, ReceiverID(16))
 	w.advance(500)
 	w.answer(cheap, Delivered, 0, 0.9, 10)
-	w.s.receivers[16].pace = float64(3 * Second) // of late: a third of the revenue is gone by then
+	w.s.receivers[16].callDuration = float64(3 * Second) // of late: a third of the revenue is gone by then
 	expect(t, w, "by the quick one", w.take("quick", "free", 3, "", 8*Second).out, ReceiverID(15))
 }
 
@@ -697,7 +697,7 @@
 	for refused, want := range map[float64]int{0: 0, 0.5: 3} {
 		w := newWorld(1, Settings{"Instances": "200"})
 		w.deliver(1, 0.01, 10) // nothing is left: the next go later
-		w.s.strain = refused
+		w.s.refusalShare = refused
 		fill(w, 4, "once", 1)
 		expect(t, w, fmt.Sprint("given up where ", refused, " of all calls are refused"), w.nacks, want)
 	}
@@ -707,10 +707,10 @@
 func TestHoldsGoByTheShortestSLATime(t *testing.T) {
 	w := newWorld(1, Settings{"Instances": "200", "RequestClasses.0.ObjectiveUs": "1000000"})
 	const small = 0.1
-	expect(t, w, "while no calls are refused", w.s.freeing(small, 1), Second/2)
-	w.s.strain = 0.3
-	expect(t, w, "while many are", w.s.freeing(small, 1), Second)
-	expect(t, w, "at a larger limit", w.s.freeing(1000, 2), Time(4000))
+	expect(t, w, "while no calls are refused", w.s.timeToFree(small, 1), Second/2)
+	w.s.refusalShare = 0.3
+	expect(t, w, "while many are", w.s.timeToFree(small, 1), Second)
+	expect(t, w, "at a larger limit", w.s.timeToFree(1000, 2), Time(4000))
 }
 
 // What a brand sent beyond its share, worth next to nothing, took the place of others' texts in a queue.
@@ -765,7 +765,7 @@
 			}
 			sends += w.sends
 			expect(t, w, "sent while the wait runs", early, 0)
-			expect(t, w, "the allowance is afresh", w.s.buckets[bucketKey{dest: 2}].known, false)
+			expect(t, w, "the allowance is afresh", w.s.buckets[bucketKey{dest: 2}].responded, false)
 		}
 	}
 	if sends > 16 || sends == 0 || afresh < 200 { // 200 senders and a window that bears 8; all were free to go before
--- a/control/learnt.go
+++ b/control/learnt.go
@@ -27,11 +27,11 @@
 	for _, id := range slices.Sorted(maps.Keys(s.receivers)) {
 		r := s.receivers[id]
 		b := s.bucketOf(r)
-		s.recent(r) // forgets the older ones
-		all = append(all, ReceiverHistory{Receiver: id, RetryAfterUntil: b.waitUntil, RecoveredAt: r.cold, Failures: r.fails,
+		s.recentCalls(r) // forgets the older ones
+		all = append(all, ReceiverHistory{Receiver: id, RetryAfterUntil: b.retryAfterUntil, RecoveredAt: r.recoveredAt, Failures: r.failures,
 			FailedSince: r.failedSince, RefusedSince: b.refusedSince, RefusedAt: b.refusedAt,
-			RefusedBelowLimit: b.refusedFree,
-			CallTimes:         slices.Clone(r.weighed), CallDuration: r.pace})
+			RefusedBelowLimit: b.refusedBelowLimit,
+			CallTimes:         slices.Clone(r.callTimes), CallDuration: r.callDuration})
 	}
 	return all
 }
@@ -44,17 +44,17 @@
 		return
 	}
 	b := s.bucketOf(r)
-	b.waitUntil, b.refusedAt = max(b.waitUntil, l.RetryAfterUntil), max(b.refusedAt, l.RefusedAt)
-	b.refusedFree = max(b.refusedFree, l.RefusedBelowLimit)
+	b.retryAfterUntil, b.refusedAt = max(b.retryAfterUntil, l.RetryAfterUntil), max(b.refusedAt, l.RefusedAt)
+	b.refusedBelowLimit = max(b.refusedBelowLimit, l.RefusedBelowLimit)
 	if b.refusedSince == 0 {
 		b.refusedSince = l.RefusedSince
 	}
-	r.cold, r.fails = max(r.cold, l.RecoveredAt), max(r.fails, l.Failures)
+	r.recoveredAt, r.failures = max(r.recoveredAt, l.RecoveredAt), max(r.failures, l.Failures)
 	if r.failedSince == 0 {
 		r.failedSince = l.FailedSince
 	}
-	r.weighed = append(slices.Clone(l.CallTimes), r.weighed...)
-	if r.pace == 0 {
-		r.pace = l.CallDuration
+	r.callTimes = append(slices.Clone(l.CallTimes), r.callTimes...)
+	if r.callDuration == 0 {
+		r.callDuration = l.CallDuration
 	}
 }
--- a/control/outcomes.go
+++ b/control/outcomes.go
@@ -10,139 +10,139 @@
 
 // What the end of a submit means for its text, its receiver and its bucket.
 
-// answered closes a submit and says what becomes of its text.
-func (s *Sender) answered(t *text, sub *submit, r Result) {
-	c := sub.call
-	t.out, t.next = nil, nil
+// completeAttempt closes a submit and says what becomes of its text.
+func (s *Sender) completeAttempt(t *text, att *attempt, r Result) {
+	c := att.call
+	t.current, t.onResult = nil, nil
 	if r.Outcome == Refused && r.RetryAfter > 0 { // one tenth longer, as the clock is rounded down; all of a bundle bind
-		c.to.bucket.waitUntil = max(c.to.bucket.waitUntil, s.now+r.RetryAfter+1)
+		c.receiver.bucket.retryAfterUntil = max(c.receiver.bucket.retryAfterUntil, s.now+r.RetryAfter+1)
 	}
-	if !c.heard {
-		c.heard = true
-		s.learn(c, r)
+	if !c.recorded {
+		c.recorded = true
+		s.recordOutcome(c, r)
 	}
-	c.texts = slices.DeleteFunc(c.texts, func(o *text) bool { return o == t })
-	if len(c.texts) == 0 {
-		c.to.calls = slices.DeleteFunc(c.to.calls, func(o *call) bool { return o == c })
-		c.to.idleSince = s.now
-		c.to.bucket.flight--
-		c.to.dest.flight--
-		s.callsOut--
+	c.unanswered = slices.DeleteFunc(c.unanswered, func(o *text) bool { return o == t })
+	if len(c.unanswered) == 0 {
+		c.receiver.calls = slices.DeleteFunc(c.receiver.calls, func(o *call) bool { return o == c })
+		c.receiver.idleSince = s.now
+		c.receiver.bucket.inFlight--
+		c.receiver.dest.inFlight--
+		s.callsInFlight--
 	}
 	if r.Outcome == Delivered {
-		s.flow(t.dest, 1)
-		admission.UpdateEWMA(&t.dest.pace, float64(r.Took))
-		admission.UpdateEWMA(&t.product.pace, float64(r.Took))
+		s.deliveryRate(t.dest, 1)
+		admission.UpdateEWMA(&t.dest.callDuration, float64(r.Took))
+		admission.UpdateEWMA(&t.product.callDuration, float64(r.Took))
 	}
 	if r.Outcome.MayHaveRun() && !t.mayHaveRun {
-		t.mayHaveRun, t.ranSince, t.ranZone = true, c.sent, c.to.zone
+		t.mayHaveRun, t.firstRunAt, t.firstRunZone = true, c.sentAt, c.receiver.zone
 	}
-	mayRunOn := r.Outcome == NoAnswer || r.Outcome == ConnectionLost || r.Outcome == Cancelled
-	if k := s.keys[t.key]; k != nil && t.product.inOrder && mayRunOn {
-		k.restUntil = s.now + s.span("Contract.KeyRestUs", 0) + 1
+	mayStillRun := r.Outcome == NoAnswer || r.Outcome == ConnectionLost || r.Outcome == Cancelled
+	if k := s.keys[t.key]; k != nil && t.product.inOrder && mayStillRun {
+		k.pausedUntil = s.now + s.duration("Contract.KeyRestUs", 0) + 1
 	}
 	switch {
-	case r.Final || t.over:
+	case r.Final || t.finished:
 		s.finish(t)
-	case s.mayRepeat(t, nil):
-		s.hold(t)
+	case s.mayAttempt(t, nil):
+		s.enqueue(t)
 	default:
-		s.giveUp(t, max(0, c.to.bucket.waitUntil-s.now))
+		s.giveUp(t, max(0, c.receiver.bucket.retryAfterUntil-s.now))
 	}
 }
 
-// learn takes from one call what it tells of a receiver and its bucket.
-func (s *Sender) learn(c *call, res Result) {
-	r, sent := c.to, c.sent
+// recordOutcome takes from one call what it tells of a receiver and its bucket.
+func (s *Sender) recordOutcome(c *call, res Result) {
+	r, sentAt := c.receiver, c.sentAt
 	b := r.bucket
-	s.reported(b, res.Report)
+	s.applyReport(b, res.Report)
 	switch {
-	case c.idle > 0 && (res.Outcome == ConnectionLost || res.Outcome == NoAnswer):
-		s.close(r)
+	case c.connIdle > 0 && (res.Outcome == ConnectionLost || res.Outcome == NoAnswer):
+		s.closeIdle(r)
 		if res.Outcome == NoAnswer || res.StaleConn { // the receiver's fault or the connection's: a new one will tell
-			r.swallowed = c.idle
+			r.unansweredIdle = c.connIdle
 		} else {
-			s.broke(c.idle)
+			s.recordBrokenIdle(c.connIdle)
 		}
-	case r.swallowed > 0 && c.idle == 0 && res.Outcome != NoAnswer:
-		if res.Outcome == Delivered && float64(res.Took) < 2*r.pace {
-			s.broke(r.swallowed)
+	case r.unansweredIdle > 0 && c.connIdle == 0 && res.Outcome != NoAnswer:
+		if res.Outcome == Delivered && float64(res.Took) < 2*r.callDuration {
+			s.recordBrokenIdle(r.unansweredIdle)
 		}
-		r.swallowed = 0
+		r.unansweredIdle = 0
 	}
-	if res.StaleConn && r.fails == 0 { // kept connections break beside a healthy receiver; a new one will tell
+	if res.StaleConn && r.failures == 0 { // kept connections break beside a healthy receiver; a new one will tell
 		return
 	}
 	switch res.Outcome {
 	case Unsent: // no slot was free after all: not at once again
-		r.restUntil = s.now + Second/8
+		r.backoffUntil = s.now + Second/8
 	case Cancelled:
 	case Refused:
-		r.answered = s.now
-		barred := res.RetryAfter > s.span("Contract.FallUs", 2*Second)
-		if b.limit == 0 || b.left >= 1 || barred || res.ConnLimitReached { // not for its limit: shut, or something is full
+		r.respondedAt = s.now
+		longRetryAfter := res.RetryAfter > s.duration("Contract.FallUs", 2*Second)
+		if b.limit == 0 || b.remaining >= 1 || longRetryAfter || res.ConnLimitReached { // not for its limit: shut, or something is full
 			b.refusedSince, b.refusedAt = cmp.Or(b.refusedSince, s.now), s.now
-			if b.share >= 0.9 {
-				b.refusedFree = s.now
+			if b.remainingShare >= 0.9 {
+				b.refusedBelowLimit = s.now
 			}
 		}
 		if res.ConnLimitReached {
-			s.crowd(r)
+			s.recordConnLimit(r)
 			return
 		}
-		if sent > b.fullAt { // those refused together count once
-			b.fulls, b.fullAt = b.fulls+1, s.now
-			b.heldUntil = max(b.heldUntil, b.waitUntil, s.now) + s.pause(r, res.RetryAfter > 0)
+		if sentAt > b.countedAt { // those refused together count once
+			b.refusals, b.countedAt = b.refusals+1, s.now
+			b.pausedUntil = max(b.pausedUntil, b.retryAfterUntil, s.now) + s.refusalPause(r, res.RetryAfter > 0)
 		}
-		b.strain += admission.EWMAWeight * (1 - b.strain)
-		s.strain += admission.EWMAWeight / 4 * (1 - s.strain)
-		b.window.OnRefusal(b.flight)
+		b.refusalShare += admission.EWMAWeight * (1 - b.refusalShare)
+		s.refusalShare += admission.EWMAWeight / 4 * (1 - s.refusalShare)
+		b.window.OnRefusal(b.inFlight)
 	case Delivered:
-		b.known = true
-		if c.idle == 0 {
-			s.opened[r.kind]++
+		b.responded = true
+		if c.connIdle == 0 {
+			s.connsOpened[r.kind]++
 		}
-		admission.UpdateEWMA(&r.pace, float64(res.Took))
-		r.answered = s.now
-		if r.fails > 1 {
-			s.out.Log(fmt.Sprintf("receiver %d back", r.id))
+		admission.UpdateEWMA(&r.callDuration, float64(res.Took))
+		r.respondedAt = s.now
+		if r.failures > 1 {
+			s.actions.Log(fmt.Sprintf("receiver %d back", r.id))
 		}
-		long := r.fails > 0 && s.now-r.failedSince > s.span("Contract.FallUs", 2*Second)
+		longOutage := r.failures > 0 && s.now-r.failedSince > s.duration("Contract.FallUs", 2*Second)
 		for _, o := range r.dest.receivers { // back from an outage, or not out of it yet
-			if o.bucket == b && s.shut(b) || o == r && (r.fails > 1 || long || r.ill > 0.5) {
-				o.cold = s.now
+			if o.bucket == b && s.bucketInOutage(b) || o == r && (r.failures > 1 || longOutage || r.failureShare > 0.5) {
+				o.recoveredAt = s.now
 			}
 		}
-		r.fails, r.crowds, b.refusedSince, b.refusedFree, b.fulls = 0, 0, 0, 0, b.fulls/2
-		r.ill -= admission.EWMAWeight * r.ill
+		r.failures, r.connRefusals, b.refusedSince, b.refusedBelowLimit, b.refusals = 0, 0, 0, 0, b.refusals/2
+		r.failureShare -= admission.EWMAWeight * r.failureShare
 		b.window.OnSuccess()
-		b.strain -= admission.EWMAWeight * b.strain
-		s.strain -= admission.EWMAWeight / 4 * s.strain
+		b.refusalShare -= admission.EWMAWeight * b.refusalShare
+		s.refusalShare -= admission.EWMAWeight / 4 * s.refusalShare
 	case NoConnection:
 		if !res.NotListening { // its connections may all be taken, and are if it answers others; who is down holds none
-			s.crowded[r.kind] = true
-			if r.answered >= sent {
-				s.crowd(r)
+			s.connLimited[r.kind] = true
+			if r.respondedAt >= sentAt {
+				s.recordConnLimit(r)
 				return
 			}
 		}
-		s.failed(r)
+		s.recordFailure(r)
 	default:
-		if res.Outcome == NoAnswer && r.answered > sent { // it answers others, so it is not silent
+		if res.Outcome == NoAnswer && r.respondedAt > sentAt { // it answers others, so it is not silent
 			return
 		}
 		if res.Outcome == Errored {
-			r.answered = s.now
+			r.respondedAt = s.now
 		}
-		s.failed(r)
+		s.recordFailure(r)
 	}
 }
 
-// crowd: a receiver's connections are all taken, which says nothing of its limit. The next try is for whoever
+// recordConnLimit: a receiver's connections are all taken, which says nothing of its limit. The next try is for whoever
 // comes first once one is free: at a random part of a usual call, twice that each further time.
-func (s *Sender) crowd(r *receiver) {
-	s.crowded[r.kind] = true
+func (s *Sender) recordConnLimit(r *receiver) {
+	s.connLimited[r.kind] = true
 	r.bucket.window.Halve()
-	r.restUntil = s.now + Time(s.chance.Float64()*float64(backOff(r, r.crowds)))
-	r.crowds++
+	r.backoffUntil = s.now + Time(s.rng.Float64()*float64(callBackoff(r, r.connRefusals)))
+	r.connRefusals++
 }
--- a/control/retries.go
+++ b/control/retries.go
@@ -4,72 +4,72 @@
 
 // Retries: what may be sent again, when a submit is given up, and how a text ends.
 
-// mayRepeat is rule 2, for every send: never two submits out, no more than the settings allow, and after
+// mayAttempt is rule 2, for every send: never two submits out, no more than the settings allow, and after
 // one that may have run only what the product's kind allows, to where a repeat is known, while it is known.
-func (s *Sender) mayRepeat(t *text, r *receiver) bool {
+func (s *Sender) mayAttempt(t *text, r *receiver) bool {
 	switch {
-	case t.over || t.out != nil || t.submits >= int(s.number("Permissions.TryLimit", 1)):
+	case t.finished || t.current != nil || t.attempts >= int(s.number("Permissions.TryLimit", 1)):
 		return false
-	case !t.mayHaveRun || t.product.repeat == "safe":
+	case !t.mayHaveRun || t.product.repeatPolicy == "safe":
 		return true
-	case t.product.repeat == "keyed":
-		return s.now < s.repeatEnd(t) && (r == nil || !t.product.zoned || r.zone == t.ranZone)
+	case t.product.repeatPolicy == "keyed":
+		return s.now < s.repeatDeadline(t) && (r == nil || !t.product.zoneScoped || r.zone == t.firstRunZone)
 	}
 	return false
 }
 
-// repeatEnd is when a text can no longer be sent again; one tenth early, as the clock is rounded down.
-func (s *Sender) repeatEnd(t *text) Time {
-	if t.mayHaveRun && t.product.repeat == "keyed" {
-		return t.ranSince + t.product.window - 1
+// repeatDeadline is when a text can no longer be sent again; one tenth early, as the clock is rounded down.
+func (s *Sender) repeatDeadline(t *text) Time {
+	if t.mayHaveRun && t.product.repeatPolicy == "keyed" {
+		return t.firstRunAt + t.product.repeatWindow - 1
 	}
 	return math.MaxInt64
 }
 
-// hisTurn is rule 5, for every send: texts of a key one at a time, in order, with the rest between them, and
+// keyAllows is rule 5, for every send: texts of a key one at a time, in order, with the rest between them, and
 // none before the platform has heard how the one before it ended.
-func (s *Sender) hisTurn(t *text) bool {
+func (s *Sender) keyAllows(t *text) bool {
 	k := s.keys[t.key]
-	rested := k == nil || k.untold == 0 && (s.now >= k.restUntil || t.submits > 0)
+	rested := k == nil || k.pendingNotices == 0 && (s.now >= k.pausedUntil || t.attempts > 0)
 	return !t.product.inOrder || k == nil || k.texts[0] == t && rested
 }
 
 // MayStillSend is asked before a submit that had to wait for its connection leaves. A second's wait for one is
 // enough for a repeat to come when it is known no more, and for news of a drain or a wait, which bind it too.
-func (s *Sender) MayStillSend(id string, no int) bool {
+func (s *Sender) MayStillSend(id string, number int) bool {
 	t := s.texts[id]
-	out := t != nil && !t.over && t.out != nil && t.out.no == no
-	return out && s.open(t.out.call.to) && s.now < s.repeatEnd(t)
+	inFlight := t != nil && !t.finished && t.current != nil && t.current.number == number
+	return inFlight && s.isAvailable(t.current.call.receiver) && s.now < s.repeatDeadline(t)
 }
 
 // giveUp ends a text at once: nacked where handing it in again does no harm, else undeliverable.
 func (s *Sender) giveUp(t *text, wait Time) {
 	p := t.product
-	if !t.mayHaveRun || p.repeat == "safe" || (p.repeat == "keyed" && !p.zoned) {
-		s.out.Nack(t.id, s.advice(wait))
+	if !t.mayHaveRun || p.repeatPolicy == "safe" || (p.repeatPolicy == "keyed" && !p.zoneScoped) {
+		s.actions.Nack(t.id, s.retryAdvice(wait))
 	} else {
-		s.out.MarkUndeliverable(t.id)
+		s.actions.MarkUndeliverable(t.id)
 	}
 	s.finish(t)
 }
 
-// timeout bounds a submit where giving up on it leaves time for another; else it may take its time. On the
+// attemptTimeout bounds a submit where giving up on it leaves time for another; else it may take its time. On the
 // last free slot, which all others wait for, no answer is waited for long, unless giving up is final. What was
 // learnt in an idle moment ends no call of a busy one: it is no shorter than what the process itself may lose.
-func (s *Sender) timeout(t *text) Time {
-	usual, end := s.usual(t), t.validUntil
-	most := 15.0
-	if s.callsOut+1 >= s.slots && t.product.repeat != "unsafe" {
-		most = 6
+func (s *Sender) attemptTimeout(t *text) Time {
+	typical, deadline := s.typicalDuration(t), t.validUntil
+	factor := 15.0
+	if s.callsInFlight+1 >= s.maxCalls && t.product.repeatPolicy != "unsafe" {
+		factor = 6
 	}
-	long := max(Time(most*float64(usual)), s.processLateness)
-	if t.product.repeat != "safe" {
-		end = min(end, s.repeatEnd(t), s.now+t.product.window) // no window: no repeat
+	limit := max(Time(factor*float64(typical)), s.processLateness)
+	if t.product.repeatPolicy != "safe" {
+		deadline = min(deadline, s.repeatDeadline(t), s.now+t.product.repeatWindow) // no window: no repeat
 	}
-	if long = min(long, end-s.now-2*usual); long < 3*usual {
+	if limit = min(limit, deadline-s.now-2*typical); limit < 3*typical {
 		return 0
 	}
-	return long
+	return limit
 }
 
 // MayHaveRun: the outcome does not prove that the submit had no effect.
--- a/control/state.go
+++ b/control/state.go
@@ -13,226 +13,226 @@
 
 // call is what a destination counts as one call: one submit, or a bundle of them with one fate.
 type call struct {
-	to    *receiver
-	sent  Time
-	idle  Time    // for how long its connection had been idle; 0: it was new
-	texts []*text // not yet answered
-	heard bool    // an outcome of it has been learned from
+	receiver   *receiver
+	sentAt     Time
+	connIdle   Time    // for how long its connection had been idle; 0: it was new
+	unanswered []*text // not yet answered
+	recorded   bool    // an outcome of it has been learned from
 }
 
-type submit struct {
-	no   int
-	call *call
+type attempt struct {
+	number int
+	call   *call
 }
 
 // What lasts for one text.
 
 type text struct {
-	id         string
-	seq        int64 // order of arrival
-	product    *product
-	dest       *destination
-	key        string
-	validUntil Time
-	wantedBy   Time
-	submits    int
-	mayHaveRun bool
-	ranSince   Time         // when the first submit that may have run was sent
-	ranZone    string       // and the zone it went to
-	out        *submit      // at most one
-	next       func(Result) // what to do with the result of the step under way
-	within     float64      // how much of its revenue counts, by its brand's share
-	over       bool         // has its final answer, or is wanted no more
-	owed       bool         // taken on before this process started
+	id           string
+	seq          int64 // order of arrival
+	product      *product
+	dest         *destination
+	key          string
+	validUntil   Time
+	slaDeadline  Time
+	attempts     int
+	mayHaveRun   bool
+	firstRunAt   Time         // when the first submit that may have run was sent
+	firstRunZone string       // and the zone it went to
+	current      *attempt     // at most one
+	onResult     func(Result) // what to do with the result of the step under way
+	revenueShare float64      // how much of its revenue counts, by its brand's share
+	finished     bool         // has its final answer, or is wanted no more
+	recovered    bool         // taken on before this process started
 }
 
 // What lasts for one receiver, one limit, one destination.
 
 type receiver struct {
-	id      ReceiverID
-	dest    *destination
-	bucket  *bucket
-	kind    string
-	rank    float64 // drawn: this sender's own order among equals
-	apart   bool    // a route of its own
-	bundle  int     // texts in one call at most
-	zone    string
-	rate    float64
-	fee     float64 // of a route apart, by its zone
-	listing ReceiverState
-	left    Time    // when the list named it no more; 0 if it does
-	calls   []*call // out, oldest first
+	id        ReceiverID
+	dest      *destination
+	bucket    *bucket
+	kind      string
+	tieBreak  float64 // drawn: this sender's own order among equals
+	ownLimit  bool    // a route of its own
+	maxBundle int     // texts in one call at most
+	zone      string
+	rate      float64
+	routeFee  float64 // of a route apart, by its zone
+	state     ReceiverState
+	removedAt Time    // when the list named it no more; 0 if it does
+	calls     []*call // out, oldest first
 
-	crowds      int     // connections refused there since its last delivery
-	connected   bool    // a connection may be open
-	idleSince   Time    // when its last call ended
-	swallowed   Time    // an idle connection, for so long, gave no answer to what was sent on it; 0: none
-	pace        float64 // of an answered call, tenths
-	answered    Time    // last sign of life
-	used        Time
-	fails       int     // in a row
-	merit       float64 // of the receiver for the text that is to go
-	ill         float64 // share of late calls that failed
-	failedSince Time    // the first of them
-	restUntil   Time
-	cold        Time    // when it was last seen to come back; 0 if warm
-	weighed     []Time  // calls sent there within the window of the budget
-	drawAt      Time    // when the fraction of a call in the budget is drawn anew
-	draw        float64 // the draw
+	connRefusals   int     // connections refused there since its last delivery
+	connected      bool    // a connection may be open
+	idleSince      Time    // when its last call ended
+	unansweredIdle Time    // an idle connection, for so long, gave no answer to what was sent on it; 0: none
+	callDuration   float64 // of an answered call, tenths
+	respondedAt    Time    // last sign of life
+	usedAt         Time
+	failures       int     // in a row
+	netRevenue     float64 // of the receiver for the text that is to go
+	failureShare   float64 // share of late calls that failed
+	failedSince    Time    // the first of them
+	backoffUntil   Time
+	recoveredAt    Time    // when it was last seen to come back; 0 if warm
+	callTimes      []Time  // calls sent there within the window of the budget
+	redrawAt       Time    // when the fraction of a call in the budget is drawn anew
+	budgetDraw     float64 // the draw
 }
 
 type bucket struct {
-	key          bucketKey
-	known        bool // an answer has come
-	limit        float64
-	share        float64 // as last reported
-	left         float64 // calls, by that report and what was sent since
-	fullAt       Time    // when the last of them was counted
-	fulls        int     // refusals since the last delivery
-	strain       float64 // share of late calls that were refused
-	flight       int
-	window       admission.ConcurrencyWindow // calls that have been found bearable at once
-	refusedSince Time                        // first refusal for another reason than the limit with no delivery after it; 0 if none
-	refusedAt    Time                        // the last such
-	refusedFree  Time                        // the last refusal with the allowance untouched and no delivery after it
-	waitUntil    Time                        // told
-	heldUntil    Time                        // by the allowance
-	used         int64
+	key               bucketKey
+	responded         bool // an answer has come
+	limit             float64
+	remainingShare    float64 // as last reported
+	remaining         float64 // calls, by that report and what was sent since
+	countedAt         Time    // when the last of them was counted
+	refusals          int     // refusals since the last delivery
+	refusalShare      float64 // share of late calls that were refused
+	inFlight          int
+	window            admission.ConcurrencyWindow // calls that have been found bearable at once
+	refusedSince      Time                        // first refusal for another reason than the limit with no delivery after it; 0 if none
+	refusedAt         Time                        // the last such
+	refusedBelowLimit Time                        // the last refusal with the allowance untouched and no delivery after it
+	retryAfterUntil   Time                        // told
+	pausedUntil       Time                        // by the allowance
+	usedSeq           int64
 }
 
 type bucketKey struct {
-	dest  int64
-	route ReceiverID // 0 where receivers share one limit
+	dest     int64
+	receiver ReceiverID // 0 where receivers share one limit
 }
 
 type destination struct {
-	id        int64
-	no        int // by first mention
-	receivers []*receiver
-	queue     []*text // held, in order of arrival
-	flight    int
-	busy      bool    // stands in Sender.busy
-	arrived   float64 // texts handed in for it
-	pace      float64
-	through   admission.DecayingCount // texts that got through of late
+	id           int64
+	index        int // by first mention
+	receivers    []*receiver
+	queue        []*text // held, in order of arrival
+	inFlight     int
+	active       bool    // stands in Sender.busy
+	arrivals     float64 // texts handed in for it
+	callDuration float64
+	deliveries   admission.DecayingCount // texts that got through of late
 }
 
 // What lasts as long as the instance.
 
 type product struct {
-	name     string
-	value    float64
-	sla      Time
-	validity Time
-	repeat   string
-	window   Time
-	zoned    bool // repeats are known only within one zone
-	inOrder  bool
-	pace     float64
-	lateKeep float64
+	name         string
+	value        float64
+	sla          Time
+	validity     Time
+	repeatPolicy string
+	repeatWindow Time
+	zoneScoped   bool // repeats are known only within one zone
+	inOrder      bool
+	callDuration float64
+	lateShare    float64
 }
 
 type brand struct {
-	part float64 // this sender's even part of its share, texts a second
-	sent admission.DecayingCount
+	quotaPerS float64 // this sender's even part of its share, texts a second
+	recent    admission.DecayingCount
 }
 
-type keyLine struct {
-	texts     []*text // unfinished, in the order they were taken
-	restUntil Time
-	untold    int // ends that are on their way to the platform
+type keyQueue struct {
+	texts          []*text // unfinished, in the order they were taken
+	pausedUntil    Time
+	pendingNotices int // ends that are on their way to the platform
 }
 
 // NoticePending: a text of the key has an end that the platform has yet to hear; until Told, nothing of the key may go.
-func (s *Sender) NoticePending(key string) { s.line(key).untold++ }
+func (s *Sender) NoticePending(key string) { s.keyQueue(key).pendingNotices++ }
 
 // NoticeDelivered: it has heard.
 func (s *Sender) NoticeDelivered(key string) {
-	s.line(key).untold--
-	s.forgetKeys()
+	s.keyQueue(key).pendingNotices--
+	s.removeIdleKeys()
 }
 
-func (s *Sender) line(key string) *keyLine {
+func (s *Sender) keyQueue(key string) *keyQueue {
 	if s.keys[key] == nil {
-		s.keys[key] = &keyLine{}
+		s.keys[key] = &keyQueue{}
 	}
 	return s.keys[key]
 }
 
-// forgetKeys drops the keys of which nothing is owed and whose rest is over.
-func (s *Sender) forgetKeys() {
-	maps.DeleteFunc(s.keys, func(_ string, k *keyLine) bool {
-		return len(k.texts)+k.untold == 0 && s.now >= k.restUntil
+// removeIdleKeys drops the keys of which nothing is owed and whose rest is over.
+func (s *Sender) removeIdleKeys() {
+	maps.DeleteFunc(s.keys, func(_ string, k *keyQueue) bool {
+		return len(k.texts)+k.pendingNotices == 0 && s.now >= k.pausedUntil
 	})
 }
 
 // Sender is one instance of the module.
 type Sender struct {
-	out             Actions
-	set             Settings
-	now             Time
-	began           Time // when it was first told the time
-	chance          admission.PCG
-	products        map[string]*product
-	texts           map[string]*text
-	keys            map[string]*keyLine
-	receivers       map[ReceiverID]*receiver
-	buckets         map[bucketKey]*bucket
-	destinations    map[int64]*destination
-	brands          map[string]*brand
-	crowded         map[string]bool // kinds of receivers of which one has refused a connection
-	opened          map[string]int  // connections made to receivers of a kind
-	gone            []*receiver     // not listed and not forgotten
-	mentions        int             // of destinations, first ones
-	busy            []*destination  // those with texts or calls, by first mention
-	slots           int
-	longestSLA      Time
-	shortestSLA     Time
-	strain          float64 // share of late calls that were refused, at all destinations
-	meanValue       float64 // of late texts
-	callsOut        int
-	askAt           Time // when the list is asked next; 0: not drawn yet, or it comes by itself
-	asks            int  // in a row in vain
-	seq             int64
-	processLateness Time // how much longer than usual a call may take by the caller's own doing
-	stale           Time // idle connections have broken after as little; 0: none has
-	staleAt         Time // the last time one did
-	wakeAt          Time // earliest wake asked for and not come; 0 if none
-	marks           int64
+	actions          Actions
+	settings         Settings
+	now              Time
+	startedAt        Time // when it was first told the time
+	rng              admission.PCG
+	products         map[string]*product
+	texts            map[string]*text
+	keys             map[string]*keyQueue
+	receivers        map[ReceiverID]*receiver
+	buckets          map[bucketKey]*bucket
+	destinations     map[int64]*destination
+	brands           map[string]*brand
+	connLimited      map[string]bool // kinds of receivers of which one has refused a connection
+	connsOpened      map[string]int  // connections made to receivers of a kind
+	removed          []*receiver     // not listed and not forgotten
+	destinationsSeen int             // of destinations, first ones
+	active           []*destination  // those with texts or calls, by first mention
+	maxCalls         int
+	longestSLA       Time
+	shortestSLA      Time
+	refusalShare     float64 // share of late calls that were refused, at all destinations
+	meanValue        float64 // of late texts
+	callsInFlight    int
+	watchAt          Time // when the list is asked next; 0: not drawn yet, or it comes by itself
+	watchFailures    int  // in a row in vain
+	lastSeq          int64
+	processLateness  Time // how much longer than usual a call may take by the caller's own doing
+	brokenIdle       Time // idle connections have broken after as little; 0: none has
+	brokenIdleAt     Time // the last time one did
+	wakeAt           Time // earliest wake asked for and not come; 0 if none
+	lastMark         int64
 }
 
 func (s *Sender) destination(id int64) *destination {
 	if s.destinations[id] == nil {
-		s.mentions++
-		s.destinations[id] = &destination{id: id, no: s.mentions}
+		s.destinationsSeen++
+		s.destinations[id] = &destination{id: id, index: s.destinationsSeen}
 	}
 	return s.destinations[id]
 }
 
-// attend has a destination walked at each Settle, until there is nothing to be done for it.
-func (s *Sender) attend(d *destination) {
-	if !d.busy {
-		d.busy = true
-		at, _ := slices.BinarySearchFunc(s.busy, d.no, func(o *destination, no int) int { return o.no - no })
-		s.busy = slices.Insert(s.busy, at, d)
+// activate has a destination walked at each Settle, until there is nothing to be done for it.
+func (s *Sender) activate(d *destination) {
+	if !d.active {
+		d.active = true
+		index, _ := slices.BinarySearchFunc(s.active, d.index, func(o *destination, no int) int { return o.index - no })
+		s.active = slices.Insert(s.active, index, d)
 	}
 }
 
-func newState(seed uint64, set Settings, out Actions) *Sender {
+func newSender(seed uint64, settings Settings, actions Actions) *Sender {
 	return &Sender{
-		out: out, set: set, chance: admission.NewPCG(seed),
-		products: map[string]*product{}, texts: map[string]*text{}, keys: map[string]*keyLine{},
+		actions: actions, settings: settings, rng: admission.NewPCG(seed),
+		products: map[string]*product{}, texts: map[string]*text{}, keys: map[string]*keyQueue{},
 		receivers: map[ReceiverID]*receiver{}, buckets: map[bucketKey]*bucket{},
 		destinations: map[int64]*destination{},
-		crowded:      map[string]bool{}, brands: map[string]*brand{}, opened: map[string]int{},
+		connLimited:  map[string]bool{}, brands: map[string]*brand{}, connsOpened: map[string]int{},
 	}
 }
 
-// recent counts the calls to a receiver within the window of the budget.
-func (s *Sender) recent(r *receiver) int {
-	from := s.now - s.span("Contract.FallUs", 2*Second)
-	r.weighed = slices.DeleteFunc(r.weighed, func(at Time) bool { return at <= from })
-	return len(r.weighed)
+// recentCalls counts the calls to a receiver within the window of the budget.
+func (s *Sender) recentCalls(r *receiver) int {
+	windowStart := s.now - s.duration("Contract.FallUs", 2*Second)
+	r.callTimes = slices.DeleteFunc(r.callTimes, func(at Time) bool { return at <= windowStart })
+	return len(r.callTimes)
 }
 
 // SetProcessLateness tells how much longer than usual a call may take because the caller's own process gets its processor late; 0
@@ -243,11 +243,11 @@
 func (s *Sender) HandlePeerNote(int, []byte) {}
 
 // UpdateReceivers takes news of the list; whole: what is not in it is gone.
-func (s *Sender) UpdateReceivers(whole bool, entries []ReceiverEntry) {
-	s.asks = 0
-	if whole {
+func (s *Sender) UpdateReceivers(complete bool, entries []ReceiverEntry) {
+	s.watchFailures = 0
+	if complete {
 		for _, r := range s.receivers {
-			r.listing = Removed
+			r.state = Removed
 		}
 	}
 	for _, e := range entries {
@@ -256,48 +256,48 @@
 			if e.State == Removed {
 				continue
 			}
-			r = &receiver{id: e.Receiver, dest: s.destination(e.Destination), kind: e.Kind, rank: s.chance.Float64(),
-				apart: s.perKind("Specifics.RoutesApart", e.Kind) == "true"}
-			r.bundle, _ = strconv.Atoi(s.perKind("Specifics.BundleMax", e.Kind))
+			r = &receiver{id: e.Receiver, dest: s.destination(e.Destination), kind: e.Kind, tieBreak: s.rng.Float64(),
+				ownLimit: s.kindValue("Specifics.RoutesApart", e.Kind) == "true"}
+			r.maxBundle, _ = strconv.Atoi(s.kindValue("Specifics.BundleMax", e.Kind))
 			s.receivers[e.Receiver] = r
 			byID := func(o *receiver, id ReceiverID) int { return cmp.Compare(o.id, id) }
-			at, _ := slices.BinarySearchFunc(r.dest.receivers, r.id, byID)
-			r.dest.receivers = slices.Insert(r.dest.receivers, at, r)
+			index, _ := slices.BinarySearchFunc(r.dest.receivers, r.id, byID)
+			r.dest.receivers = slices.Insert(r.dest.receivers, index, r)
 		}
-		if e.State == Removed && r.listing != Removed {
-			s.gone = append(s.gone, r)
+		if e.State == Removed && r.state != Removed {
+			s.removed = append(s.removed, r)
 		}
-		r.listing, r.rate, r.zone = e.State, e.Rate, e.Zone
-		if r.apart {
-			r.fee, _ = strconv.ParseFloat(s.perName("Specifics.Carriage", "FailureDomains", r.zone), 64)
+		r.state, r.rate, r.zone = e.State, e.Rate, e.Zone
+		if r.ownLimit {
+			r.routeFee, _ = strconv.ParseFloat(s.valueFor("Specifics.Carriage", "FailureDomains", r.zone), 64)
 		}
 	}
-	if whole {
-		s.gone = slices.Collect(maps.Values(s.receivers))
+	if complete {
+		s.removed = slices.Collect(maps.Values(s.receivers))
 	}
-	s.forget()
+	s.dropRemoved()
 }
 
-// hold puts a text in its destination's queue, by arrival: one that comes back stands at the head again.
-func (s *Sender) hold(t *text) {
+// enqueue puts a text in its destination's queue, by arrival: one that comes back stands at the head again.
+func (s *Sender) enqueue(t *text) {
 	bySeq := func(o *text, seq int64) int { return cmp.Compare(o.seq, seq) }
-	i, _ := slices.BinarySearchFunc(t.dest.queue, t.seq, bySeq)
-	t.dest.queue = slices.Insert(t.dest.queue, i, t)
-	s.attend(t.dest)
+	index, _ := slices.BinarySearchFunc(t.dest.queue, t.seq, bySeq)
+	t.dest.queue = slices.Insert(t.dest.queue, index, t)
+	s.activate(t.dest)
 }
 
 // finish closes a text; while a submit of it is out it is remembered, so that its end can be told apart.
 func (s *Sender) finish(t *text) {
-	t.over = true
+	t.finished = true
 	t.dest.queue = slices.DeleteFunc(t.dest.queue, func(o *text) bool { return o == t })
-	if t.out != nil {
+	if t.current != nil {
 		return
 	}
 	delete(s.texts, t.id)
 	if k := s.keys[t.key]; k != nil && t.product.inOrder {
 		k.texts = slices.DeleteFunc(k.texts, func(o *text) bool { return o == t })
 		if len(k.texts) == 0 {
-			s.forgetKeys()
+			s.removeIdleKeys()
 		}
 	}
 }
