--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -13,7 +13,7 @@
 	}
 }
 
-func TestNumbersAreSpreadEvenly(t *testing.T) {
+func TestNumbersAreUniform(t *testing.T) {
 	g := NewPCG(7)
 	var counts [10]int
 	for range 10_000 {
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestMeansFollow(t *testing.T) {
+func TestMeansAreExponentiallyWeighted(t *testing.T) {
 	var mean float64
 	UpdateEWMA(&mean, 10)
 	if mean != 10 {
@@ -39,20 +39,20 @@
 	if mean != 12 {
 		t.Errorf("10 and 20 gave %v", mean)
 	}
-	var ill Fraction
+	var failed Fraction
 	for range 50 {
-		ill.Observe(true)
+		failed.Observe(true)
 	}
-	if ill < 0.99 || ill > 1 {
-		t.Errorf("50 of 50 gave %v", ill)
+	if failed < 0.99 || failed > 1 {
+		t.Errorf("50 of 50 gave %v", failed)
 	}
-	ill.Observe(false)
-	if math.Abs(float64(ill)-0.8) > 0.01 {
-		t.Errorf("one more that had it not gave %v", ill)
+	failed.Observe(false)
+	if math.Abs(float64(failed)-0.8) > 0.01 {
+		t.Errorf("one more that had it not gave %v", failed)
 	}
 }
 
-func TestWhatFadesIsCountedOverItsSpan(t *testing.T) {
+func TestDecayingCountApproximatesARate(t *testing.T) {
 	var f DecayingCount
 	for at := range int64(100) {
 		f.Add(1, at*10, 100)
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestAWindowHalvesAndGrows(t *testing.T) {
+func TestWindowHalvesAndGrows(t *testing.T) {
 	w := ConcurrencyWindow(InitialWindow)
 	w.OnRefusal(20)
 	if w != 4 {
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestPausesDoubleAndDiffer(t *testing.T) {
+func TestBackoffAndJitter(t *testing.T) {
 	for times, want := range []int64{5, 10, 20, 40, 40} {
 		if got := Backoff(int64(5), times, 3); got != want {
 			t.Errorf("doubled %d times: %d", times, got)
--- a/admission/chance.go
+++ b/admission/chance.go
@@ -8,14 +8,14 @@
 	pcgIncrement  = 1442695040888963407
 )
 
-// NewPCG makes a generator; the same seed gives the same numbers.
+// NewPCG returns a generator; the same seed gives the same numbers.
 func NewPCG(seed uint64) PCG {
 	g := PCG{seed + pcgIncrement}
 	g.Uint32()
 	return g
 }
 
-// Uint32 gives the next 32 bits.
+// Uint32 returns the next 32 bits.
 func (g *PCG) Uint32() uint32 {
 	old := g.state
 	g.state = old*pcgMultiplier + pcgIncrement
@@ -23,8 +23,8 @@
 	return x>>rotation | x<<(-rotation&31)
 }
 
-// Float64 gives a number in [0, 1).
+// Float64 returns a number in [0, 1).
 func (g *PCG) Float64() float64 { return float64(g.Uint32()) / (1 << 32) }
 
-// IntN gives a whole number in [0, n); n is at least 1.
+// IntN returns an integer in [0, n); n is at least 1.
 func (g *PCG) IntN(n int) int { return int(uint64(g.Uint32()) * uint64(n) >> 32) }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -17,8 +17,8 @@
 	"emberquay/internal/delivery/simwire"
 )
 
-// perTenth is how many of the wire's microseconds make one of the module's tenths of a millisecond.
-const perTenth = 100
+// microsPerTick is how many of the wire's microseconds make one of the module's tenths of a millisecond.
+const microsPerTick = 100
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
@@ -29,19 +29,19 @@
 
 // instance is one sender and what it has to say in the batch at hand.
 type instance struct {
-	who    int64
-	sender *control.Sender
-	reply  bytes.Buffer
-	listed bool // stands in adapter.heard
-	broken bool // a fault was told; the day is over for it
+	id      int64
+	sender  *control.Sender
+	reply   bytes.Buffer
+	inBatch bool // stands in adapter.heard
+	failed  bool // a fault was told; the day is over for it
 }
 
 type adapter struct {
 	instances map[int64]*instance
 	lists     map[int64][]control.ReceiverEntry
-	heard     []*instance // those with an event in this batch, in order
+	touched   []*instance // those with an event in this batch, in order
 	now       control.Time
-	running   bool // inside a batch
+	inBatch   bool // inside a batch
 }
 
 func run(in io.Reader, out io.Writer) error {
@@ -51,7 +51,7 @@
 	for {
 		l, err := lines.Next()
 		if errors.Is(err, io.EOF) {
-			if d.running {
+			if d.inBatch {
 				return errors.New("input ends inside a batch")
 			}
 			return nil
@@ -60,11 +60,11 @@
 			return err
 		}
 		switch {
-		case l.Name == "CLOCK" && !d.running:
-			d.now = control.Time(l.Whole("AtTimeUs", 0, math.MaxInt64) / perTenth)
+		case l.Name == "CLOCK" && !d.inBatch:
+			d.now = control.Time(l.Whole("AtTimeUs", 0, math.MaxInt64) / microsPerTick)
 			l.Whole("round", 0, math.MaxInt64)
-			round, d.running = l.Opt("round"), true
-		case l.Name == "CLOCK" || !d.running:
+			round, d.inBatch = l.Opt("round"), true
+		case l.Name == "CLOCK" || !d.inBatch:
 			return fmt.Errorf("line %d: %s: not expected here", l.No, l.Name)
 		case l.Name == "COMMIT":
 			d.commit(w)
@@ -73,9 +73,9 @@
 				return err
 			}
 		case l.Name == "DIRECTORY":
-			err = d.directory(l, lines)
+			err = d.readDirectory(l, lines)
 		default:
-			err = d.event(l)
+			err = d.handleEvent(l)
 		}
 		if err = errors.Join(l.Err(), err); err != nil {
 			return err
@@ -85,39 +85,39 @@
 
 // commit lets every instance that heard something decide, and writes what they all had to say.
 func (d *adapter) commit(w io.Writer) {
-	for _, i := range d.heard {
-		i.guard(func() { i.sender.Schedule() })
+	for _, i := range d.touched {
+		i.recoverPanics(func() { i.sender.Schedule() })
 		w.Write(i.reply.Bytes())
 		i.reply.Reset()
-		i.listed = false
+		i.inBatch = false
 	}
-	d.heard, d.running = d.heard[:0], false
+	d.touched, d.inBatch = d.touched[:0], false
 }
 
-// guard runs a call on the module; a panic in it is told as the instance's fault.
-func (i *instance) guard(call func()) {
-	if i.broken || i.sender == nil {
+// recoverPanics runs a call on the module; a panic in it is told as the instance's fault.
+func (i *instance) recoverPanics(f func()) {
+	if i.failed || i.sender == nil {
 		return
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			i.fault(fmt.Sprint("panic: ", p))
+			i.fail(fmt.Sprint("panic: ", p))
 		}
 	}()
-	call()
+	f()
 }
 
-func (i *instance) fault(what string) {
-	i.broken = true
-	i.say("BUG Who=%d Msg=%s", i.who, strings.ReplaceAll(what, "\n", " "))
+func (i *instance) fail(message string) {
+	i.failed = true
+	i.writeLine("BUG Who=%d Msg=%s", i.id, strings.ReplaceAll(message, "\n", " "))
 }
 
-func (i *instance) say(format string, parts ...any) {
-	fmt.Fprintf(&i.reply, format, parts...)
+func (i *instance) writeLine(format string, args ...any) {
+	fmt.Fprintf(&i.reply, format, args...)
 	i.reply.WriteByte('\n')
 }
 
-func (d *adapter) directory(l *simwire.Line, lines *simwire.Reader) error {
+func (d *adapter) readDirectory(l *simwire.Line, lines *simwire.Reader) error {
 	ref, count := l.Whole("Ref", 0, 15), l.Whole("Elements", 0, 1<<24)
 	var entries []control.ReceiverEntry
 	for range count {
@@ -154,28 +154,28 @@
 	return nil
 }
 
-// event hands one line to the instance that it is for.
-func (d *adapter) event(l *simwire.Line) error {
-	who := l.Whole("Who", 0, math.MaxInt32)
+// handleEvent hands one line to the instance that it is for.
+func (d *adapter) handleEvent(l *simwire.Line) error {
+	id := l.Whole("Who", 0, math.MaxInt32)
 	if l.Err() != nil {
 		return nil
 	}
 	switch l.Name {
 	case "SPAWN":
-		i := &instance{who: who}
-		d.drop(who)
-		d.instances[who] = i
-		d.hears(i)
-		return d.spawn(l, i)
+		i := &instance{id: id}
+		d.remove(id)
+		d.instances[id] = i
+		d.touch(i)
+		return d.start(l, i)
 	case "POWER_OFF":
-		d.drop(who)
+		d.remove(id)
 		return nil
 	}
-	i := d.instances[who]
+	i := d.instances[id]
 	if i == nil {
-		return fmt.Errorf("line %d: %s: field Who: instance %d does not run", l.No, l.Name, who)
+		return fmt.Errorf("line %d: %s: field Who: instance %d does not run", l.No, l.Name, id)
 	}
-	d.hears(i)
+	d.touch(i)
 	s := i.sender
 	switch l.Name {
 	case "INGRESS":
@@ -183,7 +183,7 @@
 			ID:          l.Word("OpId"),
 			Product:     l.Word("Priority"),
 			Destination: l.Whole("BoundFor", math.MinInt64, math.MaxInt64),
-			TimeLeft:    control.Time(l.Whole("PatienceLeftUs", math.MinInt64, math.MaxInt64) / perTenth),
+			TimeLeft:    control.Time(l.Whole("PatienceLeftUs", math.MinInt64, math.MaxInt64) / microsPerTick),
 			Key:         l.Opt("PathKey"),
 			Brand:       l.Opt("Party"),
 			Retry:       l.Flag("Retry"),
@@ -191,20 +191,20 @@
 		}
 		return i.call(l, func() { s.HandleArrival(a) })
 	case "ATTEMPT_END":
-		id, n := l.Word("OpId"), int(l.Whole("SeqNo", 0, math.MaxInt32))
+		textID, number := l.Word("OpId"), int(l.Whole("SeqNo", 0, math.MaxInt32))
 		l.Whole("Receiver", 0, math.MaxUint32)
-		r := result(l)
-		return i.call(l, func() { s.HandleResult(id, n, r) })
+		r := parseResult(l)
+		return i.call(l, func() { s.HandleResult(textID, number, r) })
 	case "PING_RESULT": // none is asked for
 		l.Whole("Receiver", 0, math.MaxUint32)
-		result(l)
+		parseResult(l)
 		return nil
 	case "ABORTED":
-		id := l.Word("OpId")
-		return i.call(l, func() { s.Withdraw(id) })
+		textID := l.Word("OpId")
+		return i.call(l, func() { s.Withdraw(textID) })
 	case "ACK_FIRST":
-		id := l.Word("OpId")
-		return i.call(l, func() { s.HandleResponseStart(id) })
+		textID := l.Word("OpId")
+		return i.call(l, func() { s.HandleResponseStart(textID) })
 	case "BELL":
 		l.Whole("Mark", 0, math.MaxInt64)
 		return i.call(l, func() { s.SetTime(d.now) })
@@ -236,14 +236,14 @@
 }
 
 // call makes one call on the module, unless the line was at fault.
-func (i *instance) call(l *simwire.Line, do func()) error {
+func (i *instance) call(l *simwire.Line, f func()) error {
 	if l.Err() == nil {
-		i.guard(do)
+		i.recoverPanics(f)
 	}
 	return nil
 }
 
-func (d *adapter) spawn(l *simwire.Line, i *instance) error {
+func (d *adapter) start(l *simwire.Line, i *instance) error {
 	seed, settings := l.Seed("InitSeed"), control.Settings{}
 	for _, f := range l.Fields {
 		settings[f.Name] = f.Value
@@ -253,35 +253,35 @@
 	}
 	var err error
 	if i.sender, err = control.New(seed, settings, i); err != nil {
-		i.fault(err.Error())
+		i.fail(err.Error())
 		return nil
 	}
-	i.guard(func() { i.sender.SetTime(d.now) })
+	i.recoverPanics(func() { i.sender.SetTime(d.now) })
 	return nil
 }
 
-// hears notes that an instance has an event in this batch and tells it the time.
-func (d *adapter) hears(i *instance) {
-	if !i.listed {
-		i.listed = true
-		d.heard = append(d.heard, i)
-		i.guard(func() { i.sender.SetTime(d.now) })
+// touch notes that an instance has an event in this batch and tells it the time.
+func (d *adapter) touch(i *instance) {
+	if !i.inBatch {
+		i.inBatch = true
+		d.touched = append(d.touched, i)
+		i.recoverPanics(func() { i.sender.SetTime(d.now) })
 	}
 }
 
-// drop forgets an instance and all it meant to say: its texts are void.
-func (d *adapter) drop(who int64) {
-	if i := d.instances[who]; i != nil {
+// remove forgets an instance and all it meant to say: its texts are void.
+func (d *adapter) remove(id int64) {
+	if i := d.instances[id]; i != nil {
 		i.reply.Reset()
 		i.sender = nil
-		delete(d.instances, who)
+		delete(d.instances, id)
 	}
 }
 
-func result(l *simwire.Line) control.Result {
+func parseResult(l *simwire.Line) control.Result {
 	r := control.Result{
 		Final:  l.Flag("Final"),
-		Took:   control.Time(l.OptWhole("TookUs", 0, math.MaxInt64) / perTenth),
+		Took:   control.Time(l.OptWhole("TookUs", 0, math.MaxInt64) / microsPerTick),
 		Report: l.Numbers("HealthInfo"),
 	}
 	remark := l.OptWhole("RemarkMs", 0, math.MaxInt64/100)
@@ -291,7 +291,7 @@
 	case "server_error":
 		r.Outcome = control.Errored
 	case "turned_away":
-		r.Outcome, r.RetryAfter = control.Refused, control.Time(remark*(1000/perTenth))
+		r.Outcome, r.RetryAfter = control.Refused, control.Time(remark*(1000/microsPerTick))
 	case "no_answer":
 		r.Outcome = control.NoAnswer
 	case "no_connection":
@@ -310,30 +310,34 @@
 
 // The outlet: what the module wants done, as lines of the reply.
 
-func (i *instance) Submit(text string, to control.ReceiverID, timeout control.Time) {
-	i.say("ATTEMPT Who=%d OpId=%s Receiver=%d CapUs=%d", i.who, text, to, timeout*perTenth)
+func (i *instance) Submit(textID string, receiver control.ReceiverID, timeout control.Time) {
+	i.writeLine("ATTEMPT Who=%d OpId=%s Receiver=%d CapUs=%d", i.id, textID, receiver, timeout*microsPerTick)
 }
 
-func (i *instance) Cancel(text string, submit int) {
-	i.say("ABANDON Who=%d OpId=%s SeqNo=%d", i.who, text, submit)
+func (i *instance) Cancel(textID string, number int) {
+	i.writeLine("ABANDON Who=%d OpId=%s SeqNo=%d", i.id, textID, number)
 }
 
-func (i *instance) Nack(text string, comeBack control.Time) {
-	i.say("OVERLOAD_REPLY Who=%d OpId=%s ComeBackUs=%d", i.who, text, comeBack*perTenth)
+func (i *instance) Nack(textID string, retryAfter control.Time) {
+	i.writeLine("OVERLOAD_REPLY Who=%d OpId=%s ComeBackUs=%d", i.id, textID, retryAfter*microsPerTick)
 }
 
-func (i *instance) MarkUndeliverable(text string) { i.say("END_FAILED Who=%d OpId=%s", i.who, text) }
+func (i *instance) MarkUndeliverable(textID string) {
+	i.writeLine("END_FAILED Who=%d OpId=%s", i.id, textID)
+}
 
 func (i *instance) WakeAt(at control.Time, mark int64) {
-	i.say("SLEEP Who=%d InstantUs=%d Mark=%d", i.who, at*perTenth, mark)
+	i.writeLine("SLEEP Who=%d InstantUs=%d Mark=%d", i.id, at*microsPerTick, mark)
 }
 
-func (i *instance) CloseIdle(to control.ReceiverID) { i.say("CLOSE Who=%d Receiver=%d", i.who, to) }
+func (i *instance) CloseIdle(receiver control.ReceiverID) {
+	i.writeLine("CLOSE Who=%d Receiver=%d", i.id, receiver)
+}
 
-func (i *instance) WatchReceivers() { i.say("SUBSCRIBE Who=%d Enable=1", i.who) }
+func (i *instance) WatchReceivers() { i.writeLine("SUBSCRIBE Who=%d Enable=1", i.id) }
 
 func (i *instance) Broadcast(content []byte) {
-	i.say("SAY Who=%d To=all Content=%s", i.who, hex.EncodeToString(content))
+	i.writeLine("SAY Who=%d To=all Content=%s", i.id, hex.EncodeToString(content))
 }
 
-func (i *instance) Log(line string) { i.say("JOURNAL_LINE Who=%d Msg=%s", i.who, line) }
+func (i *instance) Log(line string) { i.writeLine("JOURNAL_LINE Who=%d Msg=%s", i.id, line) }
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -13,7 +13,7 @@
 
 const ingress = "INGRESS Who=1 OpId=q1 Priority=a BoundFor=2 PatienceLeftUs=5000000\n"
 
-func play(t *testing.T, in string) (string, error) {
+func runAdapter(t *testing.T, in string) (string, error) {
 	t.Helper()
 	var out strings.Builder
 	err := run(strings.NewReader(in), &out)
@@ -25,23 +25,23 @@
 }
 
 func TestBatches(t *testing.T) {
-	out, err := play(t, batch("1", "")+batch("2", spawn+list+ingress))
+	out, err := runAdapter(t, batch("1", "")+batch("2", spawn+list+ingress))
 	if err != nil || !strings.HasPrefix(out, "FINISHED round=1\nATTEMPT Who=1 OpId=q1 Receiver=7 CapUs=") ||
 		!strings.HasSuffix(out, "FINISHED round=2\n") {
 		t.Errorf("%v\n%s", err, out)
 	}
 }
 
-func TestKilledInstanceSaysNothing(t *testing.T) {
-	out, err := play(t, batch("1", spawn+list+ingress+"POWER_OFF Who=1\n"+spawn))
+func TestKilledInstanceWritesNothing(t *testing.T) {
+	out, err := runAdapter(t, batch("1", spawn+list+ingress+"POWER_OFF Who=1\n"+spawn))
 	if err != nil || out != "FINISHED round=1\n" {
 		t.Errorf("%v\n%s", err, out)
 	}
 }
 
-func TestListNumbersAreUsedAgain(t *testing.T) {
+func TestListRefsAreReused(t *testing.T) {
 	second := strings.NewReplacer("Receiver=7", "Receiver=8", "Persisted", "Complete").Replace(list)
-	out, err := play(t, batch("1", spawn+list+second+ingress))
+	out, err := runAdapter(t, batch("1", spawn+list+second+ingress))
 	if err != nil || !strings.Contains(out, "Receiver=8") {
 		t.Errorf("%v\n%s", err, out)
 	}
@@ -58,17 +58,17 @@
 		"CLOCK AtTimeUs=1 round=2\n":            "not expected here",
 		spawn + "ATTEMPT_END Who=1 OpId=q SeqNo=0 Receiver=7 Status=lost\n": "field Status",
 	} {
-		if _, err := play(t, batch("1", events)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := runAdapter(t, batch("1", events)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, want %q", events, err, want)
 		}
 	}
-	if _, err := play(t, "CLOCK AtTimeUs=1 round=1\n"); err == nil {
+	if _, err := runAdapter(t, "CLOCK AtTimeUs=1 round=1\n"); err == nil {
 		t.Error("input that ends inside a batch was taken")
 	}
 }
 
-func TestFaultsAreTold(t *testing.T) {
-	out, err := play(t, batch("1", strings.Replace(spawn, "MaxCalls=4", "MaxCalls=0", 1)+ingress))
+func TestFaultsAreReported(t *testing.T) {
+	out, err := runAdapter(t, batch("1", strings.Replace(spawn, "MaxCalls=4", "MaxCalls=0", 1)+ingress))
 	if err != nil || !strings.HasPrefix(out, "BUG Who=1 Msg=setting Specifics.MaxCalls") {
 		t.Errorf("%v\n%s", err, out)
 	}
--- a/control/buckets.go
+++ b/control/buckets.go
@@ -6,10 +6,10 @@
 	"emberquay/admission"
 )
 
-// Buckets: the allowance that answers report, told waits, and how long a bucket holds.
+// Buckets: the allowance that responses report, Retry-After delays, and how long a bucket pauses.
 
-// bucketOf gives a receiver's bucket: its destination's, or its own where routes are apart. Past the cap
-// the least recently used goes, unless a wait, a hold or a call still hangs on it.
+// bucketOf returns a receiver's bucket: its own if its route has its own limit, else the destination's. Beyond
+// maxBuckets the least recently used is dropped, unless it is paused or has a Retry-After delay or calls in flight.
 func (s *Sender) bucketOf(r *receiver) *bucket {
 	key := bucketKey{dest: r.dest.id}
 	if r.ownLimit {
@@ -21,7 +21,7 @@
 			var oldest *bucket
 			for _, o := range s.buckets {
 				idle := o.inFlight == 0 && s.now >= max(o.retryAfterUntil, o.pausedUntil)
-				if idle && (oldest == nil || o.usedSeq < oldest.usedSeq) { // no two were used last by one text
+				if idle && (oldest == nil || o.usedSeq < oldest.usedSeq) { // assumes that usedSeq has no ties
 					oldest = o
 				}
 			}
@@ -35,8 +35,8 @@
 	return b
 }
 
-// concurrencyLimit says how many calls a bucket bears at once: none while it reads nought, one until its first answer
-// or after a hold, else the allowance left, or where there is no limit what experience bears.
+// concurrencyLimit returns how many calls a bucket may have in flight: none while paused, one until its first
+// response or after a pause, else the remaining allowance, or without a limit the learned window.
 func (s *Sender) concurrencyLimit(b *bucket) int {
 	switch {
 	case s.now < b.pausedUntil:
@@ -46,12 +46,12 @@
 	case b.limit == 0:
 		return int(b.window)
 	}
-	b.remaining = max(1, b.remaining) // the hold is over: one call looks
+	b.remaining = max(1, b.remaining) // the pause is over: one call probes
 	return int(min(float64(b.inFlight)+b.remaining, max(1, float64(b.window))))
 }
 
-// capacity is the calls a second that a receiver's bucket surely takes: the reported limit, else the listed
-// rate at its worst.
+// capacity returns the calls per second that a receiver's bucket takes at least: the reported limit, else the
+// listed rate less its possible error.
 func (s *Sender) capacity(r *receiver) float64 {
 	switch {
 	case r.bucket.limit > 0:
@@ -59,28 +59,28 @@
 	case s.settings["WeightSource"] == "nominal":
 		return r.rate
 	case s.settings["WeightSource"] == "rough":
-		return r.rate / 1.5 // told up to half too high
+		return r.rate / 1.5 // the listed rate is up to half too high
 	}
 	return 0
 }
 
-// applyReport takes a reported allowance: at nought the bucket holds.
+// applyReport applies a reported allowance; if it is exhausted, the bucket pauses.
 func (s *Sender) applyReport(b *bucket, report []float64) {
-	remainingShare, limit, ok := s.parseReport(report)
-	if !ok || b.responded && b.remainingShare == remainingShare && b.limit == limit { // the same knows nothing of what was sent since
+	share, limit, ok := s.parseReport(report)
+	if !ok || b.responded && b.remainingShare == share && b.limit == limit { // an unchanged report does not count calls sent since
 		return
 	}
-	b.responded, b.remainingShare, b.limit, b.remaining = true, remainingShare, limit, min(1, remainingShare)*limit
+	b.responded, b.remainingShare, b.limit, b.remaining = true, share, limit, min(1, share)*limit
 	if b.remaining < 1 {
 		s.pauseIfExhausted(b)
 	}
 }
 
-// refusalPause is how long a bucket holds after a refusal, past the wait that it told, which is trusted once: the
-// time in which this sender's part of the limit frees a call, more or less by half, twice that from the
-// second on; a usual call where there is no limit, doubled each time. Refused calls may use the limit up:
-// were it shorter for some, all senders' looks together would take what frees. Where answers hold no
-// reports the listed rate stands in for the limit.
+// refusalPause returns how long a bucket pauses after a refusal, beyond its Retry-After delay, which alone is trusted
+// once: the time in which this sender's part of the limit frees a call, plus or minus half, twice that from the
+// second refusal on; without a limit a typical call, doubled each time. Refused calls may use up the limit:
+// with shorter pauses the probes of all senders together would take what is freed. If responses carry no
+// reports, the listed rate replaces the limit.
 func (s *Sender) refusalPause(r *receiver, hasRetryAfter bool) Time {
 	b, limit := r.bucket, s.capacity(r)
 	limited := limit > 0 && (b.limit > 0 || !s.hasReports())
@@ -93,11 +93,11 @@
 	return callBackoff(r, b.refusals-1)
 }
 
-// pauseIfExhausted holds a bucket that has no whole call left, until this sender's part of the limit has freed
-// one: were all to look each second, many senders would use up a small limit by looking. As far as calls
-// are being refused it spaces them too. And where less is left than a call for each other sender, it
-// spaces them by what is left, up to the time of its part once that is the spare: else all would send
-// until they are refused, as none sees the others' calls before its next answer.
+// pauseIfExhausted pauses a bucket with less than one call remaining until this sender's part of the limit has freed
+// one: if all senders probed each second, many would use up a small limit by probing. It also spaces calls by the
+// share of them that is refused. And if less than one call per other sender remains, it spaces calls by the
+// remaining share, the more the closer that is to reservedShare: otherwise all would send until they are
+// refused, as none sees the others' calls before its next response.
 func (s *Sender) pauseIfExhausted(b *bucket) {
 	calls := max(1-b.remaining, 2*b.refusalShare)
 	if b.remaining < s.senderCount()-1 {
@@ -108,10 +108,10 @@
 	}
 }
 
-// timeToFree is the time in which this sender's even part of a limit frees so many calls, half of the shortest
-// SLA time at most, and up to all of it as calls are refused everywhere: where most senders have no text for
-// it far more than the part is free, and a small limit must not hold a bucket for ever. Up to the longest
-// where nothing is reported: there a look is all that tells.
+// timeToFree returns the time in which this sender's even part of a limit frees a number of calls, at most half of the
+// shortest SLA time, and up to all of it as calls are refused everywhere: if most senders have no text for the
+// destination, far more than the part is free, and a small limit must not pause a bucket indefinitely. Without
+// reports the maximum is the longest SLA time: then only a probe shows what is free.
 func (s *Sender) timeToFree(limit, calls float64) Time {
 	maxTime := min(1, 0.5+2*s.refusalShare) * float64(s.shortestSLA)
 	if !s.hasReports() {
@@ -120,7 +120,7 @@
 	return Time(min(maxTime, calls*s.senderCount()/limit*float64(Second)))
 }
 
-// callBackoff is a usual call, doubled so many times, the default pause at most.
-func callBackoff(r *receiver, doublings int) Time {
-	return min(defaultPause, admission.Backoff(cmp.Or(Time(r.dest.callDuration), defaultPause), doublings, 9))
+// callBackoff returns the duration of a typical call, doubled n times, at most defaultPause.
+func callBackoff(r *receiver, n int) Time {
+	return min(defaultPause, admission.Backoff(cmp.Or(Time(r.dest.callDuration), defaultPause), n, 9))
 }
--- a/control/choice.go
+++ b/control/choice.go
@@ -8,7 +8,7 @@
 
 // The choice of a receiver, and the call to it.
 
-// selectReceiver finds the receiver for the first held text of a destination that may go; nil if none may.
+// selectReceiver returns the receiver for the first queued text of a destination that may go; nil if none may.
 func (s *Sender) selectReceiver(d *destination) *receiver {
 	var available []*receiver
 	for _, r := range d.receivers {
@@ -25,11 +25,11 @@
 		if c := cmp.Compare(b.netRevenue, a.netRevenue); c != 0 {
 			return c
 		}
-		if a.bucket != b.bucket { // routes apart: the free one with most allowance left
+		if a.bucket != b.bucket { // routes with limits of their own: the most remaining allowance first
 			return int(math.Copysign(1, b.bucket.remaining-a.bucket.remaining))
 		}
-		// The latest used, whose connection is warm. The first is drawn: were it the first listed, all
-		// senders would choose the same one, whose queue is full while the others stand idle.
+		// The most recently used first, as its connection is open. Initially the order is random: if all senders
+		// chose the first listed, its queue would be full while the others are idle.
 		return cmp.Or(len(a.calls)-len(b.calls), int(b.usedAt-a.usedAt), cmp.Compare(a.tieBreak, b.tieBreak))
 	})
 	for _, t := range d.queue {
@@ -42,14 +42,14 @@
 	return nil
 }
 
-// netRevenue is what a text brings by way of a receiver: its revenue when it would be delivered there, less a fee
-// of a route of its own, which is a share of the mean text's revenue.
+// netRevenue returns what a text earns by way of a receiver: its revenue at the estimated delivery time, less the
+// fee of a route with its own limit, which is a share of the mean text's revenue.
 func (s *Sender) netRevenue(t *text, r *receiver) float64 {
 	return s.revenueAt(t, s.now+s.estimatedDuration(r)) - r.routeFee*s.meanValue
 }
 
-// estimatedDuration is how long a call to a receiver takes just now: as its late ones did, and at least as long as one
-// has been out already; as at the destination as a rule once what it told is old.
+// estimatedDuration estimates how long a call to a receiver takes now: as long as its recent calls, or if its last
+// response is old as the destination's, and at least as long as its oldest call has been in flight.
 func (s *Sender) estimatedDuration(r *receiver) Time {
 	estimate := Time(r.dest.callDuration)
 	if s.now-r.respondedAt < 10*Second {
@@ -61,7 +61,7 @@
 	return estimate
 }
 
-// sendCall opens one call to a receiver and lets as many held texts ride in it as its kind bundles.
+// sendCall starts one call to a receiver with as many queued texts as its kind allows in a bundle.
 func (s *Sender) sendCall(r *receiver) {
 	c := &call{receiver: r, sentAt: s.now}
 	if idle := s.now - r.idleSince; r.connected && len(r.calls) == 0 && idle < s.connIdleTimeout() {
@@ -73,7 +73,7 @@
 		}
 	}
 	r.calls = append(r.calls, c)
-	s.recentCalls(r) // forgets the older ones
+	s.recentCalls(r) // drops the older ones
 	r.callTimes = append(r.callTimes, s.now)
 	r.usedAt, r.connected = s.now, true
 	r.bucket.inFlight++
@@ -84,7 +84,7 @@
 	s.callsInFlight++
 }
 
-// sendAttempt sends one text; what is to be done with its result is left in the text.
+// sendAttempt sends one text and stores in it how its result is handled.
 func (s *Sender) sendAttempt(t *text, c *call) {
 	i := slices.Index(t.dest.queue, t)
 	t.dest.queue = slices.Delete(t.dest.queue, i, i+1)
--- a/control/control.go
+++ b/control/control.go
@@ -1,14 +1,14 @@
-// Package control: the decisions of a sender stand in the files that `policy` in deploy/balancer.toml names,
-// this one first. Its types and the Outlet that it calls are in interface.go, its state in state.go.
+// Package control makes the delivery decisions of a sender. They are in the files that `policy` in deploy/balancer.toml
+// names, this one first; the types and the Actions interface are in interface.go, the state in state.go.
 //
-// How to call it: New once an instance; then, for each batch of news, Clock with the time, the calls that
-// tell what happened (Take, Ended, Withdrawn, Listed, Noted, Started) and at last Settle, which
-// releases what may go. All it wants done it asks of the Outlet. It reads no clock and shares nothing.
+// Usage: call New once per instance. For each batch of events call SetTime, then a method per event
+// (HandleArrival, HandleResult, Withdraw, UpdateReceivers, HandlePeerNote, HandleResponseStart), then Schedule,
+// which sends what may go. All effects go through Actions. The package reads no clock and shares no state.
 //
-// The ordinary path is the design's: a bucket keeps the allowance that answers report and the waits that
-// were told, texts are held in order of arrival, calls out never pass the allowance left, and a text whose
-// wait plus a usual call passes its validity period is refused. What else stands here guards a rule or
-// meets a symptom, and says which.
+// The basic algorithm is that of the design: a bucket keeps the allowance that responses report and the
+// Retry-After delays, texts are queued in order of arrival, calls in flight never exceed the remaining allowance, and a
+// text whose wait plus a typical call exceeds its validity period is rejected. Everything else here enforces a rule or
+// addresses an observed failure, and says which.
 package control
 
 import (
@@ -20,28 +20,28 @@
 )
 
 const (
-	defaultPause     = Second      // of a bucket that reads nought or refuses, where no wait is told: the design's
-	maxBuckets       = 1024        // buckets remembered, as many as the document keeps bearer queues
-	reservedShare    = 0.125       // share of a limit left for the calls of others that a sender has not seen yet
-	removedRetention = 60 * Second // what is listed no more is remembered so long, if it may matter again
-	slaPerFirstCall  = 10          // parts of an SLA time: a guess at a usual call until the first answer
+	defaultPause   = Second      // of an exhausted or refusing bucket if no Retry-After delay is given; set by the design
+	maxBuckets     = 1024        // buckets kept, as many as the design document keeps bearer queues
+	reservedShare  = 0.125       // share of a limit left for calls of other senders that this one has not seen yet
+	retention      = 60 * Second // how long a removed receiver is kept if its state may matter again
+	slaToCallRatio = 10          // an SLA time over the typical call that is assumed until the first response
 )
 
-// SetTime tells the time of the calls that follow.
+// SetTime sets the time of the calls that follow; it never goes back.
 func (s *Sender) SetTime(now Time) {
 	s.startedAt = cmp.Or(s.startedAt, now)
 	s.now = max(s.now, now)
 }
 
-// HandleArrival takes a text in; from here on it is owed one final answer. Where the list names other destinations but
-// not its own, it is refused before anything is kept of it, unless it was taken on before a restart.
+// HandleArrival accepts a text, which from here on gets exactly one final answer. If receivers are listed but none for
+// its destination, it is rejected before any state is kept, unless it was accepted before a restart.
 func (s *Sender) HandleArrival(a Arrival) {
 	if s.destinations[a.Destination] == nil && len(s.receivers) > 0 && !a.Recovered {
 		s.actions.Nack(a.ID, s.retryAdvice(defaultPause))
 		return
 	}
 	p := s.products[a.Product]
-	if p == nil { // not in the settings: nothing allows a repeat
+	if p == nil { // not in the settings: must not be repeated
 		p = &product{name: a.Product, callDuration: float64(Second) / 10}
 		s.products[a.Product] = p
 	}
@@ -56,14 +56,14 @@
 	if p.inOrder && t.key != "" {
 		k := s.keyQueue(t.key)
 		k.texts = append(k.texts, t)
-		if t.mayHaveRun { // its call broke with the process before
+		if t.mayHaveRun { // its call was cut off when the previous process ended
 			k.pausedUntil = s.now + s.duration("Contract.KeyRestUs", 0) + 1
 		}
 	}
 	s.enqueue(t)
 }
 
-// Withdraw: nobody wants the text any more; a submit of it that is out is called off.
+// Withdraw ends a text that its client no longer wants and cancels an attempt in flight if that is permitted.
 func (s *Sender) Withdraw(id string) {
 	t := s.texts[id]
 	if t == nil {
@@ -75,22 +75,22 @@
 	s.finish(t)
 }
 
-// HandleResponseStart: the answer has begun, the submit is the client's now; its end is still told.
+// HandleResponseStart records that the response has begun: the client has its answer, the result still follows.
 func (s *Sender) HandleResponseStart(id string) {
 	if t := s.texts[id]; t != nil {
 		t.finished = true
 	}
 }
 
-// HandleResult hands the result of a submit to the step that waits for it.
+// HandleResult passes the result of an attempt to the step that waits for it.
 func (s *Sender) HandleResult(id string, number int, r Result) {
 	if t := s.texts[id]; t != nil && t.current != nil && t.current.number == number {
 		t.onResult(r)
 	}
 }
 
-// Schedule decides what goes now; call it once after all news of a batch. It walks the destinations that
-// have texts or calls, not the list: a sender may know thousands and have texts for a few.
+// Schedule sends what may go now; call it once after all events of a batch. It visits only the destinations that
+// have texts or calls: a sender may know thousands and have texts for a few.
 func (s *Sender) Schedule() {
 	s.startWatch()
 	for _, d := range s.active {
@@ -125,7 +125,7 @@
 	s.scheduleWake()
 }
 
-// scheduleWake asks to be woken when time alone next changes what may be done.
+// scheduleWake asks to be woken when the passage of time alone next changes what may be done.
 func (s *Sender) scheduleWake() {
 	next := Time(math.MaxInt64)
 	consider := func(t Time) {
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -20,12 +20,12 @@
 	os.Exit(m.Run())
 }
 
-func expect(t *testing.T, w *world, what string, got, want any) {
+func expect(t *testing.T, w *harness, what string, got, want any) {
 	t.Helper()
 	if got != want {
 		t.Errorf("%s: got %v, want %v", what, got, want)
 	}
-	for _, b := range w.broken {
+	for _, b := range w.violations {
 		t.Error(b)
 	}
 }
@@ -33,15 +33,15 @@
 // TestRules drives one sender through whatever may happen and checks the rules at every call it makes.
 func TestRules(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		shape := rapid.SampledFrom([]Settings{nil, {"RegistryMode": "ask", "Permissions.RetryAfter": "false", "Instances": "200",
+		overrides := rapid.SampledFrom([]Settings{nil, {"RegistryMode": "ask", "Permissions.RetryAfter": "false", "Instances": "200",
 			"FailureDomains": "z1,z2", "Specifics.Carriage": "0.06,0", "Permissions.ConnIdleUs": "5000000",
 			"Orgs.count": "1", "Orgs.0.Name": "b", "Orgs.0.QuotaPerS": "9", "OverShareWorth": "0.05"}}).Draw(rt, "shape")
-		w := newWorld(rapid.Uint64().Draw(rt, "seed"), shape)
+		w := newHarness(rapid.Uint64().Draw(rt, "seed"), overrides)
 		n := 0
-		odd := func() []float64 {
+		drawReport := func() []float64 {
 			return rapid.SampledFrom([][]float64{nil, {0, 10}, {1, 10}, {0.3, 4}, {3, 5}, {0, 0}, {1, 1e-15}, {math.NaN(), 3}, {1}}).Draw(rt, "report")
 		}
-		wait := func(o Outcome) Time {
+		drawRetryAfter := func(o Outcome) Time {
 			if o != Refused {
 				return 0
 			}
@@ -53,18 +53,18 @@
 			"take": func(*rapid.T) {
 				for range rapid.SampledFrom([]int{1, 1, 2, 30}).Draw(rt, "clump") {
 					n++
-					w.take(fmt.Sprint("t", n), rapid.SampledFrom([]string{"free", "marked", "once", "queued"}).Draw(rt, "product"),
+					w.arrive(fmt.Sprint("t", n), rapid.SampledFrom([]string{"free", "marked", "once", "queued"}).Draw(rt, "product"),
 						int64(rapid.IntRange(1, 4).Draw(rt, "dest")), rapid.SampledFrom([]string{"", "a", "b"}).Draw(rt, "key"),
 						rapid.SampledFrom([]Time{8 * Second, 8 * Second, 3 * Second, 10, 0, -5}).Draw(rt, "left"))
 				}
 			},
 			"answer": func(*rapid.T) {
-				if outs := w.outs(); len(outs) > 0 {
-					x, o := rapid.SampledFrom(outs).Draw(rt, "text"), outcome.Draw(rt, "outcome")
-					w.crowded = rapid.Bool().Draw(rt, "crowded")
-					for _, y := range outs { // a bundle has one fate
-						if y == x || y.out == x.out && y.outAt == x.outAt && w.to[y.out].Kind == "two" {
-							w.answer(y, o, wait(o), odd()...)
+				if inFlight := w.inFlight(); len(inFlight) > 0 {
+					x, o := rapid.SampledFrom(inFlight).Draw(rt, "text"), outcome.Draw(rt, "outcome")
+					w.connLimitReached = rapid.Bool().Draw(rt, "crowded")
+					for _, y := range inFlight { // a bundle has one fate
+						if y == x || y.receiver == x.receiver && y.sentAt == x.sentAt && w.receivers[y.receiver].Kind == "two" {
+							w.respond(y, o, drawRetryAfter(o), drawReport()...)
 						}
 					}
 				}
@@ -73,138 +73,142 @@
 				w.advance(rapid.SampledFrom([]Time{50, 500, 3000, 12000, 30000}).Draw(rt, "time"))
 			},
 			"list": func(*rapid.T) {
-				p := w.to[ReceiverID(rapid.IntRange(11, 16).Draw(rt, "receiver"))]
+				p := w.receivers[ReceiverID(rapid.IntRange(11, 16).Draw(rt, "receiver"))]
 				p.State = rapid.SampledFrom([]ReceiverState{Up, Up, Draining, Removed}).Draw(rt, "listing")
-				p.toldAt = w.now
+				p.stateAt = w.now
 				whole := rapid.Bool().Draw(rt, "whole")
 				w.step(func() {
-					w.s.UpdateReceivers(whole, map[bool][]ReceiverEntry{true: w.entries(), false: {p.ReceiverEntry}}[whole])
+					w.sender.UpdateReceivers(whole, map[bool][]ReceiverEntry{true: w.entries(), false: {p.ReceiverEntry}}[whole])
 				})
 			},
 			"withdraw": func(*rapid.T) {
 				if n > 0 {
 					x := w.texts[fmt.Sprint("t", rapid.IntRange(1, n).Draw(rt, "text"))]
-					x.over = true
-					w.step(func() { w.s.Withdraw(x.id) })
+					x.finished = true
+					w.step(func() { w.sender.Withdraw(x.id) })
 				}
 			},
-			"unwatched": func(*rapid.T) { w.step(func() { w.s.HandleWatchEnd() }) },
+			"unwatched": func(*rapid.T) { w.step(func() { w.sender.HandleWatchEnd() }) },
 			"stale": func(*rapid.T) {
 				w.step(func() {
-					w.s.HandleResult("t1", 99, Result{Outcome: Refused, RetryAfter: Second})
-					w.s.HandleResult("never", 0, Result{})
-					w.s.HandlePeerNote(1, []byte("x"))
+					w.sender.HandleResult("t1", 99, Result{Outcome: Refused, RetryAfter: Second})
+					w.sender.HandleResult("never", 0, Result{})
+					w.sender.HandlePeerNote(1, []byte("x"))
 				})
 			},
 			"": func(*rapid.T) {
-				w.check()
-				if len(w.broken) > 0 {
-					rt.Fatal(w.broken)
+				w.checkTexts()
+				if len(w.violations) > 0 {
+					rt.Fatal(w.violations)
 				}
 			},
 		})
 	})
 }
 
-// fill takes n texts for destination 1 and answers each once: the first outcome goes to the first.
-func fill(w *world, n int, product string, dest int64) {
+// arriveMany takes n texts for destination 1 and answers each once: the first outcome goes to the first.
+func arriveMany(w *harness, n int, product string, dest int64) {
 	for i := range n {
-		w.take(fmt.Sprint(product, dest, "-", i), product, dest, "", 8*Second)
+		w.arrive(fmt.Sprint(product, dest, "-", i), product, dest, "", 8*Second)
 	}
 }
 
-func TestOneCallUntilTheFirstAnswer(t *testing.T) {
-	w := newWorld(1, nil)
-	fill(w, 5, "free", 1)
+func TestOneCallUntilTheFirstResponse(t *testing.T) {
+	w := newHarness(1, nil)
+	arriveMany(w, 5, "free", 1)
 	expect(t, w, "sent before an answer", w.sends, 1)
 	w.advance(500)
-	w.answer(w.outs()[0], Delivered, 0, 0.3, 10)
+	w.respond(w.inFlight()[0], Delivered, 0, 0.3, 10)
 	expect(t, w, "sent on three left", w.sends, 4)
 }
 
-func TestNoughtHoldsAndWaitsAreTold(t *testing.T) {
-	w := newWorld(1, nil)
-	fill(w, 3, "free", 1)
+func TestExhaustedAllowancePausesAndRetryAfterIsForwarded(t *testing.T) {
+	w := newHarness(1, nil)
+	arriveMany(w, 3, "free", 1)
 	w.advance(500)
-	w.answer(w.outs()[0], Delivered, 0, 0, 10)
+	w.respond(w.inFlight()[0], Delivered, 0, 0, 10)
 	expect(t, w, "sent at nought", w.sends, 1)
 	w.advance(2500) // two senders on ten a second: a call every 0.2 s
 	expect(t, w, "sent after the hold", w.sends, 2)
-	w.answer(w.outs()[0], Refused, 3*Second)
+	w.respond(w.inFlight()[0], Refused, 3*Second)
 	w.advance(29000)
 	expect(t, w, "sent in the wait", w.sends, 2)
 	w.advance(1500)
 	expect(t, w, "sent after the wait", w.sends, 3)
-	w.answer(w.outs()[0], Refused, 9*Second)
+	w.respond(w.inFlight()[0], Refused, 9*Second)
 	expect(t, w, "refused at once, as the wait outlasts the validity period", w.nacks, 2)
-	expect(t, w, "with the wait, capped", w.lastNack, 3*Second)
+	expect(t, w, "with the wait, capped", w.lastRetryAfter, 3*Second)
 }
 
-func TestNoLimitIsNotHeld(t *testing.T) {
-	w := newWorld(1, nil)
-	fill(w, 6, "free", 1)
-	w.answer(w.outs()[0], Delivered, 0, 0, 0)
+func TestNoPauseWithoutALimit(t *testing.T) {
+	w := newHarness(1, nil)
+	arriveMany(w, 6, "free", 1)
+	w.respond(w.inFlight()[0], Delivered, 0, 0, 0)
 	expect(t, w, "sent without a limit", w.sends, 6)
 }
 
 // Several calls went out on one stale reading.
 func TestSameReportDoesNotRefill(t *testing.T) {
-	w := newWorld(1, nil)
-	fill(w, 8, "free", 1)
+	w := newHarness(1, nil)
+	arriveMany(w, 8, "free", 1)
 	w.advance(500)
-	w.answer(w.outs()[0], Delivered, 0, 0.2, 10)
+	w.respond(w.inFlight()[0], Delivered, 0, 0.2, 10)
 	expect(t, w, "sent on two left", w.sends, 3)
-	w.answer(w.outs()[0], Delivered, 0, 0.2, 10)
+	w.respond(w.inFlight()[0], Delivered, 0, 0.2, 10)
 	expect(t, w, "sent on the same reading", w.sends, 3)
 }
 
 // Only the first text of a bundle was asked for its told wait.
-func TestEveryWaitOfABundleBinds(t *testing.T) {
-	w := newWorld(1, nil)
-	fill(w, 4, "free", 2)
-	w.answer(w.outs()[0], Delivered, 0, 1, 20)
-	outs := w.outs()
-	expect(t, w, "texts in one call", len(outs), 3)
-	w.answer(outs[0], Refused, 500)
-	w.answer(outs[1], Refused, 20000)
-	w.answer(outs[2], Refused, 0)
+func TestEveryRetryAfterOfABundleApplies(t *testing.T) {
+	w := newHarness(1, nil)
+	arriveMany(w, 4, "free", 2)
+	w.respond(w.inFlight()[0], Delivered, 0, 1, 20)
+	inFlight := w.inFlight()
+	expect(t, w, "texts in one call", len(inFlight), 3)
+	w.respond(inFlight[0], Refused, 500)
+	w.respond(inFlight[1], Refused, 20000)
+	w.respond(inFlight[2], Refused, 0)
 	sends := w.sends
 	w.advance(19000)
 	expect(t, w, "sent in the longest wait", w.sends, sends)
 }
 
 // A backlog in order of arrival made every later text late.
-func TestLongQueueRefusesTheLeastWorth(t *testing.T) {
-	w := newWorld(1, nil)
-	fill(w, 9, "once", 1)
-	fill(w, 9, "free", 1) // ten a second for two senders, SLA time 2 s: ten may wait
+func TestLongQueueRejectsTheLowestRevenue(t *testing.T) {
+	w := newHarness(1, nil)
+	arriveMany(w, 9, "once", 1)
+	arriveMany(w, 9, "free", 1) // ten a second for two senders, SLA time 2 s: ten may wait
 	expect(t, w, "refused", w.nacks, 7)
 	for i := range 9 {
-		expect(t, w, "the dearer product is kept", w.texts[fmt.Sprint("once1-", i)].over, false)
+		expect(t, w, "the dearer product is kept", w.texts[fmt.Sprint("once1-", i)].finished, false)
 	}
 }
 
 // A call lost behind a receiver that answered others made it look silent.
-func TestACallLostBesideOthersIsNoFailure(t *testing.T) {
-	w := newWorld(1, nil)
-	w.step(func() { w.s.UpdateReceivers(false, []ReceiverEntry{{Receiver: 12, Destination: 1, State: Removed}}) })
+func TestACallLostWhileOthersAreAnsweredIsNoFailure(t *testing.T) {
+	w := newHarness(1, nil)
+	w.step(func() {
+		w.sender.UpdateReceivers(false, []ReceiverEntry{{Receiver: 12, Destination: 1, State: Removed}})
+	})
 	w.deliver(1, 1, 10)
-	lost := w.take("lost", "free", 1, "", 8*Second)
+	lost := w.arrive("lost", "free", 1, "", 8*Second)
 	w.advance(500)
 	w.deliver(1, 1, 10)
-	w.answer(lost, NoAnswer, 0)
-	expect(t, w, "failures noted", w.s.receivers[11].failures, 0)
+	w.respond(lost, NoAnswer, 0)
+	expect(t, w, "failures noted", w.sender.receivers[11].failures, 0)
 }
 
 // One call a window was always allowed: with 200 senders that alone pushed a returning receiver over.
-func TestManySendersShareTheReturnBudget(t *testing.T) {
+func TestManySendersShareTheRecoveryBudget(t *testing.T) {
 	sends := 0
 	for i := range uint64(200) {
-		w := newWorld(i*0x9e3779b97f4a7c15, Settings{"Instances": "200"}) // neighbouring seeds begin alike
-		w.step(func() { w.s.UpdateReceivers(false, []ReceiverEntry{{Receiver: 12, Destination: 1, State: Removed}}) })
-		fill(w, 2, "free", 1)
+		w := newHarness(i*0x9e3779b97f4a7c15, Settings{"Instances": "200"}) // neighbouring seeds begin alike
+		w.step(func() {
+			w.sender.UpdateReceivers(false, []ReceiverEntry{{Receiver: 12, Destination: 1, State: Removed}})
+		})
+		arriveMany(w, 2, "free", 1)
 		w.advance(500)
-		w.answer(w.outs()[0], Errored, 0)
+		w.respond(w.inFlight()[0], Errored, 0)
 		before := w.sends
 		w.advance(6 * Second) // three windows, in each of which the receiver bears 2 x 10 x 0.2 x 2 = 8 calls
 		sends += w.sends - before
@@ -215,13 +219,13 @@
 }
 
 // All were told the same moment of opening by one endpoint, and went to the other at that moment.
-func TestTheEndOfALongWaitIsAReturn(t *testing.T) {
+func TestTheEndOfALongRetryAfterIsARecovery(t *testing.T) {
 	sends := 0
 	for seed := range uint64(50) {
-		w := newWorld(seed, Settings{"Instances": "200"})
-		fill(w, 3, "free", 1)
+		w := newHarness(seed, Settings{"Instances": "200"})
+		arriveMany(w, 3, "free", 1)
 		w.advance(500)
-		w.answer(w.outs()[0], Refused, 5*Second, 1, 10)
+		w.respond(w.inFlight()[0], Refused, 5*Second, 1, 10)
 		before := w.sends
 		w.advance(5*Second + 1000)
 		sends += w.sends - before
@@ -232,12 +236,12 @@
 }
 
 // Hundreds of senders each kept a connection that they hardly used, and none was left for the others.
-func TestSeldomUsedConnectionsAreClosed(t *testing.T) {
+func TestRarelyUsedConnectionsAreClosed(t *testing.T) {
 	for senders, closed := range map[string]int{"2": 0, "200": 1} {
-		w := newWorld(1, Settings{"Instances": senders})
-		fill(w, 1, "free", 1)
+		w := newHarness(1, Settings{"Instances": senders})
+		arriveMany(w, 1, "free", 1)
 		w.advance(500)
-		w.answer(w.outs()[0], Delivered, 0, 1, 10)
+		w.respond(w.inFlight()[0], Delivered, 0, 1, 10)
 		expect(t, w, "closed among "+senders, len(w.closed), closed)
 	}
 }
@@ -245,87 +249,87 @@
 // Silent receivers held every slot for their whole time-outs, and no text went anywhere else.
 func TestTheLastSlotIsNotWaitedForLong(t *testing.T) {
 	for slots, want := range map[string]Time{"12": 3 * Second / 2, "1": 6000} { // 15 and 6 usual calls of 0.1 s
-		w := newWorld(1, Settings{"Specifics.MaxCalls": slots})
-		a := w.take("a", "free", 1, "", 8*Second)
+		w := newHarness(1, Settings{"Specifics.MaxCalls": slots})
+		a := w.arrive("a", "free", 1, "", 8*Second)
 		w.advance(1000)
-		w.answer(a, Delivered, 0, 1, 10)
-		b := w.take("b", "free", 1, "", 8*Second)
-		expect(t, w, "time-out with slots "+slots, b.outUntil-b.outAt, want)
+		w.respond(a, Delivered, 0, 1, 10)
+		b := w.arrive("b", "free", 1, "", 8*Second)
+		expect(t, w, "time-out with slots "+slots, b.timeoutAt-b.sentAt, want)
 		w.advance(1000)
-		w.answer(b, Delivered, 0, 1, 10)
-		c := w.take("c", "once", 1, "", 8*Second)
-		expect(t, w, "where giving up is final", c.outUntil-c.outAt, 3*Second/2)
+		w.respond(b, Delivered, 0, 1, 10)
+		c := w.arrive("c", "once", 1, "", 8*Second)
+		expect(t, w, "where giving up is final", c.timeoutAt-c.sentAt, 3*Second/2)
 	}
 }
 
 // A call that had been answered in 0.3 ms had the next ones given up after 4.5, where the machine was late by 13.
-func TestATimeOutIsNoShorterThanTheProcessIsLate(t *testing.T) {
+func TestATimeoutIsNoShorterThanTheProcessLateness(t *testing.T) {
 	for late, want := range map[Time]Time{0: 15 * 3, 1000: 1000} {
-		w := newWorld(1, nil)
-		w.s.SetProcessLateness(late)
-		a := w.take("a", "once", 1, "", 8*Second)
+		w := newHarness(1, nil)
+		w.sender.SetProcessLateness(late)
+		a := w.arrive("a", "once", 1, "", 8*Second)
 		w.advance(3)
-		w.answer(a, Delivered, 0, 1, 10)
-		b := w.take("b", "once", 1, "", 8*Second)
-		expect(t, w, fmt.Sprint("time-out in a process that is late by ", late), b.outUntil-b.outAt, want)
+		w.respond(a, Delivered, 0, 1, 10)
+		b := w.arrive("b", "once", 1, "", 8*Second)
+		expect(t, w, fmt.Sprint("time-out in a process that is late by ", late), b.timeoutAt-b.sentAt, want)
 	}
 }
 
 // Texts held past their SLA time took the calls that fresh texts of other senders were refused.
-func TestLateTextsAreRefusedWhereOthersTakeWhatFrees(t *testing.T) {
+func TestLateTextsAreRejectedAtContendedDestinations(t *testing.T) {
 	for senders, nacks := range map[string]int{"2": 0, "200": 1} { // a part of 20 and of 0.1 calls an SLA time
-		w := newWorld(1, Settings{"Instances": senders})
-		fill(w, 1, "free", 1)
+		w := newHarness(1, Settings{"Instances": senders})
+		arriveMany(w, 1, "free", 1)
 		w.advance(12000)
-		w.answer(w.outs()[0], Refused, Second, 0, 10)
+		w.respond(w.inFlight()[0], Refused, Second, 0, 10)
 		expect(t, w, "refused among "+senders, w.nacks, nacks)
 	}
 }
 
 // Eight calls refused at once counted as eight rounds lost.
-func TestRefusedTogetherCountOnce(t *testing.T) {
-	w := newWorld(1, nil)
-	fill(w, 5, "free", 1)
+func TestCallsRefusedTogetherCountOnce(t *testing.T) {
+	w := newHarness(1, nil)
+	arriveMany(w, 5, "free", 1)
 	w.advance(500)
-	w.answer(w.outs()[0], Delivered, 0, 0.4, 10)
+	w.respond(w.inFlight()[0], Delivered, 0, 0.4, 10)
 	w.advance(500)
-	outs := w.outs()
-	for _, x := range outs {
-		w.answer(x, Refused, 500, 0, 10)
+	inFlight := w.inFlight()
+	for _, x := range inFlight {
+		w.respond(x, Refused, 500, 0, 10)
 	}
-	expect(t, w, "calls refused", len(outs), 4)
-	expect(t, w, "rounds counted", w.s.receivers[11].bucket.refusals, 1)
+	expect(t, w, "calls refused", len(inFlight), 4)
+	expect(t, w, "rounds counted", w.sender.receivers[11].bucket.refusals, 1)
 }
 
 // Many senders read the same allowance: each sent until it was refused, and refused calls used the limit up.
-func TestWhatIsLeftForManyIsSpaced(t *testing.T) {
+func TestCallsAreSpacedWhenManySendersShareTheRemainder(t *testing.T) {
 	for _, c := range []struct {
 		senders string
 		share   float64
 		after   Time // the second of two texts leaves
 	}{{"2", 0.5, 0}, {"41", 1, 0}, {"121", 1, 0}, {"121", 0.25, 5671}, {"121", 0.1, 10000}} {
-		w := newWorld(1, Settings{"Instances": c.senders})
-		w.answer(w.take("first", "free", 1, "", 8*Second), Delivered, 0, c.share, 80)
-		w.take("second", "free", 1, "", 8*Second)
-		w.take("third", "free", 1, "", 8*Second)
+		w := newHarness(1, Settings{"Instances": c.senders})
+		w.respond(w.arrive("first", "free", 1, "", 8*Second), Delivered, 0, c.share, 80)
+		w.arrive("second", "free", 1, "", 8*Second)
+		w.arrive("third", "free", 1, "", 8*Second)
 		if c.after > 0 {
 			w.advance(c.after - 1)
-			expect(t, w, fmt.Sprintf("out among %s, %v left, at first", c.senders, c.share), len(w.outs()), 1)
+			expect(t, w, fmt.Sprintf("out among %s, %v left, at first", c.senders, c.share), len(w.inFlight()), 1)
 			w.advance(2)
 		}
-		expect(t, w, fmt.Sprintf("out among %s, %v left", c.senders, c.share), len(w.outs()), 2)
+		expect(t, w, fmt.Sprintf("out among %s, %v left", c.senders, c.share), len(w.inFlight()), 2)
 	}
 }
 
 // All looked again within a short time of a refusal, and refused looks alone kept a limit used up.
-func TestLooksAfterARefusalAreRare(t *testing.T) {
+func TestProbesAfterARefusalAreRare(t *testing.T) {
 	least, most := Time(math.MaxInt64), Time(0)
 	for seed := range uint64(50) {
-		w := newWorld(seed, Settings{"Instances": "80"})
-		fill(w, 1, "free", 1)
-		w.answer(w.outs()[0], Refused, 0, 0, 80)
-		held := w.s.receivers[11].bucket.pausedUntil - w.now
-		least, most = min(least, held), max(most, held)
+		w := newHarness(seed, Settings{"Instances": "80"})
+		arriveMany(w, 1, "free", 1)
+		w.respond(w.inFlight()[0], Refused, 0, 0, 80)
+		paused := w.sender.receivers[11].bucket.pausedUntil - w.now
+		least, most = min(least, paused), max(most, paused)
 	}
 	if least < 3*Second/2 || most > 5*Second/2 || most-least < Second/2 { // a part, and half to one and a half
 		t.Errorf("looks come again after %d to %d", least, most)
@@ -333,66 +337,66 @@
 }
 
 // Every batch walked the whole list: the two largest days were cut off for their CPU.
-func TestABatchWalksWhatItTouches(t *testing.T) {
-	w := newWorld(1, nil)
-	var list []ReceiverEntry
+func TestABatchVisitsOnlyActiveDestinations(t *testing.T) {
+	w := newHarness(1, nil)
+	var entries []ReceiverEntry
 	for i := range 10000 {
-		list = append(list, ReceiverEntry{Receiver: ReceiverID(100 + i), Destination: int64(100 + i/2), Kind: "one"})
+		entries = append(entries, ReceiverEntry{Receiver: ReceiverID(100 + i), Destination: int64(100 + i/2), Kind: "one"})
 	}
-	w.step(func() { w.s.UpdateReceivers(false, list) })
-	fill(w, 3, "free", 1)
-	expect(t, w, "destinations walked", len(w.s.active), 1)
-	w.answer(w.outs()[0], Delivered, 0, 1, 10)
-	for len(w.outs()) > 0 {
-		w.answer(w.outs()[0], Delivered, 0)
+	w.step(func() { w.sender.UpdateReceivers(false, entries) })
+	arriveMany(w, 3, "free", 1)
+	expect(t, w, "destinations walked", len(w.sender.active), 1)
+	w.respond(w.inFlight()[0], Delivered, 0, 1, 10)
+	for len(w.inFlight()) > 0 {
+		w.respond(w.inFlight()[0], Delivered, 0)
 	}
-	expect(t, w, "destinations walked when all is answered", len(w.s.active), 0)
-	w.step(func() { w.s.UpdateReceivers(true, w.entries()) })
-	expect(t, w, "receivers remembered, the last of a destination for a while", len(w.s.receivers), 5006)
-	w.advance(removedRetention)
-	w.step(func() { w.s.UpdateReceivers(true, w.entries()) })
-	expect(t, w, "receivers remembered", len(w.s.receivers), 6)
+	expect(t, w, "destinations walked when all is answered", len(w.sender.active), 0)
+	w.step(func() { w.sender.UpdateReceivers(true, w.entries()) })
+	expect(t, w, "receivers remembered, the last of a destination for a while", len(w.sender.receivers), 5006)
+	w.advance(retention)
+	w.step(func() { w.sender.UpdateReceivers(true, w.entries()) })
+	expect(t, w, "receivers remembered", len(w.sender.receivers), 6)
 }
 
 // A receiver without a place for a connection was taken for one at its limit: its bucket was held for an even part
 // of that, texts beside it too, while those who held the connections were never refused and kept them.
-func TestACrowdedReceiver(t *testing.T) {
-	w := newWorld(1, Settings{"Instances": "300", "Permissions.ConnIdleUs": "5000000"})
-	w.crowded = true
+func TestConnLimitBacksOffOnlyThatReceiver(t *testing.T) {
+	w := newHarness(1, Settings{"Instances": "300", "Permissions.ConnIdleUs": "5000000"})
+	w.connLimitReached = true
 	for range 40 { // often enough for the next text to come before the connection would close by itself
 		w.closed = nil
-		w.answer(w.give(1), Delivered, 0, 1, 500)
+		w.respond(w.arriveFree(1), Delivered, 0, 1, 500)
 	}
 	expect(t, w, "connections closed where none was refused", len(w.closed), 0)
-	x := w.give(1)
-	first := x.out
-	w.answer(x, Refused, 0)
-	other := x.out
+	x := w.arriveFree(1)
+	first := x.receiver
+	w.respond(x, Refused, 0)
+	other := x.receiver
 	expect(t, w, "goes to the other receiver at once", other != 0 && other != first, true)
-	w.answer(x, Delivered, 0, 1, 500)
+	w.respond(x, Delivered, 0, 1, 500)
 	expect(t, w, "closed at the other, which refused none", w.closed[len(w.closed)-1], other)
 
-	x = w.give(1)
-	w.answer(x, Refused, 0) // at the other; the first one rests already
-	expect(t, w, "out while both rest", x.out, ReceiverID(0))
+	x = w.arriveFree(1)
+	w.respond(x, Refused, 0) // at the other; the first one rests already
+	expect(t, w, "out while both rest", x.receiver, ReceiverID(0))
 	w.advance(Second)
-	expect(t, w, "sent again within a second", x.out != 0, true)
+	expect(t, w, "sent again within a second", x.receiver != 0, true)
 	expect(t, w, "nacked", w.nacks, 0)
 }
 
 // A receiver that was down was taken for one without a place for a connection: from then on every sender that had met
 // one closed its connections to the whole kind, and made a handshake for each text.
-func TestAReceiverThatIsDownHoldsNoPlaces(t *testing.T) {
+func TestAReceiverThatIsDownSetsNoConnLimit(t *testing.T) {
 	for _, nobody := range []bool{true, false} {
-		w := newWorld(1, Settings{"Instances": "300", "Permissions.ConnIdleUs": "5000000"})
-		w.nobody = nobody
+		w := newHarness(1, Settings{"Instances": "300", "Permissions.ConnIdleUs": "5000000"})
+		w.notListening = nobody
 		for range 40 {
-			w.answer(w.give(1), Delivered, 0, 1, 500)
+			w.respond(w.arriveFree(1), Delivered, 0, 1, 500)
 		}
-		x := w.give(1)
-		w.answer(x, NoConnection, 0)
+		x := w.arriveFree(1)
+		w.respond(x, NoConnection, 0)
 		w.closed = nil
-		w.answer(x, Delivered, 0, 1, 500) // at the other, or later
+		w.respond(x, Delivered, 0, 1, 500) // at the other, or later
 		expect(t, w, fmt.Sprint("closed where nobody listens: ", nobody), len(w.closed) > 0, !nobody)
 	}
 }
@@ -401,12 +405,12 @@
 func TestSendersChooseDifferentReceivers(t *testing.T) {
 	first := 0
 	for seed := range uint64(200) {
-		w := newWorld(seed, nil)
-		x := w.take("x", "free", 1, "", 8*Second)
-		to := x.out
+		w := newHarness(seed, nil)
+		x := w.arrive("x", "free", 1, "", 8*Second)
+		to := x.receiver
 		first += int(12 - to)
-		w.answer(x, Delivered, 0, 1, 10)
-		expect(t, w, "the warm one takes the next text", w.take("y", "free", 1, "", 8*Second).out, to)
+		w.respond(x, Delivered, 0, 1, 10)
+		expect(t, w, "the warm one takes the next text", w.arrive("y", "free", 1, "", 8*Second).receiver, to)
 	}
 	if first < 60 || first > 140 {
 		t.Errorf("%d of 200 senders begin with the first of two receivers", first)
@@ -414,63 +418,65 @@
 }
 
 // Kept connections that were reset at their next call made receivers look ill that answered all others.
-func TestKeptConnectionsThatBreakAreNoFailure(t *testing.T) {
-	w := newWorld(1, nil)
-	w.step(func() { w.s.UpdateReceivers(false, []ReceiverEntry{{Receiver: 12, Destination: 1, State: Removed}}) })
-	x := w.take("a", "free", 1, "", 8*Second)
+func TestStaleConnectionsAreNoFailure(t *testing.T) {
+	w := newHarness(1, nil)
+	w.step(func() {
+		w.sender.UpdateReceivers(false, []ReceiverEntry{{Receiver: 12, Destination: 1, State: Removed}})
+	})
+	x := w.arrive("a", "free", 1, "", 8*Second)
 	for range 3 {
 		w.advance(100)
-		w.kept = true
-		w.answer(x, ConnectionLost, 0)
-		expect(t, w, "failures noted", w.s.receivers[11].failures, 0)
-		expect(t, w, "sent again at once", x.out, ReceiverID(11))
+		w.staleConn = true
+		w.respond(x, ConnectionLost, 0)
+		expect(t, w, "failures noted", w.sender.receivers[11].failures, 0)
+		expect(t, w, "sent again at once", x.receiver, ReceiverID(11))
 	}
-	w.kept = false // a new one tells
-	w.answer(x, ConnectionLost, 0)
-	w.answer(x, NoConnection, 0)
-	expect(t, w, "failures noted", w.s.receivers[11].failures, 2)
+	w.staleConn = false // a new one tells
+	w.respond(x, ConnectionLost, 0)
+	w.respond(x, NoConnection, 0)
+	expect(t, w, "failures noted", w.sender.receivers[11].failures, 2)
 }
 
 // Texts for destinations that do not exist were held, and each left a destination behind.
-func TestUnlistedDestinationsAreRefused(t *testing.T) {
-	w := newWorld(1, nil)
+func TestUnlistedDestinationsAreRejected(t *testing.T) {
+	w := newHarness(1, nil)
 	for i := range 99 {
-		fill(w, 1, "free", int64(1000+i))
+		arriveMany(w, 1, "free", int64(1000+i))
 	}
 	expect(t, w, "refused", w.nacks, 99)
-	expect(t, w, "with when to come back", w.lastNack, defaultPause)
-	expect(t, w, "destinations kept", len(w.s.destinations), 3)
-	w.step(func() { w.s.UpdateReceivers(true, nil) })
-	fill(w, 1, "free", 1)
+	expect(t, w, "with when to come back", w.lastRetryAfter, defaultPause)
+	expect(t, w, "destinations kept", len(w.sender.destinations), 3)
+	w.step(func() { w.sender.UpdateReceivers(true, nil) })
+	arriveMany(w, 1, "free", 1)
 	expect(t, w, "refused where the next receiver may be late", w.nacks, 99)
 }
 
 // On a long day new receivers replaced old ones all the time; what failed just before it left stayed for ever.
-func TestWhatIsGoneIsForgotten(t *testing.T) {
-	w := newWorld(1, nil)
-	one := func(id ReceiverID, l ReceiverState) {
-		w.to[id] = &place{ReceiverEntry: ReceiverEntry{id, 10, int64(id), "apart", "z1", l}, toldAt: w.now}
-		w.step(func() { w.s.UpdateReceivers(false, []ReceiverEntry{{id, 10, int64(id), "apart", "z1", l}}) })
+func TestRemovedReceiversAreForgotten(t *testing.T) {
+	w := newHarness(1, nil)
+	update := func(id ReceiverID, l ReceiverState) {
+		w.receivers[id] = &fakeReceiver{ReceiverEntry: ReceiverEntry{id, 10, int64(id), "apart", "z1", l}, stateAt: w.now}
+		w.step(func() { w.sender.UpdateReceivers(false, []ReceiverEntry{{id, 10, int64(id), "apart", "z1", l}}) })
 	}
 	for id := ReceiverID(100); id < 400; id++ {
-		one(id, Up)
-		a := w.take(fmt.Sprint("a", id), "free", int64(id), "", 8*Second)
+		update(id, Up)
+		a := w.arrive(fmt.Sprint("a", id), "free", int64(id), "", 8*Second)
 		w.advance(500)
 		if id%2 == 0 { // it leaves with a call out
-			one(id, Removed)
+			update(id, Removed)
 		}
-		w.answer(a, NoConnection, 0)
-		one(id, Removed)
+		w.respond(a, NoConnection, 0)
+		update(id, Removed)
 		w.advance(Second)
 	}
-	w.advance(removedRetention)
-	one(999, Up)
+	w.advance(retention)
+	update(999, Up)
 	expect(t, w, "receivers, destinations and buckets kept",
-		fmt.Sprint(len(w.s.receivers), len(w.s.destinations), len(w.s.buckets) < 5, len(w.s.removed)), "7 4 true 0")
+		fmt.Sprint(len(w.sender.receivers), len(w.sender.destinations), len(w.sender.buckets) < 5, len(w.sender.removed)), "7 4 true 0")
 }
 
 // A sender that restarts still owes what it had taken: what may have run and how often it was sent binds it.
-func TestWhatARestartLeaves(t *testing.T) {
+func TestTextsRecoveredAfterARestart(t *testing.T) {
 	for _, c := range []struct {
 		product       string
 		submits       int
@@ -487,19 +493,19 @@
 		{"once", 1, 1, 0, 0, 1},
 		{"queued", 1, 4 * Second, 0, 0, 1},
 	} {
-		w := newWorld(1, nil)
+		w := newHarness(1, nil)
 		a := Arrival{ID: "a", Product: c.product, Destination: 1, TimeLeft: 3 * Second, Attempts: c.submits}
-		x := &sent{id: "a", product: c.product, dest: 1, until: w.now + a.TimeLeft, submits: c.submits}
+		x := &sentText{id: "a", product: c.product, dest: 1, validUntil: w.now + a.TimeLeft, attempts: c.submits}
 		if c.ago > 0 {
 			a.FirstRunAt, a.FirstRunZone = w.now-c.ago, "z1"
-			x.ran, x.ranSince = true, a.FirstRunAt
+			x.mayHaveRun, x.firstRunAt = true, a.FirstRunAt
 		}
 		w.texts["a"], w.order = x, []string{"a"}
-		w.step(func() { w.s.HandleArrival(a) })
-		expect(t, w, fmt.Sprint(c), fmt.Sprint(w.sends, w.nacks, w.failed), fmt.Sprint(c.sends, c.nacks, c.failed))
+		w.step(func() { w.sender.HandleArrival(a) })
+		expect(t, w, fmt.Sprint(c), fmt.Sprint(w.sends, w.nacks, w.undeliverable), fmt.Sprint(c.sends, c.nacks, c.failed))
 		if w.sends > 0 {
-			w.answer(x, Delivered, 0) // the submits go on being counted from there
-			expect(t, w, "texts held", len(w.s.texts), 0)
+			w.respond(x, Delivered, 0) // the submits go on being counted from there
+			expect(t, w, "texts held", len(w.sender.texts), 0)
 		}
 	}
 }
@@ -507,72 +513,72 @@
 // A restart found eighteen texts for one destination, which it had promised to deliver, and gave them up before its first
 // call: the backlog was longer than what it knew the destination to take, or the old list lacked it.
 func TestWhatARestartFindsUntriedIsTried(t *testing.T) {
-	w := newWorld(1, nil)
-	owed := func(id, product string, dest int64) Arrival {
+	w := newHarness(1, nil)
+	recovered := func(id, product string, dest int64) Arrival {
 		return Arrival{ID: id, Product: product, Destination: dest, TimeLeft: 8 * Second, Recovered: true}
 	}
-	all := []Arrival{owed("far", "free", 99)}
+	arrivals := []Arrival{recovered("far", "free", 99)}
 	for i := range 18 {
-		all = append(all, owed(fmt.Sprint("a", i), []string{"free", "once"}[i%2], 1))
+		arrivals = append(arrivals, recovered(fmt.Sprint("a", i), []string{"free", "once"}[i%2], 1))
 	}
-	w.hand(all...)
-	fill(w, 9, "free", 1) // these came now: they are what gives way
+	w.arriveTogether(arrivals...)
+	arriveMany(w, 9, "free", 1) // these came now: they are what gives way
 	expect(t, w, "given up of what came after", w.nacks > 0, true)
 	for i := range 18 {
 		x := w.texts[fmt.Sprint("a", i)]
-		if x.out != 0 { // the first is refused, and the second is late: from there the destination is contended
-			w.answer(x, Refused, 0)
+		if x.receiver != 0 { // the first is refused, and the second is late: from there the destination is contended
+			w.respond(x, Refused, 0)
 		}
-		expect(t, w, "given up with no call", x.over && x.submits == 0, false)
+		expect(t, w, "given up with no call", x.finished && x.attempts == 0, false)
 	}
-	w.to[99] = &place{ReceiverEntry: ReceiverEntry{99, 10, 99, "one", "z1", Up}}
-	w.step(func() { w.s.UpdateReceivers(false, []ReceiverEntry{w.to[99].ReceiverEntry}) })
-	expect(t, w, "submits once its destination is listed", w.texts["far"].submits, 1)
+	w.receivers[99] = &fakeReceiver{ReceiverEntry: ReceiverEntry{99, 10, 99, "one", "z1", Up}}
+	w.step(func() { w.sender.UpdateReceivers(false, []ReceiverEntry{w.receivers[99].ReceiverEntry}) })
+	expect(t, w, "submits once its destination is listed", w.texts["far"].attempts, 1)
 }
 
 // Without reports refused calls came again after a usual call each, from hundreds of senders, and used up the limit that
 // they waited for: nine in ten texts were refused. The listed rate says how long to hold, told wait or none.
-func TestWithoutReportsTheListedRateSaysHowLongToHold(t *testing.T) {
+func TestWithoutReportsTheListedRateSetsThePause(t *testing.T) {
 	for names, longer := range map[string]bool{"": true, "x0,x1": false} {
-		for _, told := range []bool{false, true} {
-			w := newWorld(1, Settings{"Instances": "40", "Report.Names": names})
-			r := w.s.receivers[11] // ten a second for forty senders: a call in four seconds, the SLA time is two
-			r.bucket = w.s.bucketOf(r)
+		for _, hasRetryAfter := range []bool{false, true} {
+			w := newHarness(1, Settings{"Instances": "40", "Report.Names": names})
+			r := w.sender.receivers[11] // ten a second for forty senders: a call in four seconds, the SLA time is two
+			r.bucket = w.sender.bucketOf(r)
 			r.bucket.refusals, r.dest.callDuration = 2, 400
-			held := w.s.refusalPause(r, told)
-			expect(t, w, fmt.Sprint("reports ", names, ", told ", told, ", held ", held), held >= Second, longer)
+			paused := w.sender.refusalPause(r, hasRetryAfter)
+			expect(t, w, fmt.Sprint("reports ", names, ", told ", hasRetryAfter, ", held ", paused), paused >= Second, longer)
 		}
 	}
 }
 
 // On sockets a text's end reaches the platform after the next text of its key has left, if that is let go at once.
 func TestAKeyWaitsUntilThePlatformHasHeard(t *testing.T) {
-	w := newWorld(1, nil)
-	w.s.NoticePending("a")
-	w.take("k1", "queued", 1, "a", 8*Second)
-	w.take("k2", "queued", 2, "b", 8*Second)
+	w := newHarness(1, nil)
+	w.sender.NoticePending("a")
+	w.arrive("k1", "queued", 1, "a", 8*Second)
+	w.arrive("k2", "queued", 2, "b", 8*Second)
 	expect(t, w, "submits of another key alone", w.sends, 1)
-	w.step(func() { w.s.NoticeDelivered("a") })
+	w.step(func() { w.sender.NoticeDelivered("a") })
 	expect(t, w, "submits once it has heard", w.sends, 2)
-	w.s.NoticePending("c")
-	w.s.NoticeDelivered("c")
-	expect(t, w, "keys kept", len(w.s.keys), 2)
+	w.sender.NoticePending("c")
+	w.sender.NoticeDelivered("c")
+	expect(t, w, "keys kept", len(w.sender.keys), 2)
 }
 
 // A process ended with a submit of a key out, which may still be worked on: the next of the key keeps its rest after the
 // start, whatever the submit that follows it comes to.
 func TestAKeyRestsAfterARestart(t *testing.T) {
-	w := newWorld(1, nil)
-	w.hand(Arrival{ID: "k1", Product: "queued", Destination: 1, Key: "a", TimeLeft: 8 * Second, Recovered: true, Attempts: 1, FirstRunAt: w.now, FirstRunZone: "z1"},
+	w := newHarness(1, nil)
+	w.arriveTogether(Arrival{ID: "k1", Product: "queued", Destination: 1, Key: "a", TimeLeft: 8 * Second, Recovered: true, Attempts: 1, FirstRunAt: w.now, FirstRunZone: "z1"},
 		Arrival{ID: "k2", Product: "queued", Destination: 1, Key: "a", TimeLeft: 8 * Second, Recovered: true})
-	w.texts["k1"].submits++ // that of before the restart
-	w.answer(w.texts["k1"], Delivered, 0)
+	w.texts["k1"].attempts++ // that of before the restart
+	w.respond(w.texts["k1"], Delivered, 0)
 	expect(t, w, "submits of the key before its rest is over", w.sends, 1)
 	w.advance(Second / 2)
 	expect(t, w, "submits once it is over", w.sends, 2)
 }
 
-func TestSettingsThatMakeNoSense(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	for name, value := range map[string]string{"Specifics.MaxCalls": "0", "Contract.FallUs": "-1", "RequestClasses.count": "x", "RegistryMode": "pull"} {
 		set := Settings{}
 		for k, v := range testSettings {
@@ -587,24 +593,24 @@
 
 // A repeat asked for in time had its connection a second later and left when it was known no more.
 func TestALateConnectionIsAskedAgain(t *testing.T) {
-	w := newWorld(1, nil)
-	x := w.take("x", "marked", 1, "", 8*Second)
-	w.answer(x, ConnectionLost, 0)
+	w := newHarness(1, nil)
+	x := w.arrive("x", "marked", 1, "", 8*Second)
+	w.respond(x, ConnectionLost, 0)
 	w.advance(Second)
-	expect(t, w, "the repeat may leave", w.s.MayStillSend("x", 1), true)
-	w.advance(x.ranSince + 3*Second - w.now - 1)
-	expect(t, w, "the repeat may leave when it is known no more", w.s.MayStillSend("x", 1), false)
+	expect(t, w, "the repeat may leave", w.sender.MayStillSend("x", 1), true)
+	w.advance(x.firstRunAt + 3*Second - w.now - 1)
+	expect(t, w, "the repeat may leave when it is known no more", w.sender.MayStillSend("x", 1), false)
 }
 
 // Texts that waited for an earlier one of their key were counted as a backlog, and half of them refused.
-func TestTextsThatWaitForTheirKeyAreNoBacklog(t *testing.T) {
-	w := newWorld(1, nil)
+func TestTextsWaitingForTheirKeyAreNoBacklog(t *testing.T) {
+	w := newHarness(1, nil)
 	for i := range 20 { // ten a second for two senders, SLA time 2 s: ten may wait for the allowance
-		w.take(fmt.Sprint("k", i), "queued", 1, "a", 8*Second)
+		w.arrive(fmt.Sprint("k", i), "queued", 1, "a", 8*Second)
 	}
 	expect(t, w, "refused", w.nacks, 0)
 	for i := range 20 {
-		w.take(fmt.Sprint("l", i), "queued", 1, fmt.Sprint("key", i), 8*Second)
+		w.arrive(fmt.Sprint("l", i), "queued", 1, fmt.Sprint("key", i), 8*Second)
 	}
 	expect(t, w, "refused of those whose turn it is", w.nacks > 5, true)
 }
@@ -612,16 +618,18 @@
 // Connections dropped unseen took one text each with them, and those that must not be sent twice were lost.
 func TestAnIdleConnectionThatBrokeTellsOfTheOthers(t *testing.T) {
 	for how, o := range map[string]Outcome{"reset": ConnectionLost, "silence": NoAnswer} {
-		w := newWorld(1, Settings{"Permissions.ConnIdleUs": "15000000"})
-		w.step(func() { w.s.UpdateReceivers(false, []ReceiverEntry{{Receiver: 12, Destination: 1, State: Removed}}) })
+		w := newHarness(1, Settings{"Permissions.ConnIdleUs": "15000000"})
+		w.step(func() {
+			w.sender.UpdateReceivers(false, []ReceiverEntry{{Receiver: 12, Destination: 1, State: Removed}})
+		})
 		w.deliver(1, 1, 10)
 		w.deliver(2, 1, 10)
 		w.advance(3 * Second)
 		expect(t, w, how+": closed while none broke", len(w.closed), 0)
-		x := w.give(1)
+		x := w.arriveFree(1)
 		w.advance(500)
-		w.answer(x, o, 0)
-		w.answer(x, Delivered, 0, 1, 10) // on a new connection
+		w.respond(x, o, 0)
+		w.respond(x, Delivered, 0, 1, 10) // on a new connection
 		expect(t, w, how+": both closed", len(w.closed), 2)
 		w.advance(Second)
 		expect(t, w, how+": the new one stays for a time", len(w.closed), 2)
@@ -635,8 +643,8 @@
 }
 
 // A handshake for every text to kinds of receivers that refuse no connection.
-func TestConnectionsAreKeptWhereNoneWasRefused(t *testing.T) {
-	w := newWorld(1, Settings{"Instances": "200"})
+func TestConnectionsAreKeptIfNoneWasRefused(t *testing.T) {
+	w := newHarness(1, Settings{"Instances": "200"})
 	for range 9 {
 		w.deliver(1, 1, 10)
 		w.advance(5 * Second)
@@ -645,131 +653,131 @@
 }
 
 // Texts that could have gone at once were refused as a backlog, as they came in one moment.
-func TestWhatMayGoNowIsNoBacklog(t *testing.T) {
-	w := newWorld(1, Settings{"Instances": "200"})
+func TestTextsThatMayGoNowAreNoBacklog(t *testing.T) {
+	w := newHarness(1, Settings{"Instances": "200"})
 	w.deliver(1, 1, 10)
-	w.hand(Arrival{ID: "a", Product: "free", Destination: 1, TimeLeft: 8 * Second},
+	w.arriveTogether(Arrival{ID: "a", Product: "free", Destination: 1, TimeLeft: 8 * Second},
 		Arrival{ID: "b", Product: "free", Destination: 1, TimeLeft: 8 * Second},
 		Arrival{ID: "c", Product: "free", Destination: 1, TimeLeft: 8 * Second})
 	expect(t, w, "refused", w.nacks, 0)
 }
 
 // Where the list answers only when asked, drains that a sender never heard of counted as told.
-func TestTheListIsAskedForApart(t *testing.T) {
+func TestWatchRequestsAreSpread(t *testing.T) {
 	first := map[Time]int{}
 	for seed := range uint64(20) {
-		w := newWorld(seed*0x9e3779b97f4a7c15, Settings{"Instances": "200", "RegistryMode": "ask", "Contract.AskEveryUs": "10000000"})
+		w := newHarness(seed*0x9e3779b97f4a7c15, Settings{"Instances": "200", "RegistryMode": "ask", "Contract.AskEveryUs": "10000000"})
 		w.advance(5 * Second)
-		expect(t, w, "asked within half of the time", len(w.asked), 1)
-		first[w.asked[0]/Second]++
+		expect(t, w, "asked within half of the time", len(w.watchRequests), 1)
+		first[w.watchRequests[0]/Second]++
 		w.advance(60 * Second)
-		expect(t, w, "asked again while it holds", len(w.asked), 1)
-		w.step(func() { w.s.HandleWatchEnd() })
+		expect(t, w, "asked again while it holds", len(w.watchRequests), 1)
+		w.step(func() { w.sender.HandleWatchEnd() })
 		w.advance(10 * Second)
-		expect(t, w, "asked again after it ended", len(w.asked), 2)
+		expect(t, w, "asked again after it ended", len(w.watchRequests), 2)
 	}
 	if len(first) < 4 {
 		t.Errorf("20 senders asked within %d of five seconds", len(first))
 	}
-	w := newWorld(1, Settings{"RegistryMode": "push"})
+	w := newHarness(1, Settings{"RegistryMode": "push"})
 	w.advance(60 * Second)
-	expect(t, w, "asked where it comes by itself", len(w.asked), 0)
+	expect(t, w, "asked where it comes by itself", len(w.watchRequests), 0)
 }
 
 // Routes apart were chosen by allowance alone, whatever the fee of their zone, and slow receivers like quick ones.
-func TestReceiversAreChosenByWhatTheTextBringsThere(t *testing.T) {
-	w := newWorld(1, Settings{"FailureDomains": "z1,z2", "Specifics.Carriage": "0.06,0"}) // 15 in z1, 16 in z2
-	a, b := w.take("a", "free", 3, "", 8*Second), w.take("b", "free", 3, "", 8*Second)
+func TestReceiversAreChosenByNetRevenue(t *testing.T) {
+	w := newHarness(1, Settings{"FailureDomains": "z1,z2", "Specifics.Carriage": "0.06,0"}) // 15 in z1, 16 in z2
+	a, b := w.arrive("a", "free", 3, "", 8*Second), w.arrive("b", "free", 3, "", 8*Second)
 	w.advance(500)
 	left := map[ReceiverID]float64{15: 1, 16: 0.8}
-	w.answer(a, Delivered, 0, left[a.out], 10)
-	w.answer(b, Delivered, 0, left[b.out], 10)
-	cheap := w.take("cheap", "free", 3, "", 8*Second)
-	expect(t, w, "by the zone without a fee", cheap.out, ReceiverID(16))
+	w.respond(a, Delivered, 0, left[a.receiver], 10)
+	w.respond(b, Delivered, 0, left[b.receiver], 10)
+	cheap := w.arrive("cheap", "free", 3, "", 8*Second)
+	expect(t, w, "by the zone without a fee", cheap.receiver, ReceiverID(16))
 	w.advance(500)
-	w.answer(cheap, Delivered, 0, 0.9, 10)
-	w.s.receivers[16].callDuration = float64(3 * Second) // of late: a third of the revenue is gone by then
-	expect(t, w, "by the quick one", w.take("quick", "free", 3, "", 8*Second).out, ReceiverID(15))
+	w.respond(cheap, Delivered, 0, 0.9, 10)
+	w.sender.receivers[16].callDuration = float64(3 * Second) // of late: a third of the revenue is gone by then
+	expect(t, w, "by the quick one", w.arrive("quick", "free", 3, "", 8*Second).receiver, ReceiverID(15))
 }
 
 // Among hundreds a part of a limit is under one text: any second text was refused, though the limit was half used.
-func TestNothingIsShedForPartsUnderOneTextWhileFewCallsAreRefused(t *testing.T) {
+func TestNothingIsShedIfThePartIsBelowOneCallAndFewAreRefused(t *testing.T) {
 	for refused, want := range map[float64]int{0: 0, 0.5: 3} {
-		w := newWorld(1, Settings{"Instances": "200"})
+		w := newHarness(1, Settings{"Instances": "200"})
 		w.deliver(1, 0.01, 10) // nothing is left: the next go later
-		w.s.refusalShare = refused
-		fill(w, 4, "once", 1)
+		w.sender.refusalShare = refused
+		arriveMany(w, 4, "once", 1)
 		expect(t, w, fmt.Sprint("given up where ", refused, " of all calls are refused"), w.nacks, want)
 	}
 }
 
 // A hold of the longest SLA time made every text late whose product is wanted sooner.
-func TestHoldsGoByTheShortestSLATime(t *testing.T) {
-	w := newWorld(1, Settings{"Instances": "200", "RequestClasses.0.ObjectiveUs": "1000000"})
+func TestPausesAreCappedByTheShortestSLATime(t *testing.T) {
+	w := newHarness(1, Settings{"Instances": "200", "RequestClasses.0.ObjectiveUs": "1000000"})
 	const small = 0.1
-	expect(t, w, "while no calls are refused", w.s.timeToFree(small, 1), Second/2)
-	w.s.refusalShare = 0.3
-	expect(t, w, "while many are", w.s.timeToFree(small, 1), Second)
-	expect(t, w, "at a larger limit", w.s.timeToFree(1000, 2), Time(4000))
+	expect(t, w, "while no calls are refused", w.sender.timeToFree(small, 1), Second/2)
+	w.sender.refusalShare = 0.3
+	expect(t, w, "while many are", w.sender.timeToFree(small, 1), Second)
+	expect(t, w, "at a larger limit", w.sender.timeToFree(1000, 2), Time(4000))
 }
 
 // What a brand sent beyond its share, worth next to nothing, took the place of others' texts in a queue.
-func TestABrandBeyondItsShareIsShedFirst(t *testing.T) {
-	w := newWorld(1, Settings{"Orgs.count": "2", "Orgs.0.Name": "loud", "Orgs.0.QuotaPerS": "2",
+func TestABrandOverItsQuotaIsShedFirst(t *testing.T) {
+	w := newHarness(1, Settings{"Orgs.count": "2", "Orgs.0.Name": "loud", "Orgs.0.QuotaPerS": "2",
 		"Orgs.1.Name": "still", "Orgs.1.QuotaPerS": "20", "OverShareWorth": "0.05"})
 	for i := range 20 {
 		a := Arrival{ID: fmt.Sprint("loud", i), Product: "free", Destination: 1, Brand: "loud", TimeLeft: 8 * Second}
 		if i >= 12 {
 			a.ID, a.Brand = fmt.Sprint("still", i-12), "still"
 		}
-		w.hand(a)
+		w.arriveTogether(a)
 	}
 	expect(t, w, "given up", w.nacks > 5, true)
 	for i := range 8 {
-		expect(t, w, "the still one's is kept", w.texts[fmt.Sprint("still", i)].over, false)
+		expect(t, w, "the still one's is kept", w.texts[fmt.Sprint("still", i)].finished, false)
 	}
 }
 
 // A process that took over went to a receiver before the wait that the one before was told was over, and to a cold
 // one as often as it liked.
-func TestWhatWasLearntHoldsInTheFirstSeconds(t *testing.T) {
-	sends, afresh := 0, 0
+func TestRestoredHistoryBindsFromTheStart(t *testing.T) {
+	sends, unrestored := 0, 0
 	for i := range uint64(200) {
-		before := newWorld(i*0x9e3779b97f4a7c15, Settings{"Instances": "3"})
+		before := newHarness(i*0x9e3779b97f4a7c15, Settings{"Instances": "3"})
 		before.step(func() {
-			before.s.UpdateReceivers(false, []ReceiverEntry{{Receiver: 12, Destination: 1, State: Removed}})
+			before.sender.UpdateReceivers(false, []ReceiverEntry{{Receiver: 12, Destination: 1, State: Removed}})
 		})
-		fill(before, 1, "free", 1)
+		arriveMany(before, 1, "free", 1)
 		before.advance(500)
-		before.answer(before.outs()[0], Errored, 0) // twice: an outage
-		before.answer(before.outs()[0], Errored, 0)
-		before.answer(before.take("w", "free", 2, "", 8*Second), Refused, 3*Second, 0.9, 40)
-		for _, recalled := range []bool{true, false} {
-			w := newWorld(i, Settings{"Instances": "200", "RegistryMode": "ask", "RequestClasses.0.ObjectiveUs": "1000000"})
+		before.respond(before.inFlight()[0], Errored, 0) // twice: an outage
+		before.respond(before.inFlight()[0], Errored, 0)
+		before.respond(before.arrive("w", "free", 2, "", 8*Second), Refused, 3*Second, 0.9, 40)
+		for _, restored := range []bool{true, false} {
+			w := newHarness(i, Settings{"Instances": "200", "RegistryMode": "ask", "RequestClasses.0.ObjectiveUs": "1000000"})
 			w.now = before.now
 			w.step(func() {
-				w.s.UpdateReceivers(false, []ReceiverEntry{{Receiver: 12, Destination: 1, State: Removed}})
-				if recalled {
-					for _, l := range before.s.History() {
-						w.s.Restore(l)
+				w.sender.UpdateReceivers(false, []ReceiverEntry{{Receiver: 12, Destination: 1, State: Removed}})
+				if restored {
+					for _, l := range before.sender.History() {
+						w.sender.Restore(l)
 					}
 				}
 			})
-			fill(w, 2, "free", 1)
-			fill(w, 1, "once", 2)
+			arriveMany(w, 2, "free", 1)
+			arriveMany(w, 1, "once", 2)
 			w.advance(2 * Second)
-			early := w.texts["once2-0"].submits
-			if !recalled {
-				afresh += w.sends - early
+			early := w.texts["once2-0"].attempts
+			if !restored {
+				unrestored += w.sends - early
 				continue
 			}
 			sends += w.sends
 			expect(t, w, "sent while the wait runs", early, 0)
-			expect(t, w, "the allowance is afresh", w.s.buckets[bucketKey{dest: 2}].responded, false)
+			expect(t, w, "the allowance is afresh", w.sender.buckets[bucketKey{dest: 2}].responded, false)
 		}
 	}
-	if sends > 16 || sends == 0 || afresh < 200 { // 200 senders and a window that bears 8; all were free to go before
-		t.Errorf("200 senders sent %d calls to a receiver in an outage, %d that know nothing of it", sends, afresh)
+	if sends > 16 || sends == 0 || unrestored < 200 { // 200 senders and a window that bears 8; all were free to go before
+		t.Errorf("200 senders sent %d calls to a receiver in an outage, %d that know nothing of it", sends, unrestored)
 	}
 }
 
@@ -778,10 +786,10 @@
 	for share, most := range map[float64]int{1: 20, 0.6: 200} {
 		sends := 0
 		for i := range uint64(100) {
-			w := newWorld(i*0x9e3779b97f4a7c15, Settings{"Instances": "200"})
-			fill(w, 2, "free", 1)
+			w := newHarness(i*0x9e3779b97f4a7c15, Settings{"Instances": "200"})
+			arriveMany(w, 2, "free", 1)
 			w.advance(500)
-			w.answer(w.outs()[0], Refused, 0, share, 10)
+			w.respond(w.inFlight()[0], Refused, 0, share, 10)
 			before := w.sends
 			w.advance(5 * Second)
 			sends += w.sends - before
--- a/control/interface.go
+++ b/control/interface.go
@@ -1,81 +1,81 @@
-// Package control decides when, where and how often each text is submitted.
+// Package control decides when, where and how often delivery of each text is attempted.
 package control
 
-// Time is in tenths of a millisecond: an instant of the caller's clock, or a span.
+// Time is a point in time of the caller's clock or a duration, in ticks of a tenth of a millisecond.
 type Time int64
 
 // Second is one second.
 const Second Time = 10000
 
-// ReceiverID names a receiver as the list does.
+// ReceiverID identifies a receiver in the list of receivers.
 type ReceiverID uint32
 
-// Settings are the instance's settings, name to value, as the caller was given them.
+// Settings holds the instance's settings by name, as the caller received them.
 type Settings map[string]string
 
-// Actions is what the module calls to have something done.
+// Actions is implemented by the caller and carries out the decisions.
 type Actions interface {
-	Submit(text string, to ReceiverID, timeout Time) // timeout 0: until the validity period is up
-	Cancel(text string, submit int)
-	Nack(text string, comeBack Time) // comeBack 0: no advice
-	MarkUndeliverable(text string)
+	Submit(textID string, receiver ReceiverID, timeout Time) // timeout 0: until the validity period ends
+	Cancel(textID string, number int)                        // the attempt of that number
+	Nack(textID string, retryAfter Time)                     // retryAfter 0: no advice
+	MarkUndeliverable(textID string)
 	WakeAt(at Time, mark int64)
-	CloseIdle(to ReceiverID)  // this sender's idle connections there
-	WatchReceivers()          // the list's changes from now on; asked for where RegistryMode is "ask"
-	Broadcast(content []byte) // to every other sender
+	CloseIdle(receiver ReceiverID) // closes this sender's idle connections to it
+	WatchReceivers()               // requests the list's changes from now on; called if RegistryMode is "ask"
+	Broadcast(content []byte)      // to every other sender
 	Log(line string)
 }
 
-// Arrival is a text as it is handed in.
+// Arrival is a text as a client hands it in.
 type Arrival struct {
 	ID          string
 	Product     string
 	Destination int64
-	TimeLeft    Time // of the validity period
+	TimeLeft    Time // remaining validity period
 	Key         string
-	Brand       string // whose it is, where brands have shares; empty: nobody's
-	Retry       bool   // the client hands it in again
-	Returned    bool   // a sender died holding it
+	Brand       string // owner, if brands have quotas; empty: none
+	Retry       bool   // the client hands it in once more
+	Returned    bool   // another sender failed while it held the text
 
-	Recovered bool // taken on before this process started
+	Recovered bool // accepted before this process started
 
-	// What this sender had done for it before it restarted.
+	// What this sender did for it before a restart.
 	Attempts     int
-	FirstRunAt   Time   // when the first submit that may have run was sent; 0: none
-	FirstRunZone string // and the zone it went to
+	FirstRunAt   Time   // when the first attempt that may have run was sent; 0: none
+	FirstRunZone string // the zone of that attempt
 }
 
-// ReceiverState says how the list speaks of a receiver.
+// ReceiverState is the state of a receiver in the list.
 type ReceiverState int
 
-// The listings.
+// The receiver states.
 const (
 	Up ReceiverState = iota
 	Draining
 	Removed
 )
 
-// ReceiverEntry is one line of the list of receivers.
+// ReceiverEntry is one entry of the list of receivers.
 type ReceiverEntry struct {
 	Receiver    ReceiverID
-	Rate        float64 // calls a second that the destination takes, if the list tells
+	Rate        float64 // calls per second that the destination takes; 0: not listed
 	Destination int64
 	Kind        string
 	Zone        string
 	State       ReceiverState
 }
 
-// Outcome says how a submit ended.
+// Outcome is how an attempt ended.
 type Outcome int
 
 // The outcomes.
 const (
 	Delivered      Outcome = iota
 	Errored                // the destination answered with an error
-	Refused                // turned away unseen
-	NoAnswer               // timed out
-	NoConnection           // none could be made
-	ConnectionLost         // the connection broke
+	Refused                // rejected before processing, for overload
+	NoAnswer               // no response within the timeout
+	NoConnection           // no connection could be made
+	ConnectionLost         // the connection broke during the call
 	Cancelled
 	Unsent // never left this sender
 )
@@ -84,14 +84,14 @@
 	return [...]string{"delivered", "errored", "full", "no_answer", "no_connection", "lost", "cancelled", "unsent"}[o]
 }
 
-// Result is how one submit ended and what came with it.
+// Result is the outcome of one attempt and what the response carried.
 type Result struct {
 	Outcome          Outcome
 	Final            bool      // the text has its final answer
-	StaleConn        bool      // it broke with a connection kept from an earlier call, before any answer
-	ConnLimitReached bool      // full, as no connection was left for this sender
-	NotListening     bool      // no connection, as nobody listens there
-	Took             Time      // since it was sent
-	RetryAfter       Time      // told wait, with Full
-	Report           []float64 // in the order of the setting Report.Names; nil if none came, NaN if left out
+	StaleConn        bool      // a reused connection broke before any response
+	ConnLimitReached bool      // refused because no connection was left for this sender
+	NotListening     bool      // no connection because nothing listens at the address
+	Took             Time      // time since the attempt was sent
+	RetryAfter       Time      // with Refused: the delay that the receiver asked for; 0: none
+	Report           []float64 // values in the order of the setting Report.Names; nil without a report, NaN for a missing value
 }
--- a/control/learnt.go
+++ b/control/learnt.go
@@ -5,29 +5,29 @@
 	"slices"
 )
 
-// ReceiverHistory is what a sender has learnt of a receiver that still means the same to another process, on another
-// build or with other settings: moments and spans. Readings of allowance, windows, shares of calls refused or
-// lost and all that is counted depend on the fleet and its settings; they start afresh.
+// ReceiverHistory is what a sender has learned of a receiver that means the same to another process, with another
+// build or other settings: times and durations. Reported allowances, windows, shares of calls refused or
+// lost and all counts depend on the fleet and its settings; they are not carried over.
 type ReceiverHistory struct {
-	Receiver          ReceiverID `json:"-"`                    // the number is of one process only
-	RetryAfterUntil   Time       `json:"wait_until,omitempty"` // told: rule 6
-	RecoveredAt       Time       `json:"cold,omitempty"`       // when it came back: rule 4, as what follows
-	Failures          int        `json:"fails,omitempty"`      // in a row
+	Receiver          ReceiverID `json:"-"`                    // identifies the receiver in one process only
+	RetryAfterUntil   Time       `json:"wait_until,omitempty"` // rule 6
+	RecoveredAt       Time       `json:"cold,omitempty"`       // rule 4, as what follows
+	Failures          int        `json:"fails,omitempty"`      // consecutive
 	FailedSince       Time       `json:"failed_since,omitempty"`
-	RefusedSince      Time       `json:"refused_since,omitempty"` // for another reason than its limit
+	RefusedSince      Time       `json:"refused_since,omitempty"` // for another reason than its rate limit
 	RefusedAt         Time       `json:"refused_at,omitempty"`
-	RefusedBelowLimit Time       `json:"refused_free,omitempty"` // with the allowance untouched
-	CallTimes         []Time     `json:"calls,omitempty"`        // within the window of the return budget
-	CallDuration      float64    `json:"pace,omitempty"`         // of an answered call, tenths
+	RefusedBelowLimit Time       `json:"refused_free,omitempty"` // with unused allowance
+	CallTimes         []Time     `json:"calls,omitempty"`        // within the window of the recovery budget
+	CallDuration      float64    `json:"pace,omitempty"`         // mean of answered calls, in ticks
 }
 
-// History gives the lessons of all receivers that are known, by number.
+// History returns the history of all known receivers, ordered by ID.
 func (s *Sender) History() []ReceiverHistory {
 	var all []ReceiverHistory
 	for _, id := range slices.Sorted(maps.Keys(s.receivers)) {
 		r := s.receivers[id]
 		b := s.bucketOf(r)
-		s.recentCalls(r) // forgets the older ones
+		s.recentCalls(r) // drops the older ones
 		all = append(all, ReceiverHistory{Receiver: id, RetryAfterUntil: b.retryAfterUntil, RecoveredAt: r.recoveredAt, Failures: r.failures,
 			FailedSince: r.failedSince, RefusedSince: b.refusedSince, RefusedAt: b.refusedAt,
 			RefusedBelowLimit: b.refusedBelowLimit,
@@ -36,8 +36,8 @@
 	return all
 }
 
-// Restore takes a lesson of another process over; of what is not listed nothing is kept. Nothing that this
-// sender knows already is made weaker by it.
+// Restore merges the history that another process learned; that of receivers which are not listed is ignored. It does not
+// weaken any restriction that this sender has learned itself.
 func (s *Sender) Restore(l ReceiverHistory) {
 	r := s.receivers[l.Receiver]
 	if r == nil {
--- a/control/outages.go
+++ b/control/outages.go
@@ -7,19 +7,19 @@
 	"emberquay/admission"
 )
 
-// Outages: receivers that fail, and what one that comes back may get.
+// Outages: receivers that fail, and how many calls a recovering one may get.
 
-// mayCall is the gate of rules 3, 4 and 6 that every call passes: nothing to a receiver that
-// drains or is gone, nothing before a told wait is over, nothing past the budget of one that comes back.
+// mayCall enforces rules 3, 4 and 6 for every call: none to a receiver that drains or is removed, none before
+// its Retry-After delay is over, none beyond the budget of a recovering receiver.
 func (s *Sender) mayCall(r *receiver) bool { return s.isAvailable(r) && s.withinRecoveryBudget(r) }
 
 func (s *Sender) isAvailable(r *receiver) bool {
 	return r.state == Up && s.now >= r.bucket.retryAfterUntil
 }
 
-// withinRecoveryBudget is rule 4. A receiver that came back bears a multiple of its present capacity over a window;
-// this sender keeps to its part of that. With hundreds of senders that part is a fraction of a call: then a
-// draw, new each window, says whether the one call goes, so that all together they send what is borne.
+// withinRecoveryBudget enforces rule 4. A recovering receiver takes a multiple of its current capacity per window; this
+// sender keeps to its part of that. With hundreds of senders the part is a fraction of a call: then a random draw
+// per window decides whether the one call goes, so that all senders together send what the receiver takes.
 func (s *Sender) withinRecoveryBudget(r *receiver) bool {
 	if !s.needsRecoveryBudget(r) {
 		return true
@@ -30,25 +30,25 @@
 	return float64(s.recentCalls(r)+1) <= s.recoveryBudget(r)+r.budgetDraw
 }
 
-// needsRecoveryBudget: the receiver is in an outage or back from one, as far as this sender saw. One failure says little,
-// or a refusal with the allowance untouched; where the budget is part of a call one of each is too much.
+// needsRecoveryBudget reports whether this sender has seen the receiver in an outage or recovering from one. One failure,
+// or one refusal with unused allowance, proves little; but if the budget is a fraction of a call, one is enough.
 func (s *Sender) needsRecoveryBudget(r *receiver) bool {
-	rampStart := s.now - s.duration("Contract.RampTimeUs", 0)
-	recovering, failedOnce := r.recoveredAt > 0 && r.recoveredAt >= rampStart, r.failures > 0 || r.bucket.refusedBelowLimit > max(0, rampStart)
+	since := s.now - s.duration("Contract.RampTimeUs", 0)
+	recovering, failedOnce := r.recoveredAt > 0 && r.recoveredAt >= since, r.failures > 0 || r.bucket.refusedBelowLimit > max(0, since)
 	return r.failures > 1 || failedOnce && s.recoveryBudget(r) < 0.5-reservedShare || recovering || s.bucketInOutage(r.bucket)
 }
 
-// bucketInOutage: refusals are an outage, of all receivers that share the bucket, only if they go on, or bar it, with
-// no delivery, for the time in which a cold destination falls; after the last of them, or the end of a told
-// wait, it is as warm as one that came back then. All who were told one wait would else come back at once.
+// bucketInOutage reports whether refusals are an outage of all receivers that share the bucket: they, or a Retry-After
+// delay, last without a delivery for the time in which a cold destination is overloaded. After the last one, or the end
+// of the delay, it ramps up like one that recovered then: else all senders given the same delay would return at once.
 func (s *Sender) bucketInOutage(b *bucket) bool {
 	last := max(b.refusedAt, b.retryAfterUntil)
 	return b.refusedSince > 0 && last-b.refusedSince > s.duration("Contract.FallUs", 2*Second) &&
 		s.now <= last+s.duration("Contract.RampTimeUs", 0)
 }
 
-// recoveryBudget is how many calls this sender may have sent to a receiver within the window: its even part of what
-// is borne, less a quarter for those who saw no outage; where no capacity is known, of its own usual traffic.
+// recoveryBudget returns how many calls this sender may send to a receiver per window: its even part of what the
+// receiver takes, less a quarter for senders that saw no outage; without a known capacity, of its own usual traffic.
 func (s *Sender) recoveryBudget(r *receiver) float64 {
 	rate := s.capacity(r) / s.senderCount()
 	if rate == 0 {
@@ -65,7 +65,7 @@
 	return (1 - 2*reservedShare) * s.number("Contract.FallMultiple", 1) * rate * rampShare * seconds
 }
 
-// recordFailure notes a call that failed; two in a row, and the receiver is looked at before it gets more texts.
+// recordFailure counts a failed call; after two in a row the receiver is probed with backoff before it gets more texts.
 func (s *Sender) recordFailure(r *receiver) {
 	if r.failures++; r.failures == 1 {
 		r.failedSince = s.now
@@ -79,12 +79,12 @@
 	}
 }
 
-// silenceLimit is how long a receiver with calls out may show no sign of life.
+// silenceLimit returns how long a receiver with calls in flight may go without a response.
 func (s *Sender) silenceLimit(r *receiver) Time {
 	return Time(3*cmp.Or(r.callDuration, max(r.dest.callDuration, float64(Second)/2))) + Second/2
 }
 
-// isSilent: calls are out, and for longer than patience nothing has come back.
+// isSilent reports whether calls are in flight and there was no response for longer than silenceLimit.
 func (s *Sender) isSilent(r *receiver) bool {
 	return len(r.calls) > 0 && s.now-max(r.calls[0].sentAt, r.respondedAt) > s.silenceLimit(r)
 }
--- a/control/outcomes.go
+++ b/control/outcomes.go
@@ -8,13 +8,13 @@
 	"emberquay/admission"
 )
 
-// What the end of a submit means for its text, its receiver and its bucket.
+// What the result of an attempt means for its text, its receiver and its bucket.
 
-// completeAttempt closes a submit and says what becomes of its text.
+// completeAttempt ends an attempt and decides what becomes of its text.
 func (s *Sender) completeAttempt(t *text, att *attempt, r Result) {
 	c := att.call
 	t.current, t.onResult = nil, nil
-	if r.Outcome == Refused && r.RetryAfter > 0 { // one tenth longer, as the clock is rounded down; all of a bundle bind
+	if r.Outcome == Refused && r.RetryAfter > 0 { // one tick longer, as the clock is rounded down; every text of a bundle counts
 		c.receiver.bucket.retryAfterUntil = max(c.receiver.bucket.retryAfterUntil, s.now+r.RetryAfter+1)
 	}
 	if !c.recorded {
@@ -51,7 +51,7 @@
 	}
 }
 
-// recordOutcome takes from one call what it tells of a receiver and its bucket.
+// recordOutcome updates a receiver and its bucket by the first result of a call.
 func (s *Sender) recordOutcome(c *call, res Result) {
 	r, sentAt := c.receiver, c.sentAt
 	b := r.bucket
@@ -59,7 +59,7 @@
 	switch {
 	case c.connIdle > 0 && (res.Outcome == ConnectionLost || res.Outcome == NoAnswer):
 		s.closeIdle(r)
-		if res.Outcome == NoAnswer || res.StaleConn { // the receiver's fault or the connection's: a new one will tell
+		if res.Outcome == NoAnswer || res.StaleConn { // receiver or connection at fault: a new one will show
 			r.unansweredIdle = c.connIdle
 		} else {
 			s.recordBrokenIdle(c.connIdle)
@@ -70,17 +70,17 @@
 		}
 		r.unansweredIdle = 0
 	}
-	if res.StaleConn && r.failures == 0 { // kept connections break beside a healthy receiver; a new one will tell
+	if res.StaleConn && r.failures == 0 { // reused connections break though the receiver is healthy; a new one will show
 		return
 	}
 	switch res.Outcome {
-	case Unsent: // no slot was free after all: not at once again
+	case Unsent: // no call slot was free after all: not again at once
 		r.backoffUntil = s.now + Second/8
 	case Cancelled:
 	case Refused:
 		r.respondedAt = s.now
 		longRetryAfter := res.RetryAfter > s.duration("Contract.FallUs", 2*Second)
-		if b.limit == 0 || b.remaining >= 1 || longRetryAfter || res.ConnLimitReached { // not for its limit: shut, or something is full
+		if b.limit == 0 || b.remaining >= 1 || longRetryAfter || res.ConnLimitReached { // not for its rate limit
 			b.refusedSince, b.refusedAt = cmp.Or(b.refusedSince, s.now), s.now
 			if b.remainingShare >= 0.9 {
 				b.refusedBelowLimit = s.now
@@ -90,7 +90,7 @@
 			s.recordConnLimit(r)
 			return
 		}
-		if sentAt > b.countedAt { // those refused together count once
+		if sentAt > b.countedAt { // calls refused together count once
 			b.refusals, b.countedAt = b.refusals+1, s.now
 			b.pausedUntil = max(b.pausedUntil, b.retryAfterUntil, s.now) + s.refusalPause(r, res.RetryAfter > 0)
 		}
@@ -105,10 +105,10 @@
 		admission.UpdateEWMA(&r.callDuration, float64(res.Took))
 		r.respondedAt = s.now
 		if r.failures > 1 {
-			s.actions.Log(fmt.Sprintf("receiver %d back", r.id))
+			s.actions.Log(fmt.Sprintf("receiver %d up again", r.id))
 		}
 		longOutage := r.failures > 0 && s.now-r.failedSince > s.duration("Contract.FallUs", 2*Second)
-		for _, o := range r.dest.receivers { // back from an outage, or not out of it yet
+		for _, o := range r.dest.receivers { // recovering from an outage, or still in it
 			if o.bucket == b && s.bucketInOutage(b) || o == r && (r.failures > 1 || longOutage || r.failureShare > 0.5) {
 				o.recoveredAt = s.now
 			}
@@ -119,7 +119,7 @@
 		b.refusalShare -= admission.EWMAWeight * b.refusalShare
 		s.refusalShare -= admission.EWMAWeight / 4 * s.refusalShare
 	case NoConnection:
-		if !res.NotListening { // its connections may all be taken, and are if it answers others; who is down holds none
+		if !res.NotListening { // all its connections may be taken, and are if it answers others; none are if it is down
 			s.connLimited[r.kind] = true
 			if r.respondedAt >= sentAt {
 				s.recordConnLimit(r)
@@ -128,7 +128,7 @@
 		}
 		s.recordFailure(r)
 	default:
-		if res.Outcome == NoAnswer && r.respondedAt > sentAt { // it answers others, so it is not silent
+		if res.Outcome == NoAnswer && r.respondedAt > sentAt { // it responds to others, so it is not silent
 			return
 		}
 		if res.Outcome == Errored {
@@ -138,8 +138,8 @@
 	}
 }
 
-// recordConnLimit: a receiver's connections are all taken, which says nothing of its limit. The next try is for whoever
-// comes first once one is free: at a random part of a usual call, twice that each further time.
+// recordConnLimit backs off from a receiver whose connections are all taken, which says nothing of its rate limit. The
+// first sender to ask gets a freed one, so the next try is after a random part of a typical call, doubled each time.
 func (s *Sender) recordConnLimit(r *receiver) {
 	s.connLimited[r.kind] = true
 	r.bucket.window.Halve()
--- a/control/queue.go
+++ b/control/queue.go
@@ -6,20 +6,20 @@
 	"slices"
 )
 
-// The queue: what is refused because it cannot be delivered in time, or would earn least.
+// The queue: texts rejected because they cannot be delivered in time, or would earn least.
 
-// rejectLate refuses what cannot be delivered in time: wait plus a usual call passes the validity period,
-// or the time for a repeat ends before the wait does. At a contended destination the SLA time is the end: a
-// call spent on a late text is one that a fresh text of some other sender is refused.
+// rejectLate gives up texts that cannot be delivered in time: the wait plus a typical call exceeds the validity
+// period, or the time for a repeat ends before the wait does. At a contended destination the SLA time is the
+// deadline: a call spent on a late text is one that another sender's fresh text is refused.
 func (s *Sender) rejectLate(d *destination) {
 	wait, contended := Time(math.MaxInt64), true
 	for _, r := range d.receivers {
 		if r.state == Up {
 			wait = min(wait, max(0, r.bucket.retryAfterUntil-s.now, r.bucket.pausedUntil-s.now))
-			contended = contended && r.bucket.refusals > 0 && s.partBelowOneCall(r) // the last call was refused
+			contended = contended && r.bucket.refusals > 0 && s.partBelowOneCall(r) // its last call was refused
 		}
 	}
-	if wait == math.MaxInt64 { // the list names no receiver now; a later one may
+	if wait == math.MaxInt64 { // no receiver is listed now; one may follow
 		wait, contended = 0, false
 	}
 	for _, t := range slices.Clone(d.queue) {
@@ -34,23 +34,23 @@
 	s.shedExcess(d, wait)
 }
 
-// recoveredUnsent: a restart found it taken on, and nothing was sent for it yet: it is tried for as long as its time
-// allows, as its client has been told that it will be.
+// recoveredUnsent reports whether a text was accepted before a restart and never sent. It is tried for as long as its
+// validity period allows, because its client was told that it would be.
 func (t *text) recoveredUnsent() bool { return t.recovered && t.attempts == 0 }
 
-// partBelowOneCall: this sender's part of the limit is under a call an SLA time: what frees mostly goes to others.
+// partBelowOneCall reports whether this sender's part of the limit is below one call per SLA time: others get most of it.
 func (s *Sender) partBelowOneCall(r *receiver) bool {
 	return s.capacity(r)*float64(s.longestSLA) < s.senderCount()*float64(Second)
 }
 
-// shedExcess bounds a queue that outgrows its destination: what would wait past the longest SLA time only makes
-// everything behind it late too. The texts that would earn least by then are refused at once, and the
-// client told when to come back, while the rest keep their order.
+// shedExcess bounds a queue that outgrows its destination: a text that would wait beyond the longest SLA time makes
+// everything behind it late too. The texts that would earn least by then are rejected at once, with advice
+// when to retry, while the rest keep their order.
 func (s *Sender) shedExcess(d *destination, wait Time) {
 	if s.refusalShare < 0.2 && len(d.receivers) > 0 && s.partBelowOneCall(d.receivers[0]) {
 		return
 	}
-	rate, free := s.drainRate(d), 0 // what may go now does not wait
+	rate, free := s.drainRate(d), 0 // calls that may go now do not wait
 	for i, r := range d.receivers {
 		if (i == 0 || r.ownLimit) && s.now >= r.backoffUntil && s.mayCall(r) {
 			free += max(0, s.concurrencyLimit(r.bucket)-r.bucket.inFlight)
@@ -60,7 +60,7 @@
 		var lowest *text
 		queued, lowestRevenue := 0, math.Inf(1)
 		for _, t := range d.queue {
-			if !s.keyAllows(t) { // it waits for its key, not for the allowance
+			if !s.keyAllows(t) { // it waits for its key, not for allowance
 				continue
 			}
 			queued++
@@ -76,7 +76,7 @@
 	}
 }
 
-// revenueAt is the revenue of a text delivered at a time: full by its SLA time, then less and less.
+// revenueAt returns the revenue of a text delivered at a time: full until its SLA time, then decreasing.
 func (s *Sender) revenueAt(t *text, deliveredAt Time) float64 {
 	p := t.product
 	value, late := p.value*t.revenueShare, float64(deliveredAt-t.slaDeadline)
@@ -91,8 +91,8 @@
 	return value * (1 - (1-p.lateShare)*late/float64(max(1, t.validUntil-t.slaDeadline)))
 }
 
-// brandRevenueShare is how much of a text's revenue counts, as its brand sends over its share of late, as far as this
-// sender's even part of either shows: beyond a share little does.
+// brandRevenueShare returns how much of a text's revenue counts: less the further its brand's recent texts exceed its
+// quota, of which this sender sees its even part; beyond the quota little counts.
 func (s *Sender) brandRevenueShare(b *brand) float64 {
 	if b == nil || b.quotaPerS <= 0 {
 		return 1
@@ -101,9 +101,9 @@
 	return floor + (1-floor)*min(1, (1+b.quotaPerS*span/float64(Second))/b.recent.Add(1, int64(s.now), span))
 }
 
-// drainRate is how many texts a second this sender may hope to get through to a destination: what got through
-// of late, and at least its part of the capacity, or where none is told what the window lets through. It is
-// nought before the first answer.
+// drainRate estimates how many texts per second this sender can deliver to a destination: as many as recently, and
+// at least its part of the capacity, or if that is unknown what the concurrency window allows. It is zero
+// before the first response.
 func (s *Sender) drainRate(d *destination) float64 {
 	rate := s.deliveryRate(d, 0)
 	for _, r := range d.receivers {
@@ -116,13 +116,13 @@
 	return rate
 }
 
-// deliveryRate keeps the texts a second that got through over the longest SLA time or so.
+// deliveryRate counts deliveries and returns their number per second over about the longest SLA time.
 func (s *Sender) deliveryRate(d *destination, delivered float64) float64 {
 	span := float64(max(1, s.longestSLA))
 	return d.deliveries.Add(delivered, int64(s.now), span) * float64(Second) / span
 }
 
-// typicalDuration is how long a call for the text takes as a rule.
+// typicalDuration returns how long a call for the text usually takes.
 func (s *Sender) typicalDuration(t *text) Time {
 	return Time(cmp.Or(t.dest.callDuration, t.product.callDuration))
 }
--- a/control/settings.go
+++ b/control/settings.go
@@ -10,9 +10,9 @@
 	"strings"
 )
 
-// How the settings are read; what is read is picked where it is needed.
+// Reading of the settings; most are read where they are used.
 
-// New makes an instance. Settings that make no sense are an error that names them.
+// New returns a sender. The error for an invalid setting names it.
 func New(seed uint64, settings Settings, actions Actions) (*Sender, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, fmt.Errorf("setting %w", err)
@@ -25,7 +25,7 @@
 	}
 	for _, name := range []string{"Specifics.MaxCalls", "Permissions.TryLimit", "RequestClasses.count"} {
 		if s.number(name, 0) < 1 {
-			return nil, fmt.Errorf("setting %s is less than 1 or no number", name)
+			return nil, fmt.Errorf("setting %s is less than 1 or not a number", name)
 		}
 	}
 	s.maxCalls = int(s.number("Specifics.MaxCalls", 1))
@@ -33,7 +33,7 @@
 	for _, p := range s.products {
 		s.longestSLA = max(s.longestSLA, p.sla)
 		s.shortestSLA = min(cmp.Or(s.shortestSLA, p.sla), p.sla)
-		p.callDuration = float64(p.sla) / slaPerFirstCall
+		p.callDuration = float64(p.sla) / slaToCallRatio
 	}
 	s.readBrands()
 	return s, nil
@@ -46,12 +46,12 @@
 	return fallback
 }
 
-// duration reads a time, rounded down: spans bound what may still be done.
+// duration reads a time in microseconds, rounded down because durations limit what may still be done.
 func (s *Sender) duration(name string, fallback Time) Time {
 	return Time(s.number(name, float64(fallback)*100) / 100)
 }
 
-// valueFor reads the value of a setting that holds one for each of the names that another lists.
+// valueFor reads one value of a setting that holds a value for each name in another setting.
 func (s *Sender) valueFor(setting, names, name string) string {
 	values := strings.Split(s.settings[setting], ",")
 	if i := slices.Index(strings.Split(s.settings[names], ","), name); i >= 0 && i < len(values) {
@@ -60,10 +60,10 @@
 	return ""
 }
 
-// kindValue reads the value of a setting that holds one for each kind.
+// kindValue reads one value of a setting that holds a value for each kind of receiver.
 func (s *Sender) kindValue(setting, kind string) string { return s.valueFor(setting, "Kinds", kind) }
 
-// retryAdvice is as much of a wait as a client may be told, 0 where it may be told none.
+// retryAdvice returns a wait, capped to what clients may be told; 0 if they may be told none.
 func (s *Sender) retryAdvice(wait Time) Time {
 	if s.settings["Permissions.RetryAfter"] != "true" {
 		return 0
@@ -82,7 +82,7 @@
 	}
 }
 
-// readBrands takes from the settings this sender's even part of each brand's share.
+// readBrands reads the quota of each brand and keeps this sender's even part of it.
 func (s *Sender) readBrands() {
 	for i := range int(s.number("Orgs.count", 0)) {
 		prefix := fmt.Sprintf("Orgs.%d.", i)
@@ -90,8 +90,8 @@
 	}
 }
 
-// Validate looks at the settings of how a deployment is put together that have a default where they are left out: one
-// that makes no sense must not be read as that default in silence. The error begins with the setting.
+// Validate checks the deployment settings that have a default when they are missing: an invalid value must not
+// silently be read as that default. The error begins with the name of the setting.
 func (settings Settings) Validate() error {
 	if mode := settings["RegistryMode"]; mode != "" && mode != "push" && mode != "ask" {
 		return fmt.Errorf("RegistryMode: %q is neither push nor ask", mode)
@@ -115,22 +115,22 @@
 	return err
 }
 
-// checkRange checks a number that lies within bounds where it is said at all.
+// checkRange checks that a setting, if present, is a number within bounds.
 func (settings Settings) checkRange(key string, low, high float64) error {
 	v, present := settings[key]
 	if n, err := strconv.ParseFloat(v, 64); present && (err != nil || !(n >= low && n <= high)) {
-		return fmt.Errorf("%s: %q is no number from %v to %v", key, v, low, high)
+		return fmt.Errorf("%s: %q is not a number from %v to %v", key, v, low, high)
 	}
 	return nil
 }
 
-// senderCount is how many share what a destination takes.
+// senderCount returns how many senders share the capacity of a destination.
 func (s *Sender) senderCount() float64 { return max(1, s.number("Instances", 1)) }
 
-// hasReports: answers may tell of the allowance.
+// hasReports reports whether responses may report the allowance.
 func (s *Sender) hasReports() bool { return s.settings["Report.Names"] != "" }
 
-// parseReport finds share and limit in a report; false if they are not there.
+// parseReport returns the remaining share of the limit, and the limit, from a report; false if they are missing.
 func (s *Sender) parseReport(report []float64) (remainingShare, limit float64, ok bool) {
 	names := strings.Split(s.settings["Report.Names"], ",")
 	x0, x1 := slices.Index(names, "x0"), slices.Index(names, "x1")
@@ -140,7 +140,7 @@
 	return report[x0], report[x1], !math.IsNaN(report[x0]) && !math.IsNaN(report[x1])
 }
 
-// connIdleTimeout is after how long an idle connection closes by itself.
+// connIdleTimeout returns after how long the receiver closes an idle connection.
 func (s *Sender) connIdleTimeout() Time {
 	if idle := s.duration("Permissions.ConnIdleUs", 0); idle > 0 {
 		return idle
--- a/control/state.go
+++ b/control/state.go
@@ -9,15 +9,15 @@
 	"emberquay/admission"
 )
 
-// What lasts for one submit.
+// State per attempt.
 
-// call is what a destination counts as one call: one submit, or a bundle of them with one fate.
+// call is what a destination counts as one call: one attempt, or a bundle of attempts with one outcome.
 type call struct {
 	receiver   *receiver
 	sentAt     Time
-	connIdle   Time    // for how long its connection had been idle; 0: it was new
-	unanswered []*text // not yet answered
-	recorded   bool    // an outcome of it has been learned from
+	connIdle   Time    // how long its connection had been idle; 0: a new connection
+	unanswered []*text // those without a result yet
+	recorded   bool    // its first result has been passed to recordOutcome
 }
 
 type attempt struct {
@@ -25,7 +25,7 @@
 	call   *call
 }
 
-// What lasts for one text.
+// State per text.
 
 type text struct {
 	id           string
@@ -37,87 +37,87 @@
 	slaDeadline  Time
 	attempts     int
 	mayHaveRun   bool
-	firstRunAt   Time         // when the first submit that may have run was sent
-	firstRunZone string       // and the zone it went to
-	current      *attempt     // at most one
-	onResult     func(Result) // what to do with the result of the step under way
-	revenueShare float64      // how much of its revenue counts, by its brand's share
-	finished     bool         // has its final answer, or is wanted no more
-	recovered    bool         // taken on before this process started
+	firstRunAt   Time         // when the first attempt that may have run was sent
+	firstRunZone string       // the zone of that attempt
+	current      *attempt     // in flight; nil: none
+	onResult     func(Result) // handles the result of the current attempt
+	revenueShare float64      // how much of its revenue counts, by its brand's quota
+	finished     bool         // has its final answer or was withdrawn
+	recovered    bool         // accepted before this process started
 }
 
-// What lasts for one receiver, one limit, one destination.
+// State per receiver, rate limit and destination.
 
 type receiver struct {
 	id        ReceiverID
 	dest      *destination
 	bucket    *bucket
 	kind      string
-	tieBreak  float64 // drawn: this sender's own order among equals
-	ownLimit  bool    // a route of its own
-	maxBundle int     // texts in one call at most
+	tieBreak  float64 // random: this sender's own order among equal receivers
+	ownLimit  bool    // its route has a rate limit of its own
+	maxBundle int     // maximum number of texts in one call
 	zone      string
 	rate      float64
-	routeFee  float64 // of a route apart, by its zone
+	routeFee  float64 // of a route with its own limit, by its zone
 	state     ReceiverState
-	removedAt Time    // when the list named it no more; 0 if it does
-	calls     []*call // out, oldest first
+	removedAt Time    // 0 if it is listed
+	calls     []*call // in flight, oldest first
 
-	connRefusals   int     // connections refused there since its last delivery
+	connRefusals   int     // since its last delivery
 	connected      bool    // a connection may be open
 	idleSince      Time    // when its last call ended
-	unansweredIdle Time    // an idle connection, for so long, gave no answer to what was sent on it; 0: none
-	callDuration   float64 // of an answered call, tenths
-	respondedAt    Time    // last sign of life
+	unansweredIdle Time    // idle time of a connection that gave no response to the last call on it; 0: none
+	callDuration   float64 // mean of answered calls, in ticks
+	respondedAt    Time    // last response of any kind
 	usedAt         Time
-	failures       int     // in a row
-	netRevenue     float64 // of the receiver for the text that is to go
-	failureShare   float64 // share of late calls that failed
-	failedSince    Time    // the first of them
+	failures       int     // consecutive
+	netRevenue     float64 // for the text that is sent next
+	failureShare   float64 // share of recent calls that failed
+	failedSince    Time    // time of the first of these failures
 	backoffUntil   Time
-	recoveredAt    Time    // when it was last seen to come back; 0 if warm
-	callTimes      []Time  // calls sent there within the window of the budget
-	redrawAt       Time    // when the fraction of a call in the budget is drawn anew
-	budgetDraw     float64 // the draw
+	recoveredAt    Time    // when it was last seen to recover; 0: never
+	callTimes      []Time  // of calls sent within the window of the recovery budget
+	redrawAt       Time    // when budgetDraw is drawn again
+	budgetDraw     float64 // random; decides whether a fraction of a call in the budget allows one
 }
 
 type bucket struct {
 	key               bucketKey
-	responded         bool // an answer has come
+	responded         bool // at least one response has come
 	limit             float64
-	remainingShare    float64 // as last reported
-	remaining         float64 // calls, by that report and what was sent since
-	countedAt         Time    // when the last of them was counted
-	refusals          int     // refusals since the last delivery
-	refusalShare      float64 // share of late calls that were refused
+	remainingShare    float64 // of the limit, as last reported
+	remaining         float64 // calls: by that report, less those sent since
+	countedAt         Time    // when the last refusal was counted
+	refusals          int     // halved with each delivery
+	refusalShare      float64 // share of recent calls that were refused
 	inFlight          int
-	window            admission.ConcurrencyWindow // calls that have been found bearable at once
-	refusedSince      Time                        // first refusal for another reason than the limit with no delivery after it; 0 if none
-	refusedAt         Time                        // the last such
-	refusedBelowLimit Time                        // the last refusal with the allowance untouched and no delivery after it
-	retryAfterUntil   Time                        // told
-	pausedUntil       Time                        // by the allowance
-	usedSeq           int64
+	window            admission.ConcurrencyWindow // learned limit of calls in flight
+	refusedSince      Time                        // first refusal for another reason than the rate limit since the last delivery; 0 if none
+	refusedAt         Time                        // last such refusal
+	refusedBelowLimit Time                        // last refusal with unused allowance since the last delivery; 0 if none
+	retryAfterUntil   Time                        // end of the Retry-After delay
+	pausedUntil       Time                        // for want of allowance or after refusals
+	usedSeq           int64                       // text.seq of the latest arrival at its last call
 }
 
 type bucketKey struct {
 	dest     int64
-	receiver ReceiverID // 0 where receivers share one limit
+	receiver ReceiverID // 0 if the receivers of the destination share one limit
 }
 
 type destination struct {
 	id           int64
-	index        int // by first mention
+	index        int // in order of first use
 	receivers    []*receiver
-	queue        []*text // held, in order of arrival
+	queue        []*text // waiting, in order of arrival
 	inFlight     int
-	active       bool    // stands in Sender.busy
-	arrivals     float64 // texts handed in for it
+	active       bool    // is in Sender.active
+	arrivals     float64 // number of texts handed in for it
 	callDuration float64
-	deliveries   admission.DecayingCount // texts that got through of late
+	deliveries   admission.DecayingCount // recently delivered texts
 }
 
-// What lasts as long as the instance.
+// State per instance.
 
 type product struct {
 	name         string
@@ -126,27 +126,28 @@
 	validity     Time
 	repeatPolicy string
 	repeatWindow Time
-	zoneScoped   bool // repeats are known only within one zone
+	zoneScoped   bool // repeats are recognized only within one zone
 	inOrder      bool
 	callDuration float64
 	lateShare    float64
 }
 
 type brand struct {
-	quotaPerS float64 // this sender's even part of its share, texts a second
+	quotaPerS float64 // this sender's even part of its quota, in texts per second
 	recent    admission.DecayingCount
 }
 
 type keyQueue struct {
-	texts          []*text // unfinished, in the order they were taken
+	texts          []*text // unfinished, in order of arrival
 	pausedUntil    Time
-	pendingNotices int // ends that are on their way to the platform
+	pendingNotices int // notices of ended texts that the platform has not received yet
 }
 
-// NoticePending: a text of the key has an end that the platform has yet to hear; until Told, nothing of the key may go.
+// NoticePending records that the platform has yet to be notified of the end of a text of the key. Until NoticeDelivered
+// nothing of the key may be sent.
 func (s *Sender) NoticePending(key string) { s.keyQueue(key).pendingNotices++ }
 
-// NoticeDelivered: it has heard.
+// NoticeDelivered records that the platform has been notified.
 func (s *Sender) NoticeDelivered(key string) {
 	s.keyQueue(key).pendingNotices--
 	s.removeIdleKeys()
@@ -159,19 +160,19 @@
 	return s.keys[key]
 }
 
-// removeIdleKeys drops the keys of which nothing is owed and whose rest is over.
+// removeIdleKeys drops the keys without texts or pending notices whose pause is over.
 func (s *Sender) removeIdleKeys() {
 	maps.DeleteFunc(s.keys, func(_ string, k *keyQueue) bool {
 		return len(k.texts)+k.pendingNotices == 0 && s.now >= k.pausedUntil
 	})
 }
 
-// Sender is one instance of the module.
+// Sender decides for one sender instance.
 type Sender struct {
 	actions          Actions
 	settings         Settings
 	now              Time
-	startedAt        Time // when it was first told the time
+	startedAt        Time // time of the first SetTime
 	rng              admission.PCG
 	products         map[string]*product
 	texts            map[string]*text
@@ -180,24 +181,24 @@
 	buckets          map[bucketKey]*bucket
 	destinations     map[int64]*destination
 	brands           map[string]*brand
-	connLimited      map[string]bool // kinds of receivers of which one has refused a connection
+	connLimited      map[string]bool // kinds of receivers of which one has refused a connection for want of places
 	connsOpened      map[string]int  // connections made to receivers of a kind
-	removed          []*receiver     // not listed and not forgotten
-	destinationsSeen int             // of destinations, first ones
-	active           []*destination  // those with texts or calls, by first mention
+	removed          []*receiver     // no longer listed, not forgotten yet
+	destinationsSeen int             // count of destinations, for destination.index
+	active           []*destination  // those with texts, calls or connections to check, by index
 	maxCalls         int
 	longestSLA       Time
 	shortestSLA      Time
-	refusalShare     float64 // share of late calls that were refused, at all destinations
-	meanValue        float64 // of late texts
+	refusalShare     float64 // share of recent calls to all destinations that were refused
+	meanValue        float64 // of recent texts
 	callsInFlight    int
-	watchAt          Time // when the list is asked next; 0: not drawn yet, or it comes by itself
-	watchFailures    int  // in a row in vain
+	watchAt          Time // when the list is next requested; 0: not drawn yet, or the list is pushed
+	watchFailures    int  // consecutive
 	lastSeq          int64
-	processLateness  Time // how much longer than usual a call may take by the caller's own doing
-	brokenIdle       Time // idle connections have broken after as little; 0: none has
-	brokenIdleAt     Time // the last time one did
-	wakeAt           Time // earliest wake asked for and not come; 0 if none
+	processLateness  Time // see SetProcessLateness
+	brokenIdle       Time // shortest trusted idle time after which a connection broke; 0: none broke
+	brokenIdleAt     Time // when the last one broke
+	wakeAt           Time // earliest wake requested that has not come; 0 if none
 	lastMark         int64
 }
 
@@ -209,7 +210,7 @@
 	return s.destinations[id]
 }
 
-// activate has a destination walked at each Settle, until there is nothing to be done for it.
+// activate has Schedule visit a destination until there is nothing left to do for it.
 func (s *Sender) activate(d *destination) {
 	if !d.active {
 		d.active = true
@@ -228,21 +229,21 @@
 	}
 }
 
-// recentCalls counts the calls to a receiver within the window of the budget.
+// recentCalls returns the number of calls to a receiver within the window of the recovery budget.
 func (s *Sender) recentCalls(r *receiver) int {
 	windowStart := s.now - s.duration("Contract.FallUs", 2*Second)
 	r.callTimes = slices.DeleteFunc(r.callTimes, func(at Time) bool { return at <= windowStart })
 	return len(r.callTimes)
 }
 
-// SetProcessLateness tells how much longer than usual a call may take because the caller's own process gets its processor late; 0
-// until it is told, and where the caller's clock is not that of a machine.
+// SetProcessLateness sets how much longer than usual a call may take because the caller's own process is scheduled late.
+// It is 0 until set, and where the caller's clock is simulated.
 func (s *Sender) SetProcessLateness(by Time) { s.processLateness = by }
 
-// HandlePeerNote takes a note of another sender. None is sent, so none is expected.
+// HandlePeerNote ignores a broadcast of another sender: this package sends none.
 func (s *Sender) HandlePeerNote(int, []byte) {}
 
-// UpdateReceivers takes news of the list; whole: what is not in it is gone.
+// UpdateReceivers applies changes of the list; if complete, receivers that are not in entries are removed.
 func (s *Sender) UpdateReceivers(complete bool, entries []ReceiverEntry) {
 	s.watchFailures = 0
 	if complete {
@@ -278,7 +279,7 @@
 	s.dropRemoved()
 }
 
-// enqueue puts a text in its destination's queue, by arrival: one that comes back stands at the head again.
+// enqueue adds a text to its destination's queue by order of arrival: one that is retried goes before later ones.
 func (s *Sender) enqueue(t *text) {
 	bySeq := func(o *text, seq int64) int { return cmp.Compare(o.seq, seq) }
 	index, _ := slices.BinarySearchFunc(t.dest.queue, t.seq, bySeq)
@@ -286,7 +287,7 @@
 	s.activate(t.dest)
 }
 
-// finish closes a text; while a submit of it is out it is remembered, so that its end can be told apart.
+// finish ends a text; while an attempt of it is in flight it is kept, so that its result can be matched.
 func (s *Sender) finish(t *text) {
 	t.finished = true
 	t.dest.queue = slices.DeleteFunc(t.dest.queue, func(o *text) bool { return o == t })
