--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -9,7 +9,7 @@
 	a, b, c := NewPCG(1), NewPCG(1), NewPCG(2)
 	x, y, z := a.Uint32(), b.Uint32(), c.Uint32()
 	if x != y || x == z {
-		t.Fatalf("same seed %d %d, other seed %d", x, y, z)
+		t.Fatalf("same seed: %d and %d, other seed: %d", x, y, z)
 	}
 }
 
@@ -24,7 +24,7 @@
 	}
 	for n, count := range counts {
 		if count < 900 || count > 1100 {
-			t.Errorf("%d came %d times in 10,000", n, count)
+			t.Errorf("%d drawn %d times in 10,000", n, count)
 		}
 	}
 }
@@ -33,22 +33,22 @@
 	var mean float64
 	UpdateEWMA(&mean, 10)
 	if mean != 10 {
-		t.Errorf("the first of a series gave %v", mean)
+		t.Errorf("mean after the first value 10: %v", mean)
 	}
 	UpdateEWMA(&mean, 20)
 	if mean != 12 {
-		t.Errorf("10 and 20 gave %v", mean)
+		t.Errorf("mean after 10 and 20: %v", mean)
 	}
 	var failed Fraction
 	for range 50 {
 		failed.Observe(true)
 	}
 	if failed < 0.99 || failed > 1 {
-		t.Errorf("50 of 50 gave %v", failed)
+		t.Errorf("share after 50 of 50: %v", failed)
 	}
 	failed.Observe(false)
 	if math.Abs(float64(failed)-0.8) > 0.01 {
-		t.Errorf("one more that had it not gave %v", failed)
+		t.Errorf("share after one more event without the property: %v", failed)
 	}
 }
 
@@ -58,7 +58,7 @@
 		f.Add(1, at*10, 100)
 	}
 	if rate := f.Add(0, 990, 100); math.Abs(rate-10) > 1 {
-		t.Errorf("one each 10 gave %v in a span of 100", rate)
+		t.Errorf("count with one event each 10 and a time constant of 100: %v", rate)
 	}
 }
 
@@ -66,31 +66,31 @@
 	w := ConcurrencyWindow(InitialWindow)
 	w.OnRefusal(20)
 	if w != 4 {
-		t.Errorf("8, refused with 20 out, gave %v", w)
+		t.Errorf("window after a refusal with 20 in flight: %v", w)
 	}
 	for range 4 {
 		w.OnSuccess()
 	}
 	if w < 4.8 || w > 5 {
-		t.Errorf("a windowful answered gave %v", w)
+		t.Errorf("window after one window of successes: %v", w)
 	}
 	for range 9 {
 		w.OnRefusal(0)
 	}
 	if w != 1 {
-		t.Errorf("refused often gave %v", w)
+		t.Errorf("window after many refusals: %v", w)
 	}
 }
 
 func TestBackoffAndJitter(t *testing.T) {
 	for times, want := range []int64{5, 10, 20, 40, 40} {
 		if got := Backoff(int64(5), times, 3); got != want {
-			t.Errorf("doubled %d times: %d", times, got)
+			t.Errorf("pause doubled %d times: %d", times, got)
 		}
 	}
 	for chance, want := range map[float64]int64{0: 75, 0.5: 100, 1: 125} {
 		if got := Jitter(int64(100), 0.25, chance); got != want {
-			t.Errorf("chance %v gave %d", chance, got)
+			t.Errorf("pause with random number %v: %d", chance, got)
 		}
 	}
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter puts the decisions of package control on the wire onyx-7696: standard input to
-// standard output, many instances a process, nothing shared between them.
+// Command simadapter runs package control behind the wire protocol onyx-7696 on standard input and
+// output. One process runs many instances, which share nothing.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	"emberquay/internal/delivery/simwire"
 )
 
-// microsPerTick is how many of the wire's microseconds make one of the module's tenths of a millisecond.
+// microsPerTick converts the wire's microseconds to ticks of control.Time.
 const microsPerTick = 100
 
 func main() {
@@ -27,21 +27,21 @@
 	}
 }
 
-// instance is one sender and what it has to say in the batch at hand.
+// instance is one sender and its reply lines in the current batch.
 type instance struct {
 	id      int64
 	sender  *control.Sender
 	reply   bytes.Buffer
-	inBatch bool // stands in adapter.heard
-	failed  bool // a fault was told; the day is over for it
+	inBatch bool // is in adapter.touched
+	failed  bool // a fault was reported; the instance gets no more calls
 }
 
 type adapter struct {
 	instances map[int64]*instance
 	lists     map[int64][]control.ReceiverEntry
-	touched   []*instance // those with an event in this batch, in order
+	touched   []*instance // those with an event in this batch, in order of the first one
 	now       control.Time
-	inBatch   bool // inside a batch
+	inBatch   bool // between CLOCK and COMMIT
 }
 
 func run(in io.Reader, out io.Writer) error {
@@ -83,7 +83,7 @@
 	}
 }
 
-// commit lets every instance that heard something decide, and writes what they all had to say.
+// commit has every instance with an event in the batch decide, and writes their replies.
 func (d *adapter) commit(w io.Writer) {
 	for _, i := range d.touched {
 		i.recoverPanics(func() { i.sender.Schedule() })
@@ -94,7 +94,7 @@
 	d.touched, d.inBatch = d.touched[:0], false
 }
 
-// recoverPanics runs a call on the module; a panic in it is told as the instance's fault.
+// recoverPanics calls the sender; a panic is reported as a fault of the instance.
 func (i *instance) recoverPanics(f func()) {
 	if i.failed || i.sender == nil {
 		return
@@ -123,7 +123,7 @@
 	for range count {
 		m, err := lines.Next()
 		if err != nil {
-			return fmt.Errorf("line %d: DIRECTORY: its entries are cut short: %w", l.No, err)
+			return fmt.Errorf("line %d: DIRECTORY: input ends within its entries: %w", l.No, err)
 		}
 		if m.Name != "M" {
 			return fmt.Errorf("line %d: %s: an entry M was expected", m.No, m.Name)
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// handleEvent hands one line to the instance that it is for.
+// handleEvent passes one line to its instance.
 func (d *adapter) handleEvent(l *simwire.Line) error {
 	id := l.Whole("Who", 0, math.MaxInt32)
 	if l.Err() != nil {
@@ -195,7 +195,7 @@
 		l.Whole("Receiver", 0, math.MaxUint32)
 		r := parseResult(l)
 		return i.call(l, func() { s.HandleResult(textID, number, r) })
-	case "PING_RESULT": // none is asked for
+	case "PING_RESULT": // never requested
 		l.Whole("Receiver", 0, math.MaxUint32)
 		parseResult(l)
 		return nil
@@ -212,7 +212,7 @@
 		from := int(l.Whole("Neighbour", 0, math.MaxInt32))
 		content, err := hex.DecodeString(strings.TrimSuffix(l.Word("Content"), "-"))
 		if err != nil {
-			l.Fault("Content", "no hex digits")
+			l.Fault("Content", "not hexadecimal")
 		}
 		return i.call(l, func() { s.HandlePeerNote(from, content) })
 	case "UPDATE":
@@ -226,7 +226,7 @@
 		switch {
 		case l.Err() != nil:
 		case !known:
-			l.Fault("Ref", "no such list yet")
+			l.Fault("Ref", "no DIRECTORY with this number yet")
 		case scope != "Partial" && scope != "Complete" && scope != "Persisted":
 			l.Fault("Scope", fmt.Sprintf("%q is not known", scope))
 		}
@@ -235,7 +235,7 @@
 	return fmt.Errorf("line %d: %s: no such message", l.No, l.Name)
 }
 
-// call makes one call on the module, unless the line was at fault.
+// call calls the sender, unless the line is faulty.
 func (i *instance) call(l *simwire.Line, f func()) error {
 	if l.Err() == nil {
 		i.recoverPanics(f)
@@ -260,7 +260,7 @@
 	return nil
 }
 
-// touch notes that an instance has an event in this batch and tells it the time.
+// touch records that an instance has an event in this batch and sets its time.
 func (d *adapter) touch(i *instance) {
 	if !i.inBatch {
 		i.inBatch = true
@@ -269,7 +269,7 @@
 	}
 }
 
-// remove forgets an instance and all it meant to say: its texts are void.
+// remove drops an instance and its unwritten reply: its texts are void.
 func (d *adapter) remove(id int64) {
 	if i := d.instances[id]; i != nil {
 		i.reply.Reset()
@@ -308,7 +308,7 @@
 	return r
 }
 
-// The outlet: what the module wants done, as lines of the reply.
+// Implementation of control.Actions: each call becomes a line of the reply.
 
 func (i *instance) Submit(textID string, receiver control.ReceiverID, timeout control.Time) {
 	i.writeLine("ATTEMPT Who=%d OpId=%s Receiver=%d CapUs=%d", i.id, textID, receiver, timeout*microsPerTick)
