--- a/coordination/chain/adopt.go
+++ b/coordination/chain/adopt.go
@@ -18,15 +18,15 @@
 	place := State{Epoch: value.State.Epoch, Sequence: value.State.Sequence}
 	for _, m := range n.view.Members {
 		if m.ID != n.self.ID && a.proposer.HasAccepted(m.ID) {
-			n.sendMember(m, Adopt{View: value.View, State: place, Committed: place.Sequence})
+			n.sendMember(m, InstallView{View: value.View, State: place, Committed: place.Sequence})
 		}
 	}
 	for _, m := range value.View.Members {
-		if !n.view.Has(m.ID) {
-			n.sendMember(m, Adopt{View: value.View, State: value.State, Committed: place.Sequence})
+		if !n.view.HasMember(m.ID) {
+			n.sendMember(m, InstallView{View: value.View, State: value.State, Committed: place.Sequence})
 		}
 	}
-	if !value.View.Has(n.self.ID) {
+	if !value.View.HasMember(n.self.ID) {
 		n.known = value.View
 		n.forget()
 		return
@@ -34,8 +34,8 @@
 	n.adopt(value.View, value.State, place.Sequence)
 }
 
-func (n *Node) onAdopt(from Peer, m Adopt) {
-	if m.View.Epoch <= n.view.Epoch || !m.View.Has(n.self.ID) {
+func (n *Node) onAdopt(from Peer, m InstallView) {
+	if m.View.Epoch <= n.view.Epoch || !m.View.HasMember(n.self.ID) {
 		return
 	}
 	if m.View.Validate() != nil {
@@ -71,7 +71,7 @@
 	if n.has(s) {
 		s = State{Epoch: s.Epoch, Sequence: s.Sequence}
 	}
-	n.persist(Adoption{View: next, State: s, Committed: committed})
+	n.persist(ViewRecord{View: next, State: s, Committed: committed})
 	waiting, queue := n.flight, n.queue
 	n.flight, n.queue = flight{}, nil
 	if s.Full {
@@ -106,7 +106,7 @@
 	o, ok := n.outcome(waiting.id)
 	switch {
 	case !ok:
-		n.send(waiting.to, Result{ID: waiting.id, Verdict: Moved, Epoch: n.view.Epoch})
+		n.send(waiting.to, ProposeResult{ID: waiting.id, Verdict: ResultRetry, Epoch: n.view.Epoch})
 	case o.Sequence <= n.committed:
 		n.send(waiting.to, n.result(o))
 	default:
--- a/coordination/chain/begin.go
+++ b/coordination/chain/begin.go
@@ -21,24 +21,24 @@
 // Where no disk holds an identity, nothing tells a first start from new machines that reach nobody but each other: these
 // wait, and the first start, of which no message ever left, is made again with Bootstrap.
 
-// Inquire asks what a first member holds.
-type Inquire struct{ Nonce int64 }
+// BootstrapProbe asks what a first member holds.
+type BootstrapProbe struct{ Nonce int64 }
 
-// Untouched answers Inquire: its sender is unbegun, or in the first view with nothing done.
-type Untouched struct {
+// PristineReply answers BootstrapProbe: its sender is unbegun, or in the first view with nothing done.
+type PristineReply struct {
 	Nonce   int64    // of the question
 	Members []string // addresses of the first members, sorted; empty: the sender's disk does not tell
 }
 
-func (Inquire) message()   {}
-func (Untouched) message() {}
+func (BootstrapProbe) message() {}
+func (PristineReply) message()  {}
 
 // beginning is what an unbegun node knows of the first start; the zero value is that of any other node.
 type beginning struct {
 	unbegun bool
 	nonce   int64
 	members []string            // addresses of the first members, sorted; nil: not known yet
-	answers map[string][]string // Untouched.Members, by the address of who answered
+	answers map[string][]string // PristineReply.Members, by the address of who answered
 }
 
 // awaitBeginning makes this node an unbegun one. Members are told by its own disk, or nil.
@@ -48,13 +48,13 @@
 
 // wasUnbegun says whether a disk with an identity, and no view, is that of a node that was never a member: one that was
 // removed remembers whom to ask, and has an id that it drew.
-func wasUnbegun(d *Durable) bool {
-	return d.View.Epoch == 0 && (d.Member.ID == FirstID(d.Member.Address) || len(d.Known) == 0)
+func wasUnbegun(d *DurableState) bool {
+	return d.View.Epoch == 0 && (d.Member.ID == FirstMemberID(d.Member.Address) || len(d.Known) == 0)
 }
 
 // firstMembers are the addresses that the identity of a first member names, with its own; nil for another identity.
-func firstMembers(d *Durable) []string {
-	if d.Member.ID != FirstID(d.Member.Address) || len(d.Known) == 0 {
+func firstMembers(d *DurableState) []string {
+	if d.Member.ID != FirstMemberID(d.Member.Address) || len(d.Known) == 0 {
 		return nil
 	}
 	return sortedDistinct(append(slices.Clone(d.Known), d.Member.Address))
@@ -72,21 +72,21 @@
 	}
 	for _, address := range sortedDistinct(append(n.addresses(), n.beginning.members...)) {
 		if address != n.self.Address {
-			n.send(Peer{Address: address}, Inquire{Nonce: n.beginning.nonce})
+			n.send(Peer{Address: address}, BootstrapProbe{Nonce: n.beginning.nonce})
 		}
 	}
 }
 
-func (n *Node) onInquire(from Peer, m Inquire) {
+func (n *Node) onInquire(from Peer, m BootstrapProbe) {
 	switch {
 	case n.beginning.unbegun:
-		n.send(from, Untouched{Nonce: m.Nonce, Members: n.beginning.members})
+		n.send(from, PristineReply{Nonce: m.Nonce, Members: n.beginning.members})
 	case n.untouched():
-		n.send(from, Untouched{Nonce: m.Nonce, Members: memberAddresses(n.view)})
+		n.send(from, PristineReply{Nonce: m.Nonce, Members: memberAddresses(n.view)})
 	}
 }
 
-func (n *Node) onUntouched(from Peer, m Untouched) {
+func (n *Node) onUntouched(from Peer, m PristineReply) {
 	b := &n.beginning
 	if !b.unbegun || m.Nonce != b.nonce || len(m.Members) > view.MaxMembers {
 		return
@@ -119,12 +119,12 @@
 // beginFirst begins as a first member, with the empty state.
 func (n *Node) beginFirst(first view.View) {
 	n.beginning = beginning{}
-	n.self.ID = FirstID(n.self.Address)
+	n.self.ID = FirstMemberID(n.self.Address)
 	n.view, n.known = first, first
 	n.rememberMembers()
-	n.persist(Identity{Member: n.self, Known: n.remembered})
+	n.persist(IdentityRecord{Member: n.self, Known: n.remembered})
 	state := State{Epoch: 1, Full: true, Snapshot: n.machine.Snapshot()}
-	n.persist(Adoption{View: first, State: state})
+	n.persist(ViewRecord{View: first, State: state})
 	n.meetMembers()
 	n.noteCommitted()
 }
@@ -133,7 +133,7 @@
 func firstView(addresses []string) view.View {
 	var members []view.Member
 	for _, address := range addresses {
-		members = append(members, view.Member{ID: FirstID(address), Address: address})
+		members = append(members, view.Member{ID: FirstMemberID(address), Address: address})
 	}
 	return view.First(members)
 }
--- a/coordination/chain/begin_test.go
+++ b/coordination/chain/begin_test.go
@@ -30,7 +30,7 @@
 }
 
 func isUntouched(e chain.Envelope) bool {
-	_, is := e.Body.(chain.Untouched)
+	_, is := e.Body.(chain.PristineReply)
 	return is
 }
 
@@ -79,9 +79,9 @@
 		t.stop("b")
 		t.stop("c")
 		for _, name := range []string{"b", "c"} {
-			stale := chain.Envelope{From: chain.Peer{Address: name}, To: chain.Peer{Address: "a"}, Body: chain.Untouched{Nonce: 5}}
+			stale := chain.Envelope{From: chain.Peer{Address: name}, To: chain.Peer{Address: "a"}, Body: chain.PristineReply{Nonce: 5}}
 			t.take("a", t.nodes["a"].Step(t.now, stale))
 		}
-		Expect(t.nodes["a"].Member()).To(BeFalse())
+		Expect(t.nodes["a"].IsMember()).To(BeFalse())
 	})
 })
--- a/coordination/chain/calls.go
+++ b/coordination/chain/calls.go
@@ -34,8 +34,8 @@
 	after   int64
 	sends   int
 	sent    time.Duration
-	epoch   int64  // of the view that told where to send it
-	have    Commit // of a read: the state at hand
+	epoch   int64          // of the view that told where to send it
+	have    CommittedState // of a read: the state at hand
 }
 
 // Propose brings a command to the head; the Reply has the number. It is false if too many calls wait.
@@ -48,8 +48,8 @@
 	return n.begin(now, &call{})
 }
 
-// Withdraw ends the waiting for a call; its fate stays open.
-func (n *Node) Withdraw(number int64) { delete(n.calls.pending, number) }
+// Abandon ends the waiting for a call; its fate stays open.
+func (n *Node) Abandon(number int64) { delete(n.calls.pending, number) }
 
 func (n *Node) begin(now time.Duration, c *call) (int64, Output, bool) {
 	n.now = max(n.now, now)
@@ -100,7 +100,7 @@
 	switch {
 	case c.command != nil:
 		return v.Head()
-	case v.Position(n.self.ID) >= 0 && n.member():
+	case v.ChainPosition(n.self.ID) >= 0 && n.member():
 		return n.self, true
 	}
 	return v.Tail()
@@ -122,7 +122,7 @@
 		return
 	}
 	n.calls.turn++
-	n.send(Peer{Address: all[n.calls.turn%len(all)]}, Ask{Epoch: n.View().Epoch})
+	n.send(Peer{Address: all[n.calls.turn%len(all)]}, ViewRequest{Epoch: n.View().Epoch})
 }
 
 // findView asks all members for a newer view while a call of a node that is none of them has no answer.
@@ -133,7 +133,7 @@
 	for _, c := range n.calls.pending {
 		if n.now-c.sent >= lostAfter {
 			n.calls.asked = n.now
-			n.sendOthers(n.View(), Ask{Epoch: n.View().Epoch})
+			n.sendOthers(n.View(), ViewRequest{Epoch: n.View().Epoch})
 			return
 		}
 	}
@@ -185,20 +185,20 @@
 	return n.calls.pending[id.Number]
 }
 
-func (n *Node) onResult(m Result) {
+func (n *Node) onResult(m ProposeResult) {
 	c := n.mine(m.ID)
 	if c == nil || c.command == nil {
 		return
 	}
 	n.learn(m.Sequence)
 	switch m.Verdict {
-	case Moved:
+	case ResultRetry:
 		n.moved(c)
-	case TooOld:
+	case ResultTooOld:
 		n.tooOld(c, m.Sequence)
 	default:
 		delete(n.calls.pending, c.number)
-		n.reply(Reply{Number: c.number, Changed: m.Verdict == Done, Result: m.Result})
+		n.reply(Reply{Number: c.number, Changed: m.Verdict == ResultOK, Result: m.Result})
 	}
 }
 
@@ -229,7 +229,7 @@
 	if c == nil || c.command != nil && c.sends > 0 {
 		return
 	}
-	if m.Verdict == Moved {
+	if m.Verdict == ResultRetry {
 		n.moved(c)
 		return
 	}
--- a/coordination/chain/confirm.go
+++ b/coordination/chain/confirm.go
@@ -33,8 +33,8 @@
 }
 
 func (n *Node) onRead(from Peer, m Read) {
-	if n.view.Position(n.self.ID) < 0 {
-		n.send(from, ReadResult{ID: m.ID, Verdict: Moved, Epoch: n.View().Epoch})
+	if n.view.ChainPosition(n.self.ID) < 0 {
+		n.send(from, ReadResult{ID: m.ID, Verdict: ResultRetry, Epoch: n.View().Epoch})
 		n.hint(from)
 		return
 	}
@@ -60,7 +60,7 @@
 	c.sent = n.now
 	c.answered = map[view.MemberID]bool{}
 	for _, m := range n.view.Members {
-		n.sendMember(m, Confirm{Epoch: n.view.Epoch, Nonce: c.nonce})
+		n.sendMember(m, ConfirmEpoch{Epoch: n.view.Epoch, Nonce: c.nonce})
 	}
 }
 
@@ -72,18 +72,18 @@
 	c.sent = n.now
 	for _, m := range n.view.Members {
 		if !c.answered[m.ID] {
-			n.sendMember(m, Confirm{Epoch: n.view.Epoch, Nonce: c.nonce})
+			n.sendMember(m, ConfirmEpoch{Epoch: n.view.Epoch, Nonce: c.nonce})
 		}
 	}
 }
 
-func (n *Node) onConfirm(from Peer, m Confirm) {
+func (n *Node) onConfirm(from Peer, m ConfirmEpoch) {
 	if n.sameEpoch(from, m.Epoch, true) && !n.acceptor.Sealed() {
-		n.send(from, Confirmed(m))
+		n.send(from, EpochConfirmed(m))
 	}
 }
 
-func (n *Node) onConfirmed(from Peer, m Confirmed) {
+func (n *Node) onConfirmed(from Peer, m EpochConfirmed) {
 	c := &n.confirm
 	if !n.sameEpoch(from, m.Epoch, false) || !c.active || m.Nonce != c.nonce || c.answered[from.ID] {
 		return
@@ -119,7 +119,7 @@
 
 func (n *Node) answerWaiter(w waiter) {
 	if !w.read {
-		n.send(w.to, Result{ID: w.id, Verdict: Refused, Epoch: n.view.Epoch, Sequence: n.committed, Result: w.result})
+		n.send(w.to, ProposeResult{ID: w.id, Verdict: ResultRefused, Epoch: n.view.Epoch, Sequence: n.committed, Result: w.result})
 		return
 	}
 	answer := ReadResult{ID: w.id, Epoch: n.view.Epoch, Sequence: n.newest.Sequence}
@@ -136,9 +136,9 @@
 	c.active, c.waiters = false, nil
 	for _, w := range waiters {
 		if w.read {
-			n.send(w.to, ReadResult{ID: w.id, Verdict: Moved, Epoch: n.View().Epoch})
+			n.send(w.to, ReadResult{ID: w.id, Verdict: ResultRetry, Epoch: n.View().Epoch})
 		} else {
-			n.send(w.to, Result{ID: w.id, Verdict: Moved, Epoch: n.View().Epoch})
+			n.send(w.to, ProposeResult{ID: w.id, Verdict: ResultRetry, Epoch: n.View().Epoch})
 		}
 	}
 }
--- a/coordination/chain/conformance_test.go
+++ b/coordination/chain/conformance_test.go
@@ -22,9 +22,9 @@
 			Expect(t.nodes[name].View().Epoch).To(Equal(int64(1)))
 			Expect(t.nodes[name].View()).To(Equal(t.nodes["a"].View()))
 			Expect(addresses(t.nodes[name].View())).To(Equal([]string{"a", "b", "c"}))
-			Expect(t.nodes[name].Self().ID).To(Equal(chain.FirstID(name)))
-			Expect(t.disks[name][0]).To(BeAssignableToTypeOf(chain.Identity{}))
-			Expect(t.disks[name][1]).To(BeAssignableToTypeOf(chain.Adoption{}))
+			Expect(t.nodes[name].Self().ID).To(Equal(chain.FirstMemberID(name)))
+			Expect(t.disks[name][0]).To(BeAssignableToTypeOf(chain.IdentityRecord{}))
+			Expect(t.disks[name][1]).To(BeAssignableToTypeOf(chain.ViewRecord{}))
 		}
 		Expect(t.commits["b"]).To(HaveLen(1))
 	})
@@ -61,12 +61,12 @@
 		t.propose("c", 0, 5)
 		Expect(t.kinds(since)).To(Equal([]string{
 			"c->a chain.Propose", "a->b chain.Append", "b->c chain.Append",
-			"c->b chain.Ack", "b->a chain.Ack", "a->c chain.Result",
+			"c->b chain.Ack", "b->a chain.Ack", "a->c chain.ProposeResult",
 		}))
 		Expect(t.answers("c")).To(Equal([]int{1}))
 		for _, name := range t.seeds {
 			last := t.disks[name][len(t.disks[name])-1]
-			Expect(last).To(BeAssignableToTypeOf(chain.Addition{}))
+			Expect(last).To(BeAssignableToTypeOf(chain.EntryRecord{}))
 			Expect(t.commits[name][len(t.commits[name])-1].Sequence).To(Equal(int64(1)))
 		}
 	})
@@ -76,7 +76,7 @@
 		t.lost = is[chain.Append]
 		t.propose("a", 0, 5)
 		t.propose("b", 1, 6)
-		sequence, committed := t.nodes["a"].Position()
+		sequence, committed := t.nodes["a"].Progress()
 		Expect([]int64{sequence, committed}).To(Equal([]int64{1, 0}))
 		t.heal()
 		t.pass(300 * time.Millisecond)
@@ -97,7 +97,7 @@
 		Entry("to the head", is[chain.Propose]),
 		Entry("down the chain", is[chain.Append]),
 		Entry("up the chain", is[chain.Ack]),
-		Entry("to who asked", is[chain.Result]),
+		Entry("to who asked", is[chain.ProposeResult]),
 	)
 
 	It("that was carried out is not carried out again when it comes again", func() {
@@ -108,19 +108,19 @@
 		Expect(is[chain.Propose](again)).To(BeTrue())
 		out := t.nodes["a"].Step(t.now, again)
 		Expect(out.Persist).To(BeEmpty())
-		Expect(out.Send[0].Body.(chain.Result).Verdict).To(Equal(chain.Done))
+		Expect(out.Send[0].Body.(chain.ProposeResult).Verdict).To(Equal(chain.ResultOK))
 	})
 
 	It("whose head dies is brought to the next one", func() {
 		t := newTrio("a", "b", "c")
-		t.lost = func(e chain.Envelope) bool { return is[chain.Result](e) }
+		t.lost = func(e chain.Envelope) bool { return is[chain.ProposeResult](e) }
 		t.propose("b", 0, 5)
 		t.stop("a")
 		t.heal()
 		t.pass(2 * time.Second)
 		Expect(t.answers("b")).To(Equal([]int{1}))
 		Expect(t.head()).To(Equal("b"))
-		_, values := t.nodes["b"].Position()
+		_, values := t.nodes["b"].Progress()
 		Expect(values).To(Equal(int64(1)), "it was carried out once")
 	})
 })
@@ -150,11 +150,11 @@
 		commits := len(t.commits["a"])
 		t.start("a", false)
 		Expect(t.commits["a"]).To(HaveLen(commits))
-		sequence, committed := t.nodes["a"].Position()
+		sequence, committed := t.nodes["a"].Progress()
 		Expect([]int64{sequence, committed}).To(Equal([]int64{1, 0}))
 		t.heal()
 		t.pass(2 * time.Second)
-		sequence, committed = t.nodes["a"].Position()
+		sequence, committed = t.nodes["a"].Progress()
 		Expect([]int64{sequence, committed}).To(Equal([]int64{0, 0}))
 	})
 })
@@ -173,7 +173,7 @@
 		}
 		t.pass(time.Second)
 		for _, name := range t.seeds {
-			sequence, committed := t.nodes[name].Position()
+			sequence, committed := t.nodes[name].Progress()
 			Expect([]int64{sequence, committed}).To(Equal([]int64{1, 1}))
 		}
 		Expect(t.view().Epoch).To(Equal(int64(1)))
@@ -186,7 +186,7 @@
 		t.stop("a")
 		t.heal()
 		t.pass(2 * time.Second)
-		_, committed := t.nodes["c"].Position()
+		_, committed := t.nodes["c"].Progress()
 		Expect(committed).To(Equal(int64(1)))
 		Expect(t.answers("c")).To(Equal([]int{1}))
 	})
@@ -196,7 +196,7 @@
 	DescribeTable("wait for a majority to say that the epoch is open", func(call func(*trio)) {
 		t := newTrio("a", "b", "c")
 		t.propose("a", 0, 5)
-		t.lost = is[chain.Confirmed]
+		t.lost = is[chain.EpochConfirmed]
 		call(t)
 		Expect(t.answers("a")).To(HaveLen(1))
 		t.heal()
@@ -210,7 +210,7 @@
 
 	It("take an answer to their own question only", func() {
 		t := newTrio("a", "b", "c")
-		t.lost = is[chain.Confirmed]
+		t.lost = is[chain.EpochConfirmed]
 		t.read("a") // its questions are answered, the answers on their way
 		since := len(t.sent)
 		t.read("a")
@@ -244,8 +244,8 @@
 		t.read("visitor")
 		t.pass(time.Second)
 		Expect(t.answers("visitor")).To(ConsistOf(-1, 101))
-		Expect(t.nodes["visitor"].Member()).To(BeFalse())
-		Expect(t.view().Has(t.nodes["visitor"].Self().ID)).To(BeFalse())
+		Expect(t.nodes["visitor"].IsMember()).To(BeFalse())
+		Expect(t.view().HasMember(t.nodes["visitor"].Self().ID)).To(BeFalse())
 	})
 
 	It("are not needed for a node that is no member to know who votes", func() {
@@ -257,15 +257,15 @@
 		t.pass(3 * time.Second)
 		Expect(t.view().Members).To(HaveLen(4))
 		Expect(t.nodes["visitor"].View()).To(Equal(t.view()))
-		Expect(t.nodes["visitor"].Member()).To(BeFalse())
+		Expect(t.nodes["visitor"].IsMember()).To(BeFalse())
 	})
 
 	It("find a command of open fate too old", func() {
 		t := newTrio("a", "b", "c")
-		t.lost = is[chain.Result]
+		t.lost = is[chain.ProposeResult]
 		t.propose("b", 0, 5)
 		t.lost = func(e chain.Envelope) bool {
-			return is[chain.Result](e) && e.To.Address == "b" || is[chain.Propose](e) && e.From.Address == "b"
+			return is[chain.ProposeResult](e) && e.To.Address == "b" || is[chain.Propose](e) && e.From.Address == "b"
 		}
 		for n := uint64(1); n < 300; n++ { // more than the state keeps outcomes of
 			t.propose("a", n, n)
@@ -287,8 +287,8 @@
 		t = newTrio("a", "b", "c")
 		t.propose("a", 0, 5)
 		b = t.nodes["b"]
-		from = chain.Peer{ID: chain.FirstID("a"), Address: "a"}
-		to = chain.Peer{ID: chain.FirstID("b"), Address: "b"}
+		from = chain.Peer{ID: chain.FirstMemberID("a"), Address: "a"}
+		to = chain.Peer{ID: chain.FirstMemberID("b"), Address: "b"}
 	})
 	prepare := func(round, sequence int64) chain.Output {
 		return send(chain.Prepare{Epoch: 1, Ballot: view.Ballot{Round: round, Proposer: from.ID}, Sequence: sequence})
@@ -309,17 +309,17 @@
 		prepare(1, 1)
 		entry := chain.Entry{Sequence: 2, Command: command(1, 6)}
 		Expect(send(chain.Append{Epoch: 1, Entry: entry, Committed: 1})).To(Equal(chain.Output{}))
-		Expect(send(chain.Confirm{Epoch: 1, Nonce: 7})).To(Equal(chain.Output{}))
+		Expect(send(chain.ConfirmEpoch{Epoch: 1, Nonce: 7})).To(Equal(chain.Output{}))
 	})
 
 	It("turns earlier ballots away", func() {
 		prepare(3, 1)
 		out := prepare(2, 1)
 		Expect(out.Persist).To(BeEmpty())
-		Expect(out.Send[0].Body.(chain.Outbid).Promised.Round).To(Equal(int64(3)))
+		Expect(out.Send[0].Body.(chain.BallotRejected).Promised.Round).To(Equal(int64(3)))
 		out = send(chain.Accept{Epoch: 1, Ballot: view.Ballot{Round: 2, Proposer: from.ID}, Value: chain.Proposal{
 			View: view.View{Epoch: 2, Members: b.View().Members, Chain: b.View().Chain}, State: chain.State{Epoch: 1, Sequence: 1}}})
-		Expect(out.Send[0].Body).To(BeAssignableToTypeOf(chain.Outbid{}))
+		Expect(out.Send[0].Body).To(BeAssignableToTypeOf(chain.BallotRejected{}))
 	})
 
 	It("tells what it accepted, also after a restart", func() {
@@ -347,7 +347,7 @@
 	It("heeds nobody who is no member, nor messages to the member it was before", func() {
 		from = chain.Peer{ID: 99, Address: "x"}
 		Expect(prepare(5, 1).Persist).To(BeEmpty())
-		from = chain.Peer{ID: chain.FirstID("a"), Address: "a"}
+		from = chain.Peer{ID: chain.FirstMemberID("a"), Address: "a"}
 		to.ID = 98
 		Expect(prepare(5, 1)).To(Equal(chain.Output{}))
 	})
@@ -364,7 +364,7 @@
 		t.heal()
 		t.pass(time.Second)
 		Expect(addresses(t.view())).To(Equal([]string{"a", "c", "b"}))
-		_, committed := t.nodes["b"].Position()
+		_, committed := t.nodes["b"].Progress()
 		Expect(committed).To(Equal(int64(1)))
 	})
 
@@ -386,12 +386,12 @@
 		t.stop("b")
 		t.disks["b"] = nil
 		t.start("b", false)
-		Expect(t.nodes["b"].Self().ID).NotTo(Equal(chain.FirstID("b")))
+		Expect(t.nodes["b"].Self().ID).NotTo(Equal(chain.FirstMemberID("b")))
 		t.pass(1500 * time.Millisecond)
 		Expect(addresses(t.view())).To(ConsistOf("a", "b", "c"))
 		Expect(t.view().Members).To(HaveLen(3))
-		Expect(t.view().Has(chain.FirstID("b"))).To(BeFalse())
-		_, committed := t.nodes["b"].Position()
+		Expect(t.view().HasMember(chain.FirstMemberID("b"))).To(BeFalse())
+		_, committed := t.nodes["b"].Progress()
 		Expect(committed).To(Equal(int64(1)))
 	})
 
@@ -413,10 +413,10 @@
 		if by == name {
 			by = names[2]
 		}
-		t.take(name, t.nodes[name].Resign(t.now))
+		t.take(name, t.nodes[name].LeaveChain(t.now))
 		began := t.now
 		t.propose(name, 1, 6) // its own call goes on
-		for !t.nodes[name].Resigned() && t.now-began < 5*time.Second {
+		for !t.nodes[name].HasLeftChain() && t.now-began < 5*time.Second {
 			t.pass(25 * time.Millisecond)
 		}
 		Expect(t.now - began).To(BeNumerically("<", 250*time.Millisecond))
@@ -441,9 +441,9 @@
 		t := newTrio("a", "b", "c")
 		t.stop("c")
 		t.pass(2 * time.Second)
-		t.take("a", t.nodes["a"].Resign(t.now))
+		t.take("a", t.nodes["a"].LeaveChain(t.now))
 		t.pass(time.Second)
-		Expect(t.nodes["a"].Resigned()).To(BeFalse())
+		Expect(t.nodes["a"].HasLeftChain()).To(BeFalse())
 		Expect(addresses(t.view())).To(Equal([]string{"a", "b"}))
 		t.propose("b", 0, 5)
 		Expect(t.answers("b")).To(Equal([]int{1}), "it goes on meanwhile")
@@ -474,7 +474,7 @@
 		Expect(t.view().Members).To(HaveLen(4))
 		Expect(addresses(t.view())).To(HaveLen(4))
 		Expect(t.nodes["b"].Self().ID).NotTo(Equal(old))
-		var durable chain.Durable
+		var durable chain.DurableState
 		for _, r := range t.disks["b"] {
 			Expect(durable.Apply(r)).To(Succeed())
 		}
--- a/coordination/chain/contacts.go
+++ b/coordination/chain/contacts.go
@@ -30,7 +30,7 @@
 	}
 	gone := func(id view.MemberID) bool {
 		_, joins := n.joining[id]
-		return !joins && !n.view.Has(id)
+		return !joins && !n.view.HasMember(id)
 	}
 	for id, c := range n.contacts {
 		if gone(id) {
@@ -66,11 +66,11 @@
 	return heard
 }
 
-// contacts makes a node the view.Contacts of its own plans.
+// contacts makes a node the view.Connectivity of its own plans.
 type contacts struct{ *Node }
 
-// Silence is how long a member has said nothing.
-func (c contacts) Silence(id view.MemberID) time.Duration {
+// SilentFor is how long a member has said nothing.
+func (c contacts) SilentFor(id view.MemberID) time.Duration {
 	if id == c.self.ID {
 		return 0
 	}
@@ -86,10 +86,10 @@
 		return false
 	}
 	if by == c.self.ID {
-		return c.Silence(of) < view.SuspectAfter
+		return c.SilentFor(of) < view.SuspectAfter
 	}
 	other := c.contacts[by]
-	if other == nil || c.Silence(by) >= view.SuspectAfter {
+	if other == nil || c.SilentFor(by) >= view.SuspectAfter {
 		return false
 	}
 	at, ok := other.reported[of]
@@ -104,8 +104,8 @@
 	return other != nil && other.leaving
 }
 
-// Settled says whether a member has told that it adopted the present view.
-func (c contacts) Settled(id view.MemberID) bool {
+// HasInstalled says whether a member has told that it adopted the present view.
+func (c contacts) HasInstalled(id view.MemberID) bool {
 	other := c.contacts[id]
 	return other != nil && other.epoch == c.view.Epoch
 }
@@ -114,7 +114,7 @@
 func (c contacts) Joining() []view.Member {
 	var all []view.Member
 	for _, id := range sortedKeys(c.joining) {
-		if c.Silence(id) < view.SuspectAfter {
+		if c.SilentFor(id) < view.SuspectAfter {
 			all = append(all, c.joining[id])
 		}
 	}
--- a/coordination/chain/judge_test.go
+++ b/coordination/chain/judge_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-func (j *judge) committed(w *world, h *host, c chain.Commit) {
+func (j *judge) committed(w *world, h *host, c chain.CommittedState) {
 	values, err := parse(c.Snapshot)
 	if err != nil {
 		fail(w, "%s: %v", h.address, err)
--- a/coordination/chain/members.go
+++ b/coordination/chain/members.go
@@ -21,7 +21,7 @@
 		return
 	}
 	if n.leaving {
-		n.sendOthers(n.view, Leave{Epoch: n.view.Epoch})
+		n.sendOthers(n.view, LeavingChain{Epoch: n.view.Epoch})
 		return
 	}
 	n.sendOthers(n.view, Heartbeat{Epoch: n.view.Epoch, Committed: n.committed, Heard: n.heardLately()})
@@ -36,24 +36,24 @@
 	}
 }
 
-// Resign tells the others that this process is about to stop: they leave it out of the chain by a view that this member
+// LeaveChain tells the others that this process is about to stop: they leave it out of the chain by a view that this member
 // still takes part in, so that nothing has to wait until its silence is noticed. It answers all that comes meanwhile;
-// Resigned says when it may go.
-func (n *Node) Resign(now time.Duration) Output {
+// HasLeftChain says when it may go.
+func (n *Node) LeaveChain(now time.Duration) Output {
 	n.now = max(n.now, now)
 	n.leaving = true
 	if n.settings.Voter && n.member() {
 		n.lastBeat = n.now
-		n.sendOthers(n.view, Leave{Epoch: n.view.Epoch})
+		n.sendOthers(n.view, LeavingChain{Epoch: n.view.Epoch})
 	}
 	return n.finish()
 }
 
-// Resigned says whether the chain does without this member. One whose absence would leave too few stays in it.
-func (n *Node) Resigned() bool { return !n.member() || n.view.Position(n.self.ID) < 0 }
+// HasLeftChain says whether the chain does without this member. One whose absence would leave too few stays in it.
+func (n *Node) HasLeftChain() bool { return !n.member() || n.view.ChainPosition(n.self.ID) < 0 }
 
 // onLeave notes that a member is about to stop. Its next heartbeat, of the process that follows, ends that.
-func (n *Node) onLeave(from Peer, m Leave) {
+func (n *Node) onLeave(from Peer, m LeavingChain) {
 	if c := n.contacts[from.ID]; c != nil {
 		c.leaving, c.epoch = true, m.Epoch
 	}
@@ -64,7 +64,7 @@
 	if c := n.contacts[from.ID]; c != nil {
 		c.epoch, c.leaving = m.Epoch, false
 		for _, id := range m.Heard {
-			if _, joins := n.joining[id]; joins || n.view.Has(id) {
+			if _, joins := n.joining[id]; joins || n.view.HasMember(id) {
 				c.reported[id] = n.now
 			}
 		}
@@ -88,7 +88,7 @@
 		}
 		return false
 	}
-	return n.view.Has(from.ID)
+	return n.view.HasMember(from.ID)
 }
 
 // ask asks for a later view, not more often than an answer takes.
@@ -97,38 +97,38 @@
 		return
 	}
 	n.lastAsk = n.now
-	n.send(from, Ask{Epoch: n.view.Epoch})
+	n.send(from, ViewRequest{Epoch: n.view.Epoch})
 }
 
 func (n *Node) hint(to Peer) {
 	if v := n.View(); v.Epoch > 0 {
-		n.send(to, Hint{View: v, Committed: n.knownCommit})
+		n.send(to, ViewNotice{View: v, Committed: n.knownCommit})
 	}
 }
 
-func (n *Node) onAsk(from Peer, m Ask) {
-	if n.view.Epoch > m.Epoch && n.view.Has(from.ID) {
-		n.send(from, Adopt{View: n.view, State: n.fullState(), Committed: n.committed})
+func (n *Node) onAsk(from Peer, m ViewRequest) {
+	if n.view.Epoch > m.Epoch && n.view.HasMember(from.ID) {
+		n.send(from, InstallView{View: n.view, State: n.fullState(), Committed: n.committed})
 		return
 	}
 	n.hint(from)
 }
 
 // onHint learns of a view. One without this member means that it was removed: it may only come back as a new one.
-func (n *Node) onHint(from Peer, m Hint) {
+func (n *Node) onHint(from Peer, m ViewNotice) {
 	n.knownCommit = max(n.knownCommit, m.Committed)
-	if m.View.Has(from.ID) && !n.member() {
+	if m.View.HasMember(from.ID) && !n.member() {
 		n.meet(from.ID)
 	}
 	if m.View.Epoch <= n.View().Epoch {
-		if !n.member() && m.View.Has(n.self.ID) {
+		if !n.member() && m.View.HasMember(n.self.ID) {
 			n.ask(from)
 		}
 		return
 	}
 	n.known = m.View
 	switch {
-	case m.View.Has(n.self.ID):
+	case m.View.HasMember(n.self.ID):
 		n.ask(from)
 	case n.member():
 		n.forget()
@@ -158,7 +158,7 @@
 	n.rememberMembers()
 	n.beginning = beginning{}
 	n.self.ID = n.newID()
-	n.persist(Identity{Member: n.self, Known: n.remembered})
+	n.persist(IdentityRecord{Member: n.self, Known: n.remembered})
 	n.view = view.View{}
 	n.acceptor = view.Acceptor[Proposal]{}
 	n.sequence, n.committed, n.recent, n.last = 0, 0, nil, nil
@@ -181,7 +181,7 @@
 	n.attempt, n.wanted, n.highest, n.retryAt = nil, wanted{}, 0, 0
 	n.dropWaiters()
 	if n.flight != (flight{}) {
-		n.send(n.flight.to, Result{ID: n.flight.id, Verdict: Moved, Epoch: n.view.Epoch})
+		n.send(n.flight.to, ProposeResult{ID: n.flight.id, Verdict: ResultRetry, Epoch: n.view.Epoch})
 		n.flight = flight{}
 	}
 	n.dropQueue()
@@ -191,13 +191,13 @@
 	queue := n.queue
 	n.queue = nil
 	for _, p := range queue {
-		n.send(p.from, Result{ID: p.ID, Verdict: Moved, Epoch: n.view.Epoch})
+		n.send(p.from, ProposeResult{ID: p.ID, Verdict: ResultRetry, Epoch: n.view.Epoch})
 	}
 }
 
 // askToJoin asks all that may be members.
 func (n *Node) askToJoin() {
-	join := Join{Member: n.self, Heard: n.heardLately()}
+	join := JoinRequest{Member: n.self, Heard: n.heardLately()}
 	for _, address := range n.addresses() {
 		n.send(Peer{Address: address}, join)
 	}
@@ -215,12 +215,12 @@
 	return slices.DeleteFunc(all, func(a string) bool { return a == n.self.Address })
 }
 
-func (n *Node) onJoin(from Peer, m Join) {
+func (n *Node) onJoin(from Peer, m JoinRequest) {
 	if !n.member() || m.Member.ID != from.ID || from.ID == 0 {
 		return
 	}
 	n.hint(from)
-	if n.view.Has(from.ID) {
+	if n.view.HasMember(from.ID) {
 		return
 	}
 	if _, known := n.joining[from.ID]; !known {
@@ -233,7 +233,7 @@
 	c := n.contacts[from.ID]
 	c.heard = n.now
 	for _, id := range m.Heard {
-		if n.view.Has(id) {
+		if n.view.HasMember(id) {
 			c.reported[id] = n.now
 		}
 	}
--- a/coordination/chain/message.go
+++ b/coordination/chain/message.go
@@ -26,24 +26,24 @@
 	Heard     []view.MemberID // lately
 }
 
-// Hint tells of a decided view without its state.
-type Hint struct {
+// ViewNotice tells of a decided view without its state.
+type ViewNotice struct {
 	View      view.View
 	Committed int64
 }
 
-// Ask wants a view later than an epoch: with its state if the sender is a member of it.
-type Ask struct{ Epoch int64 }
+// ViewRequest wants a view later than an epoch: with its state if the sender is a member of it.
+type ViewRequest struct{ Epoch int64 }
 
-// Adopt gives a decided view, and a state of it.
-type Adopt struct {
+// InstallView gives a decided view, and a state of it.
+type InstallView struct {
 	View      view.View
 	State     State
 	Committed int64
 }
 
-// Join asks to become a member.
-type Join struct {
+// JoinRequest asks to become a member.
+type JoinRequest struct {
 	Member view.Member
 	Heard  []view.MemberID // of the members
 }
@@ -65,8 +65,8 @@
 	State    State    // Full if nothing was accepted and the proposer's is older
 }
 
-// Outbid says that a later ballot was promised.
-type Outbid struct {
+// BallotRejected says that a later ballot was promised.
+type BallotRejected struct {
 	Epoch    int64
 	Ballot   view.Ballot
 	Promised view.Ballot
@@ -98,14 +98,14 @@
 	Sequence int64
 }
 
-// Confirm asks whether an epoch is open.
-type Confirm struct {
+// ConfirmEpoch asks whether an epoch is open.
+type ConfirmEpoch struct {
 	Epoch int64
 	Nonce int64
 }
 
-// Confirmed says that the epoch was not sealed at the sender when the question came.
-type Confirmed struct {
+// EpochConfirmed says that the epoch was not sealed at the sender when the question came.
+type EpochConfirmed struct {
 	Epoch int64
 	Nonce int64
 }
@@ -117,21 +117,21 @@
 	Command []byte
 }
 
-// Verdict is what became of a call at the head or tail.
-type Verdict int
+// ResultCode is what became of a call at the head or tail.
+type ResultCode int
 
 // The verdicts.
 const (
-	Done    Verdict = iota
-	Moved           // not the head, or not of the chain (any more): ask again
-	TooOld          // whether the command was carried out is not known any more; Sequence is the present one
-	Refused         // carried out without a change
+	ResultOK      ResultCode = iota
+	ResultRetry              // not the head, or not of the chain (any more): ask again
+	ResultTooOld             // whether the command was carried out is not known any more; Sequence is the present one
+	ResultRefused            // carried out without a change
 )
 
-// Result answers Propose.
-type Result struct {
+// ProposeResult answers Propose.
+type ProposeResult struct {
 	ID       CommandID
-	Verdict  Verdict
+	Verdict  ResultCode
 	Epoch    int64
 	Sequence int64
 	Result   []byte
@@ -146,32 +146,32 @@
 // ReadResult answers Read.
 type ReadResult struct {
 	ID       CommandID
-	Verdict  Verdict // Done or Moved
+	Verdict  ResultCode // ResultOK or ResultRetry
 	Epoch    int64
 	Sequence int64
 	Full     bool // false: the sender has it
 	Snapshot []byte
 }
 
-// Leave says that the sender is about to stop and takes no further part; it is sent in place of heartbeats.
-type Leave struct{ Epoch int64 }
-
-func (Leave) message()      {}
-func (Heartbeat) message()  {}
-func (Hint) message()       {}
-func (Ask) message()        {}
-func (Adopt) message()      {}
-func (Join) message()       {}
-func (Prepare) message()    {}
-func (Promise) message()    {}
-func (Outbid) message()     {}
-func (Accept) message()     {}
-func (Accepted) message()   {}
-func (Append) message()     {}
-func (Ack) message()        {}
-func (Confirm) message()    {}
-func (Confirmed) message()  {}
-func (Propose) message()    {}
-func (Result) message()     {}
-func (Read) message()       {}
-func (ReadResult) message() {}
+// LeavingChain says that the sender is about to stop and takes no further part; it is sent in place of heartbeats.
+type LeavingChain struct{ Epoch int64 }
+
+func (LeavingChain) message()   {}
+func (Heartbeat) message()      {}
+func (ViewNotice) message()     {}
+func (ViewRequest) message()    {}
+func (InstallView) message()    {}
+func (JoinRequest) message()    {}
+func (Prepare) message()        {}
+func (Promise) message()        {}
+func (BallotRejected) message() {}
+func (Accept) message()         {}
+func (Accepted) message()       {}
+func (Append) message()         {}
+func (Ack) message()            {}
+func (ConfirmEpoch) message()   {}
+func (EpochConfirmed) message() {}
+func (Propose) message()        {}
+func (ProposeResult) message()  {}
+func (Read) message()           {}
+func (ReadResult) message()     {}
--- a/coordination/chain/node.go
+++ b/coordination/chain/node.go
@@ -50,13 +50,13 @@
 // Output is what has to be done, in the order of the fields: see the package comment.
 type Output struct {
 	Persist   []Record
-	Committed []Commit
+	Committed []CommittedState
 	Send      []Envelope
 	Replies   []Reply
 }
 
-// Commit is a state that is known to be committed. Not every one is told, but never an older after a newer.
-type Commit struct {
+// CommittedState is a state that is known to be committed. Not every one is told, but never an older after a newer.
+type CommittedState struct {
 	Epoch    int64
 	Sequence int64
 	Snapshot []byte
@@ -100,9 +100,9 @@
 	last       *Entry // newest of this epoch
 	lastAppend time.Duration
 
-	newest      Commit // newest committed state whose bytes are here
-	knownCommit int64  // newest sequence heard of as committed
-	learnt      bool   // knownCommit tells something: this process has heard of a commit, or that there is none
+	newest      CommittedState // newest committed state whose bytes are here
+	knownCommit int64          // newest sequence heard of as committed
+	learnt      bool           // knownCommit tells something: this process has heard of a commit, or that there is none
 
 	leaving bool // this process is about to stop
 
@@ -126,7 +126,7 @@
 }
 
 // New makes a node from its disk. Time counts from any moment, and on. Errors: a disk or settings that make no sense.
-func New(s Settings, d *Durable, machine StateMachine, now time.Duration) (*Node, Output, error) {
+func New(s Settings, d *DurableState, machine StateMachine, now time.Duration) (*Node, Output, error) {
 	n := &Node{
 		settings:   s,
 		random:     rand.New(rand.NewPCG(s.Random[0], s.Random[1])),
@@ -150,7 +150,7 @@
 }
 
 // start takes up what the disk holds, or begins it.
-func (n *Node) start(d *Durable) error {
+func (n *Node) start(d *DurableState) error {
 	if !n.settings.Voter {
 		n.self.ID = n.newID()
 		return nil
@@ -189,13 +189,13 @@
 		return first.Validate()
 	}
 	n.self.ID = n.newID()
-	n.persist(Identity{Member: n.self})
+	n.persist(IdentityRecord{Member: n.self})
 	n.awaitBeginning(nil)
 	return nil
 }
 
-// FirstID is the id of the first member at an address: all know it without a message.
-func FirstID(address string) view.MemberID {
+// FirstMemberID is the id of the first member at an address: all know it without a message.
+func FirstMemberID(address string) view.MemberID {
 	return view.MemberID(max(int64(xxhash.Sum64String(address)>>1), 1))
 }
 
@@ -230,25 +230,25 @@
 	switch m := e.Body.(type) {
 	case Heartbeat:
 		n.onHeartbeat(e.From, m)
-	case Leave:
+	case LeavingChain:
 		n.onLeave(e.From, m)
-	case Hint:
+	case ViewNotice:
 		n.onHint(e.From, m)
-	case Ask:
+	case ViewRequest:
 		n.onAsk(e.From, m)
-	case Adopt:
+	case InstallView:
 		n.onAdopt(e.From, m)
-	case Join:
+	case JoinRequest:
 		n.onJoin(e.From, m)
-	case Inquire:
+	case BootstrapProbe:
 		n.onInquire(e.From, m)
-	case Untouched:
+	case PristineReply:
 		n.onUntouched(e.From, m)
 	case Prepare:
 		n.onPrepare(e.From, m)
 	case Promise:
 		n.onPromise(e.From, m)
-	case Outbid:
+	case BallotRejected:
 		n.onOutbid(m)
 	case Accept:
 		n.onAccept(e.From, m)
@@ -258,13 +258,13 @@
 		n.onAppend(e.From, m)
 	case Ack:
 		n.onAck(e.From, m)
-	case Confirm:
+	case ConfirmEpoch:
 		n.onConfirm(e.From, m)
-	case Confirmed:
+	case EpochConfirmed:
 		n.onConfirmed(e.From, m)
 	case Propose:
 		n.onPropose(e.From, m)
-	case Result:
+	case ProposeResult:
 		n.onResult(m)
 	case Read:
 		n.onRead(e.From, m)
@@ -304,7 +304,7 @@
 }
 
 func (n *Node) busy() bool {
-	return n.attempt != nil || n.wanted.change != view.Keep || n.acceptor.Sealed() || n.committed < n.sequence ||
+	return n.attempt != nil || n.wanted.change != view.NoChange || n.acceptor.Sealed() || n.committed < n.sequence ||
 		n.confirm.active || len(n.calls.pending) > 0
 }
 
@@ -322,23 +322,23 @@
 	return n.known
 }
 
-// Member says whether this node is a member of its view.
-func (n *Node) Member() bool { return n.member() }
+// IsMember says whether this node is a member of its view.
+func (n *Node) IsMember() bool { return n.member() }
 
-// Position is the newest entry taken and the newest known as committed.
-func (n *Node) Position() (sequence, committed int64) { return n.sequence, n.committed }
+// Progress is the newest entry taken and the newest known as committed.
+func (n *Node) Progress() (sequence, committed int64) { return n.sequence, n.committed }
 
 // Checkpoint gives records that stand for all before them.
 func (n *Node) Checkpoint() []Record {
-	records := []Record{Identity{Member: n.self, Known: n.remembered}}
+	records := []Record{IdentityRecord{Member: n.self, Known: n.remembered}}
 	if !n.member() {
 		return records
 	}
-	adoption := Adoption{View: n.view, State: n.fullState(), Committed: n.committed}
+	adoption := ViewRecord{View: n.view, State: n.fullState(), Committed: n.committed}
 	if n.last != nil {
 		adoption.Last = []Entry{*n.last}
 	}
-	return append(records, adoption, Vote{Epoch: n.view.Epoch, Acceptor: n.acceptor})
+	return append(records, adoption, VoteRecord{Epoch: n.view.Epoch, Acceptor: n.acceptor})
 }
 
 func (n *Node) member() bool { return n.view.Epoch > 0 }
--- a/coordination/chain/reconfigure.go
+++ b/coordination/chain/reconfigure.go
@@ -62,11 +62,11 @@
 // considerPlan waits with a change that is wanted for as long as the rank says, and drops it if it isn't any more. Only
 // those of the chain propose: its other members know best whether one of them is silent.
 func (n *Node) considerPlan() {
-	if n.view.Position(n.self.ID) < 0 || n.leaving {
+	if n.view.ChainPosition(n.self.ID) < 0 || n.leaving {
 		return
 	}
 	next, change := view.Plan(n.view, n.self.ID, contacts{n})
-	if change == view.Keep || next.Validate() != nil {
+	if change == view.NoChange || next.Validate() != nil {
 		n.wanted = wanted{}
 		return
 	}
@@ -81,9 +81,9 @@
 func (n *Node) delay(c view.Change) time.Duration {
 	rank := time.Duration(n.rank())
 	switch c {
-	case view.Shrink:
+	case view.ShrinkChain:
 		return rank*shrinkStep + n.jitter(someJitter)
-	case view.Extend:
+	case view.ExtendChain:
 		return changeAfter + rank*changeStep + n.jitter(someJitter)
 	}
 	return rank*changeStep + n.jitter(someJitter)
@@ -92,7 +92,7 @@
 // rank is the place in the chain, or behind it. Members before this one that say nothing, or are about to stop, will not
 // propose anything: nobody waits for them.
 func (n *Node) rank() int {
-	if at := n.view.Position(n.self.ID); at >= 0 {
+	if at := n.view.ChainPosition(n.self.ID); at >= 0 {
 		return at - n.absent(n.view.Chain[:at])
 	}
 	at := slices.IndexFunc(n.view.Members, func(m view.Member) bool { return m.ID == n.self.ID })
@@ -103,7 +103,7 @@
 	count := 0
 	for _, id := range members {
 		c := contacts{n}
-		if c.Silence(id) >= view.SuspectAfter || c.isLeaving(id) {
+		if c.SilentFor(id) >= view.SuspectAfter || c.isLeaving(id) {
 			count++
 		}
 	}
@@ -114,7 +114,7 @@
 func (n *Node) hearsMajority() bool {
 	heard := 0
 	for _, m := range n.view.Members {
-		if (contacts{n}).Silence(m.ID) < view.SuspectAfter {
+		if (contacts{n}).SilentFor(m.ID) < view.SuspectAfter {
 			heard++
 		}
 	}
@@ -152,9 +152,9 @@
 	a.sent = n.now
 	for _, m := range n.view.Members {
 		switch {
-		case !a.proposer.HasPromised(m.ID) && !a.proposer.Begun():
+		case !a.proposer.HasPromised(m.ID) && !a.proposer.HasProposed():
 			n.sendMember(m, Prepare{Epoch: n.view.Epoch, Ballot: a.proposer.Ballot, Sequence: n.sequence})
-		case a.proposer.HasPromised(m.ID) && a.proposer.Begun() && !a.proposer.HasAccepted(m.ID):
+		case a.proposer.HasPromised(m.ID) && a.proposer.HasProposed() && !a.proposer.HasAccepted(m.ID):
 			n.sendAccept(Peer{ID: m.ID, Address: m.Address})
 		}
 	}
@@ -172,7 +172,7 @@
 	n.highest = max(n.highest, m.Ballot.Round)
 	before := n.acceptor.Promised
 	if !n.acceptor.Prepare(m.Ballot) {
-		n.send(from, Outbid{Epoch: m.Epoch, Ballot: m.Ballot, Promised: before})
+		n.send(from, BallotRejected{Epoch: m.Epoch, Ballot: m.Ballot, Promised: before})
 		return
 	}
 	if before != m.Ballot {
@@ -203,7 +203,7 @@
 }
 
 func (n *Node) persistVote() {
-	n.persist(Vote{Epoch: n.view.Epoch, Acceptor: n.acceptor})
+	n.persist(VoteRecord{Epoch: n.view.Epoch, Acceptor: n.acceptor})
 }
 
 // fullState is this member's present state with its bytes.
@@ -235,10 +235,10 @@
 
 // current says whether a message answers the present attempt.
 func (n *Node) current(from Peer, epoch int64, b view.Ballot) bool {
-	return epoch == n.view.Epoch && n.attempt != nil && n.attempt.proposer.Ballot == b && n.view.Has(from.ID)
+	return epoch == n.view.Epoch && n.attempt != nil && n.attempt.proposer.Ballot == b && n.view.HasMember(from.ID)
 }
 
-func (n *Node) onOutbid(m Outbid) {
+func (n *Node) onOutbid(m BallotRejected) {
 	if m.Epoch != n.view.Epoch {
 		return
 	}
@@ -254,21 +254,21 @@
 	}
 	a := n.attempt
 	a.sequences[from.ID] = m.Sequence
-	if a.proposer.Begun() {
+	if a.proposer.HasProposed() {
 		n.sendAccept(from)
 		return
 	}
 	if m.State.Full && m.State.Sequence > a.best.Sequence {
 		a.best = m.State
 	}
-	if !a.proposer.Promise(from.ID, m.Accepted, m.Value) {
+	if !a.proposer.RecordPromise(from.ID, m.Accepted, m.Value) {
 		return
 	}
-	value, found := a.proposer.Found()
+	value, found := a.proposer.RequiredValue()
 	if !found {
 		value = Proposal{View: n.nextView(), State: a.best}
 	}
-	a.proposer.Begin(value)
+	a.proposer.Propose(value)
 	for _, member := range n.view.Members {
 		if a.proposer.HasPromised(member.ID) {
 			n.sendAccept(Peer{ID: member.ID, Address: member.Address})
@@ -289,7 +289,7 @@
 		}
 	}
 	for _, m := range n.view.Members {
-		if n.attempt.proposer.HasPromised(m.ID) && next.Position(m.ID) < 0 {
+		if n.attempt.proposer.HasPromised(m.ID) && next.ChainPosition(m.ID) < 0 {
 			next.Chain = append(next.Chain, m.ID)
 		}
 	}
@@ -315,7 +315,7 @@
 	}
 	before := n.acceptor.Promised
 	if !n.acceptor.Accept(m.Ballot, value) {
-		n.send(from, Outbid{Epoch: m.Epoch, Ballot: m.Ballot, Promised: before})
+		n.send(from, BallotRejected{Epoch: m.Epoch, Ballot: m.Ballot, Promised: before})
 		return
 	}
 	n.persistVote()
@@ -324,7 +324,7 @@
 }
 
 func (n *Node) onAccepted(from Peer, m Accepted) {
-	if !n.current(from, m.Epoch, m.Ballot) || !n.attempt.proposer.Accepted(from.ID) {
+	if !n.current(from, m.Epoch, m.Ballot) || !n.attempt.proposer.RecordAccepted(from.ID) {
 		return
 	}
 	n.decide(n.attempt)
--- a/coordination/chain/record.go
+++ b/coordination/chain/record.go
@@ -11,40 +11,40 @@
 // Record is one of the types below; a member's disk holds them in order.
 type Record interface{ record() }
 
-// Identity is the first record. Another one later makes the disk that of a new member: nothing before it counts.
-type Identity struct {
+// IdentityRecord is the first record. Another one later makes the disk that of a new member: nothing before it counts.
+type IdentityRecord struct {
 	Member view.Member
 	Known  []string // addresses of members to ask, besides the seeds
 }
 
-// Adoption is a decided view and the state it begins with; without State.Full that is the state before. One of the
+// ViewRecord is a decided view and the state it begins with; without State.Full that is the state before. One of the
 // present epoch is a checkpoint, and everything before it but the identity and the vote may go.
-type Adoption struct {
+type ViewRecord struct {
 	View      view.View
 	State     State
 	Committed int64
 	Last      []Entry // of a checkpoint: the newest entry, if it is of this epoch
 }
 
-// Addition is an entry taken.
-type Addition struct {
+// EntryRecord is an entry taken.
+type EntryRecord struct {
 	Epoch int64
 	Entry Entry
 }
 
-// Vote is the acceptor of an epoch.
-type Vote struct {
+// VoteRecord is the acceptor of an epoch.
+type VoteRecord struct {
 	Epoch    int64
 	Acceptor view.Acceptor[Proposal]
 }
 
-func (Identity) record() {}
-func (Adoption) record() {}
-func (Addition) record() {}
-func (Vote) record()     {}
+func (IdentityRecord) record() {}
+func (ViewRecord) record()     {}
+func (EntryRecord) record()    {}
+func (VoteRecord) record()     {}
 
-// Durable is what the records of a disk add up to. The zero value is an empty disk.
-type Durable struct {
+// DurableState is what the records of a disk add up to. The zero value is an empty disk.
+type DurableState struct {
 	Member    view.Member
 	Known     []string
 	View      view.View
@@ -56,15 +56,15 @@
 }
 
 // Apply adds the next record. Errors: a record that cannot follow those before it.
-func (d *Durable) Apply(r Record) error {
+func (d *DurableState) Apply(r Record) error {
 	switch r := r.(type) {
-	case Identity:
+	case IdentityRecord:
 		if r.Member.ID != d.Member.ID {
-			*d = Durable{Member: r.Member, Known: r.Known}
+			*d = DurableState{Member: r.Member, Known: r.Known}
 		}
-	case Adoption:
+	case ViewRecord:
 		return d.adopt(r)
-	case Addition:
+	case EntryRecord:
 		if d.View.Epoch == 0 {
 			return nil // before the first checkpoint that is left
 		}
@@ -74,7 +74,7 @@
 		if r.Entry.Sequence == d.sequence()+1 {
 			d.Entries = append(d.Entries, r.Entry)
 		}
-	case Vote:
+	case VoteRecord:
 		if r.Epoch == d.View.Epoch {
 			d.Acceptor = r.Acceptor
 		}
@@ -82,11 +82,11 @@
 	return nil
 }
 
-func (d *Durable) sequence() int64 {
+func (d *DurableState) sequence() int64 {
 	return d.State.Sequence + int64(len(d.Entries))
 }
 
-func (d *Durable) adopt(r Adoption) error {
+func (d *DurableState) adopt(r ViewRecord) error {
 	if r.View.Epoch < d.View.Epoch {
 		return nil // reclaimed before, and found once more
 	}
@@ -107,7 +107,7 @@
 }
 
 // restore fills the machine and gives the outcomes and the newest entry of the present epoch.
-func (d *Durable) restore(machine StateMachine) (recent []Outcome, last *Entry, err error) {
+func (d *DurableState) restore(machine StateMachine) (recent []Outcome, last *Entry, err error) {
 	if err := machine.Restore(d.State.Snapshot); err != nil {
 		return nil, nil, eris.Wrap(err, "restoring the state")
 	}
--- a/coordination/chain/record_test.go
+++ b/coordination/chain/record_test.go
@@ -11,20 +11,20 @@
 var _ = Describe("a disk's records", func() {
 	first := view.First([]view.Member{{ID: 1, Address: "a"}})
 	second := view.View{Epoch: 2, Initial: 1, Members: first.Members, Chain: first.Chain}
-	identity := chain.Identity{Member: view.Member{ID: 1, Address: "a"}}
-	begin := chain.Adoption{View: first, State: chain.State{Epoch: 1, Full: true, Snapshot: (&register{}).Snapshot()}}
-	entry := func(epoch, sequence int64) chain.Addition {
-		return chain.Addition{Epoch: epoch, Entry: chain.Entry{Sequence: sequence, Command: command(uint64(sequence-1), 5)}}
+	identity := chain.IdentityRecord{Member: view.Member{ID: 1, Address: "a"}}
+	begin := chain.ViewRecord{View: first, State: chain.State{Epoch: 1, Full: true, Snapshot: (&register{}).Snapshot()}}
+	entry := func(epoch, sequence int64) chain.EntryRecord {
+		return chain.EntryRecord{Epoch: epoch, Entry: chain.Entry{Sequence: sequence, Command: command(uint64(sequence-1), 5)}}
 	}
-	vote := func(epoch, round int64) chain.Vote {
-		return chain.Vote{Epoch: epoch, Acceptor: view.Acceptor[chain.Proposal]{Promised: view.Ballot{Round: round, Proposer: 1}}}
+	vote := func(epoch, round int64) chain.VoteRecord {
+		return chain.VoteRecord{Epoch: epoch, Acceptor: view.Acceptor[chain.Proposal]{Promised: view.Ballot{Round: round, Proposer: 1}}}
 	}
-	same := chain.Adoption{View: second, State: chain.State{Epoch: 1, Sequence: 1}, Committed: 1}
-	other := chain.Adoption{View: second, State: chain.State{Epoch: 1, Sequence: 4, Full: true, Snapshot: []byte{'v'}}, Committed: 4}
-	checkpoint := chain.Adoption{View: first, State: chain.State{Epoch: 1, Sequence: 2, Full: true, Snapshot: []byte{'v'}}}
+	same := chain.ViewRecord{View: second, State: chain.State{Epoch: 1, Sequence: 1}, Committed: 1}
+	other := chain.ViewRecord{View: second, State: chain.State{Epoch: 1, Sequence: 4, Full: true, Snapshot: []byte{'v'}}, Committed: 4}
+	checkpoint := chain.ViewRecord{View: first, State: chain.State{Epoch: 1, Sequence: 2, Full: true, Snapshot: []byte{'v'}}}
 
 	DescribeTable("add up", func(epoch int64, sequence int64, round int64, records ...chain.Record) {
-		var d chain.Durable
+		var d chain.DurableState
 		for _, r := range records {
 			Expect(d.Apply(r)).To(Succeed())
 		}
@@ -39,12 +39,12 @@
 		Entry("to the next view with another state", int64(2), int64(4), int64(0), identity, begin, entry(1, 1), other),
 		Entry("to a checkpoint, with the vote", int64(1), int64(2), int64(1), identity, begin, vote(1, 1), entry(1, 1), entry(1, 2), checkpoint),
 		Entry("to the checkpoint, where what is before it begins in the middle", int64(1), int64(2), int64(2), entry(1, 1), same, vote(1, 1), identity, checkpoint, vote(1, 2)),
-		Entry("to nothing for another member", int64(0), int64(0), int64(0), identity, begin, entry(1, 1), vote(1, 1), chain.Identity{Member: view.Member{ID: 2}}),
+		Entry("to nothing for another member", int64(0), int64(0), int64(0), identity, begin, entry(1, 1), vote(1, 1), chain.IdentityRecord{Member: view.Member{ID: 2}}),
 		Entry("without votes of another epoch", int64(2), int64(1), int64(0), identity, begin, entry(1, 1), same, vote(1, 5)),
 	)
 
 	DescribeTable("do not", func(records ...chain.Record) {
-		var d chain.Durable
+		var d chain.DurableState
 		for _, r := range records[:len(records)-1] {
 			Expect(d.Apply(r)).To(Succeed())
 		}
--- a/coordination/chain/second_loss_test.go
+++ b/coordination/chain/second_loss_test.go
@@ -153,8 +153,8 @@
 		return false
 	}
 	for _, node := range r.nodes {
-		sequence, committed := node.Position()
-		if node.View().Epoch != v.Epoch || !node.Member() || sequence != committed {
+		sequence, committed := node.Progress()
+		if node.View().Epoch != v.Epoch || !node.IsMember() || sequence != committed {
 			return false
 		}
 	}
--- a/coordination/chain/simulation_test.go
+++ b/coordination/chain/simulation_test.go
@@ -102,7 +102,7 @@
 		if w.judge.known <= known {
 			fail(w, "%s takes nothing when all is calm: %d versions", h.address, known)
 		}
-		if v := h.node.View(); !h.node.Member() || v.Position(h.node.Self().ID) < 0 {
+		if v := h.node.View(); !h.node.IsMember() || v.ChainPosition(h.node.Self().ID) < 0 {
 			fail(w, "%s (%d) is not in the chain when all is calm: view %+v", h.address, h.node.Self().ID, v)
 		}
 	}
--- a/coordination/chain/trio_test.go
+++ b/coordination/chain/trio_test.go
@@ -16,7 +16,7 @@
 	nodes   map[string]*chain.Node
 	disks   map[string][]chain.Record
 	replies map[string][]chain.Reply
-	commits map[string][]chain.Commit
+	commits map[string][]chain.CommittedState
 	waiting []chain.Envelope
 	sent    []chain.Envelope
 	lost    func(chain.Envelope) bool
@@ -29,7 +29,7 @@
 		nodes:   map[string]*chain.Node{},
 		disks:   map[string][]chain.Record{},
 		replies: map[string][]chain.Reply{},
-		commits: map[string][]chain.Commit{},
+		commits: map[string][]chain.CommittedState{},
 		lost:    func(chain.Envelope) bool { return false },
 		seeds:   names,
 	}
@@ -50,7 +50,7 @@
 
 // start runs a node on the disk that it has.
 func (t *trio) start(name string, bootstrap bool) {
-	var durable chain.Durable
+	var durable chain.DurableState
 	for _, r := range t.disks[name] {
 		Expect(durable.Apply(r)).To(Succeed())
 	}
--- a/coordination/chain/world_test.go
+++ b/coordination/chain/world_test.go
@@ -125,7 +125,7 @@
 	if h.gone || h.node != nil {
 		return
 	}
-	var durable chain.Durable
+	var durable chain.DurableState
 	for _, r := range h.records {
 		if err := durable.Apply(r); err != nil {
 			panic(err)
--- a/coordination/chain/write.go
+++ b/coordination/chain/write.go
@@ -23,7 +23,7 @@
 
 func (n *Node) onPropose(from Peer, m Propose) {
 	if !n.isHead() {
-		n.send(from, Result{ID: m.ID, Verdict: Moved, Epoch: n.View().Epoch})
+		n.send(from, ProposeResult{ID: m.ID, Verdict: ResultRetry, Epoch: n.View().Epoch})
 		n.hint(from)
 		return
 	}
@@ -47,8 +47,8 @@
 	n.send(to, n.result(o))
 }
 
-func (n *Node) result(o Outcome) Result {
-	return Result{ID: o.ID, Verdict: Done, Epoch: n.view.Epoch, Sequence: o.Sequence, Result: o.Result}
+func (n *Node) result(o Outcome) ProposeResult {
+	return ProposeResult{ID: o.ID, Verdict: ResultOK, Epoch: n.view.Epoch, Sequence: o.Sequence, Result: o.Result}
 }
 
 func (n *Node) outcome(id CommandID) (Outcome, bool) {
@@ -85,7 +85,7 @@
 		return
 	}
 	if p.After+int64(len(n.recent)) < n.sequence {
-		n.send(p.from, Result{ID: p.ID, Verdict: TooOld, Epoch: n.view.Epoch, Sequence: n.sequence})
+		n.send(p.from, ProposeResult{ID: p.ID, Verdict: ResultTooOld, Epoch: n.view.Epoch, Sequence: n.sequence})
 		return
 	}
 	result, changed := n.machine.Apply(p.Command)
@@ -102,7 +102,7 @@
 	n.sequence = e.Sequence
 	n.recent = remember(n.recent, Outcome{ID: e.ID, Sequence: e.Sequence, Result: result})
 	n.last = &e
-	n.persist(Addition{Epoch: n.view.Epoch, Entry: e})
+	n.persist(EntryRecord{Epoch: n.view.Epoch, Entry: e})
 	n.forward()
 }
 
@@ -198,7 +198,7 @@
 		return
 	}
 	tail, _ := n.view.Tail()
-	if n.now-n.lastAppend < resendAfter || n.view.Position(n.self.ID) < 0 || tail.ID == n.self.ID && !n.isHead() {
+	if n.now-n.lastAppend < resendAfter || n.view.ChainPosition(n.self.ID) < 0 || tail.ID == n.self.ID && !n.isHead() {
 		return
 	}
 	n.lastAppend = n.now
--- a/coordination/view/paxos.go
+++ b/coordination/view/paxos.go
@@ -59,8 +59,8 @@
 	return &Proposer[V]{Ballot: b, majority: majority, promised: map[MemberID]bool{}, accepted: map[MemberID]bool{}}
 }
 
-// Promise notes a member's promise and what it had accepted before. It is true once, when a majority has promised.
-func (p *Proposer[V]) Promise(from MemberID, accepted Ballot, value V) bool {
+// RecordPromise notes a member's promise and what it had accepted before. It is true once, when a majority has promised.
+func (p *Proposer[V]) RecordPromise(from MemberID, accepted Ballot, value V) bool {
 	if p.begun || p.promised[from] {
 		return false
 	}
@@ -77,24 +77,24 @@
 // HasAccepted says whether a member has accepted the value.
 func (p *Proposer[V]) HasAccepted(id MemberID) bool { return p.accepted[id] }
 
-// Found is the value that the promises demand, if any: it may have been decided already.
-func (p *Proposer[V]) Found() (V, bool) {
+// RequiredValue is the value that the promises demand, if any: it may have been decided already.
+func (p *Proposer[V]) RequiredValue() (V, bool) {
 	return p.value, p.newest != Ballot{}
 }
 
-// Begin fixes the value of this ballot; called once, after a majority has promised.
-func (p *Proposer[V]) Begin(value V) {
+// Propose fixes the value of this ballot; called once, after a majority has promised.
+func (p *Proposer[V]) Propose(value V) {
 	p.value, p.begun = value, true
 }
 
-// Begun says whether the value is fixed.
-func (p *Proposer[V]) Begun() bool { return p.begun }
+// HasProposed says whether the value is fixed.
+func (p *Proposer[V]) HasProposed() bool { return p.begun }
 
 // Value is what was fixed by Begin.
 func (p *Proposer[V]) Value() V { return p.value }
 
-// Accepted notes that a member has accepted. It is true once, when the value is decided.
-func (p *Proposer[V]) Accepted(from MemberID) bool {
+// RecordAccepted notes that a member has accepted. It is true once, when the value is decided.
+func (p *Proposer[V]) RecordAccepted(from MemberID) bool {
 	if !p.begun || p.accepted[from] {
 		return false
 	}
--- a/coordination/view/paxos_test.go
+++ b/coordination/view/paxos_test.go
@@ -54,26 +54,26 @@
 var _ = Describe("a proposer", func() {
 	It("has a majority once, and counts nobody twice", func() {
 		p := view.NewProposer[string](ballot(1, 1), 2)
-		Expect(p.Promise(1, view.Ballot{}, "")).To(BeFalse())
-		Expect(p.Promise(1, view.Ballot{}, "")).To(BeFalse())
-		Expect(p.Accepted(1)).To(BeFalse(), "nothing is proposed yet")
-		Expect(p.Promise(2, view.Ballot{}, "")).To(BeTrue())
-		Expect(p.Promise(3, view.Ballot{}, "")).To(BeFalse())
-		_, found := p.Found()
+		Expect(p.RecordPromise(1, view.Ballot{}, "")).To(BeFalse())
+		Expect(p.RecordPromise(1, view.Ballot{}, "")).To(BeFalse())
+		Expect(p.RecordAccepted(1)).To(BeFalse(), "nothing is proposed yet")
+		Expect(p.RecordPromise(2, view.Ballot{}, "")).To(BeTrue())
+		Expect(p.RecordPromise(3, view.Ballot{}, "")).To(BeFalse())
+		_, found := p.RequiredValue()
 		Expect(found).To(BeFalse())
-		p.Begin("value")
-		Expect(p.Accepted(3)).To(BeFalse())
-		Expect(p.Accepted(3)).To(BeFalse())
-		Expect(p.Accepted(1)).To(BeTrue())
-		Expect(p.Accepted(2)).To(BeFalse())
+		p.Propose("value")
+		Expect(p.RecordAccepted(3)).To(BeFalse())
+		Expect(p.RecordAccepted(3)).To(BeFalse())
+		Expect(p.RecordAccepted(1)).To(BeTrue())
+		Expect(p.RecordAccepted(2)).To(BeFalse())
 	})
 
 	It("finds the value of the latest ballot that anyone accepted", func() {
 		p := view.NewProposer[string](ballot(9, 1), 3)
-		p.Promise(1, ballot(2, 5), "second")
-		p.Promise(2, ballot(3, 1), "third")
-		p.Promise(3, ballot(1, 9), "first")
-		value, found := p.Found()
+		p.RecordPromise(1, ballot(2, 5), "second")
+		p.RecordPromise(2, ballot(3, 1), "third")
+		p.RecordPromise(3, ballot(1, 9), "first")
+		value, found := p.RequiredValue()
 		Expect(found).To(BeTrue())
 		Expect(value).To(Equal("third"))
 	})
@@ -101,18 +101,18 @@
 		}
 		id := random.IntN(len(acceptors))
 		a := &acceptors[id]
-		if p.Begun() {
-			if a.Accept(p.Ballot, p.Value()) && p.Accepted(view.MemberID(id+1)) {
+		if p.HasProposed() {
+			if a.Accept(p.Ballot, p.Value()) && p.RecordAccepted(view.MemberID(id+1)) {
 				decided[p.Value()] = true
 			}
 			continue
 		}
-		if a.Prepare(p.Ballot) && p.Promise(view.MemberID(id+1), a.Accepted, a.Value) {
-			value, found := p.Found()
+		if a.Prepare(p.Ballot) && p.RecordPromise(view.MemberID(id+1), a.Accepted, a.Value) {
+			value, found := p.RequiredValue()
 			if !found {
 				value = p.Ballot.Round
 			}
-			p.Begin(value)
+			p.Propose(value)
 		}
 	}
 	return decided
--- a/coordination/view/plan.go
+++ b/coordination/view/plan.go
@@ -10,11 +10,11 @@
 
 // The changes, the most urgent last.
 const (
-	Keep   Change = iota // nothing to change
-	Extend               // a member comes back into the chain
-	Remove               // a silent member leaves, there are more than at first
-	Admit                // a new member comes, in the place of a dead one or besides
-	Shrink               // a member of the chain is silent
+	NoChange     Change = iota // nothing to change
+	ExtendChain                // a member comes back into the chain
+	RemoveMember               // a silent member leaves, there are more than at first
+	AddMember                  // a new member comes, in the place of a dead one or besides
+	ShrinkChain                // a member of the chain is silent
 )
 
 // Silences that a plan goes by.
@@ -25,41 +25,41 @@
 	ReplaceAfter = 1500 * time.Millisecond
 )
 
-// Contacts is what a member knows of who hears whom.
-type Contacts interface {
-	// Silence is how long a member has said nothing to this one.
-	Silence(MemberID) time.Duration
+// Connectivity is what a member knows of who hears whom.
+type Connectivity interface {
+	// SilentFor is how long a member has said nothing to this one.
+	SilentFor(MemberID) time.Duration
 	// Hears says whether one has heard the other within SuspectAfter, as far as this member knows.
 	Hears(by, of MemberID) bool
-	// Settled says whether a member is known to have adopted the present view.
-	Settled(MemberID) bool
+	// HasInstalled says whether a member is known to have adopted the present view.
+	HasInstalled(MemberID) bool
 	// Joining are nodes that lately asked to become members.
 	Joining() []Member
 }
 
 // Plan gives the view that a member would have follow, and why. With Keep the view is only good for an epoch that has to
 // end anyway; its chain may be too short where too few hear each other (see Validate).
-func Plan(v View, self MemberID, c Contacts) (View, Change) {
+func Plan(v View, self MemberID, c Connectivity) (View, Change) {
 	next := View{Epoch: v.Epoch + 1, Initial: v.Initial, Members: slices.Clone(v.Members)}
-	change := Keep
+	change := NoChange
 	if settled(v, self, c) {
 		change = planMembers(&next, self, c)
 	}
 	next.Chain = planChain(v, next, self, c)
 	switch {
-	case slices.ContainsFunc(v.Chain, func(id MemberID) bool { return next.Has(id) && next.Position(id) < 0 }):
-		change = Shrink
-	case change == Keep && len(next.Chain) > len(v.Chain):
-		change = Extend
+	case slices.ContainsFunc(v.Chain, func(id MemberID) bool { return next.HasMember(id) && next.ChainPosition(id) < 0 }):
+		change = ShrinkChain
+	case change == NoChange && len(next.Chain) > len(v.Chain):
+		change = ExtendChain
 	}
 	return next, change
 }
 
 // settled says whether those of the chain that are heard have adopted the view. Until then the members stay, so that a
 // member that has just come has the state before the next one changes.
-func settled(v View, self MemberID, c Contacts) bool {
+func settled(v View, self MemberID, c Connectivity) bool {
 	for _, id := range v.Chain {
-		if id != self && c.Silence(id) < SuspectAfter && !c.Settled(id) {
+		if id != self && c.SilentFor(id) < SuspectAfter && !c.HasInstalled(id) {
 			return false
 		}
 	}
@@ -67,33 +67,33 @@
 }
 
 // planMembers makes at most one change to the members.
-func planMembers(next *View, self MemberID, c Contacts) Change {
+func planMembers(next *View, self MemberID, c Connectivity) Change {
 	for _, joining := range c.Joining() {
-		if next.Has(joining.ID) || !c.Hears(joining.ID, self) {
+		if next.HasMember(joining.ID) || !c.Hears(joining.ID, self) {
 			continue
 		}
 		if at := placeFor(*next, joining, self, c); at >= 0 {
 			next.Members[at] = joining
-			return Admit
+			return AddMember
 		}
 		if len(next.Members) < MaxMembers {
 			next.Members = append(next.Members, joining)
-			return Admit
+			return AddMember
 		}
 	}
 	if len(next.Members) <= next.Initial {
-		return Keep
+		return NoChange
 	}
 	if at := longestSilent(*next, self, c); at >= 0 {
 		next.Members = slices.Delete(next.Members, at, at+1)
-		return Remove
+		return RemoveMember
 	}
-	return Keep
+	return NoChange
 }
 
 // placeFor finds the member whose place a new one takes: the one of the same node, whose disk must be lost, or one that
 // is silent; -1: none.
-func placeFor(v View, joining Member, self MemberID, c Contacts) int {
+func placeFor(v View, joining Member, self MemberID, c Connectivity) int {
 	same := slices.IndexFunc(v.Members, func(m Member) bool {
 		return m.ID != self && (m.Address == joining.Address || m.Name != "" && m.Name == joining.Name)
 	})
@@ -104,18 +104,18 @@
 }
 
 // longestSilent finds a member that has been silent for ReplaceAfter and that nobody else hears either; -1: none.
-func longestSilent(v View, self MemberID, c Contacts) int {
+func longestSilent(v View, self MemberID, c Connectivity) int {
 	found, longest := -1, ReplaceAfter
 	for at, m := range v.Members {
-		if m.ID == self || c.Silence(m.ID) < longest || heardByOthers(v, m.ID, self, c) {
+		if m.ID == self || c.SilentFor(m.ID) < longest || heardByOthers(v, m.ID, self, c) {
 			continue
 		}
-		found, longest = at, c.Silence(m.ID)
+		found, longest = at, c.SilentFor(m.ID)
 	}
 	return found
 }
 
-func heardByOthers(v View, id, self MemberID, c Contacts) bool {
+func heardByOthers(v View, id, self MemberID, c Connectivity) bool {
 	return slices.ContainsFunc(v.Members, func(m Member) bool {
 		return m.ID != self && m.ID != id && c.Hears(self, m.ID) && c.Hears(m.ID, id)
 	})
@@ -123,7 +123,7 @@
 
 // planChain picks members that all hear each other, this one among them: those of the present chain first, in its order.
 // A member that one of the chain doesn't hear would stall it.
-func planChain(v, next View, self MemberID, c Contacts) []MemberID {
+func planChain(v, next View, self MemberID, c Connectivity) []MemberID {
 	candidates := slices.Clone(v.Chain)
 	for _, m := range next.Members {
 		if !slices.Contains(candidates, m.ID) {
@@ -132,13 +132,13 @@
 	}
 	chosen := []MemberID{self}
 	for _, id := range candidates {
-		if id != self && next.Has(id) && allHear(chosen, id, c) {
+		if id != self && next.HasMember(id) && allHear(chosen, id, c) {
 			chosen = append(chosen, id)
 		}
 	}
 	return slices.DeleteFunc(candidates, func(id MemberID) bool { return !slices.Contains(chosen, id) })
 }
 
-func allHear(chosen []MemberID, id MemberID, c Contacts) bool {
+func allHear(chosen []MemberID, id MemberID, c Connectivity) bool {
 	return !slices.ContainsFunc(chosen, func(other MemberID) bool { return !c.Hears(other, id) || !c.Hears(id, other) })
 }
--- a/coordination/view/plan_test.go
+++ b/coordination/view/plan_test.go
@@ -19,7 +19,7 @@
 	away      []view.MemberID // joining, but not heard by the others
 }
 
-func (l links) Silence(id view.MemberID) time.Duration { return l.silent[id] }
+func (l links) SilentFor(id view.MemberID) time.Duration { return l.silent[id] }
 
 func (l links) Hears(by, of view.MemberID) bool {
 	if l.silent[by] >= view.SuspectAfter || l.silent[of] >= view.SuspectAfter {
@@ -31,8 +31,8 @@
 	return !slices.Contains(l.deaf, [2]view.MemberID{by, of})
 }
 
-func (l links) Settled(id view.MemberID) bool { return !slices.Contains(l.unsettled, id) }
-func (l links) Joining() []view.Member        { return l.joining }
+func (l links) HasInstalled(id view.MemberID) bool { return !slices.Contains(l.unsettled, id) }
+func (l links) Joining() []view.Member             { return l.joining }
 
 func members(ids ...view.MemberID) []view.Member {
 	var all []view.Member
@@ -79,34 +79,34 @@
 		Expect(idsOf(next.Members)).To(Equal(all))
 		Expect(next.Epoch).To(Equal(v.Epoch + 1))
 		Expect(next.Initial).To(Equal(v.Initial))
-		if got != view.Keep {
+		if got != view.NoChange {
 			Expect(next.Validate()).To(Succeed())
 		}
 	},
-		Entry("nothing while all hear each other", three, links{}, view.Keep, ids{1, 2, 3}, ids{1, 2, 3}),
-		Entry("nothing for a short silence", three, links{silent: silent(suspect-1, 2)}, view.Keep, ids{1, 2, 3}, ids{1, 2, 3}),
-		Entry("to leave out who is silent", three, links{silent: silent(suspect, 2)}, view.Shrink, ids{1, 3}, ids{1, 2, 3}),
-		Entry("to leave out who does not hear this one", three, links{deaf: [][2]view.MemberID{{3, 1}}}, view.Shrink, ids{1, 2}, ids{1, 2, 3}),
-		Entry("to leave out the later of two that don't hear each other", three, links{deaf: [][2]view.MemberID{{2, 3}}}, view.Shrink, ids{1, 2}, ids{1, 2, 3}),
-		Entry("to keep the first members however long one is silent", three, links{silent: silent(dead, 3)}, view.Shrink, ids{1, 2}, ids{1, 2, 3}),
-		Entry("to take back who is heard again", short, links{}, view.Extend, ids{1, 2, 3}, ids{1, 2, 3}),
-		Entry("not to take back who one of the chain does not hear", short, links{deaf: [][2]view.MemberID{{2, 3}}}, view.Keep, ids{1, 2}, ids{1, 2, 3}),
-		Entry("to remove a dead one of more than at first", four, links{silent: silent(dead, 4)}, view.Remove, ids{1, 2, 3}, ids{1, 2, 3}),
+		Entry("nothing while all hear each other", three, links{}, view.NoChange, ids{1, 2, 3}, ids{1, 2, 3}),
+		Entry("nothing for a short silence", three, links{silent: silent(suspect-1, 2)}, view.NoChange, ids{1, 2, 3}, ids{1, 2, 3}),
+		Entry("to leave out who is silent", three, links{silent: silent(suspect, 2)}, view.ShrinkChain, ids{1, 3}, ids{1, 2, 3}),
+		Entry("to leave out who does not hear this one", three, links{deaf: [][2]view.MemberID{{3, 1}}}, view.ShrinkChain, ids{1, 2}, ids{1, 2, 3}),
+		Entry("to leave out the later of two that don't hear each other", three, links{deaf: [][2]view.MemberID{{2, 3}}}, view.ShrinkChain, ids{1, 2}, ids{1, 2, 3}),
+		Entry("to keep the first members however long one is silent", three, links{silent: silent(dead, 3)}, view.ShrinkChain, ids{1, 2}, ids{1, 2, 3}),
+		Entry("to take back who is heard again", short, links{}, view.ExtendChain, ids{1, 2, 3}, ids{1, 2, 3}),
+		Entry("not to take back who one of the chain does not hear", short, links{deaf: [][2]view.MemberID{{2, 3}}}, view.NoChange, ids{1, 2}, ids{1, 2, 3}),
+		Entry("to remove a dead one of more than at first", four, links{silent: silent(dead, 4)}, view.RemoveMember, ids{1, 2, 3}, ids{1, 2, 3}),
 		Entry("not to remove one that another hears", view.View{Epoch: 7, Initial: 3, Members: members(1, 2, 3, 4), Chain: ids{1, 2, 3}},
-			links{silent: silent(suspect-1, 2)}, view.Extend, ids{1, 2, 3, 4}, ids{1, 2, 3, 4}),
-		Entry("to swap in the empty disk of the same node", three, links{joining: newOf(9, 2)}, view.Admit, ids{1, 3, 9}, ids{1, 9, 3}),
-		Entry("to swap a new node for a dead one", short, links{silent: silent(dead, 3), joining: newOf(9, 9)}, view.Admit, ids{1, 2, 9}, ids{1, 2, 9}),
-		Entry("to add a new node", three, links{joining: newOf(9, 9)}, view.Admit, ids{1, 2, 3, 9}, ids{1, 2, 3, 9}),
-		Entry("to add one that the others don't hear, outside the chain", three, links{joining: newOf(9, 9), away: ids{9}}, view.Admit, ids{1, 2, 3}, ids{1, 2, 3, 9}),
-		Entry("not to add one that does not hear this one", three, links{joining: newOf(9, 9), deaf: [][2]view.MemberID{{9, 1}}}, view.Keep, ids{1, 2, 3}, ids{1, 2, 3}),
-		Entry("to wait with members until the view is adopted", three, links{joining: newOf(9, 9), unsettled: ids{2}}, view.Keep, ids{1, 2, 3}, ids{1, 2, 3}),
-		Entry("not to wait for a dead one", three, links{joining: newOf(9, 2), unsettled: ids{2}, silent: silent(suspect, 2)}, view.Admit, ids{1, 3, 9}, ids{1, 9, 3}),
+			links{silent: silent(suspect-1, 2)}, view.ExtendChain, ids{1, 2, 3, 4}, ids{1, 2, 3, 4}),
+		Entry("to swap in the empty disk of the same node", three, links{joining: newOf(9, 2)}, view.AddMember, ids{1, 3, 9}, ids{1, 9, 3}),
+		Entry("to swap a new node for a dead one", short, links{silent: silent(dead, 3), joining: newOf(9, 9)}, view.AddMember, ids{1, 2, 9}, ids{1, 2, 9}),
+		Entry("to add a new node", three, links{joining: newOf(9, 9)}, view.AddMember, ids{1, 2, 3, 9}, ids{1, 2, 3, 9}),
+		Entry("to add one that the others don't hear, outside the chain", three, links{joining: newOf(9, 9), away: ids{9}}, view.AddMember, ids{1, 2, 3}, ids{1, 2, 3, 9}),
+		Entry("not to add one that does not hear this one", three, links{joining: newOf(9, 9), deaf: [][2]view.MemberID{{9, 1}}}, view.NoChange, ids{1, 2, 3}, ids{1, 2, 3}),
+		Entry("to wait with members until the view is adopted", three, links{joining: newOf(9, 9), unsettled: ids{2}}, view.NoChange, ids{1, 2, 3}, ids{1, 2, 3}),
+		Entry("not to wait for a dead one", three, links{joining: newOf(9, 2), unsettled: ids{2}, silent: silent(suspect, 2)}, view.AddMember, ids{1, 3, 9}, ids{1, 9, 3}),
 	)
 
 	It("never has more than the bound of members", func() {
 		full := view.First(members(1, 2, 3, 4, 5, 6, 7, 8, 9))
 		_, change := view.Plan(full, 1, links{joining: members(10)})
-		Expect(change).To(Equal(view.Keep))
+		Expect(change).To(Equal(view.NoChange))
 	})
 
 	It("is no view where too few hear this one", func() {
--- a/coordination/view/view.go
+++ b/coordination/view/view.go
@@ -49,14 +49,14 @@
 	return v.Members[at], true
 }
 
-// Has says whether the id is a member's.
-func (v View) Has(id MemberID) bool {
+// HasMember says whether the id is a member's.
+func (v View) HasMember(id MemberID) bool {
 	_, ok := v.Member(id)
 	return ok
 }
 
-// Position is the place of a member in the chain, -1 if it is not in it.
-func (v View) Position(id MemberID) int { return slices.Index(v.Chain, id) }
+// ChainPosition is the place of a member in the chain, -1 if it is not in it.
+func (v View) ChainPosition(id MemberID) int { return slices.Index(v.Chain, id) }
 
 // Head is the first of the chain; false in the zero View.
 func (v View) Head() (Member, bool) {
@@ -76,7 +76,7 @@
 
 // Successor is the next member of the chain after a member; false for the tail and for those outside.
 func (v View) Successor(id MemberID) (Member, bool) {
-	at := v.Position(id)
+	at := v.ChainPosition(id)
 	if at < 0 || at+1 >= len(v.Chain) {
 		return Member{}, false
 	}
@@ -85,7 +85,7 @@
 
 // Predecessor is the member of the chain before a member; false for the head and for those outside.
 func (v View) Predecessor(id MemberID) (Member, bool) {
-	at := v.Position(id)
+	at := v.ChainPosition(id)
 	if at <= 0 {
 		return Member{}, false
 	}
--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -84,7 +84,7 @@
 
 func (l *life) startControl() {
 	w, h := l.host.world, l.host
-	var durable chain.Durable
+	var durable chain.DurableState
 	for _, r := range h.recordsAtStart() {
 		if err := durable.Apply(r); err != nil {
 			w.judge.breach("INTERNAL", "%s: a disk that cannot be read: %v", h.name, err)
@@ -232,7 +232,7 @@
 }
 
 // committed spreads a committed state, as the control plane does.
-func (r *replica) committed(c chain.Commit) {
+func (r *replica) committed(c chain.CommittedState) {
 	w := r.life.host.world
 	state := controlstate.New()
 	if err := state.Restore(c.Snapshot); err != nil {
@@ -310,7 +310,7 @@
 		r.waiting[number] = func(reply chain.Reply) { end(reply, false) }
 		r.life.later(orderTimeout, func() {
 			delete(r.waiting, number)
-			r.node.Withdraw(number)
+			r.node.Abandon(number)
 			end(chain.Reply{}, true)
 		})
 		return out
--- a/internal/lab/sim/fault.go
+++ b/internal/lab/sim/fault.go
@@ -74,7 +74,7 @@
 
 // voteless is what is left where a wiped disk keeps its name: the view, without votes and entries.
 func voteless(records []chain.Record) []chain.Record {
-	var d chain.Durable
+	var d chain.DurableState
 	for _, r := range records {
 		if err := d.Apply(r); err != nil {
 			return nil
@@ -84,7 +84,7 @@
 		return nil
 	}
 	state := chain.State{Epoch: d.View.Epoch, Full: true, Snapshot: controlstate.New().Snapshot()}
-	return []chain.Record{chain.Identity{Member: d.Member}, chain.Adoption{View: d.View, State: state}}
+	return []chain.Record{chain.IdentityRecord{Member: d.Member}, chain.ViewRecord{View: d.View, State: state}}
 }
 
 // recordsAtStart are what a start finds on the disk; entryForgotten bites here.
@@ -94,7 +94,7 @@
 		return records
 	}
 	for at, r := range slices.Backward(records) {
-		if _, ok := r.(chain.Addition); ok {
+		if _, ok := r.(chain.EntryRecord); ok {
 			return slices.Delete(slices.Clone(records), at, at+1)
 		}
 	}
@@ -130,7 +130,7 @@
 	}
 	var kept []chain.Record
 	for _, r := range records {
-		if _, vote := r.(chain.Vote); !vote {
+		if _, vote := r.(chain.VoteRecord); !vote {
 			kept = append(kept, r)
 		}
 	}
@@ -154,7 +154,7 @@
 		result, _ := copied.Apply(a.Entry.Command) // a repeat is acknowledged as the first was
 		to := r.proposers[a.Entry.ID]
 		delete(r.proposers, a.Entry.ID)
-		send = append(send, chain.Envelope{From: e.From, To: to, Body: chain.Result{ID: a.Entry.ID, Verdict: chain.Done, Epoch: a.Epoch, Sequence: a.Entry.Sequence, Result: result}})
+		send = append(send, chain.Envelope{From: e.From, To: to, Body: chain.ProposeResult{ID: a.Entry.ID, Verdict: chain.ResultOK, Epoch: a.Epoch, Sequence: a.Entry.Sequence, Result: result}})
 	}
 	return send
 }
@@ -170,9 +170,9 @@
 			}
 			r.proposers[m.ID] = e.From
 		}
-	case chain.Confirm:
-		if w.has(sealIgnored) && r.node.Member() {
-			r.post(chain.Envelope{From: self, To: e.From, Body: chain.Confirmed(m)})
+	case chain.ConfirmEpoch:
+		if w.has(sealIgnored) && r.node.IsMember() {
+			r.post(chain.Envelope{From: self, To: e.From, Body: chain.EpochConfirmed(m)})
 			return true
 		}
 	}
@@ -181,7 +181,7 @@
 
 // beatWhileBusy is where stalledStays bites: heartbeats leave while the disk holds up everything else.
 func (r *replica) beatWhileBusy() {
-	if !r.life.host.world.has(stalledStays) || r.beating || !r.node.Member() {
+	if !r.life.host.world.has(stalledStays) || r.beating || !r.node.IsMember() {
 		return
 	}
 	r.beating = true
--- a/internal/lab/sim/judge.go
+++ b/internal/lab/sim/judge.go
@@ -79,7 +79,7 @@
 }
 
 // committed holds a committed state against those that others told: one history for all, and none goes back.
-func (j *judge) committed(r *replica, c chain.Commit, state *controlstate.State) {
+func (j *judge) committed(r *replica, c chain.CommittedState, state *controlstate.State) {
 	name := r.life.host.name
 	j.note("%s commits %d of %d", name, c.Sequence, c.Epoch)
 	if c.Sequence < r.newest {
--- a/internal/lab/sim/run.go
+++ b/internal/lab/sim/run.go
@@ -271,9 +271,9 @@
 		}
 		node := h.life.replica.node
 		v := node.View()
-		if !node.Member() || v.Position(node.Self().ID) < 0 || len(v.Members) != len(w.of(controlRole)) {
+		if !node.IsMember() || v.ChainPosition(node.Self().ID) < 0 || len(v.Members) != len(w.of(controlRole)) {
 			said += fmt.Sprintf("%s (member %t, epoch %d, chain %v of %d, own id %d, waits for the disk %t) ",
-				h.name, node.Member(), v.Epoch, v.Chain, len(v.Members), node.Self().ID, h.life.replica.busy)
+				h.name, node.IsMember(), v.Epoch, v.Chain, len(v.Members), node.Self().ID, h.life.replica.busy)
 		}
 	}
 	return said
--- a/internal/lab/sim/trouble.go
+++ b/internal/lab/sim/trouble.go
@@ -364,7 +364,7 @@
 			return false
 		}
 		node := h.life.replica.node
-		if v := node.View(); !node.Member() || v.Position(node.Self().ID) < 0 || len(v.Members) != len(w.of(controlRole)) {
+		if v := node.View(); !node.IsMember() || v.ChainPosition(node.Self().ID) < 0 || len(v.Members) != len(w.of(controlRole)) {
 			return false
 		}
 	}
--- a/internal/lab/sim/trouble_control.go
+++ b/internal/lab/sim/trouble_control.go
@@ -193,11 +193,11 @@
 		stopped()
 		return
 	}
-	l.replica.do(func() chain.Output { return l.replica.node.Resign(w.now) })
+	l.replica.do(func() chain.Output { return l.replica.node.LeaveChain(w.now) })
 	until := w.now + resignTimeout
 	var poll func()
 	poll = func() {
-		if !l.replica.node.Resigned() && w.now < until {
+		if !l.replica.node.HasLeftChain() && w.now < until {
 			l.later(resignPoll, poll)
 			return
 		}
--- a/internal/tier/controlplane/inspect.go
+++ b/internal/tier/controlplane/inspect.go
@@ -93,7 +93,7 @@
 	return found, found.readKnown(snapshot.File{Files: files, Dir: dir})
 }
 
-func voteOf(d *chain.Durable) VoteFound {
+func voteOf(d *chain.DurableState) VoteFound {
 	a := &d.Acceptor
 	return VoteFound{
 		Sealed:        a.Sealed(),
@@ -119,7 +119,7 @@
 }
 
 // readState works out the control state from the last whole one and the entries since.
-func (i *Inspection) readState(d *chain.Durable) error {
+func (i *Inspection) readState(d *chain.DurableState) error {
 	if !d.State.Full {
 		return nil // no view was adopted yet
 	}
--- a/internal/tier/replica/disk.go
+++ b/internal/tier/replica/disk.go
@@ -9,8 +9,8 @@
 
 // openJournal reads the disk. A disk that lost what it had synced counts as empty, since a vote may be among it: lost is
 // true, and the replica comes back as a new member.
-func (r *Replica) openJournal() (durable *chain.Durable, lost bool, err error) {
-	durable = &chain.Durable{}
+func (r *Replica) openJournal() (durable *chain.DurableState, lost bool, err error) {
+	durable = &chain.DurableState{}
 	if r.options.Files == nil || !r.options.Voter {
 		return durable, false, nil
 	}
@@ -38,10 +38,10 @@
 		r.closeJournal()
 		return nil, false, err
 	}
-	return &chain.Durable{}, true, nil
+	return &chain.DurableState{}, true, nil
 }
 
-func apply(durable *chain.Durable, b []byte) error {
+func apply(durable *chain.DurableState, b []byte) error {
 	record, err := decodeRecord(b)
 	if err != nil {
 		return err
--- a/internal/tier/replica/first_minute_test.go
+++ b/internal/tier/replica/first_minute_test.go
@@ -162,7 +162,7 @@
 		log: &log.Logger{Handler: discard.New()}}
 	durable, _, err := r.openJournal()
 	Expect(err).NotTo(HaveOccurred())
-	return durable.Member.ID == chain.FirstID(durable.Member.Address) && durable.Member.Address != ""
+	return durable.Member.ID == chain.FirstMemberID(durable.Member.Address) && durable.Member.Address != ""
 }
 
 // again starts all machines on what power left, and says whether a change is taken; what was acknowledged must be there.
@@ -183,7 +183,7 @@
 	c.carryOut(c.machines["b"], out)
 	c.pass(time.Second)
 	state := controlstate.New()
-	Expect(state.Restore(c.machines["b"].node.Checkpoint()[1].(chain.Adoption).State.Snapshot)).To(Succeed())
+	Expect(state.Restore(c.machines["b"].node.Checkpoint()[1].(chain.ViewRecord).State.Snapshot)).To(Succeed())
 	var stores []string
 	for _, m := range state.Stores().Members {
 		stores = append(stores, m.ID)
--- a/internal/tier/replica/inspect.go
+++ b/internal/tier/replica/inspect.go
@@ -23,7 +23,7 @@
 type Inspection struct {
 	Ring    *journal.Inspection
 	Records RecordsFound
-	Durable chain.Durable // what the records add up to
+	Durable chain.DurableState // what the records add up to
 	// Findings are those of the ring and of the records in it. After some of them, Open takes the disk for
 	// empty, and the replica comes back as a new member.
 	Findings journal.Findings
@@ -122,13 +122,13 @@
 		return eris.New("the record is coded otherwise than a replica does")
 	}
 	switch record.(type) {
-	case chain.Identity:
+	case chain.IdentityRecord:
 		r.found.Records.Identities++
-	case chain.Adoption:
+	case chain.ViewRecord:
 		r.found.Records.Adoptions++
-	case chain.Addition:
+	case chain.EntryRecord:
 		r.found.Records.Additions++
-	case chain.Vote:
+	case chain.VoteRecord:
 		r.found.Records.Votes++
 	}
 	if r.broken {
--- a/internal/tier/replica/large_test.go
+++ b/internal/tier/replica/large_test.go
@@ -94,7 +94,7 @@
 		out.told.Store(0)
 		out.start(false)
 		Eventually(ctx, out.told.Load).Should(Equal(version))
-		Eventually(ctx, func() int { return out.replica.View().Position(out.replica.Status().Self.ID) }).Should(BeNumerically(">", 0), "in the chain, behind")
+		Eventually(ctx, func() int { return out.replica.View().ChainPosition(out.replica.Status().Self.ID) }).Should(BeNumerically(">", 0), "in the chain, behind")
 		for range 5 {
 			version++
 			change(ctx, out, version, size)
--- a/internal/tier/replica/loop.go
+++ b/internal/tier/replica/loop.go
@@ -92,7 +92,7 @@
 // publish tells the status where it is another.
 func (r *Replica) publish() {
 	old := r.status.Load()
-	self, v, member := r.node.Self(), r.node.View(), r.node.Member()
+	self, v, member := r.node.Self(), r.node.View(), r.node.IsMember()
 	if old != nil && old.Self == self && old.View.Epoch == v.Epoch && old.Member == member {
 		return
 	}
--- a/internal/tier/replica/notify.go
+++ b/internal/tier/replica/notify.go
@@ -7,12 +7,12 @@
 // notifier tells of committed states in a goroutine of its own, so that whoever follows them can't hold the chain up. Only
 // the newest waits.
 type notifier struct {
-	latest chan chain.Commit
+	latest chan chain.CommittedState
 	done   chan struct{}
 }
 
 func newNotifier(f func(epoch, sequence uint64, snapshot []byte)) *notifier {
-	n := &notifier{latest: make(chan chain.Commit, 1), done: make(chan struct{})}
+	n := &notifier{latest: make(chan chain.CommittedState, 1), done: make(chan struct{})}
 	if f != nil {
 		go n.run(f)
 	}
@@ -31,7 +31,7 @@
 }
 
 // tell is called by the owner only.
-func (n *notifier) tell(c chain.Commit) {
+func (n *notifier) tell(c chain.CommittedState) {
 	select {
 	case <-n.latest:
 	default:
--- a/internal/tier/replica/record.go
+++ b/internal/tier/replica/record.go
@@ -7,10 +7,10 @@
 )
 
 var records = variants[chain.Record]{
-	as[chain.Record](record[chain.Identity]("Identity", "Member", member, "Known", texts)),
-	as[chain.Record](record[chain.Adoption]("Adoption", "View", aView, "State", state, "Committed", long, "Last", entries)),
-	as[chain.Record](record[chain.Addition]("Addition", "Epoch", long, "Entry", entry)),
-	as[chain.Record](record[chain.Vote]("Vote", "Epoch", long, "Acceptor", acceptor)),
+	as[chain.Record](record[chain.IdentityRecord]("Identity", "Member", member, "Known", texts)),
+	as[chain.Record](record[chain.ViewRecord]("Adoption", "View", aView, "State", state, "Committed", long, "Last", entries)),
+	as[chain.Record](record[chain.EntryRecord]("Addition", "Epoch", long, "Entry", entry)),
+	as[chain.Record](record[chain.VoteRecord]("Vote", "Epoch", long, "Acceptor", acceptor)),
 }
 
 // encodeRecord puts the kind before the record's bytes.
--- a/internal/tier/replica/replica.go
+++ b/internal/tier/replica/replica.go
@@ -179,14 +179,14 @@
 // Resign has the other members go on without this one before it ends, so that no order waits until its silence is noticed.
 // It returns once they do, or when ctx ends; calls are served until Close.
 func (r *Replica) Resign(ctx context.Context) {
-	if r.enqueue(ctx, func() { r.carryOut(r.node.Resign(r.now())) }) != nil {
+	if r.enqueue(ctx, func() { r.carryOut(r.node.LeaveChain(r.now())) }) != nil {
 		return
 	}
 	ticker := time.NewTicker(resignPoll)
 	defer ticker.Stop()
 	for {
 		status := r.Status()
-		if !status.Member || status.View.Position(status.Self.ID) < 0 {
+		if !status.Member || status.View.ChainPosition(status.Self.ID) < 0 {
 			return
 		}
 		select {
@@ -268,7 +268,7 @@
 	select {
 	case r.commands <- func() {
 		delete(r.waiting, number)
-		r.node.Withdraw(number)
+		r.node.Abandon(number)
 	}:
 	case <-r.ended:
 	}
--- a/internal/tier/replica/wire_test.go
+++ b/internal/tier/replica/wire_test.go
@@ -36,23 +36,23 @@
 		Expect(w.open()).To(Equal(e))
 	},
 		Entry("Heartbeat", chain.Heartbeat{Epoch: 1, Committed: 2, Heard: []view.MemberID{3, 1 << 62}}),
-		Entry("Hint", chain.Hint{View: aView1(), Committed: 4}),
-		Entry("Ask", chain.Ask{Epoch: 3}),
-		Entry("Adopt", chain.Adopt{View: aView1(), State: aState1(), Committed: 9}),
-		Entry("Join", chain.Join{Member: view.Member{ID: 9, Address: "x"}, Heard: []view.MemberID{1}}),
+		Entry("Hint", chain.ViewNotice{View: aView1(), Committed: 4}),
+		Entry("Ask", chain.ViewRequest{Epoch: 3}),
+		Entry("Adopt", chain.InstallView{View: aView1(), State: aState1(), Committed: 9}),
+		Entry("Join", chain.JoinRequest{Member: view.Member{ID: 9, Address: "x"}, Heard: []view.MemberID{1}}),
 		Entry("Prepare", chain.Prepare{Epoch: 1, Ballot: ballot1(), Sequence: 8}),
 		Entry("Promise", chain.Promise{Epoch: 1, Ballot: ballot1(), Accepted: ballot1(), Value: proposal, Sequence: 9, State: aState1()}),
-		Entry("Outbid", chain.Outbid{Epoch: 1, Ballot: ballot1(), Promised: ballot1()}),
+		Entry("Outbid", chain.BallotRejected{Epoch: 1, Ballot: ballot1(), Promised: ballot1()}),
 		Entry("Accept", chain.Accept{Epoch: 1, Ballot: ballot1(), Value: proposal}),
 		Entry("Accepted", chain.Accepted{Epoch: 1, Ballot: ballot1()}),
 		Entry("Append", chain.Append{Epoch: 1, Entry: entry, Committed: 1}),
 		Entry("Ack", chain.Ack{Epoch: 1, Sequence: 2}),
-		Entry("Confirm", chain.Confirm{Epoch: 1, Nonce: 1 << 61}),
-		Entry("Confirmed", chain.Confirmed{Epoch: 1, Nonce: 1 << 61}),
+		Entry("Confirm", chain.ConfirmEpoch{Epoch: 1, Nonce: 1 << 61}),
+		Entry("Confirmed", chain.EpochConfirmed{Epoch: 1, Nonce: 1 << 61}),
 		Entry("Propose", chain.Propose{ID: entry.ID, After: 3, Command: []byte("c")}),
-		Entry("Result", chain.Result{ID: entry.ID, Verdict: chain.TooOld, Epoch: 1, Sequence: 2, Result: []byte("r")}),
+		Entry("Result", chain.ProposeResult{ID: entry.ID, Verdict: chain.ResultTooOld, Epoch: 1, Sequence: 2, Result: []byte("r")}),
 		Entry("Read", chain.Read{ID: entry.ID, Have: -1}),
-		Entry("ReadResult", chain.ReadResult{ID: entry.ID, Verdict: chain.Moved, Epoch: 1, Sequence: 2, Full: true, Snapshot: []byte("s")}),
+		Entry("ReadResult", chain.ReadResult{ID: entry.ID, Verdict: chain.ResultRetry, Epoch: 1, Sequence: 2, Full: true, Snapshot: []byte("s")}),
 	)
 
 	DescribeTable("comes back as it was: a record", func(r chain.Record) {
@@ -60,10 +60,10 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(decodeRecord(b)).To(Equal(r))
 	},
-		Entry("Identity", chain.Identity{Member: view.Member{ID: 3, Name: "n", Address: "a", Zone: "z"}, Known: []string{"b", "c"}}),
-		Entry("Adoption", chain.Adoption{View: aView1(), State: aState1(), Committed: 9, Last: []chain.Entry{entry}}),
-		Entry("Addition", chain.Addition{Epoch: 1, Entry: entry}),
-		Entry("Vote", chain.Vote{Epoch: 1, Acceptor: view.Acceptor[chain.Proposal]{Promised: ballot1(), Accepted: ballot1(), Value: proposal}}),
+		Entry("Identity", chain.IdentityRecord{Member: view.Member{ID: 3, Name: "n", Address: "a", Zone: "z"}, Known: []string{"b", "c"}}),
+		Entry("Adoption", chain.ViewRecord{View: aView1(), State: aState1(), Committed: 9, Last: []chain.Entry{entry}}),
+		Entry("Addition", chain.EntryRecord{Epoch: 1, Entry: entry}),
+		Entry("Vote", chain.VoteRecord{Epoch: 1, Acceptor: view.Acceptor[chain.Proposal]{Promised: ballot1(), Accepted: ballot1(), Value: proposal}}),
 	)
 
 	It("is refused if it is no message", func() {
