--- a/admission/pauses.go
+++ b/admission/pauses.go
@@ -11,7 +11,7 @@
 // each window of successful calls (additive increase, multiplicative decrease).
 type ConcurrencyWindow float64
 
-// OnRefusal shrinks the window after a refusal that came while inFlight calls were in flight.
+// OnRefusal cuts the window to the calls in flight at a refusal and halves it.
 func (w *ConcurrencyWindow) OnRefusal(inFlight int) {
 	*w = min(*w, ConcurrencyWindow(inFlight))
 	w.Halve()
@@ -23,7 +23,7 @@
 // OnSuccess grows the window after a successful call.
 func (w *ConcurrencyWindow) OnSuccess() { *w += 1 / *w }
 
-// Backoff returns a pause that doubles with each n, at most maxDoublings times.
+// Backoff returns the base pause doubled n times, but at most maxDoublings times.
 func Backoff[T ~int64](base T, n, maxDoublings int) T { return base << min(n, maxDoublings) }
 
 // Jitter returns a pause times a factor between 1-spread and 1+spread, so that senders given the same pause do
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -202,7 +202,7 @@
 func TestManySendersShareTheRecoveryBudget(t *testing.T) {
 	sends := 0
 	for i := range uint64(200) {
-		h := newHarness(i*0x9e3779b97f4a7c15, Settings{"Instances": "200"}) // similar seeds start with similar numbers
+		h := newHarness(i*0x9e3779b97f4a7c15, Settings{"Instances": "200"}) // neighboring seeds start with similar numbers
 		h.step(func() {
 			h.sender.UpdateReceivers(false, []ReceiverEntry{{Receiver: 12, Destination: 1, State: Removed}})
 		})
@@ -580,12 +580,12 @@
 
 func TestInvalidSettings(t *testing.T) {
 	for name, value := range map[string]string{"Specifics.MaxCalls": "0", "Contract.FallUs": "-1", "RequestClasses.count": "x", "RegistryMode": "pull"} {
-		set := Settings{}
+		settings := Settings{}
 		for k, v := range testSettings {
-			set[k] = v
+			settings[k] = v
 		}
-		set[name] = value
-		if _, err := New(1, set, nil); err == nil {
+		settings[name] = value
+		if _, err := New(1, settings, nil); err == nil {
 			t.Errorf("%s=%s was accepted", name, value)
 		}
 	}
--- a/control/helper_test.go
+++ b/control/helper_test.go
@@ -157,12 +157,12 @@
 }
 
 // respond ends the attempt of a text.
-func (h *harness) respond(t *sentText, o Outcome, wait Time, report ...float64) {
-	p := h.receivers[t.receiver]
-	at := t.sentAt
+func (h *harness) respond(t *sentText, o Outcome, retryAfter Time, report ...float64) {
+	receiver := h.receivers[t.receiver]
+	sentAt := t.sentAt
 	t.receiver = 0
 	if !t.mayHaveRun && o != Refused && o != NoConnection && o != Unsent {
-		t.mayHaveRun, t.firstRunAt = true, at
+		t.mayHaveRun, t.firstRunAt = true, sentAt
 	}
 	if o == Delivered {
 		t.finished = true
@@ -170,23 +170,23 @@
 	if t.product == "ordered" && (o == NoAnswer || o == ConnectionLost || o == Cancelled) {
 		h.keyPausedUntil[t.key] = h.now + 3000
 	}
-	h.trackOutcome(p, o, wait, at)
+	h.trackOutcome(receiver, o, retryAfter, sentAt)
 	h.step(func() {
-		h.sender.HandleResult(t.id, t.attempts-1, Result{Outcome: o, Final: t.finished, Took: h.now - at, RetryAfter: wait, StaleConn: h.staleConn,
+		h.sender.HandleResult(t.id, t.attempts-1, Result{Outcome: o, Final: t.finished, Took: h.now - sentAt, RetryAfter: retryAfter, StaleConn: h.staleConn,
 			ConnLimitReached: h.connLimitReached && o == Refused, NotListening: h.notListening && o == NoConnection, Report: report})
 	})
 }
 
 // trackOutcome records what binds a sender after an outcome: Retry-After delays, and receivers that recover from failures.
-func (h *harness) trackOutcome(p *fakeReceiver, o Outcome, wait, at Time) {
+func (h *harness) trackOutcome(p *fakeReceiver, o Outcome, retryAfter, sentAt Time) {
 	if o == Refused || o == Errored || o == Delivered {
 		p.respondedAt = h.now
 	}
 	switch {
 	case o == Refused:
 		for _, q := range h.receivers {
-			if wait > 0 && (q == p || q.Destination == p.Destination && p.Kind != "apart") {
-				q.retryAfterUntil = max(q.retryAfterUntil, h.now+wait)
+			if retryAfter > 0 && (q == p || q.Destination == p.Destination && p.Kind != "apart") {
+				q.retryAfterUntil = max(q.retryAfterUntil, h.now+retryAfter)
 			}
 		}
 	case o == Delivered:
@@ -194,9 +194,9 @@
 			p.outage, p.recoveredAt, p.callTimes = false, h.now, nil
 		}
 		p.failing = false
-	case o == NoConnection && at > p.respondedAt: // otherwise only its connections are taken
-		p.outage = p.outage || p.failing && at != p.failedCallAt // the texts of one call count as one failure
-		p.failing, p.failedCallAt = true, at
+	case o == NoConnection && sentAt > p.respondedAt: // otherwise only its connections are taken
+		p.outage = p.outage || p.failing && sentAt != p.failedCallAt // the texts of one call count as one failure
+		p.failing, p.failedCallAt = true, sentAt
 	}
 }
 
--- a/control/interface.go
+++ b/control/interface.go
@@ -35,7 +35,7 @@
 	Key         string
 	Brand       string // owner, if brands have quotas; empty: none
 	Retry       bool   // the client hands it in once more
-	Returned    bool   // another sender failed while it held the text
+	Returned    bool   // another sender died while it held the text
 
 	Recovered bool // accepted before this process started
 
@@ -58,7 +58,7 @@
 // ReceiverEntry is one entry of the list of receivers.
 type ReceiverEntry struct {
 	Receiver    ReceiverID
-	Rate        float64 // calls per second that the destination takes; 0: not listed
+	Rate        float64 // calls per second that the destination takes; 0 if the list does not tell
 	Destination int64
 	Kind        string
 	Zone        string
--- a/control/listing.go
+++ b/control/listing.go
@@ -29,7 +29,7 @@
 	return Time(s.rng.Float64() * float64(admission.Backoff(spread, s.watchFailures, 2)))
 }
 
-// HandleWatchEnd retries after the list could not be asked or the watch ended; what was listed stays valid.
+// HandleWatchEnd schedules a new request after one failed or the watch ended; what was listed stays valid.
 func (s *Sender) HandleWatchEnd() {
 	s.watchFailures++
 	s.watchAt = s.now + 1 + s.watchDelay()
--- a/control/outages.go
+++ b/control/outages.go
@@ -39,7 +39,7 @@
 }
 
 // bucketInOutage reports whether refusals are an outage of all receivers that share the bucket: they, or a Retry-After
-// delay, last without a delivery for the time in which a cold destination is overloaded. After the last one, or the end
+// delay, last without a delivery for the time in which overload fails a cold destination. After the last one, or the end
 // of the delay, it ramps up like one that recovered then: else all senders given the same delay would return at once.
 func (s *Sender) bucketInOutage(b *bucket) bool {
 	last := max(b.refusedAt, b.retryAfterUntil)
--- a/control/outcomes.go
+++ b/control/outcomes.go
@@ -80,7 +80,8 @@
 	case Refused:
 		r.respondedAt = s.now
 		longRetryAfter := res.RetryAfter > s.duration("Contract.FallUs", 2*Second)
-		if b.limit == 0 || b.remaining >= 1 || longRetryAfter || res.ConnLimitReached { // not for its rate limit
+		if b.limit == 0 || b.remaining >= 1 || longRetryAfter || res.ConnLimitReached {
+			// Not for its rate limit: the receiver is down, or something else is full.
 			b.refusedSince, b.refusedAt = cmp.Or(b.refusedSince, s.now), s.now
 			if b.remainingShare >= 0.9 {
 				b.refusedBelowLimit = s.now
