--- a/coordination/chain/begin.go
+++ b/coordination/chain/begin.go
@@ -6,130 +6,132 @@
 	"emberquay/coordination/view"
 )
 
-// A first start that a loss of power interrupted. A first member writes its identity, which names the other first members,
-// and the first view with the empty state. If power goes before that is synced, a disk holds nothing, or the identity
-// alone, and the settings no longer say that the system starts for the first time. Such a node is unbegun. It asks all
-// first members what they hold, and becomes the first member that it was to be once every one of them has answered that it
-// is unbegun as well, or in the first view with the empty state and its epoch not sealed.
+// Recovery of an interrupted first start. A first member writes its identity, which names the other first members, and
+// the first view with the empty state. If power fails before that is synced, a disk holds nothing or only the identity,
+// while the settings no longer say that this is the first start. Such a node is uninitialized. It asks all first members
+// what they hold, and becomes the first member it was meant to be once each of them has answered that it is
+// uninitialized as well, or in the first view with the empty state and its epoch not sealed.
 //
-// Why nothing acknowledged can be lost by that. Let n first members have answered questions of this process. What is
-// acknowledged in epoch 1 is on the disks of all n; with nothing of it on any, n disks would have been lost. Epoch 2 needs
-// promises, which seal epoch 1 on a majority's disks; those have been lost since, and a member that answers although epoch 2
-// was decided was down or cut off when that was: again all n are lost at once. Both are more than is borne. The votes of
-// the member's earlier life belong to ballots whose proposer has sealed the epoch before its first message.
+// This cannot lose acknowledged entries. Let n first members have answered requests of this process. An entry acknowledged
+// in epoch 1 is on all n disks; if none has it, n disks were lost. Epoch 2 requires promises, which seal epoch 1 on the
+// disks of a majority; those disks must have been lost since, and a member that answers although epoch 2 was decided was
+// down or partitioned at that time: again all n are lost at once. Both exceed the tolerated failures. The member's own
+// lost votes belong to ballots whose proposer had sealed the epoch before it sent its first message.
 //
-// Where no disk holds an identity, nothing tells a first start from new machines that reach nobody but each other: these
-// wait, and the first start, of which no message ever left, is made again with Bootstrap.
+// If no disk holds an identity, a first start cannot be told from new machines that reach only each other. These nodes
+// wait, and the operator repeats the first start, of which no message was ever sent, with Bootstrap.
 
-// BootstrapProbe asks what a first member holds.
+// BootstrapProbe asks a first member what its disk holds.
 type BootstrapProbe struct{ Nonce int64 }
 
-// PristineReply answers BootstrapProbe: its sender is unbegun, or in the first view with nothing done.
+// PristineReply answers BootstrapProbe: the sender is uninitialized, or in the first view without any entry or promise.
 type PristineReply struct {
-	Nonce   int64    // of the question
-	Members []string // addresses of the first members, sorted; empty: the sender's disk does not tell
+	Nonce   int64    // of the probe
+	Members []string // addresses of the first members, sorted; empty if the sender's disk doesn't name them
 }
 
 func (BootstrapProbe) message() {}
 func (PristineReply) message()  {}
 
-// beginning is what an unbegun node knows of the first start; the zero value is that of any other node.
-type beginning struct {
-	unbegun bool
-	nonce   int64
-	members []string            // addresses of the first members, sorted; nil: not known yet
-	answers map[string][]string // PristineReply.Members, by the address of who answered
+// bootstrapState is what an uninitialized node knows of the first start; the zero value in any other node.
+type bootstrapState struct {
+	uninitialized bool
+	nonce         int64
+	firstMembers  []string            // addresses, sorted; nil: not known yet
+	replies       map[string][]string // PristineReply.Members by the address of the sender
 }
 
-// awaitBeginning makes this node an unbegun one. Members are told by its own disk, or nil.
-func (n *Node) awaitBeginning(members []string) {
-	n.beginning = beginning{unbegun: true, nonce: n.random.Int64(), members: members, answers: map[string][]string{}}
+// awaitBootstrap marks this node as uninitialized. The addresses of the first members come from its own disk; nil if it
+// doesn't name them.
+func (n *Node) awaitBootstrap(firstMembers []string) {
+	n.bootstrap = bootstrapState{uninitialized: true, nonce: n.random.Int64(), firstMembers: firstMembers, replies: map[string][]string{}}
 }
 
-// wasUnbegun says whether a disk with an identity, and no view, is that of a node that was never a member: one that was
-// removed remembers whom to ask, and has an id that it drew.
-func wasUnbegun(d *DurableState) bool {
+// isUninitialized reports whether a disk with an identity but without a view belongs to a node that was never a member. A
+// removed member stores the addresses to contact and has a random id.
+func isUninitialized(d *DurableState) bool {
 	return d.View.Epoch == 0 && (d.Member.ID == FirstMemberID(d.Member.Address) || len(d.Known) == 0)
 }
 
-// firstMembers are the addresses that the identity of a first member names, with its own; nil for another identity.
-func firstMembers(d *DurableState) []string {
+// firstMemberAddresses returns all addresses named by the identity of a first member, including its own; nil for any other
+// identity.
+func firstMemberAddresses(d *DurableState) []string {
 	if d.Member.ID != FirstMemberID(d.Member.Address) || len(d.Known) == 0 {
 		return nil
 	}
 	return sortedDistinct(append(slices.Clone(d.Known), d.Member.Address))
 }
 
-// untouched says whether this member is in the first view and nothing was ever done in it.
-func (n *Node) untouched() bool {
+// isPristine reports whether this member is in the first view, with no entry and no promise.
+func (n *Node) isPristine() bool {
 	return n.view.Epoch == 1 && n.sequence == 0 && !n.acceptor.Sealed()
 }
 
-// inquire asks all that may be first members, while this node is unbegun.
-func (n *Node) inquire() {
-	if !n.beginning.unbegun {
+// probeFirstMembers sends a probe to all possible first members while this node is uninitialized.
+func (n *Node) probeFirstMembers() {
+	if !n.bootstrap.uninitialized {
 		return
 	}
-	for _, address := range sortedDistinct(append(n.addresses(), n.beginning.members...)) {
+	for _, address := range sortedDistinct(append(n.addresses(), n.bootstrap.firstMembers...)) {
 		if address != n.self.Address {
-			n.send(Peer{Address: address}, BootstrapProbe{Nonce: n.beginning.nonce})
+			n.send(Peer{Address: address}, BootstrapProbe{Nonce: n.bootstrap.nonce})
 		}
 	}
 }
 
-func (n *Node) onInquire(from Peer, m BootstrapProbe) {
+func (n *Node) onBootstrapProbe(from Peer, m BootstrapProbe) {
 	switch {
-	case n.beginning.unbegun:
-		n.send(from, PristineReply{Nonce: m.Nonce, Members: n.beginning.members})
-	case n.untouched():
+	case n.bootstrap.uninitialized:
+		n.send(from, PristineReply{Nonce: m.Nonce, Members: n.bootstrap.firstMembers})
+	case n.isPristine():
 		n.send(from, PristineReply{Nonce: m.Nonce, Members: memberAddresses(n.view)})
 	}
 }
 
-func (n *Node) onUntouched(from Peer, m PristineReply) {
-	b := &n.beginning
-	if !b.unbegun || m.Nonce != b.nonce || len(m.Members) > view.MaxMembers {
+func (n *Node) onPristineReply(from Peer, m PristineReply) {
+	b := &n.bootstrap
+	if !b.uninitialized || m.Nonce != b.nonce || len(m.Members) > view.MaxMembers {
 		return
 	}
-	if len(b.answers) < 2*view.MaxMembers {
-		b.answers[from.Address] = m.Members
+	if len(b.replies) < 2*view.MaxMembers {
+		b.replies[from.Address] = m.Members
 	}
-	if b.members == nil && slices.Contains(m.Members, n.self.Address) {
-		b.members = sortedDistinct(m.Members)
+	if b.firstMembers == nil && slices.Contains(m.Members, n.self.Address) {
+		b.firstMembers = sortedDistinct(m.Members)
 	}
 	if b.complete(n.self.Address) {
-		n.beginFirst(firstView(b.members))
+		n.initializeFirstMember(firstView(b.firstMembers))
 	}
 }
 
-// complete says whether all other first members have answered, and name the same first members where they know them.
-func (b *beginning) complete(self string) bool {
-	if !slices.Contains(b.members, self) {
+// complete reports whether all other first members have replied, and name the same first members if they know them.
+func (b *bootstrapState) complete(self string) bool {
+	if !slices.Contains(b.firstMembers, self) {
 		return false
 	}
-	for _, address := range b.members {
-		told, answered := b.answers[address]
-		if address != self && (!answered || len(told) > 0 && !slices.Equal(told, b.members)) {
+	for _, address := range b.firstMembers {
+		reported, answered := b.replies[address]
+		if address != self && (!answered || len(reported) > 0 && !slices.Equal(reported, b.firstMembers)) {
 			return false
 		}
 	}
 	return true
 }
 
-// beginFirst begins as a first member, with the empty state.
-func (n *Node) beginFirst(first view.View) {
-	n.beginning = beginning{}
+// initializeFirstMember starts this node as a first member with the empty state.
+func (n *Node) initializeFirstMember(first view.View) {
+	n.bootstrap = bootstrapState{}
 	n.self.ID = FirstMemberID(n.self.Address)
-	n.view, n.known = first, first
-	n.rememberMembers()
-	n.persist(IdentityRecord{Member: n.self, Known: n.remembered})
+	n.view, n.newestView = first, first
+	n.rememberMemberAddresses()
+	n.persist(IdentityRecord{Member: n.self, Known: n.rememberedAddresses})
 	state := State{Epoch: 1, Full: true, Snapshot: n.machine.Snapshot()}
 	n.persist(ViewRecord{View: first, State: state})
-	n.meetMembers()
-	n.noteCommitted()
+	n.trackMembers()
+	n.publishCommitted()
 }
 
-// firstView is the first view of members at these addresses, which are sorted.
+// firstView returns the first view with members at the given sorted addresses.
 func firstView(addresses []string) view.View {
 	var members []view.Member
 	for _, address := range addresses {
@@ -138,7 +140,7 @@
 	return view.First(members)
 }
 
-// memberAddresses are the addresses of a view's members, sorted.
+// memberAddresses returns the sorted addresses of a view's members.
 func memberAddresses(v view.View) []string {
 	var all []string
 	for _, m := range v.Members {
--- a/coordination/chain/calls.go
+++ b/coordination/chain/calls.go
@@ -7,75 +7,77 @@
 	"emberquay/coordination/view"
 )
 
-// callAgainAfter is how long a call may be without an answer before it is sent again: a change takes the chain's syncs.
-const callAgainAfter = 400 * time.Millisecond
+// callResendAfter is how long a call may go unanswered before it is resent; a change takes a disk sync at each chain member.
+const callResendAfter = 400 * time.Millisecond
 
-// lostAfter is how long the oldest call of a node that is no member may be without an answer before all members of the view
-// it knows are asked for a newer one, and again each time it has passed: whoever the call went to may be gone, and nothing
-// else tells such a node. A change takes some 40 ms on a machine with a whole core.
-const lostAfter = 100 * time.Millisecond
+// viewRequestAfter is how long a call of a node that is not a member may go unanswered before the node asks all members of
+// the view it knows for a newer one, and the interval between such requests: the receiver of the call may be gone, and the
+// node has no other way to notice. A change takes some 40 ms on a machine with a whole core.
+const viewRequestAfter = 100 * time.Millisecond
 
-// noState is the Have of a Read whose sender has no committed state.
+// noState is the value of Read.Have if the sender has no committed state.
 const noState = -1
 
-// calls are the calls of this process that wait for an answer.
-type calls struct {
-	last    int64
-	pending map[int64]*call
-	turn    int           // of the addresses asked for a view
-	asked   time.Duration // when all members were last asked for a view
+// pendingCalls holds the calls of this process that wait for an answer.
+type pendingCalls struct {
+	lastNumber       int64
+	pending          map[int64]*pendingCall
+	addressIndex     int           // rotates through the addresses asked for a view
+	viewsRequestedAt time.Duration // when all members were last asked for a view
 }
 
-// call is a command or read of this process. It is sent again, under the same id, until it is answered or withdrawn: the
-// state knows its latest commands, so one that was carried out is not carried out again.
-type call struct {
+// pendingCall is a command or read of this process. It is resent under the same id until it is answered or abandoned. The
+// state contains the outcomes of recent commands, so a command that was applied is not applied again.
+type pendingCall struct {
 	number  int64
 	command []byte // nil: a read
 	after   int64
 	sends   int
-	sent    time.Duration
-	epoch   int64          // of the view that told where to send it
-	have    CommittedState // of a read: the state at hand
+	sentAt  time.Duration
+	epoch   int64          // of the view that determined the receiver
+	cached  CommittedState // of a read: the committed state available here
 }
 
-// Propose brings a command to the head; the Reply has the number. It is false if too many calls wait.
+// Propose submits a command to the head. The Reply carries the returned number. It returns false if too many calls wait.
 func (n *Node) Propose(now time.Duration, command []byte) (number int64, out Output, ok bool) {
-	return n.begin(now, &call{command: slices.Clip(append([]byte{}, command...)), after: n.knownCommit})
+	return n.startCall(now, &pendingCall{command: slices.Clip(append([]byte{}, command...)), after: n.knownCommitted})
 }
 
-// Read asks for a state that is no older than this call; the Reply has the number. It is false if too many calls wait.
+// Read requests a state no older than this call. The Reply carries the returned number. It returns false if too many calls
+// wait.
 func (n *Node) Read(now time.Duration) (number int64, out Output, ok bool) {
-	return n.begin(now, &call{})
+	return n.startCall(now, &pendingCall{})
 }
 
-// Abandon ends the waiting for a call; its fate stays open.
+// Abandon stops waiting for a call. A command may still be applied.
 func (n *Node) Abandon(number int64) { delete(n.calls.pending, number) }
 
-func (n *Node) begin(now time.Duration, c *call) (int64, Output, bool) {
+func (n *Node) startCall(now time.Duration, c *pendingCall) (int64, Output, bool) {
 	n.now = max(n.now, now)
-	if len(n.calls.pending) >= maxPending {
-		return 0, n.finish(), false
+	if len(n.calls.pending) >= maxPendingCalls {
+		return 0, n.takeOutput(), false
 	}
-	n.calls.last++
-	c.number = n.calls.last
+	n.calls.lastNumber++
+	c.number = n.calls.lastNumber
 	n.calls.pending[c.number] = c
-	n.submit(c)
-	return c.number, n.finish(), true
+	n.sendCall(c)
+	return c.number, n.takeOutput(), true
 }
 
-// submit sends a call to the head or tail of the newest view known.
-func (n *Node) submit(c *call) {
-	c.sent = n.now
+// sendCall sends a call to the head or tail of the newest known view.
+func (n *Node) sendCall(c *pendingCall) {
+	c.sentAt = n.now
 	v := n.View()
-	target, ok := n.target(v, c)
+	target, ok := n.callTarget(v, c)
 	if !ok {
-		n.askAround()
+		n.requestViewFromNext()
 		return
 	}
 	c.epoch = v.Epoch
-	id := CommandID{Process: n.process, Number: c.number}
-	if c.command != nil && !n.learnt {
-		// A command from one that knows of no commit would be too old wherever it is carried out late.
+	id := CommandID{Process: n.processID, Number: c.number}
+	if c.command != nil && !n.knowsCommitted {
+		// Without a known committed sequence, the command would be too old wherever it arrives late: ask for the sequence
+		// first.
 		if tail, ok := v.Tail(); ok {
 			n.sendMember(tail, Read{ID: id, Have: noState})
 		}
@@ -86,86 +88,86 @@
 		n.sendMember(target, Propose{ID: id, After: c.after, Command: c.command})
 		return
 	}
-	c.have = n.newest
-	have := c.have.Sequence
-	if c.have.Snapshot == nil {
+	c.cached = n.latestCommitted
+	have := c.cached.Sequence
+	if c.cached.Snapshot == nil {
 		have = noState
 	}
 	n.sendMember(target, Read{ID: id, Have: have})
 }
 
-// target is the head for a command. For a read it is this member if it is in the chain, or else the tail, which knows best
-// what is committed.
-func (n *Node) target(v view.View, c *call) (view.Member, bool) {
+// callTarget returns the head for a command. For a read it returns this member if it is in the chain, or else the tail,
+// which is the first to know what is committed.
+func (n *Node) callTarget(v view.View, c *pendingCall) (view.Member, bool) {
 	switch {
 	case c.command != nil:
 		return v.Head()
-	case v.ChainPosition(n.self.ID) >= 0 && n.member():
+	case v.ChainPosition(n.self.ID) >= 0 && n.isMember():
 		return n.self, true
 	}
 	return v.Tail()
 }
 
-// follow keeps the view of a node up to date that only forwards calls: no heartbeat tells it of another one.
-func (n *Node) follow() {
-	if n.settings.Voter || n.now-n.lastFollow < followEvery {
+// refreshView keeps the view of a node that only forwards calls up to date, as it receives no heartbeats.
+func (n *Node) refreshView() {
+	if n.settings.Voter || n.now-n.lastViewRefresh < viewRefreshInterval {
 		return
 	}
-	n.lastFollow = n.now
-	n.askAround()
+	n.lastViewRefresh = n.now
+	n.requestViewFromNext()
 }
 
-// askAround asks the next address for a newer view.
-func (n *Node) askAround() {
+// requestViewFromNext asks the next address in turn for a newer view.
+func (n *Node) requestViewFromNext() {
 	all := n.addresses()
 	if len(all) == 0 {
 		return
 	}
-	n.calls.turn++
-	n.send(Peer{Address: all[n.calls.turn%len(all)]}, ViewRequest{Epoch: n.View().Epoch})
+	n.calls.addressIndex++
+	n.send(Peer{Address: all[n.calls.addressIndex%len(all)]}, ViewRequest{Epoch: n.View().Epoch})
 }
 
-// findView asks all members for a newer view while a call of a node that is none of them has no answer.
-func (n *Node) findView() {
-	if n.member() || n.now-n.calls.asked < lostAfter {
+// requestViewForStalledCalls asks all members for a newer view if a call of a node that is not a member goes unanswered.
+func (n *Node) requestViewForStalledCalls() {
+	if n.isMember() || n.now-n.calls.viewsRequestedAt < viewRequestAfter {
 		return
 	}
 	for _, c := range n.calls.pending {
-		if n.now-c.sent >= lostAfter {
-			n.calls.asked = n.now
-			n.sendOthers(n.View(), ViewRequest{Epoch: n.View().Epoch})
+		if n.now-c.sentAt >= viewRequestAfter {
+			n.calls.viewsRequestedAt = n.now
+			n.sendToOthers(n.View(), ViewRequest{Epoch: n.View().Epoch})
 			return
 		}
 	}
 }
 
-// resendCalls sends calls again that got no answer; whoever they went to may be gone, so others are asked as well.
+// resendCalls resends unanswered calls. Their receivers may be gone, so another node is asked for a newer view as well.
 func (n *Node) resendCalls() {
 	late := false
-	for _, number := range n.sortedCalls() {
+	for _, number := range n.sortedCallNumbers() {
 		c := n.calls.pending[number]
-		if n.now-c.sent < callAgainAfter {
+		if n.now-c.sentAt < callResendAfter {
 			continue
 		}
 		late = late || c.epoch > 0
-		n.submit(c)
+		n.sendCall(c)
 	}
 	if late {
-		n.askAround()
+		n.requestViewFromNext()
 	}
 }
 
-// callAgain sends all calls to the head and tail of a view just heard of.
-func (n *Node) callAgain() {
+// resendCallsInNewView sends the calls that were sent in an older view to the head and tail of the newest one.
+func (n *Node) resendCallsInNewView() {
 	epoch := n.View().Epoch
-	for _, number := range n.sortedCalls() {
+	for _, number := range n.sortedCallNumbers() {
 		if c := n.calls.pending[number]; c != nil && c.epoch < epoch {
-			n.submit(c)
+			n.sendCall(c)
 		}
 	}
 }
 
-func (n *Node) sortedCalls() []int64 {
+func (n *Node) sortedCallNumbers() []int64 {
 	if len(n.calls.pending) == 0 {
 		return nil
 	}
@@ -177,47 +179,47 @@
 	return numbers
 }
 
-// mine finds the call that an answer is for.
-func (n *Node) mine(id CommandID) *call {
-	if id.Process != n.process {
+// findCall returns the pending call with the given id, or nil.
+func (n *Node) findCall(id CommandID) *pendingCall {
+	if id.Process != n.processID {
 		return nil
 	}
 	return n.calls.pending[id.Number]
 }
 
 func (n *Node) onResult(m ProposeResult) {
-	c := n.mine(m.ID)
+	c := n.findCall(m.ID)
 	if c == nil || c.command == nil {
 		return
 	}
-	n.learn(m.Sequence)
+	n.noteKnownCommitted(m.Sequence)
 	switch m.Verdict {
 	case ResultRetry:
-		n.moved(c)
+		n.retryCall(c)
 	case ResultTooOld:
-		n.tooOld(c, m.Sequence)
+		n.handleTooOld(c, m.Sequence)
 	default:
 		delete(n.calls.pending, c.number)
 		n.reply(Reply{Number: c.number, Changed: m.Verdict == ResultOK, Result: m.Result})
 	}
 }
 
-// moved sends a call on if another place is known by now, and otherwise soon: the right place may be about to learn of its
-// view.
-func (n *Node) moved(c *call) {
+// retryCall resends a call at once if a newer view is known by now, and otherwise soon: its receiver may be about to learn
+// of its view.
+func (n *Node) retryCall(c *pendingCall) {
 	if n.View().Epoch > c.epoch {
-		n.submit(c)
+		n.sendCall(c)
 		return
 	}
-	c.sent = n.now - callAgainAfter + busyEvery
+	c.sentAt = n.now - callResendAfter + busyTickInterval
 }
 
-// tooOld ends a call that may have been carried out before. One that was sent only once was not: its only copy has come
-// back.
-func (n *Node) tooOld(c *call, sequence int64) {
+// handleTooOld ends a call that may have been applied before. One that was sent only once was not applied, as its only
+// copy was rejected: it is sent again with a newer sequence.
+func (n *Node) handleTooOld(c *pendingCall, sequence int64) {
 	if c.sends == 1 {
 		c.after, c.sends = sequence, 0
-		n.submit(c)
+		n.sendCall(c)
 		return
 	}
 	delete(n.calls.pending, c.number)
@@ -225,36 +227,36 @@
 }
 
 func (n *Node) onReadResult(m ReadResult) {
-	c := n.mine(m.ID)
+	c := n.findCall(m.ID)
 	if c == nil || c.command != nil && c.sends > 0 {
 		return
 	}
 	if m.Verdict == ResultRetry {
-		n.moved(c)
+		n.retryCall(c)
 		return
 	}
-	n.learn(m.Sequence)
+	n.noteKnownCommitted(m.Sequence)
 	if c.command != nil {
-		c.after = n.knownCommit
-		n.submit(c)
+		c.after = n.knownCommitted
+		n.sendCall(c)
 		return
 	}
 	snapshot := m.Snapshot
 	if !m.Full {
-		if c.have.Snapshot == nil || c.have.Sequence != m.Sequence {
-			n.submit(c)
+		if c.cached.Snapshot == nil || c.cached.Sequence != m.Sequence {
+			n.sendCall(c)
 			return
 		}
-		snapshot = c.have.Snapshot
+		snapshot = c.cached.Snapshot
 	}
 	delete(n.calls.pending, c.number)
 	n.reply(Reply{Number: c.number, Epoch: m.Epoch, Sequence: m.Sequence, Snapshot: snapshot})
 }
 
-// learn notes that entries up to a sequence are committed.
-func (n *Node) learn(sequence int64) {
-	n.knownCommit = max(n.knownCommit, sequence)
-	n.learnt = true
+// noteKnownCommitted records that the entries up to sequence are committed.
+func (n *Node) noteKnownCommitted(sequence int64) {
+	n.knownCommitted = max(n.knownCommitted, sequence)
+	n.knowsCommitted = true
 }
 
-func (n *Node) reply(r Reply) { n.out.Replies = append(n.out.Replies, r) }
+func (n *Node) reply(r Reply) { n.output.Replies = append(n.output.Replies, r) }
--- a/coordination/chain/confirm.go
+++ b/coordination/chain/confirm.go
@@ -7,109 +7,109 @@
 	"emberquay/coordination/view"
 )
 
-// confirmation is the questions to the members whether the epoch is open. One round is under way at a time; a call that
-// comes during one waits for the next, which is asked after it came.
-type confirmation struct {
-	nonce    int64 // of the present round, or the last
-	active   bool
-	sent     time.Duration
-	answered map[view.MemberID]bool
-	waiters  []waiter
+// epochConfirmation asks the members to confirm that they have not sealed the epoch. One round runs at a time; a call that
+// arrives during a round waits for the next one, whose requests are sent after the call arrived.
+type epochConfirmation struct {
+	nonce       int64 // of the current or the last round
+	active      bool
+	sentAt      time.Duration
+	confirmedBy map[view.MemberID]bool
+	waiters     []waiter
 }
 
-// waiter is a refusal at the head, or a read at any of the chain.
+// waiter is a refusal at the head, or a read at any member of the chain.
 type waiter struct {
-	to     Peer
-	id     CommandID
-	read   bool
-	have   int64  // of a read
-	result []byte // of a refusal
-	nonce  int64  // of the round that answers it
-	open   bool   // the epoch was open
+	client    Peer
+	id        CommandID
+	read      bool
+	have      int64  // of a read, as in Read
+	result    []byte // of a refusal
+	nonce     int64  // of the round that confirms it
+	confirmed bool   // its round has confirmed the epoch
 }
 
-func (c *confirmation) waitsFor(id CommandID) bool {
+func (c *epochConfirmation) hasWaiter(id CommandID) bool {
 	return slices.ContainsFunc(c.waiters, func(w waiter) bool { return w.id == id })
 }
 
 func (n *Node) onRead(from Peer, m Read) {
 	if n.view.ChainPosition(n.self.ID) < 0 {
 		n.send(from, ReadResult{ID: m.ID, Verdict: ResultRetry, Epoch: n.View().Epoch})
-		n.hint(from)
+		n.sendViewNotice(from)
 		return
 	}
-	n.awaitConfirmation(waiter{to: from, id: m.ID, read: true, have: m.Have})
+	n.awaitConfirmation(waiter{client: from, id: m.ID, read: true, have: m.Have})
 }
 
 func (n *Node) awaitConfirmation(w waiter) {
-	c := &n.confirm
-	if len(c.waiters) >= maxWaiters || c.waitsFor(w.id) {
+	c := &n.confirmation
+	if len(c.waiters) >= maxWaiters || c.hasWaiter(w.id) {
 		return
 	}
 	w.nonce = c.nonce + 1
 	c.waiters = append(c.waiters, w)
 	if !c.active {
-		n.askMembers()
+		n.startConfirmation()
 	}
 }
 
-func (n *Node) askMembers() {
-	c := &n.confirm
+func (n *Node) startConfirmation() {
+	c := &n.confirmation
 	c.nonce++
 	c.active = true
-	c.sent = n.now
-	c.answered = map[view.MemberID]bool{}
+	c.sentAt = n.now
+	c.confirmedBy = map[view.MemberID]bool{}
 	for _, m := range n.view.Members {
 		n.sendMember(m, ConfirmEpoch{Epoch: n.view.Epoch, Nonce: c.nonce})
 	}
 }
 
-func (n *Node) resendConfirm() {
-	c := &n.confirm
-	if !c.active || n.now-c.sent < resendAfter {
+func (n *Node) resendConfirmEpoch() {
+	c := &n.confirmation
+	if !c.active || n.now-c.sentAt < resendAfter {
 		return
 	}
-	c.sent = n.now
+	c.sentAt = n.now
 	for _, m := range n.view.Members {
-		if !c.answered[m.ID] {
+		if !c.confirmedBy[m.ID] {
 			n.sendMember(m, ConfirmEpoch{Epoch: n.view.Epoch, Nonce: c.nonce})
 		}
 	}
 }
 
-func (n *Node) onConfirm(from Peer, m ConfirmEpoch) {
-	if n.sameEpoch(from, m.Epoch, true) && !n.acceptor.Sealed() {
+func (n *Node) onConfirmEpoch(from Peer, m ConfirmEpoch) {
+	if n.checkEpoch(from, m.Epoch, true) && !n.acceptor.Sealed() {
 		n.send(from, EpochConfirmed(m))
 	}
 }
 
-func (n *Node) onConfirmed(from Peer, m EpochConfirmed) {
-	c := &n.confirm
-	if !n.sameEpoch(from, m.Epoch, false) || !c.active || m.Nonce != c.nonce || c.answered[from.ID] {
+func (n *Node) onEpochConfirmed(from Peer, m EpochConfirmed) {
+	c := &n.confirmation
+	if !n.checkEpoch(from, m.Epoch, false) || !c.active || m.Nonce != c.nonce || c.confirmedBy[from.ID] {
 		return
 	}
-	c.answered[from.ID] = true
-	if len(c.answered) < n.view.Majority() {
+	c.confirmedBy[from.ID] = true
+	if len(c.confirmedBy) < n.view.Majority() {
 		return
 	}
 	c.active = false
 	for at := range c.waiters {
 		if c.waiters[at].nonce == c.nonce {
-			c.waiters[at].open = true
+			c.waiters[at].confirmed = true
 		}
 	}
-	n.releaseConfirmed()
-	if slices.ContainsFunc(c.waiters, func(w waiter) bool { return !w.open }) {
-		n.askMembers()
+	n.answerConfirmed()
+	if slices.ContainsFunc(c.waiters, func(w waiter) bool { return !w.confirmed }) {
+		n.startConfirmation()
 	}
 }
 
-// releaseConfirmed answers what was confirmed. Each of the chain has all acknowledged writes of its epoch; once all that it
-// has is known to be committed, that is the state.
-func (n *Node) releaseConfirmed() {
-	c := &n.confirm
+// answerConfirmed answers the waiters whose round is complete. Each chain member holds all acknowledged entries of its
+// epoch, so a read is answered with its state as soon as all its entries are known to be committed.
+func (n *Node) answerConfirmed() {
+	c := &n.confirmation
 	c.waiters = slices.DeleteFunc(c.waiters, func(w waiter) bool {
-		if !w.open || w.read && n.committed != n.sequence {
+		if !w.confirmed || w.read && n.committed != n.sequence {
 			return false
 		}
 		n.answerWaiter(w)
@@ -119,26 +119,26 @@
 
 func (n *Node) answerWaiter(w waiter) {
 	if !w.read {
-		n.send(w.to, ProposeResult{ID: w.id, Verdict: ResultRefused, Epoch: n.view.Epoch, Sequence: n.committed, Result: w.result})
+		n.send(w.client, ProposeResult{ID: w.id, Verdict: ResultRefused, Epoch: n.view.Epoch, Sequence: n.committed, Result: w.result})
 		return
 	}
-	answer := ReadResult{ID: w.id, Epoch: n.view.Epoch, Sequence: n.newest.Sequence}
+	answer := ReadResult{ID: w.id, Epoch: n.view.Epoch, Sequence: n.latestCommitted.Sequence}
 	if w.have != answer.Sequence {
-		answer.Full, answer.Snapshot = true, n.newest.Snapshot
+		answer.Full, answer.Snapshot = true, n.latestCommitted.Snapshot
 	}
-	n.send(w.to, answer)
+	n.send(w.client, answer)
 }
 
-// dropWaiters sends those who wait elsewhere: nothing of what they asked for has happened.
-func (n *Node) dropWaiters() {
-	c := &n.confirm
+// redirectWaiters asks the callers to retry elsewhere. None of these calls has changed the state.
+func (n *Node) redirectWaiters() {
+	c := &n.confirmation
 	waiters := c.waiters
 	c.active, c.waiters = false, nil
 	for _, w := range waiters {
 		if w.read {
-			n.send(w.to, ReadResult{ID: w.id, Verdict: ResultRetry, Epoch: n.View().Epoch})
+			n.send(w.client, ReadResult{ID: w.id, Verdict: ResultRetry, Epoch: n.View().Epoch})
 		} else {
-			n.send(w.to, ProposeResult{ID: w.id, Verdict: ResultRetry, Epoch: n.View().Epoch})
+			n.send(w.client, ProposeResult{ID: w.id, Verdict: ResultRetry, Epoch: n.View().Epoch})
 		}
 	}
 }
--- a/coordination/chain/conformance_test.go
+++ b/coordination/chain/conformance_test.go
@@ -10,18 +10,18 @@
 	. "github.com/onsi/gomega"
 )
 
-func is[M chain.Message](e chain.Envelope) bool {
+func isMessage[M chain.Message](e chain.Envelope) bool {
 	_, ok := e.Body.(M)
 	return ok
 }
 
 var _ = Describe("the first start", func() {
 	It("is epoch 1 with the seeds, on each disk before anything is sent", func() {
-		t := newTrio("a", "b", "c")
+		t := newTestCluster("a", "b", "c")
 		for _, name := range t.seeds {
 			Expect(t.nodes[name].View().Epoch).To(Equal(int64(1)))
 			Expect(t.nodes[name].View()).To(Equal(t.nodes["a"].View()))
-			Expect(addresses(t.nodes[name].View())).To(Equal([]string{"a", "b", "c"}))
+			Expect(chainAddresses(t.nodes[name].View())).To(Equal([]string{"a", "b", "c"}))
 			Expect(t.nodes[name].Self().ID).To(Equal(chain.FirstMemberID(name)))
 			Expect(t.disks[name][0]).To(BeAssignableToTypeOf(chain.IdentityRecord{}))
 			Expect(t.disks[name][1]).To(BeAssignableToTypeOf(chain.ViewRecord{}))
@@ -30,17 +30,17 @@
 	})
 
 	It("takes in who is no seed", func() {
-		t := newTrio("a", "b", "c")
+		t := newTestCluster("a", "b", "c")
 		t.start("d", true)
-		t.pass(time.Second)
-		Expect(addresses(t.view())).To(Equal([]string{"a", "b", "c", "d"}))
-		Expect(t.view().Initial).To(Equal(3))
+		t.runFor(time.Second)
+		Expect(chainAddresses(t.newestView())).To(Equal([]string{"a", "b", "c", "d"}))
+		Expect(t.newestView().Initial).To(Equal(3))
 		t.propose("d", 0, 5)
 		Expect(t.answers("d")).To(Equal([]int{1}))
 	})
 
 	It("works for one node alone", func() {
-		t := newTrio("a")
+		t := newTestCluster("a")
 		t.propose("a", 0, 5)
 		t.propose("a", 0, 6)
 		t.read("a")
@@ -49,17 +49,17 @@
 		t.start("a", false)
 		t.read("a")
 		t.propose("a", 1, 7)
-		t.pass(time.Second)
+		t.runFor(time.Second)
 		Expect(t.answers("a")[3:]).To(ConsistOf(101, 2))
 	})
 })
 
 var _ = Describe("a write", func() {
 	It("goes down the chain and its commit back up, each entry on the disk before it is passed on", func() {
-		t := newTrio("a", "b", "c")
+		t := newTestCluster("a", "b", "c")
 		since := len(t.sent)
 		t.propose("c", 0, 5)
-		Expect(t.kinds(since)).To(Equal([]string{
+		Expect(t.messageKinds(since)).To(Equal([]string{
 			"c->a chain.Propose", "a->b chain.Append", "b->c chain.Append",
 			"c->b chain.Ack", "b->a chain.Ack", "a->c chain.ProposeResult",
 		}))
@@ -72,52 +72,52 @@
 	})
 
 	It("comes alone: the next one waits for its commit", func() {
-		t := newTrio("a", "b", "c")
-		t.lost = is[chain.Append]
+		t := newTestCluster("a", "b", "c")
+		t.dropMessage = isMessage[chain.Append]
 		t.propose("a", 0, 5)
 		t.propose("b", 1, 6)
 		sequence, committed := t.nodes["a"].Progress()
 		Expect([]int64{sequence, committed}).To(Equal([]int64{1, 0}))
 		t.heal()
-		t.pass(300 * time.Millisecond)
+		t.runFor(300 * time.Millisecond)
 		Expect(t.answers("a")).To(Equal([]int{1}))
 		Expect(t.answers("b")).To(Equal([]int{2}))
 	})
 
 	DescribeTable("is answered once though messages are lost", func(lose func(chain.Envelope) bool) {
-		t := newTrio("a", "b", "c")
-		t.lost = lose
+		t := newTestCluster("a", "b", "c")
+		t.dropMessage = lose
 		t.propose("b", 0, 5)
 		Expect(t.answers("b")).To(BeEmpty())
 		t.heal()
-		t.pass(time.Second)
+		t.runFor(time.Second)
 		Expect(t.answers("b")).To(Equal([]int{1}))
-		Expect(t.view().Epoch).To(Equal(int64(1)))
+		Expect(t.newestView().Epoch).To(Equal(int64(1)))
 	},
-		Entry("to the head", is[chain.Propose]),
-		Entry("down the chain", is[chain.Append]),
-		Entry("up the chain", is[chain.Ack]),
-		Entry("to who asked", is[chain.ProposeResult]),
+		Entry("to the head", isMessage[chain.Propose]),
+		Entry("down the chain", isMessage[chain.Append]),
+		Entry("up the chain", isMessage[chain.Ack]),
+		Entry("to who asked", isMessage[chain.ProposeResult]),
 	)
 
 	It("that was carried out is not carried out again when it comes again", func() {
-		t := newTrio("a", "b", "c")
+		t := newTestCluster("a", "b", "c")
 		since := len(t.sent)
 		t.propose("b", 0, 5)
 		again := t.sent[since]
-		Expect(is[chain.Propose](again)).To(BeTrue())
+		Expect(isMessage[chain.Propose](again)).To(BeTrue())
 		out := t.nodes["a"].Step(t.now, again)
 		Expect(out.Persist).To(BeEmpty())
 		Expect(out.Send[0].Body.(chain.ProposeResult).Verdict).To(Equal(chain.ResultOK))
 	})
 
 	It("whose head dies is brought to the next one", func() {
-		t := newTrio("a", "b", "c")
-		t.lost = func(e chain.Envelope) bool { return is[chain.ProposeResult](e) }
+		t := newTestCluster("a", "b", "c")
+		t.dropMessage = func(e chain.Envelope) bool { return isMessage[chain.ProposeResult](e) }
 		t.propose("b", 0, 5)
 		t.stop("a")
 		t.heal()
-		t.pass(2 * time.Second)
+		t.runFor(2 * time.Second)
 		Expect(t.answers("b")).To(Equal([]int{1}))
 		Expect(t.head()).To(Equal("b"))
 		_, values := t.nodes["b"].Progress()
@@ -126,23 +126,23 @@
 })
 
 var _ = Describe("what a head took alone", func() {
-	var t *trio
+	var t *testCluster
 	BeforeEach(func() {
-		t = newTrio("a", "b", "c")
-		t.cutOff("a")
+		t = newTestCluster("a", "b", "c")
+		t.isolate("a")
 		t.propose("a", 0, 5)
-		t.pass(2 * time.Second)
+		t.runFor(2 * time.Second)
 		Expect(t.answers("a")).To(BeEmpty())
-		Expect(addresses(t.nodes["b"].View())).To(Equal([]string{"b", "c"}))
+		Expect(chainAddresses(t.nodes["b"].View())).To(Equal([]string{"b", "c"}))
 	})
 
 	It("is dropped for what the others took, and brought to their head", func() {
 		t.propose("c", 0, 6)
 		Expect(t.answers("c")).To(Equal([]int{1}))
 		t.heal()
-		t.pass(2 * time.Second)
+		t.runFor(2 * time.Second)
 		Expect(t.answers("a")).To(Equal([]int{-1}), "refused by the new head")
-		Expect(addresses(t.view())).To(Equal([]string{"b", "c", "a"}))
+		Expect(chainAddresses(t.newestView())).To(Equal([]string{"b", "c", "a"}))
 	})
 
 	It("is told to nobody as committed, also after a restart", func() {
@@ -153,7 +153,7 @@
 		sequence, committed := t.nodes["a"].Progress()
 		Expect([]int64{sequence, committed}).To(Equal([]int64{1, 0}))
 		t.heal()
-		t.pass(2 * time.Second)
+		t.runFor(2 * time.Second)
 		sequence, committed = t.nodes["a"].Progress()
 		Expect([]int64{sequence, committed}).To(Equal([]int64{0, 0}))
 	})
@@ -161,8 +161,8 @@
 
 var _ = Describe("an entry on some disks when all lose power", func() {
 	It("is committed once the chain is back", func() {
-		t := newTrio("a", "b", "c")
-		t.lost = func(e chain.Envelope) bool { return is[chain.Append](e) && e.To.Address == "c" }
+		t := newTestCluster("a", "b", "c")
+		t.dropMessage = func(e chain.Envelope) bool { return isMessage[chain.Append](e) && e.To.Address == "c" }
 		t.propose("b", 0, 5)
 		for _, name := range t.seeds {
 			t.stop(name)
@@ -171,21 +171,21 @@
 		for _, name := range t.seeds {
 			t.start(name, false)
 		}
-		t.pass(time.Second)
+		t.runFor(time.Second)
 		for _, name := range t.seeds {
 			sequence, committed := t.nodes[name].Progress()
 			Expect([]int64{sequence, committed}).To(Equal([]int64{1, 1}))
 		}
-		Expect(t.view().Epoch).To(Equal(int64(1)))
+		Expect(t.newestView().Epoch).To(Equal(int64(1)))
 	})
 
 	It("begins the next view if the rest of the chain is gone", func() {
-		t := newTrio("a", "b", "c")
-		t.lost = func(e chain.Envelope) bool { return is[chain.Append](e) && e.To.Address == "c" }
+		t := newTestCluster("a", "b", "c")
+		t.dropMessage = func(e chain.Envelope) bool { return isMessage[chain.Append](e) && e.To.Address == "c" }
 		t.propose("c", 0, 5)
 		t.stop("a")
 		t.heal()
-		t.pass(2 * time.Second)
+		t.runFor(2 * time.Second)
 		_, committed := t.nodes["c"].Progress()
 		Expect(committed).To(Equal(int64(1)))
 		Expect(t.answers("c")).To(Equal([]int{1}))
@@ -193,98 +193,98 @@
 })
 
 var _ = Describe("refusals and reads", func() {
-	DescribeTable("wait for a majority to say that the epoch is open", func(call func(*trio)) {
-		t := newTrio("a", "b", "c")
+	DescribeTable("wait for a majority to say that the epoch is open", func(call func(*testCluster)) {
+		t := newTestCluster("a", "b", "c")
 		t.propose("a", 0, 5)
-		t.lost = is[chain.EpochConfirmed]
+		t.dropMessage = isMessage[chain.EpochConfirmed]
 		call(t)
 		Expect(t.answers("a")).To(HaveLen(1))
 		t.heal()
-		t.pass(300 * time.Millisecond)
+		t.runFor(300 * time.Millisecond)
 		Expect(t.answers("a")).To(HaveLen(2))
 		Expect(t.answers("a")[1]).To(BeElementOf(-1, 101))
 	},
-		Entry("a refusal", func(t *trio) { t.propose("a", 0, 6) }),
-		Entry("a read", func(t *trio) { t.read("a") }),
+		Entry("a refusal", func(t *testCluster) { t.propose("a", 0, 6) }),
+		Entry("a read", func(t *testCluster) { t.read("a") }),
 	)
 
 	It("take an answer to their own question only", func() {
-		t := newTrio("a", "b", "c")
-		t.lost = is[chain.EpochConfirmed]
+		t := newTestCluster("a", "b", "c")
+		t.dropMessage = isMessage[chain.EpochConfirmed]
 		t.read("a") // its questions are answered, the answers on their way
 		since := len(t.sent)
 		t.read("a")
-		Expect(t.kinds(since)).To(BeEmpty(), "the second waits for a round of its own")
+		Expect(t.messageKinds(since)).To(BeEmpty(), "the second waits for a round of its own")
 		t.heal()
-		t.pass(300 * time.Millisecond)
+		t.runFor(300 * time.Millisecond)
 		Expect(t.answers("a")).To(Equal([]int{100, 100}))
 	})
 
 	It("are not given by a head that was left out", func() {
-		t := newTrio("a", "b", "c")
+		t := newTestCluster("a", "b", "c")
 		t.propose("a", 0, 5)
-		t.cutOff("a")
-		t.pass(2 * time.Second)
+		t.isolate("a")
+		t.runFor(2 * time.Second)
 		t.propose("b", 1, 6)
 		t.propose("a", 0, 7)
 		t.read("a")
-		t.pass(2 * time.Second)
+		t.runFor(2 * time.Second)
 		Expect(t.answers("a")).To(Equal([]int{1}))
 		t.heal()
-		t.pass(2 * time.Second)
+		t.runFor(2 * time.Second)
 		Expect(t.answers("a")).To(ConsistOf(1, -2, 102))
 	})
 
 	It("come to a node that is no member", func() {
-		t := newTrio("a", "b", "c")
+		t := newTestCluster("a", "b", "c")
 		t.propose("a", 0, 5)
 		t.start("visitor", false)
 		Expect(t.disks["visitor"]).To(BeEmpty())
 		t.propose("visitor", 0, 6)
 		t.read("visitor")
-		t.pass(time.Second)
+		t.runFor(time.Second)
 		Expect(t.answers("visitor")).To(ConsistOf(-1, 101))
 		Expect(t.nodes["visitor"].IsMember()).To(BeFalse())
-		Expect(t.view().HasMember(t.nodes["visitor"].Self().ID)).To(BeFalse())
+		Expect(t.newestView().HasMember(t.nodes["visitor"].Self().ID)).To(BeFalse())
 	})
 
 	It("are not needed for a node that is no member to know who votes", func() {
-		t := newTrio("a", "b", "c")
+		t := newTestCluster("a", "b", "c")
 		t.start("visitor", false)
-		t.pass(100 * time.Millisecond)
-		Expect(t.nodes["visitor"].View()).To(Equal(t.view()))
+		t.runFor(100 * time.Millisecond)
+		Expect(t.nodes["visitor"].View()).To(Equal(t.newestView()))
 		t.start("d", true)
-		t.pass(3 * time.Second)
-		Expect(t.view().Members).To(HaveLen(4))
-		Expect(t.nodes["visitor"].View()).To(Equal(t.view()))
+		t.runFor(3 * time.Second)
+		Expect(t.newestView().Members).To(HaveLen(4))
+		Expect(t.nodes["visitor"].View()).To(Equal(t.newestView()))
 		Expect(t.nodes["visitor"].IsMember()).To(BeFalse())
 	})
 
 	It("find a command of open fate too old", func() {
-		t := newTrio("a", "b", "c")
-		t.lost = is[chain.ProposeResult]
+		t := newTestCluster("a", "b", "c")
+		t.dropMessage = isMessage[chain.ProposeResult]
 		t.propose("b", 0, 5)
-		t.lost = func(e chain.Envelope) bool {
-			return is[chain.ProposeResult](e) && e.To.Address == "b" || is[chain.Propose](e) && e.From.Address == "b"
+		t.dropMessage = func(e chain.Envelope) bool {
+			return isMessage[chain.ProposeResult](e) && e.To.Address == "b" || isMessage[chain.Propose](e) && e.From.Address == "b"
 		}
 		for n := uint64(1); n < 300; n++ { // more than the state keeps outcomes of
 			t.propose("a", n, n)
 		}
 		t.heal()
-		t.pass(time.Second)
+		t.runFor(time.Second)
 		Expect(t.answers("b")).To(Equal([]int{0}))
 	})
 })
 
 var _ = Describe("a member that has promised", func() {
-	var t *trio
+	var t *testCluster
 	var b *chain.Node
 	var from, to chain.Peer
 	send := func(body chain.Message) chain.Output {
 		return b.Step(t.now, chain.Envelope{From: from, To: to, Body: body})
 	}
 	BeforeEach(func() {
-		t = newTrio("a", "b", "c")
+		t = newTestCluster("a", "b", "c")
 		t.propose("a", 0, 5)
 		b = t.nodes["b"]
 		from = chain.Peer{ID: chain.FirstMemberID("a"), Address: "a"}
@@ -307,7 +307,7 @@
 
 	It("takes no entry and confirms nothing", func() {
 		prepare(1, 1)
-		entry := chain.Entry{Sequence: 2, Command: command(1, 6)}
+		entry := chain.Entry{Sequence: 2, Command: encodeCommand(1, 6)}
 		Expect(send(chain.Append{Epoch: 1, Entry: entry, Committed: 1})).To(Equal(chain.Output{}))
 		Expect(send(chain.ConfirmEpoch{Epoch: 1, Nonce: 7})).To(Equal(chain.Output{}))
 	})
@@ -325,7 +325,7 @@
 	It("tells what it accepted, also after a restart", func() {
 		prepare(1, 1)
 		next := view.View{Epoch: 2, Initial: 3, Members: b.View().Members, Chain: b.View().Chain[:2]}
-		t.take("b", send(chain.Accept{Epoch: 1, Ballot: view.Ballot{Round: 1, Proposer: from.ID},
+		t.handleOutput("b", send(chain.Accept{Epoch: 1, Ballot: view.Ballot{Round: 1, Proposer: from.ID},
 			Value: chain.Proposal{View: next, State: chain.State{Epoch: 1, Sequence: 1}}}))
 		t.start("b", false)
 		b = t.nodes["b"]
@@ -336,10 +336,10 @@
 	})
 
 	It("sees to it that a view follows, if who asked is gone", func() {
-		t.take("b", prepare(1, 1))
-		t.waiting = nil
-		t.pass(3 * time.Second)
-		Expect(t.view().Epoch).To(BeNumerically(">", 1))
+		t.handleOutput("b", prepare(1, 1))
+		t.undelivered = nil
+		t.runFor(3 * time.Second)
+		Expect(t.newestView().Epoch).To(BeNumerically(">", 1))
 		t.propose("b", 1, 6)
 		Expect(t.answers("b")).To(Equal([]int{2}))
 	})
@@ -355,81 +355,81 @@
 
 var _ = Describe("members", func() {
 	It("leave out who is silent, and take it back", func() {
-		t := newTrio("a", "b", "c")
-		t.cutOff("b")
-		t.pass(1500 * time.Millisecond)
-		Expect(addresses(t.view())).To(Equal([]string{"a", "c"}))
+		t := newTestCluster("a", "b", "c")
+		t.isolate("b")
+		t.runFor(1500 * time.Millisecond)
+		Expect(chainAddresses(t.newestView())).To(Equal([]string{"a", "c"}))
 		t.propose("c", 0, 5)
 		Expect(t.answers("c")).To(Equal([]int{1}))
 		t.heal()
-		t.pass(time.Second)
-		Expect(addresses(t.view())).To(Equal([]string{"a", "c", "b"}))
+		t.runFor(time.Second)
+		Expect(chainAddresses(t.newestView())).To(Equal([]string{"a", "c", "b"}))
 		_, committed := t.nodes["b"].Progress()
 		Expect(committed).To(Equal(int64(1)))
 	})
 
 	It("never go on with less than a majority", func() {
-		t := newTrio("a", "b", "c")
+		t := newTestCluster("a", "b", "c")
 		t.stop("b")
 		t.stop("c")
-		t.pass(3 * time.Second)
-		Expect(t.view().Epoch).To(Equal(int64(1)))
+		t.runFor(3 * time.Second)
+		Expect(t.newestView().Epoch).To(Equal(int64(1)))
 		t.propose("a", 0, 5)
 		t.read("a")
-		t.pass(3 * time.Second)
+		t.runFor(3 * time.Second)
 		Expect(t.answers("a")).To(BeEmpty())
 	})
 
 	It("swap in the empty disk of a node", func() {
-		t := newTrio("a", "b", "c")
+		t := newTestCluster("a", "b", "c")
 		t.propose("a", 0, 5)
 		t.stop("b")
 		t.disks["b"] = nil
 		t.start("b", false)
 		Expect(t.nodes["b"].Self().ID).NotTo(Equal(chain.FirstMemberID("b")))
-		t.pass(1500 * time.Millisecond)
-		Expect(addresses(t.view())).To(ConsistOf("a", "b", "c"))
-		Expect(t.view().Members).To(HaveLen(3))
-		Expect(t.view().HasMember(chain.FirstMemberID("b"))).To(BeFalse())
+		t.runFor(1500 * time.Millisecond)
+		Expect(chainAddresses(t.newestView())).To(ConsistOf("a", "b", "c"))
+		Expect(t.newestView().Members).To(HaveLen(3))
+		Expect(t.newestView().HasMember(chain.FirstMemberID("b"))).To(BeFalse())
 		_, committed := t.nodes["b"].Progress()
 		Expect(committed).To(Equal(int64(1)))
 	})
 
 	It("swap another node for a dead one", func() {
-		t := newTrio("a", "b", "c")
+		t := newTestCluster("a", "b", "c")
 		t.stop("a")
-		t.pass(2 * time.Second)
+		t.runFor(2 * time.Second)
 		t.start("d", false)
-		t.pass(time.Second)
-		Expect(addresses(t.view())).To(Equal([]string{"b", "c", "d"}))
-		Expect(t.view().Members).To(HaveLen(3))
+		t.runFor(time.Second)
+		Expect(chainAddresses(t.newestView())).To(Equal([]string{"b", "c", "d"}))
+		Expect(t.newestView().Members).To(HaveLen(3))
 	})
 
 	DescribeTable("go on at once without one that resigns, which answers until then", func(name string, names ...string) {
-		t := newTrio(names...)
+		t := newTestCluster(names...)
 		t.propose(names[1], 0, 5)
-		t.pass(300 * time.Millisecond)
+		t.runFor(300 * time.Millisecond)
 		by := names[1]
 		if by == name {
 			by = names[2]
 		}
-		t.take(name, t.nodes[name].LeaveChain(t.now))
+		t.handleOutput(name, t.nodes[name].LeaveChain(t.now))
 		began := t.now
 		t.propose(name, 1, 6) // its own call goes on
 		for !t.nodes[name].HasLeftChain() && t.now-began < 5*time.Second {
-			t.pass(25 * time.Millisecond)
+			t.runFor(25 * time.Millisecond)
 		}
 		Expect(t.now - began).To(BeNumerically("<", 250*time.Millisecond))
 		Expect(t.answers(name)).To(ContainElement(2))
 		t.stop(name)
 		t.propose(by, 2, 7)
 		Expect(t.answers(by)).To(ContainElement(3))
-		Expect(addresses(t.view())).NotTo(ContainElement(name))
-		Expect(t.view().Members).To(HaveLen(len(names)), "it still votes: it comes back")
+		Expect(chainAddresses(t.newestView())).NotTo(ContainElement(name))
+		Expect(t.newestView().Members).To(HaveLen(len(names)), "it still votes: it comes back")
 
 		t.start(name, false)
-		t.pass(time.Second)
-		Expect(addresses(t.view())).To(ContainElement(name))
+		t.runFor(time.Second)
+		Expect(chainAddresses(t.newestView())).To(ContainElement(name))
 	},
 		Entry("the head", "a", "a", "b", "c"),
 		Entry("the middle", "b", "a", "b", "c"),
@@ -438,41 +438,41 @@
 	)
 
 	It("keep one that resigns where too few would be left", func() {
-		t := newTrio("a", "b", "c")
+		t := newTestCluster("a", "b", "c")
 		t.stop("c")
-		t.pass(2 * time.Second)
-		t.take("a", t.nodes["a"].LeaveChain(t.now))
-		t.pass(time.Second)
+		t.runFor(2 * time.Second)
+		t.handleOutput("a", t.nodes["a"].LeaveChain(t.now))
+		t.runFor(time.Second)
 		Expect(t.nodes["a"].HasLeftChain()).To(BeFalse())
-		Expect(addresses(t.view())).To(Equal([]string{"a", "b"}))
+		Expect(chainAddresses(t.newestView())).To(Equal([]string{"a", "b"}))
 		t.propose("b", 0, 5)
 		Expect(t.answers("b")).To(Equal([]int{1}), "it goes on meanwhile")
 	})
 
 	It("do not wait for those before them in the chain that are silent", func() {
-		t := newTrio("a", "b", "c")
+		t := newTestCluster("a", "b", "c")
 		t.stop("a")
 		began := t.now
 		t.propose("c", 0, 5)
 		for len(t.answers("c")) == 0 {
-			t.pass(25 * time.Millisecond)
+			t.runFor(25 * time.Millisecond)
 		}
 		Expect(t.now - began).To(BeNumerically("<=", view.SuspectAfter+100*time.Millisecond))
 	})
 
 	It("remove a dead one of four, which comes back as another", func() {
-		t := newTrio("a", "b", "c")
+		t := newTestCluster("a", "b", "c")
 		t.start("d", true)
-		t.pass(time.Second)
+		t.runFor(time.Second)
 		old := t.nodes["b"].Self().ID
-		t.cutOff("b")
-		t.pass(3 * time.Second)
-		Expect(t.view().Members).To(HaveLen(3))
+		t.isolate("b")
+		t.runFor(3 * time.Second)
+		Expect(t.newestView().Members).To(HaveLen(3))
 		t.propose("d", 0, 5)
 		t.heal()
-		t.pass(2 * time.Second)
-		Expect(t.view().Members).To(HaveLen(4))
-		Expect(addresses(t.view())).To(HaveLen(4))
+		t.runFor(2 * time.Second)
+		Expect(t.newestView().Members).To(HaveLen(4))
+		Expect(chainAddresses(t.newestView())).To(HaveLen(4))
 		Expect(t.nodes["b"].Self().ID).NotTo(Equal(old))
 		var durable chain.DurableState
 		for _, r := range t.disks["b"] {
@@ -483,23 +483,23 @@
 	})
 
 	It("that did not run for a time do not take the others for silent", func() {
-		t := newTrio("a", "b", "c")
+		t := newTestCluster("a", "b", "c")
 		t.now += 10 * time.Second
 		since := len(t.sent)
 		for _, name := range t.seeds {
-			t.take(name, t.nodes[name].Tick(t.now))
+			t.handleOutput(name, t.nodes[name].Tick(t.now))
 		}
 		t.deliver()
-		t.pass(time.Second)
-		Expect(t.kinds(since)).To(BeEmpty())
-		Expect(t.view().Epoch).To(Equal(int64(1)))
+		t.runFor(time.Second)
+		Expect(t.messageKinds(since)).To(BeEmpty())
+		Expect(t.newestView().Epoch).To(Equal(int64(1)))
 	})
 
 	It("send nothing but heartbeats while nothing happens", func() {
-		t := newTrio("a", "b", "c")
+		t := newTestCluster("a", "b", "c")
 		since := len(t.sent)
-		t.pass(10 * time.Second)
-		Expect(t.kinds(since)).To(BeEmpty())
+		t.runFor(10 * time.Second)
+		Expect(t.messageKinds(since)).To(BeEmpty())
 		Expect(len(t.sent) - since).To(BeNumerically("~", 3*2*50, 12))
 	})
 })
--- a/coordination/chain/contacts.go
+++ b/coordination/chain/contacts.go
@@ -8,23 +8,23 @@
 	"emberquay/coordination/view"
 )
 
-// contact is what is known of another node.
-type contact struct {
-	heard    time.Duration                   // when it last said anything
-	reported map[view.MemberID]time.Duration // whom it said it hears, and when
-	assumed  time.Duration                   // when it is taken to have heard those whom it never named
-	epoch    int64                           // as it last told
-	leaving  bool                            // it said that it is about to stop, and has sent no heartbeat since
+// peerState is what this node knows of another one.
+type peerState struct {
+	lastHeard       time.Duration                   // when its last message arrived
+	reportedHearing map[view.MemberID]time.Duration // which members it reported as heard, and when
+	assumedHearing  time.Duration                   // when it is assumed to have heard members it never reported
+	epoch           int64                           // as in its latest message
+	leavingChain    bool                            // it announced that it is about to stop, and has sent no heartbeat since
 }
 
-// never is before any time of a node.
-const never = time.Duration(math.MinInt64 / 2)
+// neverHeard precedes every time a node uses.
+const neverHeard = time.Duration(math.MinInt64 / 2)
 
-// meetMembers takes up the members of a new view; until they are silent for a time they are taken to be there.
-func (n *Node) meetMembers() {
+// trackMembers starts to track the members of a new view. They count as alive until they have been silent for a while.
+func (n *Node) trackMembers() {
 	for _, m := range n.view.Members {
-		if n.contacts[m.ID] == nil {
-			n.contacts[m.ID] = &contact{heard: n.now, reported: map[view.MemberID]time.Duration{}, assumed: n.now}
+		if n.peers[m.ID] == nil {
+			n.peers[m.ID] = &peerState{lastHeard: n.now, reportedHearing: map[view.MemberID]time.Duration{}, assumedHearing: n.now}
 		}
 		delete(n.joining, m.ID)
 	}
@@ -32,86 +32,87 @@
 		_, joins := n.joining[id]
 		return !joins && !n.view.HasMember(id)
 	}
-	for id, c := range n.contacts {
+	for id, c := range n.peers {
 		if gone(id) {
-			delete(n.contacts, id)
+			delete(n.peers, id)
 			continue
 		}
-		maps.DeleteFunc(c.reported, func(id view.MemberID, _ time.Duration) bool { return gone(id) })
+		maps.DeleteFunc(c.reportedHearing, func(id view.MemberID, _ time.Duration) bool { return gone(id) })
 	}
 }
 
-// excuseSilence forgets what was not heard while this process did not run.
-func (n *Node) excuseSilence(now time.Duration) {
-	for _, c := range n.contacts {
-		c.heard, c.assumed = now, now
-		clear(c.reported)
+// resetSilence discards the silence measured while this process was suspended.
+func (n *Node) resetSilence(now time.Duration) {
+	for _, c := range n.peers {
+		c.lastHeard, c.assumedHearing = now, now
+		clear(c.reportedHearing)
 	}
-	n.wanted = wanted{}
+	n.planned = plannedChange{}
 }
 
-func (n *Node) hear(from Peer) {
-	if c := n.contacts[from.ID]; c != nil {
-		c.heard = n.now
+func (n *Node) noteHeard(from Peer) {
+	if c := n.peers[from.ID]; c != nil {
+		c.lastHeard = n.now
 	}
 }
 
-func (n *Node) heardLately() []view.MemberID {
+func (n *Node) recentlyHeard() []view.MemberID {
 	var heard []view.MemberID
-	for _, id := range sortedKeys(n.contacts) {
-		if id != n.self.ID && n.now-n.contacts[id].heard < heardWithin {
+	for _, id := range sortedKeys(n.peers) {
+		if id != n.self.ID && n.now-n.peers[id].lastHeard < recentlyHeardWithin {
 			heard = append(heard, id)
 		}
 	}
 	return heard
 }
 
-// contacts makes a node the view.Connectivity of its own plans.
-type contacts struct{ *Node }
+// connectivity implements view.Connectivity from what a node knows.
+type connectivity struct{ *Node }
 
-// SilentFor is how long a member has said nothing.
-func (c contacts) SilentFor(id view.MemberID) time.Duration {
+// SilentFor returns how long nothing was received from a member.
+func (c connectivity) SilentFor(id view.MemberID) time.Duration {
 	if id == c.self.ID {
 		return 0
 	}
-	if other := c.contacts[id]; other != nil {
-		return c.now - other.heard
+	if other := c.peers[id]; other != nil {
+		return c.now - other.lastHeard
 	}
 	return math.MaxInt64
 }
 
-// Hears says whether one hears the other. One that is about to stop counts as silent: the chain is to do without it.
-func (c contacts) Hears(by, of view.MemberID) bool {
+// Hears reports whether one member hears the other. A member that is about to stop counts as silent, so that the chain is
+// planned without it.
+func (c connectivity) Hears(by, of view.MemberID) bool {
 	if c.isLeaving(by) || c.isLeaving(of) {
 		return false
 	}
 	if by == c.self.ID {
 		return c.SilentFor(of) < view.SuspectAfter
 	}
-	other := c.contacts[by]
+	other := c.peers[by]
 	if other == nil || c.SilentFor(by) >= view.SuspectAfter {
 		return false
 	}
-	at, ok := other.reported[of]
+	at, ok := other.reportedHearing[of]
 	if !ok {
-		at = other.assumed
+		at = other.assumedHearing
 	}
 	return c.now-at < view.SuspectAfter
 }
 
-func (c contacts) isLeaving(id view.MemberID) bool {
-	other := c.contacts[id]
-	return other != nil && other.leaving
+func (c connectivity) isLeaving(id view.MemberID) bool {
+	other := c.peers[id]
+	return other != nil && other.leavingChain
 }
 
-// HasInstalled says whether a member has told that it adopted the present view.
-func (c contacts) HasInstalled(id view.MemberID) bool {
-	other := c.contacts[id]
+// HasInstalled reports whether a member has announced that it installed the current view.
+func (c connectivity) HasInstalled(id view.MemberID) bool {
+	other := c.peers[id]
 	return other != nil && other.epoch == c.view.Epoch
 }
 
-// Joining are the nodes that ask to join, by their ids.
-func (c contacts) Joining() []view.Member {
+// Joining returns the nodes that ask to join, sorted by id.
+func (c connectivity) Joining() []view.Member {
 	var all []view.Member
 	for _, id := range sortedKeys(c.joining) {
 		if c.SilentFor(id) < view.SuspectAfter {
--- a/coordination/chain/foreign_test.go
+++ b/coordination/chain/foreign_test.go
@@ -12,24 +12,24 @@
 // name it alone.
 func TestADiskOfAnotherClusterIsNotTakenOver(t *testing.T) {
 	RegisterTestingT(t)
-	other := newTrio("a", "b", "c")
+	other := newTestCluster("a", "b", "c")
 	other.propose("a", 0, 111)
 	other.stop("c") // the others go on in a later view
-	other.pass(3 * time.Second)
+	other.runFor(3 * time.Second)
 	other.propose("a", 1, 112)
 	foreign := other.disks["a"]
 
-	here := newTrio("a", "b", "c")
+	here := newTestCluster("a", "b", "c")
 	here.propose("a", 0, 7)
 	here.stop("a")
 	here.disks["a"] = foreign
 	here.start("a", false)
-	here.pass(5 * time.Second)
+	here.runFor(5 * time.Second)
 	here.read("b")
-	here.pass(time.Second)
+	here.runFor(time.Second)
 	replies := here.replies["b"]
 	Expect(replies).NotTo(BeEmpty())
-	values, err := parse(replies[len(replies)-1].Snapshot)
+	values, err := parseSnapshot(replies[len(replies)-1].Snapshot)
 	Expect(err).NotTo(HaveOccurred())
 	Expect(values).To(Equal([]uint64{7}))
 }
--- a/coordination/chain/machine.go
+++ b/coordination/chain/machine.go
@@ -4,43 +4,43 @@
 	"emberquay/coordination/view"
 )
 
-// StateMachine is what is replicated. It is deterministic. A command that changes nothing is a refusal (or a question); a
-// command refused in one state has to be refused in all that follow it, as a change on top of a version that only rises
-// is: a command may arrive twice.
+// StateMachine is the replicated state machine. It must be deterministic. A command that changes nothing is a refusal or a
+// query. Commands may arrive twice, so a command refused in one state has to be refused in all later states; a
+// conditional update on a version that only increases has this property.
 type StateMachine interface {
-	// Apply carries out a command. Without a change the state is as before.
+	// Apply executes a command. If it reports no change, the state is the same as before.
 	Apply(command []byte) (result []byte, changed bool)
-	// Snapshot gives the whole state; the bytes are not changed later.
+	// Snapshot returns the whole state; the returned bytes are never modified afterwards.
 	Snapshot() []byte
-	// Restore takes the whole state.
+	// Restore replaces the whole state.
 	Restore(snapshot []byte) error
 }
 
-// CommandID names a command for good: the process that proposed it, and its number there.
+// CommandID identifies a command permanently: the process that proposed it and the number it gave the command.
 type CommandID struct {
 	Process int64
 	Number  int64
 }
 
-// Entry is one change on its way down the chain.
+// Entry is one state change of the replicated log.
 type Entry struct {
 	Sequence int64
 	ID       CommandID
 	Command  []byte
 }
 
-// Outcome is what a change came to. The latest are part of the state, so a command that is sent again is known.
+// Outcome is the result of an applied command. The most recent outcomes are part of the state, to detect duplicates.
 type Outcome struct {
 	ID       CommandID
 	Sequence int64
 	Result   []byte
 }
 
-// maxRecent bounds the outcomes that are kept: more than a member may lag behind between two heartbeats, as a command
-// that was sent twice from further behind has an open fate.
-const maxRecent = 256
+// maxRecentOutcomes limits the outcomes kept. It exceeds the number of entries that a member may lag behind between two
+// heartbeats; a resent command that is further behind cannot be told from an applied one, and its fate stays unknown.
+const maxRecentOutcomes = 256
 
-// State is the state after an entry of an epoch. Without Full only its place is told: the receiver has it.
+// State is the state after an entry of an epoch. Without Full it only identifies a state that the receiver already has.
 type State struct {
 	Epoch    int64
 	Sequence int64
@@ -49,7 +49,7 @@
 	Recent   []Outcome
 }
 
-// Proposal is what the members of one epoch decide on: the next view and the state that it begins with.
+// Proposal is the value decided by the members of one epoch: the next view and its initial state.
 type Proposal struct {
 	View  view.View
 	State State
--- a/coordination/chain/members.go
+++ b/coordination/chain/members.go
@@ -8,27 +8,27 @@
 	"emberquay/coordination/view"
 )
 
-// beat sends heartbeats, or asks to join, when it is time.
-func (n *Node) beat() {
-	if !n.settings.Voter || n.now-n.lastBeat < heartbeatEvery {
+// sendHeartbeats sends heartbeats, or requests to join, when they are due.
+func (n *Node) sendHeartbeats() {
+	if !n.settings.Voter || n.now-n.lastHeartbeat < heartbeatInterval {
 		return
 	}
-	n.lastBeat = n.now
+	n.lastHeartbeat = n.now
 	n.expireJoining()
-	if !n.member() {
-		n.askToJoin()
-		n.inquire()
+	if !n.isMember() {
+		n.sendJoinRequests()
+		n.probeFirstMembers()
 		return
 	}
-	if n.leaving {
-		n.sendOthers(n.view, LeavingChain{Epoch: n.view.Epoch})
+	if n.leavingChain {
+		n.sendToOthers(n.view, LeavingChain{Epoch: n.view.Epoch})
 		return
 	}
-	n.sendOthers(n.view, Heartbeat{Epoch: n.view.Epoch, Committed: n.committed, Heard: n.heardLately()})
+	n.sendToOthers(n.view, Heartbeat{Epoch: n.view.Epoch, Committed: n.committed, Heard: n.recentlyHeard()})
 }
 
-// sendOthers sends to all members of a view but this one.
-func (n *Node) sendOthers(v view.View, body Message) {
+// sendToOthers sends a message to all members of a view except this one.
+func (n *Node) sendToOthers(v view.View, body Message) {
 	for _, m := range v.Members {
 		if m.ID != n.self.ID {
 			n.sendMember(m, body)
@@ -36,190 +36,192 @@
 	}
 }
 
-// LeaveChain tells the others that this process is about to stop: they leave it out of the chain by a view that this member
-// still takes part in, so that nothing has to wait until its silence is noticed. It answers all that comes meanwhile;
-// HasLeftChain says when it may go.
+// LeaveChain announces that this process is about to stop. The others then decide on a view without this member in the
+// chain, in which it still takes part, so that nothing waits for its silence to be noticed. The member keeps answering
+// until HasLeftChain reports that it may stop.
 func (n *Node) LeaveChain(now time.Duration) Output {
 	n.now = max(n.now, now)
-	n.leaving = true
-	if n.settings.Voter && n.member() {
-		n.lastBeat = n.now
-		n.sendOthers(n.view, LeavingChain{Epoch: n.view.Epoch})
+	n.leavingChain = true
+	if n.settings.Voter && n.isMember() {
+		n.lastHeartbeat = n.now
+		n.sendToOthers(n.view, LeavingChain{Epoch: n.view.Epoch})
 	}
-	return n.finish()
+	return n.takeOutput()
 }
 
-// HasLeftChain says whether the chain does without this member. One whose absence would leave too few stays in it.
-func (n *Node) HasLeftChain() bool { return !n.member() || n.view.ChainPosition(n.self.ID) < 0 }
+// HasLeftChain reports whether the chain works without this member. A member stays in the chain if too few would be left.
+func (n *Node) HasLeftChain() bool { return !n.isMember() || n.view.ChainPosition(n.self.ID) < 0 }
 
-// onLeave notes that a member is about to stop. Its next heartbeat, of the process that follows, ends that.
-func (n *Node) onLeave(from Peer, m LeavingChain) {
-	if c := n.contacts[from.ID]; c != nil {
-		c.leaving, c.epoch = true, m.Epoch
+// onLeavingChain records that a member is about to stop. The first heartbeat of its next process clears this.
+func (n *Node) onLeavingChain(from Peer, m LeavingChain) {
+	if c := n.peers[from.ID]; c != nil {
+		c.leavingChain, c.epoch = true, m.Epoch
 	}
-	n.sameEpoch(from, m.Epoch, true)
+	n.checkEpoch(from, m.Epoch, true)
 }
 
 func (n *Node) onHeartbeat(from Peer, m Heartbeat) {
-	if c := n.contacts[from.ID]; c != nil {
-		c.epoch, c.leaving = m.Epoch, false
+	if c := n.peers[from.ID]; c != nil {
+		c.epoch, c.leavingChain = m.Epoch, false
 		for _, id := range m.Heard {
 			if _, joins := n.joining[id]; joins || n.view.HasMember(id) {
-				c.reported[id] = n.now
+				c.reportedHearing[id] = n.now
 			}
 		}
 	}
-	n.knownCommit = max(n.knownCommit, m.Committed)
-	if n.sameEpoch(from, m.Epoch, true) {
+	n.knownCommitted = max(n.knownCommitted, m.Committed)
+	if n.checkEpoch(from, m.Epoch, true) {
 		n.commitTo(min(m.Committed, n.sequence))
 	}
 }
 
-// sameEpoch says whether a message is from a member of this view, in this view. One from a later epoch is asked for it;
-// one from an earlier is told, if it wants to go on.
-func (n *Node) sameEpoch(from Peer, epoch int64, tell bool) bool {
+// checkEpoch reports whether a message is from a member of this view and from this epoch. For a later epoch it requests
+// the view from the sender; for an earlier one it sends the sender a notice of this view, if notifySender is set.
+func (n *Node) checkEpoch(from Peer, epoch int64, notifySender bool) bool {
 	switch {
 	case epoch > n.view.Epoch:
-		n.ask(from)
+		n.requestView(from)
 		return false
 	case epoch < n.view.Epoch:
-		if tell {
-			n.hint(from)
+		if notifySender {
+			n.sendViewNotice(from)
 		}
 		return false
 	}
 	return n.view.HasMember(from.ID)
 }
 
-// ask asks for a later view, not more often than an answer takes.
-func (n *Node) ask(from Peer) {
-	if n.now-n.lastAsk < busyEvery {
+// requestView requests a later view, at most once per busyTickInterval so that an answer can arrive first.
+func (n *Node) requestView(from Peer) {
+	if n.now-n.lastViewRequest < busyTickInterval {
 		return
 	}
-	n.lastAsk = n.now
+	n.lastViewRequest = n.now
 	n.send(from, ViewRequest{Epoch: n.view.Epoch})
 }
 
-func (n *Node) hint(to Peer) {
+func (n *Node) sendViewNotice(to Peer) {
 	if v := n.View(); v.Epoch > 0 {
-		n.send(to, ViewNotice{View: v, Committed: n.knownCommit})
+		n.send(to, ViewNotice{View: v, Committed: n.knownCommitted})
 	}
 }
 
-func (n *Node) onAsk(from Peer, m ViewRequest) {
+func (n *Node) onViewRequest(from Peer, m ViewRequest) {
 	if n.view.Epoch > m.Epoch && n.view.HasMember(from.ID) {
 		n.send(from, InstallView{View: n.view, State: n.fullState(), Committed: n.committed})
 		return
 	}
-	n.hint(from)
+	n.sendViewNotice(from)
 }
 
-// onHint learns of a view. One without this member means that it was removed: it may only come back as a new one.
-func (n *Node) onHint(from Peer, m ViewNotice) {
-	n.knownCommit = max(n.knownCommit, m.Committed)
-	if m.View.HasMember(from.ID) && !n.member() {
-		n.meet(from.ID)
+// onViewNotice handles the notice of a view. If the view doesn't contain this member, it was removed and may only return
+// as a new member.
+func (n *Node) onViewNotice(from Peer, m ViewNotice) {
+	n.knownCommitted = max(n.knownCommitted, m.Committed)
+	if m.View.HasMember(from.ID) && !n.isMember() {
+		n.trackAnsweringMember(from.ID)
 	}
 	if m.View.Epoch <= n.View().Epoch {
-		if !n.member() && m.View.HasMember(n.self.ID) {
-			n.ask(from)
+		if !n.isMember() && m.View.HasMember(n.self.ID) {
+			n.requestView(from)
 		}
 		return
 	}
-	n.known = m.View
+	n.newestView = m.View
 	switch {
 	case m.View.HasMember(n.self.ID):
-		n.ask(from)
-	case n.member():
-		n.forget()
+		n.requestView(from)
+	case n.isMember():
+		n.becomeNewMember()
 	}
-	n.callAgain()
+	n.resendCallsInNewView()
 }
 
-// meet notes that a member answers, for a node that wants to join. The members are told soon whom it hears.
-func (n *Node) meet(id view.MemberID) {
-	if c := n.contacts[id]; c != nil {
-		c.heard = n.now
+// trackAnsweringMember records that a member answers this node, which wants to join, and soon sends the members an updated
+// list of those it hears.
+func (n *Node) trackAnsweringMember(id view.MemberID) {
+	if c := n.peers[id]; c != nil {
+		c.lastHeard = n.now
 		return
 	}
-	if len(n.contacts) >= 2*view.MaxMembers {
+	if len(n.peers) >= 2*view.MaxMembers {
 		return
 	}
-	n.contacts[id] = &contact{heard: n.now, reported: map[view.MemberID]time.Duration{}, assumed: n.now}
-	n.lastBeat = min(n.lastBeat, n.now-heartbeatEvery+busyEvery)
+	n.peers[id] = &peerState{lastHeard: n.now, reportedHearing: map[view.MemberID]time.Duration{}, assumedHearing: n.now}
+	n.lastHeartbeat = min(n.lastHeartbeat, n.now-heartbeatInterval+busyTickInterval)
 }
 
-// forget makes this node a new one, with nothing of the state and the votes of the member that it was.
-func (n *Node) forget() {
-	if n.known.Epoch < n.view.Epoch {
-		n.known = n.view
+// becomeNewMember gives this node a new id, and discards the state and votes of the member that it was.
+func (n *Node) becomeNewMember() {
+	if n.newestView.Epoch < n.view.Epoch {
+		n.newestView = n.view
 	}
-	n.leaveView()
-	n.rememberMembers()
-	n.beginning = beginning{}
-	n.self.ID = n.newID()
-	n.persist(IdentityRecord{Member: n.self, Known: n.remembered})
+	n.endView()
+	n.rememberMemberAddresses()
+	n.bootstrap = bootstrapState{}
+	n.self.ID = n.newMemberID()
+	n.persist(IdentityRecord{Member: n.self, Known: n.rememberedAddresses})
 	n.view = view.View{}
 	n.acceptor = view.Acceptor[Proposal]{}
-	n.sequence, n.committed, n.recent, n.last = 0, 0, nil, nil
-	clear(n.contacts)
+	n.sequence, n.committed, n.recent, n.newestEntry = 0, 0, nil, nil
+	clear(n.peers)
 	clear(n.joining)
 }
 
-// rememberMembers keeps the addresses of the newest view known: the seeds may all be gone when this node starts again.
-func (n *Node) rememberMembers() {
-	n.remembered = nil
-	for _, m := range n.known.Members {
+// rememberMemberAddresses keeps the addresses of the newest known view: all seeds may be gone when this node restarts.
+func (n *Node) rememberMemberAddresses() {
+	n.rememberedAddresses = nil
+	for _, m := range n.newestView.Members {
 		if m.Address != n.self.Address {
-			n.remembered = append(n.remembered, m.Address)
+			n.rememberedAddresses = append(n.rememberedAddresses, m.Address)
 		}
 	}
 }
 
-// leaveView ends what belonged to the present view.
-func (n *Node) leaveView() {
-	n.attempt, n.wanted, n.highest, n.retryAt = nil, wanted{}, 0, 0
-	n.dropWaiters()
-	if n.flight != (flight{}) {
-		n.send(n.flight.to, ProposeResult{ID: n.flight.id, Verdict: ResultRetry, Epoch: n.view.Epoch})
-		n.flight = flight{}
+// endView discards what belongs to the current view.
+func (n *Node) endView() {
+	n.attempt, n.planned, n.highestRound, n.retryAt = nil, plannedChange{}, 0, 0
+	n.redirectWaiters()
+	if n.inFlight != (inFlightCommand{}) {
+		n.send(n.inFlight.client, ProposeResult{ID: n.inFlight.id, Verdict: ResultRetry, Epoch: n.view.Epoch})
+		n.inFlight = inFlightCommand{}
 	}
-	n.dropQueue()
+	n.redirectQueue()
 }
 
-func (n *Node) dropQueue() {
-	queue := n.queue
-	n.queue = nil
+func (n *Node) redirectQueue() {
+	queue := n.commandQueue
+	n.commandQueue = nil
 	for _, p := range queue {
-		n.send(p.from, ProposeResult{ID: p.ID, Verdict: ResultRetry, Epoch: n.view.Epoch})
+		n.send(p.client, ProposeResult{ID: p.ID, Verdict: ResultRetry, Epoch: n.view.Epoch})
 	}
 }
 
-// askToJoin asks all that may be members.
-func (n *Node) askToJoin() {
-	join := JoinRequest{Member: n.self, Heard: n.heardLately()}
+// sendJoinRequests asks all possible members to let this node join.
+func (n *Node) sendJoinRequests() {
+	join := JoinRequest{Member: n.self, Heard: n.recentlyHeard()}
 	for _, address := range n.addresses() {
 		n.send(Peer{Address: address}, join)
 	}
 }
 
-// addresses are those of the newest view known, the seeds, and those remembered.
+// addresses returns those of the newest known view, of the seeds, and the remembered ones.
 func (n *Node) addresses() []string {
 	var all []string
 	for _, m := range n.View().Members {
 		all = append(all, m.Address)
 	}
 	all = append(all, n.settings.Seeds...)
-	all = append(all, n.remembered...)
+	all = append(all, n.rememberedAddresses...)
 	all = sortedDistinct(all)
 	return slices.DeleteFunc(all, func(a string) bool { return a == n.self.Address })
 }
 
-func (n *Node) onJoin(from Peer, m JoinRequest) {
-	if !n.member() || m.Member.ID != from.ID || from.ID == 0 {
+func (n *Node) onJoinRequest(from Peer, m JoinRequest) {
+	if !n.isMember() || m.Member.ID != from.ID || from.ID == 0 {
 		return
 	}
-	n.hint(from)
+	n.sendViewNotice(from)
 	if n.view.HasMember(from.ID) {
 		return
 	}
@@ -228,22 +230,22 @@
 			return
 		}
 		n.joining[from.ID] = m.Member
-		n.contacts[from.ID] = &contact{reported: map[view.MemberID]time.Duration{}, assumed: never}
+		n.peers[from.ID] = &peerState{reportedHearing: map[view.MemberID]time.Duration{}, assumedHearing: neverHeard}
 	}
-	c := n.contacts[from.ID]
-	c.heard = n.now
+	c := n.peers[from.ID]
+	c.lastHeard = n.now
 	for _, id := range m.Heard {
 		if n.view.HasMember(id) {
-			c.reported[id] = n.now
+			c.reportedHearing[id] = n.now
 		}
 	}
 }
 
 func (n *Node) expireJoining() {
 	for id := range n.joining {
-		if n.now-n.contacts[id].heard > view.ReplaceAfter {
+		if n.now-n.peers[id].lastHeard > view.ReplaceAfter {
 			delete(n.joining, id)
-			delete(n.contacts, id)
+			delete(n.peers, id)
 		}
 	}
 }
--- a/coordination/chain/message.go
+++ b/coordination/chain/message.go
@@ -4,38 +4,38 @@
 	"emberquay/coordination/view"
 )
 
-// Peer is one end of a message. Without an ID it is whoever is at the address.
+// Peer is the sender or receiver of a message. Without an ID it denotes whichever node has the address.
 type Peer struct {
 	ID      view.MemberID
 	Address string
 }
 
-// Envelope is a message on its way.
+// Envelope is a message with its sender and receiver.
 type Envelope struct {
 	From, To Peer
 	Body     Message
 }
 
-// Message is one of the types below. All may be lost, come twice, or in another order.
+// Message is one of the types below. Messages may be lost, duplicated and reordered.
 type Message interface{ message() }
 
-// Heartbeat is sent by each member to each other.
+// Heartbeat is sent by each member to every other member.
 type Heartbeat struct {
 	Epoch     int64
 	Committed int64
-	Heard     []view.MemberID // lately
+	Heard     []view.MemberID // recently, by the sender
 }
 
-// ViewNotice tells of a decided view without its state.
+// ViewNotice announces a decided view, without its state.
 type ViewNotice struct {
 	View      view.View
 	Committed int64
 }
 
-// ViewRequest wants a view later than an epoch: with its state if the sender is a member of it.
+// ViewRequest asks for a view later than Epoch. A sender that is a member of it also gets its state.
 type ViewRequest struct{ Epoch int64 }
 
-// InstallView gives a decided view, and a state of it.
+// InstallView transfers a decided view and its state.
 type InstallView struct {
 	View      view.View
 	State     State
@@ -45,41 +45,41 @@
 // JoinRequest asks to become a member.
 type JoinRequest struct {
 	Member view.Member
-	Heard  []view.MemberID // of the members
+	Heard  []view.MemberID // members that the sender hears
 }
 
-// Prepare asks for a promise.
+// Prepare asks for a promise (Paxos phase 1a).
 type Prepare struct {
 	Epoch    int64
 	Ballot   view.Ballot
-	Sequence int64 // of the proposer, whose state is not needed again
+	Sequence int64 // of the proposer's state, which need not be sent to it again
 }
 
-// Promise seals the epoch at its sender.
+// Promise answers Prepare (Paxos phase 1b). It seals the epoch at its sender.
 type Promise struct {
 	Epoch    int64
 	Ballot   view.Ballot
 	Accepted view.Ballot
-	Value    Proposal // of Accepted
-	Sequence int64    // of the sender
-	State    State    // Full if nothing was accepted and the proposer's is older
+	Value    Proposal // value accepted in ballot Accepted
+	Sequence int64    // of the sender's state
+	State    State    // Full if no value was accepted and the proposer's state is older
 }
 
-// BallotRejected says that a later ballot was promised.
+// BallotRejected answers Prepare and Accept if a later ballot was promised.
 type BallotRejected struct {
 	Epoch    int64
 	Ballot   view.Ballot
 	Promised view.Ballot
 }
 
-// Accept asks to accept a proposal.
+// Accept asks to accept a proposal (Paxos phase 2a).
 type Accept struct {
 	Epoch  int64
 	Ballot view.Ballot
 	Value  Proposal
 }
 
-// Accepted says that the proposal of a ballot was accepted.
+// Accepted confirms that the proposal of a ballot was accepted (Paxos phase 2b).
 type Accepted struct {
 	Epoch  int64
 	Ballot view.Ballot
@@ -92,40 +92,40 @@
 	Committed int64
 }
 
-// Ack tells up the chain what is committed.
+// Ack passes the committed sequence up the chain.
 type Ack struct {
 	Epoch    int64
 	Sequence int64
 }
 
-// ConfirmEpoch asks whether an epoch is open.
+// ConfirmEpoch asks whether the receiver has not sealed an epoch.
 type ConfirmEpoch struct {
 	Epoch int64
 	Nonce int64
 }
 
-// EpochConfirmed says that the epoch was not sealed at the sender when the question came.
+// EpochConfirmed confirms that the sender had not sealed the epoch when it received ConfirmEpoch.
 type EpochConfirmed struct {
 	Epoch int64
 	Nonce int64
 }
 
-// Propose brings a command to the head.
+// Propose submits a command to the head.
 type Propose struct {
 	ID      CommandID
-	After   int64 // if the command was carried out, then by a later entry than this
+	After   int64 // if the command has been applied, its entry has a higher sequence
 	Command []byte
 }
 
-// ResultCode is what became of a call at the head or tail.
+// ResultCode is the outcome of a call at the head or tail.
 type ResultCode int
 
-// The verdicts.
+// The result codes.
 const (
 	ResultOK      ResultCode = iota
-	ResultRetry              // not the head, or not of the chain (any more): ask again
-	ResultTooOld             // whether the command was carried out is not known any more; Sequence is the present one
-	ResultRefused            // carried out without a change
+	ResultRetry              // not applied: the receiver is not the head, or is not or no longer in the chain
+	ResultTooOld             // it is no longer known whether the command was applied; Sequence is the current one
+	ResultRefused            // the state machine refused the command: it changed nothing
 )
 
 // ProposeResult answers Propose.
@@ -137,10 +137,10 @@
 	Result   []byte
 }
 
-// Read asks one of the chain for the state.
+// Read requests the state from a member of the chain.
 type Read struct {
 	ID   CommandID
-	Have int64 // committed state that the sender has
+	Have int64 // sequence of the committed state that the sender already has
 }
 
 // ReadResult answers Read.
@@ -149,11 +149,11 @@
 	Verdict  ResultCode // ResultOK or ResultRetry
 	Epoch    int64
 	Sequence int64
-	Full     bool // false: the sender has it
+	Full     bool // false: the requester already has this state
 	Snapshot []byte
 }
 
-// LeavingChain says that the sender is about to stop and takes no further part; it is sent in place of heartbeats.
+// LeavingChain is sent in place of heartbeats by a member that is about to stop and should be left out of the chain.
 type LeavingChain struct{ Epoch int64 }
 
 func (LeavingChain) message()   {}
--- a/coordination/chain/node.go
+++ b/coordination/chain/node.go
@@ -12,42 +12,42 @@
 	"emberquay/coordination/view"
 )
 
-// Intervals of a node. None of them has a part in what is safe.
+// Intervals and timeouts of a node. Safety depends on none of them.
 const (
-	// heartbeatEvery is the pause between heartbeats; SuspectAfter is three of them and a half.
-	heartbeatEvery = 200 * time.Millisecond
-	// heardWithin is how old a sign of life may be to be told to others: two heartbeats and a little.
-	heardWithin = 450 * time.Millisecond
-	// busyEvery is how often Tick is wanted while something waits for an answer.
-	busyEvery = 50 * time.Millisecond
-	// resendAfter is how long an answer among members may take before the question is sent again.
+	// heartbeatInterval is the time between heartbeats; view.SuspectAfter spans three and a half of them.
+	heartbeatInterval = 200 * time.Millisecond
+	// recentlyHeardWithin is the age up to which a node is reported as heard: slightly more than two heartbeats.
+	recentlyHeardWithin = 450 * time.Millisecond
+	// busyTickInterval is the time between Ticks while something waits for an answer.
+	busyTickInterval = 50 * time.Millisecond
+	// resendAfter is how long a member waits for another member's answer before it resends the request.
 	resendAfter = 200 * time.Millisecond
-	// followEvery is how often one that only forwards calls asks for a newer view: whoever counts the members' votes on
-	// its word must know who they are.
-	followEvery = time.Second
-	// lateTick is a pause between two Ticks after which the process must have been stopped: what it didn't hear
-	// meanwhile says nothing about the others.
-	lateTick = heartbeatEvery + 250*time.Millisecond
+	// viewRefreshInterval is how often a node that only forwards calls asks for a newer view: callers that count the
+	// members' votes rely on this node to know who the members are.
+	viewRefreshInterval = time.Second
+	// stalledAfter is a gap between two Ticks that means that this process was suspended. What it didn't hear meanwhile
+	// says nothing about the other nodes.
+	stalledAfter = heartbeatInterval + 250*time.Millisecond
 )
 
-// Bounds of a node's queues. What is over them is dropped; its sender sends it again.
+// Limits of a node's queues. What exceeds them is dropped and resent by its sender.
 const (
-	maxQueue   = 64  // commands at the head
-	maxWaiters = 256 // reads and refusals that wait to be confirmed
-	maxPending = 256 // calls of this process
-	maxJoining = 16  // nodes that ask to join
+	maxQueuedCommands = 64  // commands queued at the head
+	maxWaiters        = 256 // reads and refusals that wait for a confirmation of the epoch
+	maxPendingCalls   = 256 // calls of this process
+	maxJoining        = 16  // nodes that asked to join
 )
 
-// Settings of a node.
+// Settings configure a node.
 type Settings struct {
 	Name, Address, Zone string
-	Voter               bool     // false: forwards calls only, holds no state and needs no disk
-	Bootstrap           bool     // the first start of the whole system
+	Voter               bool     // false: only forwards calls, holds no state and needs no disk
+	Bootstrap           bool     // the first start of the whole cluster
 	Seeds               []string // addresses of the first members
 	Random              [2]uint64
 }
 
-// Output is what has to be done, in the order of the fields: see the package comment.
+// Output lists the required actions, to be carried out in the order of the fields: see the package comment.
 type Output struct {
 	Persist   []Record
 	Committed []CommittedState
@@ -55,113 +55,114 @@
 	Replies   []Reply
 }
 
-// CommittedState is a state that is known to be committed. Not every one is told, but never an older after a newer.
+// CommittedState is a state known to be committed. Some may be skipped, but an older one never follows a newer one.
 type CommittedState struct {
 	Epoch    int64
 	Sequence int64
 	Snapshot []byte
 }
 
-// Reply ends a Propose or Read of this process.
+// Reply completes a Propose or Read of this process.
 type Reply struct {
 	Number   int64
-	Unknown  bool // the fate of the command is open
+	Unknown  bool // it is not known whether the command was applied
 	Changed  bool
 	Result   []byte
-	Epoch    int64 // of a Read, as the two below
+	Epoch    int64 // of a Read, as are the two fields below
 	Sequence int64
 	Snapshot []byte
 }
 
-// Node is one member, or one that wants to be, or one that forwards.
+// Node is a member, a node that wants to become one, or a node that only forwards calls.
 type Node struct {
-	settings Settings
-	self     view.Member
-	process  int64 // names this process in CommandIDs
-	random   *rand.Rand
-	machine  StateMachine
-
-	now      time.Duration
-	lastTick time.Duration
-	lastBeat time.Duration
-	// lastFollow is when a node that only forwards last asked for a newer view.
-	lastFollow time.Duration
-	out        Output
-	inbox      []Envelope // to itself, within the step
-
-	view       view.View // zero: not a member
-	known      view.View // the newest heard of
-	remembered []string  // addresses from before this node was removed
-	acceptor   view.Acceptor[Proposal]
-
-	sequence   int64
-	committed  int64
-	recent     []Outcome
-	last       *Entry // newest of this epoch
-	lastAppend time.Duration
-
-	newest      CommittedState // newest committed state whose bytes are here
-	knownCommit int64          // newest sequence heard of as committed
-	learnt      bool           // knownCommit tells something: this process has heard of a commit, or that there is none
-
-	leaving bool // this process is about to stop
-
-	beginning beginning
-
-	queue  []proposed // head
-	flight flight     // head
-
-	confirm confirmation
-	calls   calls
-
-	contacts map[view.MemberID]*contact
-	joining  map[view.MemberID]view.Member
-
-	attempt    *attempt
-	highest    int64         // round heard of
-	lastBallot time.Duration // when the last ballot was heard of
-	retryAt    time.Duration
-	wanted     wanted
-	lastAsk    time.Duration
+	settings  Settings
+	self      view.Member
+	processID int64 // identifies this process in CommandIDs
+	random    *rand.Rand
+	machine   StateMachine
+
+	now           time.Duration
+	lastTick      time.Duration
+	lastHeartbeat time.Duration
+	// lastViewRefresh is when a node that only forwards calls last asked for a newer view.
+	lastViewRefresh time.Duration
+	output          Output
+	inbox           []Envelope // messages to itself, handled within the same step
+
+	view                view.View // zero: not a member
+	newestView          view.View // newest view heard of
+	rememberedAddresses []string  // member addresses from before this node was removed
+	acceptor            view.Acceptor[Proposal]
+
+	sequence    int64
+	committed   int64
+	recent      []Outcome
+	newestEntry *Entry // newest entry of this epoch
+	lastAppend  time.Duration
+
+	latestCommitted CommittedState // newest committed state whose snapshot is available here
+	knownCommitted  int64          // newest sequence known to be committed
+	knowsCommitted  bool           // knownCommitted is valid: a commit was heard of, or it is known that there is none
+
+	leavingChain bool // this process is about to stop
+
+	bootstrap bootstrapState
+
+	commandQueue []queuedCommand // at the head
+	inFlight     inFlightCommand // at the head
+
+	confirmation epochConfirmation
+	calls        pendingCalls
+
+	peers   map[view.MemberID]*peerState
+	joining map[view.MemberID]view.Member
+
+	attempt         *attempt
+	highestRound    int64         // highest ballot round heard of
+	lastBallotAt    time.Duration // when the last ballot was seen
+	retryAt         time.Duration
+	planned         plannedChange
+	lastViewRequest time.Duration
 }
 
-// New makes a node from its disk. Time counts from any moment, and on. Errors: a disk or settings that make no sense.
+// New creates a node from the contents of its disk. Time may start anywhere but never decreases. It returns an error for
+// invalid settings or inconsistent disk contents.
 func New(s Settings, d *DurableState, machine StateMachine, now time.Duration) (*Node, Output, error) {
 	n := &Node{
-		settings:   s,
-		random:     rand.New(rand.NewPCG(s.Random[0], s.Random[1])),
-		machine:    machine,
-		now:        now,
-		lastTick:   now,
-		lastBeat:   now - heartbeatEvery,
-		lastFollow: now - followEvery,
-		lastAsk:    now - resendAfter,
-		contacts:   map[view.MemberID]*contact{},
-		joining:    map[view.MemberID]view.Member{},
+		settings:        s,
+		random:          rand.New(rand.NewPCG(s.Random[0], s.Random[1])),
+		machine:         machine,
+		now:             now,
+		lastTick:        now,
+		lastHeartbeat:   now - heartbeatInterval,
+		lastViewRefresh: now - viewRefreshInterval,
+		lastViewRequest: now - resendAfter,
+		peers:           map[view.MemberID]*peerState{},
+		joining:         map[view.MemberID]view.Member{},
 	}
-	n.process = n.random.Int64()
-	n.confirm.nonce = n.random.Int64N(math.MaxInt64 / 2)
-	n.calls.pending = map[int64]*call{}
+	n.processID = n.random.Int64()
+	n.confirmation.nonce = n.random.Int64N(math.MaxInt64 / 2)
+	n.calls.pending = map[int64]*pendingCall{}
 	n.self = view.Member{Name: s.Name, Address: s.Address, Zone: s.Zone}
 	if err := n.start(d); err != nil {
 		return nil, Output{}, err
 	}
-	return n, n.finish(), nil
+	return n, n.takeOutput(), nil
 }
 
-// start takes up what the disk holds, or begins it.
+// start loads the state from the disk, or initializes an empty disk.
 func (n *Node) start(d *DurableState) error {
 	if !n.settings.Voter {
-		n.self.ID = n.newID()
+		n.self.ID = n.newMemberID()
 		return nil
 	}
 	if d.Member.ID == 0 {
-		return n.startEmpty()
+		return n.startWithEmptyDisk()
 	}
-	n.self.ID, n.remembered = d.Member.ID, d.Known
+	n.self.ID, n.rememberedAddresses = d.Member.ID, d.Known
 	if d.View.Epoch == 0 {
-		if wasUnbegun(d) {
-			n.awaitBeginning(firstMembers(d))
+		if isUninitialized(d) {
+			n.awaitBootstrap(firstMemberAddresses(d))
 		}
 		return nil
 	}
@@ -169,87 +170,88 @@
 	if err != nil {
 		return err
 	}
-	n.view, n.known, n.acceptor = d.View, d.View, d.Acceptor
+	n.view, n.newestView, n.acceptor = d.View, d.View, d.Acceptor
 	n.sequence, n.committed = d.sequence(), min(d.Committed, d.sequence())
 	n.recent = recent
 	if n.committed < n.sequence {
-		n.last = last
+		n.newestEntry = last
 	}
-	n.highest = n.acceptor.Promised.Round
-	n.meetMembers()
-	n.noteCommitted()
+	n.highestRound = n.acceptor.Promised.Round
+	n.trackMembers()
+	n.publishCommitted()
 	return nil
 }
 
-// startEmpty begins as a first member at the first start of the whole system, and as a new one at any other.
-func (n *Node) startEmpty() error {
+// startWithEmptyDisk starts as a first member at the first start of the whole cluster, and as a new node otherwise.
+func (n *Node) startWithEmptyDisk() error {
 	if seeds := sortedDistinct(n.settings.Seeds); n.settings.Bootstrap && slices.Contains(seeds, n.self.Address) {
 		first := firstView(seeds)
-		n.beginFirst(first)
+		n.initializeFirstMember(first)
 		return first.Validate()
 	}
-	n.self.ID = n.newID()
+	n.self.ID = n.newMemberID()
 	n.persist(IdentityRecord{Member: n.self})
-	n.awaitBeginning(nil)
+	n.awaitBootstrap(nil)
 	return nil
 }
 
-// FirstMemberID is the id of the first member at an address: all know it without a message.
+// FirstMemberID returns the id of the first member at an address. It is derived from the address, so that all first
+// members know it without a message.
 func FirstMemberID(address string) view.MemberID {
 	return view.MemberID(max(int64(xxhash.Sum64String(address)>>1), 1))
 }
 
-func (n *Node) newID() view.MemberID { return view.MemberID(max(n.random.Int64(), 1)) }
+func (n *Node) newMemberID() view.MemberID { return view.MemberID(max(n.random.Int64(), 1)) }
 
-// Step takes a message.
+// Step handles a message.
 func (n *Node) Step(now time.Duration, e Envelope) Output {
 	n.now = max(n.now, now)
 	n.receive(e)
-	return n.finish()
+	return n.takeOutput()
 }
 
-// finish handles what the node has sent to itself. That may come before the disk is synced: nothing of it leaves the
-// process before that.
-func (n *Node) finish() Output {
+// takeOutput handles the messages of the node to itself and returns the collected output. Such messages may be handled
+// before the disk is synced, as nothing leaves the process until then.
+func (n *Node) takeOutput() Output {
 	for len(n.inbox) > 0 {
 		e := n.inbox[0]
 		n.inbox = n.inbox[1:]
 		n.receive(e)
 	}
 	n.inbox = nil
-	out := n.out
-	n.out = Output{}
+	out := n.output
+	n.output = Output{}
 	return out
 }
 
 func (n *Node) receive(e Envelope) {
 	if e.To.ID != 0 && e.To.ID != n.self.ID {
-		return // to the member that this node was before
+		return // addressed to a former member id of this node
 	}
-	n.hear(e.From)
+	n.noteHeard(e.From)
 	switch m := e.Body.(type) {
 	case Heartbeat:
 		n.onHeartbeat(e.From, m)
 	case LeavingChain:
-		n.onLeave(e.From, m)
+		n.onLeavingChain(e.From, m)
 	case ViewNotice:
-		n.onHint(e.From, m)
+		n.onViewNotice(e.From, m)
 	case ViewRequest:
-		n.onAsk(e.From, m)
+		n.onViewRequest(e.From, m)
 	case InstallView:
-		n.onAdopt(e.From, m)
+		n.onInstallView(e.From, m)
 	case JoinRequest:
-		n.onJoin(e.From, m)
+		n.onJoinRequest(e.From, m)
 	case BootstrapProbe:
-		n.onInquire(e.From, m)
+		n.onBootstrapProbe(e.From, m)
 	case PristineReply:
-		n.onUntouched(e.From, m)
+		n.onPristineReply(e.From, m)
 	case Prepare:
 		n.onPrepare(e.From, m)
 	case Promise:
 		n.onPromise(e.From, m)
 	case BallotRejected:
-		n.onOutbid(m)
+		n.onBallotRejected(m)
 	case Accept:
 		n.onAccept(e.From, m)
 	case Accepted:
@@ -259,9 +261,9 @@
 	case Ack:
 		n.onAck(e.From, m)
 	case ConfirmEpoch:
-		n.onConfirm(e.From, m)
+		n.onConfirmEpoch(e.From, m)
 	case EpochConfirmed:
-		n.onConfirmed(e.From, m)
+		n.onEpochConfirmed(e.From, m)
 	case Propose:
 		n.onPropose(e.From, m)
 	case ProposeResult:
@@ -271,79 +273,79 @@
 	case ReadResult:
 		n.onReadResult(m)
 	default:
-		panic(eris.Errorf("chain: message of type %T", e.Body))
+		panic(eris.Errorf("chain: unknown message type %T", e.Body))
 	}
 }
 
-// Tick does what is due.
+// Tick does everything that is due.
 func (n *Node) Tick(now time.Duration) Output {
 	now = max(n.now, now)
-	if now-n.lastTick > lateTick {
-		n.excuseSilence(now)
+	if now-n.lastTick > stalledAfter {
+		n.resetSilence(now)
 	}
 	n.now, n.lastTick = now, now
-	n.beat()
-	n.follow()
+	n.sendHeartbeats()
+	n.refreshView()
 	n.resendAppend()
-	n.resendConfirm()
-	n.findView()
+	n.resendConfirmEpoch()
+	n.requestViewForStalledCalls()
 	n.resendCalls()
 	n.reconfigure()
-	return n.finish()
+	return n.takeOutput()
 }
 
-// Deadline is when Tick is wanted at the latest.
+// Deadline returns the latest time for the next Tick.
 func (n *Node) Deadline() time.Duration {
 	switch {
 	case n.busy():
-		return n.lastTick + busyEvery
+		return n.lastTick + busyTickInterval
 	case !n.settings.Voter:
-		return max(n.lastTick, n.lastFollow+followEvery)
+		return max(n.lastTick, n.lastViewRefresh+viewRefreshInterval)
 	}
-	return n.lastBeat + heartbeatEvery
+	return n.lastHeartbeat + heartbeatInterval
 }
 
 func (n *Node) busy() bool {
-	return n.attempt != nil || n.wanted.change != view.NoChange || n.acceptor.Sealed() || n.committed < n.sequence ||
-		n.confirm.active || len(n.calls.pending) > 0
+	return n.attempt != nil || n.planned.change != view.NoChange || n.acceptor.Sealed() || n.committed < n.sequence ||
+		n.confirmation.active || len(n.calls.pending) > 0
 }
 
-// Self is this node as a member; its id is another after it was removed.
+// Self returns this node as a member. Its id changes when it is removed.
 func (n *Node) Self() view.Member { return n.self }
 
-// SetSeeds replaces the addresses of the seeds.
+// SetSeeds replaces the seed addresses.
 func (n *Node) SetSeeds(seeds []string) { n.settings.Seeds = slices.Clone(seeds) }
 
-// View is the view that this node is a member of, or the newest it heard of.
+// View returns the view that this node is a member of, or else the newest one it heard of.
 func (n *Node) View() view.View {
-	if n.member() {
+	if n.isMember() {
 		return n.view
 	}
-	return n.known
+	return n.newestView
 }
 
-// IsMember says whether this node is a member of its view.
-func (n *Node) IsMember() bool { return n.member() }
+// IsMember reports whether this node is a member of its view.
+func (n *Node) IsMember() bool { return n.isMember() }
 
-// Progress is the newest entry taken and the newest known as committed.
+// Progress returns the sequences of the newest entry taken and of the newest entry known to be committed.
 func (n *Node) Progress() (sequence, committed int64) { return n.sequence, n.committed }
 
-// Checkpoint gives records that stand for all before them.
+// Checkpoint returns records that replace all previous ones.
 func (n *Node) Checkpoint() []Record {
-	records := []Record{IdentityRecord{Member: n.self, Known: n.remembered}}
-	if !n.member() {
+	records := []Record{IdentityRecord{Member: n.self, Known: n.rememberedAddresses}}
+	if !n.isMember() {
 		return records
 	}
 	adoption := ViewRecord{View: n.view, State: n.fullState(), Committed: n.committed}
-	if n.last != nil {
-		adoption.Last = []Entry{*n.last}
+	if n.newestEntry != nil {
+		adoption.Last = []Entry{*n.newestEntry}
 	}
 	return append(records, adoption, VoteRecord{Epoch: n.view.Epoch, Acceptor: n.acceptor})
 }
 
-func (n *Node) member() bool { return n.view.Epoch > 0 }
+func (n *Node) isMember() bool { return n.view.Epoch > 0 }
 
-func (n *Node) persist(r Record) { n.out.Persist = append(n.out.Persist, r) }
+func (n *Node) persist(r Record) { n.output.Persist = append(n.output.Persist, r) }
 
 func (n *Node) peer() Peer { return Peer{ID: n.self.ID, Address: n.self.Address} }
 
@@ -353,14 +355,14 @@
 		n.inbox = append(n.inbox, e)
 		return
 	}
-	n.out.Send = append(n.out.Send, e)
+	n.output.Send = append(n.output.Send, e)
 }
 
 func (n *Node) sendMember(m view.Member, body Message) {
 	n.send(Peer{ID: m.ID, Address: m.Address}, body)
 }
 
-// jitter is a random part of a delay, so that two nodes seldom do the same at once.
-func (n *Node) jitter(most time.Duration) time.Duration {
-	return time.Duration(n.random.Int64N(int64(most)))
+// jitter returns a random delay below limit, which makes it unlikely that two nodes act at the same time.
+func (n *Node) jitter(limit time.Duration) time.Duration {
+	return time.Duration(n.random.Int64N(int64(limit)))
 }
--- a/coordination/chain/reconfigure.go
+++ b/coordination/chain/reconfigure.go
@@ -7,102 +7,102 @@
 	"emberquay/coordination/view"
 )
 
-// Delays of the one who proposes a view. They only keep two from doing it at once.
+// Delays before proposing a view. Their only purpose is to keep two members from proposing at the same time.
 const (
-	// shrinkStep is by how much the next of the chain waits longer to leave a silent member out.
-	shrinkStep = 150 * time.Millisecond
-	// changeStep is the same for other changes; before one takes a member back into the chain, it has to stay for
-	// changeAfter.
-	changeAfter = 200 * time.Millisecond
-	changeStep  = 250 * time.Millisecond
-	// sealedAfter and sealedStep are the same for an epoch that is sealed and whose successor does not come.
-	sealedAfter = 500 * time.Millisecond
-	sealedStep  = 150 * time.Millisecond
-	// someJitter parts those of the same rank.
-	someJitter = 60 * time.Millisecond
-	// attemptWithin is how long an attempt may take.
-	attemptWithin = time.Second
-	// retryJitter is how long an attempt that failed rests at most.
-	retryJitter = 300 * time.Millisecond
+	// shrinkDelayPerRank is the delay per rank before proposing a chain without a silent member.
+	shrinkDelayPerRank = 150 * time.Millisecond
+	// changeDelayPerRank is the delay per rank before other changes. A member that returns must in addition be heard
+	// for extendDelay before the chain is extended.
+	extendDelay        = 200 * time.Millisecond
+	changeDelayPerRank = 250 * time.Millisecond
+	// sealedDelay and sealedDelayPerRank apply if the epoch is sealed and no next view is decided.
+	sealedDelay        = 500 * time.Millisecond
+	sealedDelayPerRank = 150 * time.Millisecond
+	// maxRankJitter separates members of the same rank.
+	maxRankJitter = 60 * time.Millisecond
+	// attemptTimeout limits the duration of an attempt.
+	attemptTimeout = time.Second
+	// maxRetryDelay is the maximum delay after a failed attempt.
+	maxRetryDelay = 300 * time.Millisecond
 )
 
-// attempt is this node's try to decide what follows its epoch.
+// attempt is this node's attempt to decide the view after its epoch.
 type attempt struct {
-	proposer  *view.Proposer[Proposal]
-	started   time.Duration
-	sent      time.Duration
-	sequences map[view.MemberID]int64 // of those that promised
-	best      State                   // newest state among the promises
+	proposer    *view.Proposer[Proposal]
+	startedAt   time.Duration
+	sentAt      time.Duration
+	sequences   map[view.MemberID]int64 // of the members that promised
+	newestState State                   // newest state among the promises
 }
 
-// wanted is the change that this node waits to propose.
-type wanted struct {
+// plannedChange is the change that this node will propose if it is still wanted when due.
+type plannedChange struct {
 	change view.Change
 	due    time.Duration
 }
 
-// reconfigure begins, repeats or ends attempts, as time goes on.
+// reconfigure starts, continues or ends attempts as time passes.
 func (n *Node) reconfigure() {
 	switch {
-	case !n.member():
+	case !n.isMember():
 	case n.attempt != nil:
 		n.continueAttempt()
 	case n.now < n.retryAt || !n.hearsMajority():
-		n.wanted = wanted{}
+		n.planned = plannedChange{}
 	case n.acceptor.Sealed():
-		n.wanted = wanted{}
-		if n.now-n.lastBallot >= sealedAfter+time.Duration(n.rank())*sealedStep {
-			n.propose()
+		n.planned = plannedChange{}
+		if n.now-n.lastBallotAt >= sealedDelay+time.Duration(n.rank())*sealedDelayPerRank {
+			n.startAttempt()
 		}
 	default:
 		n.considerPlan()
 	}
 }
 
-// considerPlan waits with a change that is wanted for as long as the rank says, and drops it if it isn't any more. Only
-// those of the chain propose: its other members know best whether one of them is silent.
+// considerPlan delays a planned change according to the rank, and drops it if it is no longer wanted. Only chain members
+// propose changes: the other members of the chain know best whether one of them is silent.
 func (n *Node) considerPlan() {
-	if n.view.ChainPosition(n.self.ID) < 0 || n.leaving {
+	if n.view.ChainPosition(n.self.ID) < 0 || n.leavingChain {
 		return
 	}
-	next, change := view.Plan(n.view, n.self.ID, contacts{n})
+	next, change := view.Plan(n.view, n.self.ID, connectivity{n})
 	if change == view.NoChange || next.Validate() != nil {
-		n.wanted = wanted{}
+		n.planned = plannedChange{}
 		return
 	}
-	if n.wanted.change != change {
-		n.wanted = wanted{change: change, due: n.now + n.delay(change)}
+	if n.planned.change != change {
+		n.planned = plannedChange{change: change, due: n.now + n.proposalDelay(change)}
 	}
-	if n.now >= n.wanted.due {
-		n.propose()
+	if n.now >= n.planned.due {
+		n.startAttempt()
 	}
 }
 
-func (n *Node) delay(c view.Change) time.Duration {
+func (n *Node) proposalDelay(c view.Change) time.Duration {
 	rank := time.Duration(n.rank())
 	switch c {
 	case view.ShrinkChain:
-		return rank*shrinkStep + n.jitter(someJitter)
+		return rank*shrinkDelayPerRank + n.jitter(maxRankJitter)
 	case view.ExtendChain:
-		return changeAfter + rank*changeStep + n.jitter(someJitter)
+		return extendDelay + rank*changeDelayPerRank + n.jitter(maxRankJitter)
 	}
-	return rank*changeStep + n.jitter(someJitter)
+	return rank*changeDelayPerRank + n.jitter(maxRankJitter)
 }
 
-// rank is the place in the chain, or behind it. Members before this one that say nothing, or are about to stop, will not
-// propose anything: nobody waits for them.
+// rank returns the position in the chain; members outside the chain follow it. Chain members before this one that are
+// silent or about to stop are not counted, as they will not propose anything.
 func (n *Node) rank() int {
 	if at := n.view.ChainPosition(n.self.ID); at >= 0 {
-		return at - n.absent(n.view.Chain[:at])
+		return at - n.countAbsent(n.view.Chain[:at])
 	}
 	at := slices.IndexFunc(n.view.Members, func(m view.Member) bool { return m.ID == n.self.ID })
 	return len(n.view.Chain) + at
 }
 
-func (n *Node) absent(members []view.MemberID) int {
+func (n *Node) countAbsent(members []view.MemberID) int {
 	count := 0
 	for _, id := range members {
-		c := contacts{n}
+		c := connectivity{n}
 		if c.SilentFor(id) >= view.SuspectAfter || c.isLeaving(id) {
 			count++
 		}
@@ -110,30 +110,30 @@
 	return count
 }
 
-// hearsMajority keeps a member that is cut off from sealing an epoch whose successor it couldn't decide.
+// hearsMajority keeps a partitioned member from sealing an epoch for which it could not decide the next view.
 func (n *Node) hearsMajority() bool {
 	heard := 0
 	for _, m := range n.view.Members {
-		if (contacts{n}).SilentFor(m.ID) < view.SuspectAfter {
+		if (connectivity{n}).SilentFor(m.ID) < view.SuspectAfter {
 			heard++
 		}
 	}
 	return heard >= n.view.Majority()
 }
 
-// propose begins an attempt. The promise of this member itself is on the disk before any message leaves, so a ballot is
-// never used twice.
-func (n *Node) propose() {
-	n.highest = max(n.highest, n.acceptor.Promised.Round) + 1
-	ballot := view.Ballot{Round: n.highest, Proposer: n.self.ID}
-	n.wanted = wanted{}
-	n.lastBallot = n.now
+// startAttempt starts a new ballot. This member's own promise is on disk before any message is sent, so a ballot is never
+// reused.
+func (n *Node) startAttempt() {
+	n.highestRound = max(n.highestRound, n.acceptor.Promised.Round) + 1
+	ballot := view.Ballot{Round: n.highestRound, Proposer: n.self.ID}
+	n.planned = plannedChange{}
+	n.lastBallotAt = n.now
 	n.attempt = &attempt{
-		proposer:  view.NewProposer[Proposal](ballot, n.view.Majority()),
-		started:   n.now,
-		sent:      n.now,
-		sequences: map[view.MemberID]int64{},
-		best:      State{Epoch: n.view.Epoch, Sequence: n.sequence},
+		proposer:    view.NewProposer[Proposal](ballot, n.view.Majority()),
+		startedAt:   n.now,
+		sentAt:      n.now,
+		sequences:   map[view.MemberID]int64{},
+		newestState: State{Epoch: n.view.Epoch, Sequence: n.sequence},
 	}
 	for _, m := range n.view.Members {
 		n.sendMember(m, Prepare{Epoch: n.view.Epoch, Ballot: ballot, Sequence: n.sequence})
@@ -142,14 +142,14 @@
 
 func (n *Node) continueAttempt() {
 	a := n.attempt
-	if n.now-a.started >= attemptWithin {
+	if n.now-a.startedAt >= attemptTimeout {
 		n.endAttempt()
 		return
 	}
-	if n.now-a.sent < resendAfter {
+	if n.now-a.sentAt < resendAfter {
 		return
 	}
-	a.sent = n.now
+	a.sentAt = n.now
 	for _, m := range n.view.Members {
 		switch {
 		case !a.proposer.HasPromised(m.ID) && !a.proposer.HasProposed():
@@ -162,14 +162,14 @@
 
 func (n *Node) endAttempt() {
 	n.attempt = nil
-	n.retryAt = n.now + n.jitter(retryJitter)
+	n.retryAt = n.now + n.jitter(maxRetryDelay)
 }
 
 func (n *Node) onPrepare(from Peer, m Prepare) {
-	if !n.sameEpoch(from, m.Epoch, true) {
+	if !n.checkEpoch(from, m.Epoch, true) {
 		return
 	}
-	n.highest = max(n.highest, m.Ballot.Round)
+	n.highestRound = max(n.highestRound, m.Ballot.Round)
 	before := n.acceptor.Promised
 	if !n.acceptor.Prepare(m.Ballot) {
 		n.send(from, BallotRejected{Epoch: m.Epoch, Ballot: m.Ballot, Promised: before})
@@ -178,25 +178,25 @@
 	if before != m.Ballot {
 		n.persistVote()
 	}
-	n.yieldTo(m.Ballot)
-	n.send(from, n.promise(m))
+	n.yieldToBallot(m.Ballot)
+	n.send(from, n.promiseFor(m))
 }
 
-func (n *Node) promise(m Prepare) Promise {
+func (n *Node) promiseFor(m Prepare) Promise {
 	p := Promise{Epoch: m.Epoch, Ballot: m.Ballot, Accepted: n.acceptor.Accepted, Sequence: n.sequence}
 	switch {
 	case p.Accepted != view.Ballot{}:
 		p.Value = n.acceptor.Value
-		p.Value.State = n.stateFor(p.Value.State, m.Sequence)
+		p.Value.State = n.stateForReceiver(p.Value.State, m.Sequence)
 	case n.sequence > m.Sequence:
 		p.State = n.fullState()
 	}
 	return p
 }
 
-// yieldTo ends an attempt of this node for a later one of another.
-func (n *Node) yieldTo(b view.Ballot) {
-	n.lastBallot = n.now
+// yieldToBallot ends this node's attempt if it has seen a later ballot.
+func (n *Node) yieldToBallot(b view.Ballot) {
+	n.lastBallotAt = n.now
 	if n.attempt != nil && n.attempt.proposer.Ballot.Less(b) {
 		n.endAttempt()
 	}
@@ -206,10 +206,10 @@
 	n.persist(VoteRecord{Epoch: n.view.Epoch, Acceptor: n.acceptor})
 }
 
-// fullState is this member's present state with its bytes.
+// fullState returns this member's current state with its snapshot.
 func (n *Node) fullState() State {
-	snapshot := n.newest.Snapshot
-	if snapshot == nil || n.committed != n.sequence || n.newest.Sequence != n.sequence {
+	snapshot := n.latestCommitted.Snapshot
+	if snapshot == nil || n.committed != n.sequence || n.latestCommitted.Sequence != n.sequence {
 		snapshot = n.machine.Snapshot()
 	}
 	return State{
@@ -221,9 +221,9 @@
 	}
 }
 
-// stateFor gives a state of this epoch as it has to be sent to one that is at a sequence of this epoch: with its bytes
-// only if the other is elsewhere. A sealed member's sequence stays what it told.
-func (n *Node) stateFor(s State, sequence int64) State {
+// stateForReceiver returns a state of this epoch for a receiver whose own state is at sequence: it omits the snapshot if
+// the receiver has the state. The sequence that a member reports with its promise remains valid because it has sealed.
+func (n *Node) stateForReceiver(s State, sequence int64) State {
 	if s.Sequence == sequence {
 		return State{Epoch: s.Epoch, Sequence: s.Sequence}
 	}
@@ -233,23 +233,23 @@
 	return s
 }
 
-// current says whether a message answers the present attempt.
-func (n *Node) current(from Peer, epoch int64, b view.Ballot) bool {
+// isCurrentAttempt reports whether a message answers the current attempt.
+func (n *Node) isCurrentAttempt(from Peer, epoch int64, b view.Ballot) bool {
 	return epoch == n.view.Epoch && n.attempt != nil && n.attempt.proposer.Ballot == b && n.view.HasMember(from.ID)
 }
 
-func (n *Node) onOutbid(m BallotRejected) {
+func (n *Node) onBallotRejected(m BallotRejected) {
 	if m.Epoch != n.view.Epoch {
 		return
 	}
-	n.highest = max(n.highest, m.Promised.Round)
+	n.highestRound = max(n.highestRound, m.Promised.Round)
 	if n.attempt != nil && n.attempt.proposer.Ballot == m.Ballot {
 		n.endAttempt()
 	}
 }
 
 func (n *Node) onPromise(from Peer, m Promise) {
-	if !n.current(from, m.Epoch, m.Ballot) {
+	if !n.isCurrentAttempt(from, m.Epoch, m.Ballot) {
 		return
 	}
 	a := n.attempt
@@ -258,15 +258,15 @@
 		n.sendAccept(from)
 		return
 	}
-	if m.State.Full && m.State.Sequence > a.best.Sequence {
-		a.best = m.State
+	if m.State.Full && m.State.Sequence > a.newestState.Sequence {
+		a.newestState = m.State
 	}
 	if !a.proposer.RecordPromise(from.ID, m.Accepted, m.Value) {
 		return
 	}
 	value, found := a.proposer.RequiredValue()
 	if !found {
-		value = Proposal{View: n.nextView(), State: a.best}
+		value = Proposal{View: n.nextView(), State: a.newestState}
 	}
 	a.proposer.Propose(value)
 	for _, member := range n.view.Members {
@@ -276,9 +276,10 @@
 	}
 }
 
-// nextView is the plan, or if too few hear each other, a chain of those who promised: this node hears them.
+// nextView returns the planned view or, if too few members hear each other, a chain of the members that promised, which
+// this node hears.
 func (n *Node) nextView() view.View {
-	next, _ := view.Plan(n.view, n.self.ID, contacts{n})
+	next, _ := view.Plan(n.view, n.self.ID, connectivity{n})
 	if next.Validate() == nil {
 		return next
 	}
@@ -298,18 +299,18 @@
 
 func (n *Node) sendAccept(to Peer) {
 	value := n.attempt.proposer.Value()
-	value.State = n.stateFor(value.State, n.attempt.sequences[to.ID])
+	value.State = n.stateForReceiver(value.State, n.attempt.sequences[to.ID])
 	n.send(to, Accept{Epoch: n.view.Epoch, Ballot: n.attempt.proposer.Ballot, Value: value})
 }
 
 func (n *Node) onAccept(from Peer, m Accept) {
-	if !n.sameEpoch(from, m.Epoch, true) || m.Value.View.Epoch != n.view.Epoch+1 {
+	if !n.checkEpoch(from, m.Epoch, true) || m.Value.View.Epoch != n.view.Epoch+1 {
 		return
 	}
 	value := m.Value
 	switch {
 	case value.State.Sequence == n.sequence:
-		value.State = State{Epoch: n.view.Epoch, Sequence: n.sequence} // its bytes are here
+		value.State = State{Epoch: n.view.Epoch, Sequence: n.sequence} // this member has the snapshot
 	case !value.State.Full:
 		return
 	}
@@ -319,13 +320,13 @@
 		return
 	}
 	n.persistVote()
-	n.yieldTo(m.Ballot)
+	n.yieldToBallot(m.Ballot)
 	n.send(from, Accepted{Epoch: m.Epoch, Ballot: m.Ballot})
 }
 
 func (n *Node) onAccepted(from Peer, m Accepted) {
-	if !n.current(from, m.Epoch, m.Ballot) || !n.attempt.proposer.RecordAccepted(from.ID) {
+	if !n.isCurrentAttempt(from, m.Epoch, m.Ballot) || !n.attempt.proposer.RecordAccepted(from.ID) {
 		return
 	}
-	n.decide(n.attempt)
+	n.distributeDecision(n.attempt)
 }
--- a/coordination/chain/record_test.go
+++ b/coordination/chain/record_test.go
@@ -14,7 +14,7 @@
 	identity := chain.IdentityRecord{Member: view.Member{ID: 1, Address: "a"}}
 	begin := chain.ViewRecord{View: first, State: chain.State{Epoch: 1, Full: true, Snapshot: (&register{}).Snapshot()}}
 	entry := func(epoch, sequence int64) chain.EntryRecord {
-		return chain.EntryRecord{Epoch: epoch, Entry: chain.Entry{Sequence: sequence, Command: command(uint64(sequence-1), 5)}}
+		return chain.EntryRecord{Epoch: epoch, Entry: chain.Entry{Sequence: sequence, Command: encodeCommand(uint64(sequence-1), 5)}}
 	}
 	vote := func(epoch, round int64) chain.VoteRecord {
 		return chain.VoteRecord{Epoch: epoch, Acceptor: view.Acceptor[chain.Proposal]{Promised: view.Ballot{Round: round, Proposer: 1}}}
--- a/coordination/chain/register_test.go
+++ b/coordination/chain/register_test.go
@@ -10,7 +10,7 @@
 // register is a register with versions: version v has the v-th value. A command puts a value on top of a base version.
 type register struct{ values []uint64 }
 
-func command(base, value uint64) []byte {
+func encodeCommand(base, value uint64) []byte {
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, base), value)
 }
 
@@ -20,12 +20,12 @@
 	current := uint64(len(r.values))
 	if base == current {
 		r.values = append(r.values, value)
-		return outcome(current+1, true), true
+		return encodeOutcome(current+1, true), true
 	}
-	return outcome(current, base < current && r.values[base] == value), false
+	return encodeOutcome(current, base < current && r.values[base] == value), false
 }
 
-func outcome(version uint64, taken bool) []byte {
+func encodeOutcome(version uint64, taken bool) []byte {
 	b := binary.BigEndian.AppendUint64(nil, version)
 	if taken {
 		return append(b, 1)
@@ -42,12 +42,12 @@
 }
 
 func (r *register) Restore(snapshot []byte) error {
-	values, err := parse(snapshot)
+	values, err := parseSnapshot(snapshot)
 	r.values = values
 	return err
 }
 
-func parse(snapshot []byte) ([]uint64, error) {
+func parseSnapshot(snapshot []byte) ([]uint64, error) {
 	if len(snapshot)%8 != 1 || snapshot[0] != 'v' {
 		return nil, eris.Errorf("snapshot of %d bytes", len(snapshot))
 	}
--- a/coordination/chain/simulation_test.go
+++ b/coordination/chain/simulation_test.go
@@ -12,42 +12,42 @@
 )
 
 // The simulation runs CHAIN_SEEDS seeds from CHAIN_FIRST on; with CHAIN_TRACE it tells what happens.
-const usualSeeds = 200
+const defaultSeeds = 200
 
 // gcPercent suits a small heap that is made anew with each seed.
 const gcPercent = 800
 
-// strikes is how often trouble strikes a cluster.
-const strikes = 9
+// faultsPerRun is how often trouble strikes a cluster.
+const faultsPerRun = 9
 
-func setting(name string, usual int) int {
+func intFromEnvironment(name string, fallback int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
 	}
-	return usual
+	return fallback
 }
 
 var _ = Describe("a cluster under faults", func() {
 	It("loses nothing acknowledged, applies nothing refused, reads nothing stale, and goes on once calm", func() {
 		DeferCleanup(debug.SetGCPercent, debug.SetGCPercent(gcPercent))
-		first := setting("CHAIN_FIRST", 1)
-		var total judge
-		for seed := first; seed < first+setting("CHAIN_SEEDS", usualSeeds); seed++ {
+		first := intFromEnvironment("CHAIN_FIRST", 1)
+		var total checker
+		for seed := first; seed < first+intFromEnvironment("CHAIN_SEEDS", defaultSeeds); seed++ {
 			j, err := simulate(uint64(seed))
 			Expect(err).NotTo(HaveOccurred())
 			total.answers += j.answers
 			total.refusals += j.refusals
-			total.known += j.known
+			total.knownVersions += j.knownVersions
 		}
-		AddReportEntry("totals", fmt.Sprintf("%d answers, %d refusals, %d versions", total.answers, total.refusals, total.known))
+		AddReportEntry("totals", fmt.Sprintf("%d answers, %d refusals, %d versions", total.answers, total.refusals, total.knownVersions))
 		Expect(total.refusals).To(BeNumerically(">", 0))
 	})
 })
 
-func simulate(seed uint64) (j judge, err error) {
+func simulate(seed uint64) (j checker, err error) {
 	defer func() {
-		if broken := recover(); broken != nil {
-			err = fmt.Errorf("seed %d: %v", seed, broken)
+		if failure := recover(); failure != nil {
+			err = fmt.Errorf("seed %d: %v", seed, failure)
 		}
 	}()
 	trace := func(string, ...any) {}
@@ -55,51 +55,51 @@
 		trace = func(format string, arguments ...any) { fmt.Fprintf(GinkgoWriter, format+"\n", arguments...) }
 	}
 	hosts := 3 + int(seed%3)
-	w := newWorld(seed, hosts, min(3, hosts), trace)
-	w.judge = judge{refused: map[[2]uint64]bool{}, acked: map[uint64]uint64{}}
-	t := &trouble{world: w}
-	t.begin()
-	for range strikes {
-		t.strike()
-		w.clients(w.between(200*time.Millisecond, 4*time.Second))
+	w := newSimulation(seed, hosts, min(3, hosts), trace)
+	w.checker = checker{refused: map[[2]uint64]bool{}, acked: map[uint64]uint64{}}
+	t := &faultInjector{simulation: w}
+	t.chooseRates()
+	for range faultsPerRun {
+		t.injectFault()
+		w.runClients(w.between(200*time.Millisecond, 4*time.Second))
 	}
 	t.heal()
-	w.clients(8 * time.Second)
-	w.goesOn()
-	return w.judge, nil
+	w.runClients(8 * time.Second)
+	w.checkProgress()
+	return w.checker, nil
 }
 
-// clients call at random for a time.
-func (w *world) clients(d time.Duration) {
+// runClients call at random for a time.
+func (w *simulation) runClients(d time.Duration) {
 	end := w.now + d
 	for w.now < end {
-		w.call(w.hosts[w.random.IntN(len(w.hosts))])
-		w.run(w.between(5*time.Millisecond, 150*time.Millisecond))
+		w.startClientCall(w.hosts[w.random.IntN(len(w.hosts))])
+		w.runFor(w.between(5*time.Millisecond, 150*time.Millisecond))
 	}
 }
 
-// goesOn checks that once calm, each host brings a change and a read through, and that all are in the chain.
-func (w *world) goesOn() {
+// checkProgress checks that once calm, each host brings a change and a read through, and that all are in the chain.
+func (w *simulation) checkProgress() {
 	for _, h := range w.hosts {
-		if h.gone {
+		if h.removed {
 			continue
 		}
 		if h.node == nil {
 			fail(w, "%s does not run", h.address)
 		}
-		answers := w.judge.answers
-		w.judge.values++
-		known := w.judge.known
-		c := w.judge.begin(w, &call{base: uint64(known), value: w.judge.values})
-		number, out, _ := h.node.Propose(w.now, command(c.base, c.value))
+		answers := w.checker.answers
+		w.checker.lastValue++
+		known := w.checker.knownVersions
+		c := w.checker.startCall(w, &clientCall{base: uint64(known), value: w.checker.lastValue})
+		number, out, _ := h.node.Propose(w.now, encodeCommand(c.base, c.value))
 		h.calls[number] = c
-		w.carryOut(h, out)
+		w.handleOutput(h, out)
 		w.schedule(h)
-		w.run(2 * time.Second)
-		if w.judge.answers == answers {
+		w.runFor(2 * time.Second)
+		if w.checker.answers == answers {
 			fail(w, "%s answers nothing when all is calm: view %+v", h.address, h.node.View())
 		}
-		if w.judge.known <= known {
+		if w.checker.knownVersions <= known {
 			fail(w, "%s takes nothing when all is calm: %d versions", h.address, known)
 		}
 		if v := h.node.View(); !h.node.IsMember() || v.ChainPosition(h.node.Self().ID) < 0 {
--- a/coordination/chain/world_test.go
+++ b/coordination/chain/world_test.go
@@ -10,45 +10,45 @@
 	"emberquay/coordination/chain"
 )
 
-// world runs nodes under one seeded scheduler: a network that loses, repeats and reorders, disks that keep what was
+// simulation runs nodes under one seeded scheduler: a network that loses, repeats and reorders, disks that keep what was
 // synced, processes that end at any point, freeze and lose their disks.
-type world struct {
-	random  *rand.Rand
-	now     time.Duration
-	events  events
-	hosts   []*host
-	seeds   []string
-	cut     map[[2]string]bool // from, to
-	loss    float64
-	repeat  float64
-	slow    float64 // chance that a message takes long
-	slowest time.Duration
-	crash   float64       // chance that a process ends within a step
-	pause   time.Duration // until it starts again, at most
-	judge   judge
-	trace   func(string, ...any)
-	order   uint64
+type simulation struct {
+	random          *rand.Rand
+	now             time.Duration
+	events          events
+	hosts           []*host
+	seeds           []string
+	blocked         map[[2]string]bool // from, to
+	lossRate        float64
+	duplicateRate   float64
+	delayRate       float64 // chance that a message takes long
+	maxDelay        time.Duration
+	crashRate       float64       // chance that a process ends within a step
+	maxRestartDelay time.Duration // until it starts again, at most
+	checker         checker
+	trace           func(string, ...any)
+	lastOrder       uint64
 }
 
 // host is a machine and its disk.
 type host struct {
-	address   string
-	bootstrap bool
-	gone      bool // for good
-	records   []chain.Record
-	node      *chain.Node
-	process   int // counts the starts
-	frozen    bool
-	backlog   []func() // of a frozen host
-	tick      uint64   // the newest timer
-	calls     map[int64]*call
+	address         string
+	bootstrap       bool
+	removed         bool // for good
+	records         []chain.Record
+	node            *chain.Node
+	starts          int // counts the starts
+	frozen          bool
+	backlog         []func() // of a frozen host
+	timerGeneration uint64   // the newest timer
+	calls           map[int64]*clientCall
 }
 
 // event is something that happens later.
 type event struct {
-	at    time.Duration
-	order uint64
-	do    func()
+	at     time.Duration
+	order  uint64
+	action func()
 }
 
 type events []event
@@ -68,11 +68,11 @@
 	return last
 }
 
-func newWorld(seed uint64, hosts, seeds int, trace func(string, ...any)) *world {
-	w := &world{
-		random: rand.New(rand.NewPCG(seed, 77)),
-		cut:    map[[2]string]bool{},
-		trace:  trace,
+func newSimulation(seed uint64, hosts, seeds int, trace func(string, ...any)) *simulation {
+	w := &simulation{
+		random:  rand.New(rand.NewPCG(seed, 77)),
+		blocked: map[[2]string]bool{},
+		trace:   trace,
 	}
 	for at := range hosts {
 		w.hosts = append(w.hosts, &host{address: fmt.Sprintf("host%d", at), bootstrap: true})
@@ -86,31 +86,31 @@
 	return w
 }
 
-func (w *world) after(d time.Duration, do func()) {
-	w.order++
-	heap.Push(&w.events, event{w.now + d, w.order, do})
+func (w *simulation) after(d time.Duration, do func()) {
+	w.lastOrder++
+	heap.Push(&w.events, event{w.now + d, w.lastOrder, do})
 }
 
-func (w *world) between(least, most time.Duration) time.Duration {
+func (w *simulation) between(least, most time.Duration) time.Duration {
 	return least + time.Duration(w.random.Int64N(int64(most-least)))
 }
 
-// run lets time pass.
-func (w *world) run(d time.Duration) {
+// runFor lets time pass.
+func (w *simulation) runFor(d time.Duration) {
 	end := w.now + d
 	for len(w.events) > 0 && w.events[0].at <= end {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
-		e.do()
+		e.action()
 	}
 	w.now = end
 }
 
-// on does something in a host's process as it is now, later if it is frozen, never if it has ended.
-func (w *world) on(h *host, do func()) {
-	process := h.process
+// runOnHost does something in a host's process as it is now, later if it is frozen, never if it has ended.
+func (w *simulation) runOnHost(h *host, do func()) {
+	process := h.starts
 	guarded := func() {
-		if h.node != nil && h.process == process {
+		if h.node != nil && h.starts == process {
 			do()
 		}
 	}
@@ -121,8 +121,8 @@
 	guarded()
 }
 
-func (w *world) start(h *host) {
-	if h.gone || h.node != nil {
+func (w *simulation) start(h *host) {
+	if h.removed || h.node != nil {
 		return
 	}
 	var durable chain.DurableState
@@ -140,45 +140,45 @@
 	if err != nil {
 		panic(err)
 	}
-	h.node, h.calls, h.frozen, h.backlog = node, map[int64]*call{}, false, nil
-	h.process++
+	h.node, h.calls, h.frozen, h.backlog = node, map[int64]*clientCall{}, false, nil
+	h.starts++
 	w.trace("%v start %s as %d, %d records", w.now, h.address, node.Self().ID, len(h.records))
-	w.carryOut(h, out)
+	w.handleOutput(h, out)
 	w.schedule(h)
 }
 
 // seedsFor is the operator's list when a host first starts; three of those that are there, later on.
-func (w *world) seedsFor(h *host) []string {
-	if h.bootstrap && h.process == 0 {
+func (w *simulation) seedsFor(h *host) []string {
+	if h.bootstrap && h.starts == 0 {
 		return w.seeds
 	}
 	var seeds []string
 	for _, other := range w.hosts {
-		if !other.gone && len(seeds) < 3 {
+		if !other.removed && len(seeds) < 3 {
 			seeds = append(seeds, other.address)
 		}
 	}
 	return seeds
 }
 
-func (w *world) stop(h *host) {
+func (w *simulation) stop(h *host) {
 	h.node, h.calls, h.frozen, h.backlog = nil, nil, false, nil
-	h.process++
+	h.starts++
 }
 
 // wipe takes a host's disk; it starts again later.
-func (w *world) wipe(h *host) {
+func (w *simulation) wipe(h *host) {
 	w.stop(h)
 	h.records, h.bootstrap = nil, false
 }
 
-// carryOut does what a node asks for, unless the process ends within it: then a part of the records was synced, or all and
+// handleOutput does what a node asks for, unless the process ends within it: then a part of the records was synced, or all and
 // a part of the messages left.
-func (w *world) carryOut(h *host, out chain.Output) {
+func (w *simulation) handleOutput(h *host, out chain.Output) {
 	before := len(h.records)
 	h.records = append(h.records, out.Persist...)
 	sends := len(out.Send)
-	crashes := w.random.Float64() < w.crash
+	crashes := w.random.Float64() < w.crashRate
 	if crashes {
 		if kept := w.random.IntN(len(out.Persist) + 1); kept < len(out.Persist) {
 			h.records = h.records[:before+kept]
@@ -188,7 +188,7 @@
 		}
 	} else {
 		for _, c := range out.Committed {
-			w.judge.committed(w, h, c)
+			w.checker.checkCommitted(w, h, c)
 		}
 	}
 	for _, e := range out.Send[:sends] {
@@ -197,11 +197,11 @@
 	if crashes {
 		w.trace("%v %s ends within a step", w.now, h.address)
 		w.stop(h)
-		w.after(w.between(10*time.Millisecond, w.pause), func() { w.start(h) })
+		w.after(w.between(10*time.Millisecond, w.maxRestartDelay), func() { w.start(h) })
 		return
 	}
 	for _, r := range out.Replies {
-		w.judge.answered(w, h, r)
+		w.checker.checkReply(w, h, r)
 	}
 	if len(h.records) > 40 && w.random.IntN(4) == 0 {
 		h.records = append(slices.Clone(h.records[w.random.IntN(len(h.records)):]), h.node.Checkpoint()...)
@@ -211,73 +211,73 @@
 	}
 }
 
-func (w *world) transmit(e chain.Envelope) {
-	if w.cut[[2]string{e.From.Address, e.To.Address}] || w.random.Float64() < w.loss {
+func (w *simulation) transmit(e chain.Envelope) {
+	if w.blocked[[2]string{e.From.Address, e.To.Address}] || w.random.Float64() < w.lossRate {
 		return
 	}
 	copies := 1
-	if w.random.Float64() < w.repeat {
+	if w.random.Float64() < w.duplicateRate {
 		copies = 2
 	}
 	for range copies {
 		delay := w.between(time.Millisecond, 15*time.Millisecond)
-		if w.random.Float64() < w.slow {
-			delay += w.between(0, w.slowest)
+		if w.random.Float64() < w.delayRate {
+			delay += w.between(0, w.maxDelay)
 		}
 		w.after(delay, func() { w.deliver(e) })
 	}
 }
 
-func (w *world) deliver(e chain.Envelope) {
+func (w *simulation) deliver(e chain.Envelope) {
 	at := slices.IndexFunc(w.hosts, func(h *host) bool { return h.address == e.To.Address })
 	if at < 0 {
 		return
 	}
 	h := w.hosts[at]
-	w.on(h, func() {
+	w.runOnHost(h, func() {
 		w.traceMessage(e)
-		w.carryOut(h, h.node.Step(w.now, e))
+		w.handleOutput(h, h.node.Step(w.now, e))
 		w.schedule(h)
 	})
 }
 
-func (w *world) traceMessage(e chain.Envelope) {
+func (w *simulation) traceMessage(e chain.Envelope) {
 	if _, beat := e.Body.(chain.Heartbeat); !beat {
 		w.trace("%v %s -> %s %T%+v", w.now, e.From.Address, e.To.Address, e.Body, e.Body)
 	}
 }
 
 // schedule sets the host's timer to what its node wants.
-func (w *world) schedule(h *host) {
+func (w *simulation) schedule(h *host) {
 	if h.node == nil {
 		return
 	}
-	h.tick++
-	tick := h.tick
+	h.timerGeneration++
+	tick := h.timerGeneration
 	w.after(max(0, h.node.Deadline()-w.now)+w.between(0, 3*time.Millisecond), func() {
-		w.on(h, func() {
-			if h.tick == tick {
-				w.carryOut(h, h.node.Tick(w.now))
+		w.runOnHost(h, func() {
+			if h.timerGeneration == tick {
+				w.handleOutput(h, h.node.Tick(w.now))
 				w.schedule(h)
 			}
 		})
 	})
 }
 
-func (w *world) freeze(h *host, d time.Duration) {
+func (w *simulation) freeze(h *host, d time.Duration) {
 	if h.node == nil || h.frozen {
 		return
 	}
 	h.frozen = true
-	process := h.process
+	process := h.starts
 	w.after(d, func() {
-		if h.process == process {
-			w.thaw(h)
+		if h.starts == process {
+			w.unfreeze(h)
 		}
 	})
 }
 
-func (w *world) thaw(h *host) {
+func (w *simulation) unfreeze(h *host) {
 	backlog := h.backlog
 	h.frozen, h.backlog = false, nil
 	for _, do := range backlog {
--- a/coordination/chain/write.go
+++ b/coordination/chain/write.go
@@ -4,16 +4,16 @@
 	"fmt"
 )
 
-// proposed is a command that waits at the head.
-type proposed struct {
-	from Peer
+// queuedCommand is a command that waits at the head.
+type queuedCommand struct {
+	client Peer
 	Propose
 }
 
-// flight is the command whose entry is on its way down the chain; zero: nobody waits for it.
-type flight struct {
-	to Peer
-	id CommandID
+// inFlightCommand is the command whose entry is being replicated down the chain; zero if no client waits for one.
+type inFlightCommand struct {
+	client Peer
+	id     CommandID
 }
 
 func (n *Node) isHead() bool {
@@ -24,34 +24,34 @@
 func (n *Node) onPropose(from Peer, m Propose) {
 	if !n.isHead() {
 		n.send(from, ProposeResult{ID: m.ID, Verdict: ResultRetry, Epoch: n.View().Epoch})
-		n.hint(from)
+		n.sendViewNotice(from)
 		return
 	}
-	if o, ok := n.outcome(m.ID); ok {
-		n.answerAgain(from, o)
+	if o, ok := n.findOutcome(m.ID); ok {
+		n.answerDuplicate(from, o)
 		return
 	}
-	if len(n.queue) >= maxQueue || n.waitsFor(m.ID) {
+	if len(n.commandQueue) >= maxQueuedCommands || n.isPendingCommand(m.ID) {
 		return
 	}
-	n.queue = append(n.queue, proposed{from: from, Propose: m})
-	n.advance()
+	n.commandQueue = append(n.commandQueue, queuedCommand{client: from, Propose: m})
+	n.processQueue()
 }
 
-// answerAgain answers a command that has its entry already.
-func (n *Node) answerAgain(to Peer, o Outcome) {
+// answerDuplicate answers a command that already has an entry.
+func (n *Node) answerDuplicate(to Peer, o Outcome) {
 	if o.Sequence > n.committed {
-		n.flight = flight{to: to, id: o.ID}
+		n.inFlight = inFlightCommand{client: to, id: o.ID}
 		return
 	}
-	n.send(to, n.result(o))
+	n.send(to, n.resultFor(o))
 }
 
-func (n *Node) result(o Outcome) ProposeResult {
+func (n *Node) resultFor(o Outcome) ProposeResult {
 	return ProposeResult{ID: o.ID, Verdict: ResultOK, Epoch: n.view.Epoch, Sequence: o.Sequence, Result: o.Result}
 }
 
-func (n *Node) outcome(id CommandID) (Outcome, bool) {
+func (n *Node) findOutcome(id CommandID) (Outcome, bool) {
 	for at := len(n.recent) - 1; at >= 0; at-- {
 		if n.recent[at].ID == id {
 			return n.recent[at], true
@@ -60,69 +60,69 @@
 	return Outcome{}, false
 }
 
-func (n *Node) waitsFor(id CommandID) bool {
-	for _, p := range n.queue {
+func (n *Node) isPendingCommand(id CommandID) bool {
+	for _, p := range n.commandQueue {
 		if p.ID == id {
 			return true
 		}
 	}
-	return n.confirm.waitsFor(id)
+	return n.confirmation.hasWaiter(id)
 }
 
-// advance carries out waiting commands while nothing is on its way: a refusal from a state that is not committed could
-// name a version that never comes to be.
-func (n *Node) advance() {
-	for len(n.queue) > 0 && n.isHead() && !n.acceptor.Sealed() && n.committed == n.sequence {
-		p := n.queue[0]
-		n.queue = n.queue[1:]
-		n.evaluate(p)
+// processQueue evaluates queued commands as long as no entry is in flight: a refusal based on an uncommitted state could
+// name a version that never comes to exist.
+func (n *Node) processQueue() {
+	for len(n.commandQueue) > 0 && n.isHead() && !n.acceptor.Sealed() && n.committed == n.sequence {
+		p := n.commandQueue[0]
+		n.commandQueue = n.commandQueue[1:]
+		n.evaluateCommand(p)
 	}
 }
 
-func (n *Node) evaluate(p proposed) {
-	if o, ok := n.outcome(p.ID); ok {
-		n.answerAgain(p.from, o)
+func (n *Node) evaluateCommand(p queuedCommand) {
+	if o, ok := n.findOutcome(p.ID); ok {
+		n.answerDuplicate(p.client, o)
 		return
 	}
 	if p.After+int64(len(n.recent)) < n.sequence {
-		n.send(p.from, ProposeResult{ID: p.ID, Verdict: ResultTooOld, Epoch: n.view.Epoch, Sequence: n.sequence})
+		n.send(p.client, ProposeResult{ID: p.ID, Verdict: ResultTooOld, Epoch: n.view.Epoch, Sequence: n.sequence})
 		return
 	}
 	result, changed := n.machine.Apply(p.Command)
 	if !changed {
-		n.awaitConfirmation(waiter{to: p.from, id: p.ID, result: result})
+		n.awaitConfirmation(waiter{client: p.client, id: p.ID, result: result})
 		return
 	}
-	n.flight = flight{to: p.from, id: p.ID}
-	n.add(Entry{Sequence: n.sequence + 1, ID: p.ID, Command: p.Command}, result)
+	n.inFlight = inFlightCommand{client: p.client, id: p.ID}
+	n.appendEntry(Entry{Sequence: n.sequence + 1, ID: p.ID, Command: p.Command}, result)
 }
 
-// add takes an entry that has been applied, and passes it on.
-func (n *Node) add(e Entry, result []byte) {
+// appendEntry records an entry that has been applied, and forwards it.
+func (n *Node) appendEntry(e Entry, result []byte) {
 	n.sequence = e.Sequence
-	n.recent = remember(n.recent, Outcome{ID: e.ID, Sequence: e.Sequence, Result: result})
-	n.last = &e
+	n.recent = appendOutcome(n.recent, Outcome{ID: e.ID, Sequence: e.Sequence, Result: result})
+	n.newestEntry = &e
 	n.persist(EntryRecord{Epoch: n.view.Epoch, Entry: e})
-	n.forward()
+	n.forwardNewestEntry()
 }
 
-// forward passes the newest entry on; at the tail it is committed.
-func (n *Node) forward() {
-	next, ok := n.view.Successor(n.self.ID)
+// forwardNewestEntry sends the newest entry to the successor; at the tail the entry is committed.
+func (n *Node) forwardNewestEntry() {
+	successor, ok := n.view.Successor(n.self.ID)
 	if !ok {
 		n.commitTo(n.sequence)
 		return
 	}
 	n.lastAppend = n.now
-	n.sendMember(next, Append{Epoch: n.view.Epoch, Entry: *n.last, Committed: n.committed})
+	n.sendMember(successor, Append{Epoch: n.view.Epoch, Entry: *n.newestEntry, Committed: n.committed})
 }
 
 func (n *Node) onAppend(from Peer, m Append) {
-	if !n.sameEpoch(from, m.Epoch, true) || n.acceptor.Sealed() {
+	if !n.checkEpoch(from, m.Epoch, true) || n.acceptor.Sealed() {
 		return
 	}
-	before, ok := n.view.Predecessor(n.self.ID)
-	if !ok || before.ID != from.ID {
+	predecessor, ok := n.view.Predecessor(n.self.ID)
+	if !ok || predecessor.ID != from.ID {
 		return
 	}
 	n.commitTo(min(m.Committed, n.sequence))
@@ -130,71 +130,72 @@
 	case m.Entry.Sequence == n.sequence+1:
 		result, changed := n.machine.Apply(m.Entry.Command)
 		if !changed {
-			panic(fmt.Sprintf("chain: entry %d of epoch %d changes nothing here", m.Entry.Sequence, m.Epoch))
+			panic(fmt.Sprintf("chain: entry %d of epoch %d changes nothing at this member", m.Entry.Sequence, m.Epoch))
 		}
-		n.add(m.Entry, result)
+		n.appendEntry(m.Entry, result)
 	case m.Entry.Sequence > n.sequence+1:
-		// The chain only goes on after this member's answer: its disk must have lost what it had synced.
-		n.forget()
+		// The head sends the next entry only after this one is committed, so this member's disk must have lost synced
+		// entries.
+		n.becomeNewMember()
 	case m.Entry.Sequence <= n.committed:
-		n.sendMember(before, Ack{Epoch: m.Epoch, Sequence: n.committed})
+		n.sendMember(predecessor, Ack{Epoch: m.Epoch, Sequence: n.committed})
 	default:
 		entry := m.Entry
-		n.last = &entry
-		n.forward()
+		n.newestEntry = &entry
+		n.forwardNewestEntry()
 	}
 }
 
 func (n *Node) onAck(from Peer, m Ack) {
-	next, ok := n.view.Successor(n.self.ID)
-	if m.Epoch == n.view.Epoch && ok && next.ID == from.ID {
+	successor, ok := n.view.Successor(n.self.ID)
+	if m.Epoch == n.view.Epoch && ok && successor.ID == from.ID {
 		n.commitTo(min(m.Sequence, n.sequence))
 	}
 }
 
-// commitTo notes that entries are committed, tells it up the chain and whoever waits.
+// commitTo records that the entries up to sequence are committed, tells the predecessor, and answers waiting callers.
 func (n *Node) commitTo(sequence int64) {
 	if sequence <= n.committed {
 		return
 	}
 	n.committed = sequence
-	n.noteCommitted()
-	if before, ok := n.view.Predecessor(n.self.ID); ok {
-		n.sendMember(before, Ack{Epoch: n.view.Epoch, Sequence: sequence})
+	n.publishCommitted()
+	if predecessor, ok := n.view.Predecessor(n.self.ID); ok {
+		n.sendMember(predecessor, Ack{Epoch: n.view.Epoch, Sequence: sequence})
 	}
-	n.answerFlight()
-	n.releaseConfirmed()
-	n.advance()
+	n.answerInFlight()
+	n.answerConfirmed()
+	n.processQueue()
 }
 
-// noteCommitted gives out the state if all of it is committed.
-func (n *Node) noteCommitted() {
-	n.knownCommit = max(n.knownCommit, n.committed)
+// publishCommitted emits the state if all entries taken are committed.
+func (n *Node) publishCommitted() {
+	n.knownCommitted = max(n.knownCommitted, n.committed)
 	if n.committed != n.sequence {
 		return
 	}
-	n.learnt = true
-	if n.newest.Snapshot == nil || n.newest.Sequence != n.committed {
-		n.newest.Snapshot = n.machine.Snapshot()
+	n.knowsCommitted = true
+	if n.latestCommitted.Snapshot == nil || n.latestCommitted.Sequence != n.committed {
+		n.latestCommitted.Snapshot = n.machine.Snapshot()
 	}
-	n.newest.Epoch, n.newest.Sequence = n.view.Epoch, n.committed
-	n.out.Committed = append(n.out.Committed, n.newest)
+	n.latestCommitted.Epoch, n.latestCommitted.Sequence = n.view.Epoch, n.committed
+	n.output.Committed = append(n.output.Committed, n.latestCommitted)
 }
 
-func (n *Node) answerFlight() {
-	if n.flight == (flight{}) {
+func (n *Node) answerInFlight() {
+	if n.inFlight == (inFlightCommand{}) {
 		return
 	}
-	if o, ok := n.outcome(n.flight.id); ok && o.Sequence <= n.committed {
-		n.send(n.flight.to, n.result(o))
-		n.flight = flight{}
+	if o, ok := n.findOutcome(n.inFlight.id); ok && o.Sequence <= n.committed {
+		n.send(n.inFlight.client, n.resultFor(o))
+		n.inFlight = inFlightCommand{}
 	}
 }
 
-// resendAppend passes the newest entry on again while it is not known to be committed. The tail learns from the member
-// before it whether that has the entry too, unless it is the whole chain.
+// resendAppend forwards the newest entry again while it is not known to be committed. The tail does not, unless it is the
+// whole chain: the resend of its predecessor shows that the predecessor has the entry too.
 func (n *Node) resendAppend() {
-	if !n.member() || n.committed == n.sequence || n.last == nil || n.acceptor.Sealed() {
+	if !n.isMember() || n.committed == n.sequence || n.newestEntry == nil || n.acceptor.Sealed() {
 		return
 	}
 	tail, _ := n.view.Tail()
@@ -202,5 +203,5 @@
 		return
 	}
 	n.lastAppend = n.now
-	n.forward()
+	n.forwardNewestEntry()
 }
--- a/coordination/view/doc.go
+++ b/coordination/view/doc.go
@@ -1,15 +1,15 @@
-// Package view holds the views of a replicated state and how the next one is agreed on: the types, single-decree Paxos
-// (Lamport, "Paxos Made Simple") with the members of one view as the acceptors of the next, and the plan of which view
-// should come next. It is pure: no clock, no goroutine, no input or output.
+// Package view defines the views (configurations) of a replicated state machine and how the next one is decided: the
+// types, single-decree Paxos (Lamport, "Paxos Made Simple") with the members of one view as the acceptors for the next,
+// and the planner that chooses the next view. The package is pure: no clock, no goroutines, no I/O.
 //
-//	acceptor.Prepare(ballot)                       // at each member: seals the epoch
+//	acceptor.Prepare(ballot)                             // at each member: seals the epoch
 //	proposer := view.NewProposer[Value](ballot, current.Majority())
-//	if proposer.Promise(member, accepted, value) { // a majority has promised
-//		value, found := proposer.Found()           // must be taken if found
-//		proposer.Begin(value)
+//	if proposer.RecordPromise(member, accepted, value) { // a majority has promised
+//		value, found := proposer.RequiredValue()         // must be proposed if found
+//		proposer.Propose(value)
 //	}
-//	decided := proposer.Accepted(member)
+//	decided := proposer.RecordAccepted(member)
 //
-// Invariants: for each epoch at most one view is ever decided, by a majority of the members of the epoch before; a chain
-// is a subset of the members and holds at least a majority of them, so it meets every majority.
+// Invariants: at most one view is decided per epoch, by a majority of the members of the previous epoch. A chain is a
+// subset of the members and contains at least a majority of them, so it intersects every majority.
 package view
--- a/coordination/view/paxos.go
+++ b/coordination/view/paxos.go
@@ -1,12 +1,12 @@
 package view
 
-// Ballot orders the attempts to decide one epoch. The zero Ballot is before all.
+// Ballot orders the attempts to decide one epoch. The zero Ballot precedes all others.
 type Ballot struct {
 	Round    int64
 	Proposer MemberID
 }
 
-// Less says whether a ballot is before another.
+// Less reports whether b precedes other.
 func (b Ballot) Less(other Ballot) bool {
 	if b.Round != other.Round {
 		return b.Round < other.Round
@@ -14,18 +14,19 @@
 	return b.Proposer < other.Proposer
 }
 
-// Acceptor is one member's vote on what follows its epoch. It has to be on the disk before it is told to anyone.
+// Acceptor is the Paxos acceptor state of one member for the view that follows its epoch. It must be on disk before it
+// is sent to anyone.
 type Acceptor[V any] struct {
 	Promised Ballot
-	Accepted Ballot // zero: nothing accepted
-	Value    V      // of Accepted
+	Accepted Ballot // zero: no value accepted
+	Value    V      // accepted in ballot Accepted
 }
 
-// Sealed says that a promise was given: the member takes no more writes of its epoch.
+// Sealed reports whether the member has made a promise; from then on it takes no more entries of its epoch.
 func (a *Acceptor[V]) Sealed() bool { return a.Promised != Ballot{} }
 
-// Prepare promises to take nothing of an earlier ballot; false: a later one has been promised. The same ballot is
-// promised again.
+// Prepare promises to ignore ballots earlier than b. It returns false if a later ballot has been promised; preparing the
+// same ballot again succeeds.
 func (a *Acceptor[V]) Prepare(b Ballot) bool {
 	if b.Less(a.Promised) {
 		return false
@@ -34,7 +35,7 @@
 	return true
 }
 
-// Accept takes a value; false: a later ballot has been promised.
+// Accept accepts a value; it returns false if a later ballot has been promised.
 func (a *Acceptor[V]) Accept(b Ballot, value V) bool {
 	if b.Less(a.Promised) {
 		return false
@@ -43,59 +44,60 @@
 	return true
 }
 
-// Proposer is one attempt to have a value decided.
+// Proposer runs one ballot.
 type Proposer[V any] struct {
-	Ballot   Ballot
-	majority int
-	promised map[MemberID]bool
-	accepted map[MemberID]bool
-	newest   Ballot // the latest ballot of which a promise told a value
-	value    V
-	begun    bool
+	Ballot          Ballot
+	majority        int
+	promised        map[MemberID]bool
+	accepted        map[MemberID]bool
+	highestAccepted Ballot // highest accepted ballot among the promises; value belongs to it
+	value           V
+	proposed        bool
 }
 
-// NewProposer begins an attempt under a ballot that was never used before.
+// NewProposer starts a ballot that must never have been used before.
 func NewProposer[V any](b Ballot, majority int) *Proposer[V] {
 	return &Proposer[V]{Ballot: b, majority: majority, promised: map[MemberID]bool{}, accepted: map[MemberID]bool{}}
 }
 
-// RecordPromise notes a member's promise and what it had accepted before. It is true once, when a majority has promised.
+// RecordPromise records a member's promise and the value it had accepted before. It returns true once, when a majority has
+// promised.
 func (p *Proposer[V]) RecordPromise(from MemberID, accepted Ballot, value V) bool {
-	if p.begun || p.promised[from] {
+	if p.proposed || p.promised[from] {
 		return false
 	}
 	p.promised[from] = true
-	if p.newest.Less(accepted) {
-		p.newest, p.value = accepted, value
+	if p.highestAccepted.Less(accepted) {
+		p.highestAccepted, p.value = accepted, value
 	}
 	return len(p.promised) == p.majority
 }
 
-// HasPromised says whether a member's promise has come.
+// HasPromised reports whether a member's promise was recorded.
 func (p *Proposer[V]) HasPromised(id MemberID) bool { return p.promised[id] }
 
-// HasAccepted says whether a member has accepted the value.
+// HasAccepted reports whether a member has accepted the value.
 func (p *Proposer[V]) HasAccepted(id MemberID) bool { return p.accepted[id] }
 
-// RequiredValue is the value that the promises demand, if any: it may have been decided already.
+// RequiredValue returns the value that the promises require to be proposed, if any, since it may already be decided.
 func (p *Proposer[V]) RequiredValue() (V, bool) {
-	return p.value, p.newest != Ballot{}
+	return p.value, p.highestAccepted != Ballot{}
 }
 
-// Propose fixes the value of this ballot; called once, after a majority has promised.
+// Propose sets the value of this ballot. It is called once, after a majority has promised.
 func (p *Proposer[V]) Propose(value V) {
-	p.value, p.begun = value, true
+	p.value, p.proposed = value, true
 }
 
-// HasProposed says whether the value is fixed.
-func (p *Proposer[V]) HasProposed() bool { return p.begun }
+// HasProposed reports whether the value of this ballot is set.
+func (p *Proposer[V]) HasProposed() bool { return p.proposed }
 
-// Value is what was fixed by Begin.
+// Value returns the value set by Propose.
 func (p *Proposer[V]) Value() V { return p.value }
 
-// RecordAccepted notes that a member has accepted. It is true once, when the value is decided.
+// RecordAccepted records that a member has accepted the value. It returns true once, when the value is decided.
 func (p *Proposer[V]) RecordAccepted(from MemberID) bool {
-	if !p.begun || p.accepted[from] {
+	if !p.proposed || p.accepted[from] {
 		return false
 	}
 	p.accepted[from] = true
--- a/coordination/view/paxos_test.go
+++ b/coordination/view/paxos_test.go
@@ -80,13 +80,13 @@
 
 	It("never decides two values, whatever is lost and however ballots cross", func() {
 		for seed := range uint64(3000) {
-			Expect(len(decisions(rand.New(rand.NewPCG(seed, 3))))).To(BeNumerically("<=", 1), "seed %d", seed)
+			Expect(len(runProposers(rand.New(rand.NewPCG(seed, 3))))).To(BeNumerically("<=", 1), "seed %d", seed)
 		}
 	})
 })
 
-// decisions runs proposers against five acceptors, a step of any of them at a time, and gives the values decided.
-func decisions(random *rand.Rand) map[int64]bool {
+// runProposers runs proposers against five acceptors, a step of any of them at a time, and gives the values decided.
+func runProposers(random *rand.Rand) map[int64]bool {
 	acceptors := make([]view.Acceptor[int64], 5)
 	proposers := make([]*view.Proposer[int64], 3)
 	decided := map[int64]bool{}
--- a/coordination/view/plan.go
+++ b/coordination/view/plan.go
@@ -5,44 +5,44 @@
 	"time"
 )
 
-// Change is why another view is wanted.
+// Change is the reason why a new view is planned.
 type Change int
 
-// The changes, the most urgent last.
+// Changes in increasing order of urgency.
 const (
-	NoChange     Change = iota // nothing to change
-	ExtendChain                // a member comes back into the chain
-	RemoveMember               // a silent member leaves, there are more than at first
-	AddMember                  // a new member comes, in the place of a dead one or besides
+	NoChange     Change = iota // the view stays as it is
+	ExtendChain                // a member returns to the chain
+	RemoveMember               // a silent member is removed, as the view has more members than the first one
+	AddMember                  // a new member joins, replacing a dead one or in addition
 	ShrinkChain                // a member of the chain is silent
 )
 
-// Silences that a plan goes by.
+// Silence timeouts used for planning.
 const (
-	// SuspectAfter leaves out a member of the chain: a few heartbeats, so that one late beat changes nothing.
+	// SuspectAfter removes a silent member from the chain. It spans a few heartbeats, so a single late one has no effect.
 	SuspectAfter = 700 * time.Millisecond
-	// ReplaceAfter lets another member take the place of a silent one.
+	// ReplaceAfter allows a joining node to replace a silent member.
 	ReplaceAfter = 1500 * time.Millisecond
 )
 
-// Connectivity is what a member knows of who hears whom.
+// Connectivity is one member's knowledge of which nodes hear each other.
 type Connectivity interface {
-	// SilentFor is how long a member has said nothing to this one.
+	// SilentFor returns how long this member has received nothing from another one.
 	SilentFor(MemberID) time.Duration
-	// Hears says whether one has heard the other within SuspectAfter, as far as this member knows.
+	// Hears reports whether one node has heard the other within SuspectAfter, as far as this member knows.
 	Hears(by, of MemberID) bool
-	// HasInstalled says whether a member is known to have adopted the present view.
+	// HasInstalled reports whether a member is known to have installed the current view.
 	HasInstalled(MemberID) bool
-	// Joining are nodes that lately asked to become members.
+	// Joining lists the nodes that recently asked to become members.
 	Joining() []Member
 }
 
-// Plan gives the view that a member would have follow, and why. With Keep the view is only good for an epoch that has to
-// end anyway; its chain may be too short where too few hear each other (see Validate).
+// Plan returns the next view that this member would propose, and the reason. With NoChange, the returned view is only of
+// use if the epoch has to end anyway; its chain may be too short if too few members hear each other (see Validate).
 func Plan(v View, self MemberID, c Connectivity) (View, Change) {
 	next := View{Epoch: v.Epoch + 1, Initial: v.Initial, Members: slices.Clone(v.Members)}
 	change := NoChange
-	if settled(v, self, c) {
+	if chainHasInstalled(v, self, c) {
 		change = planMembers(&next, self, c)
 	}
 	next.Chain = planChain(v, next, self, c)
@@ -55,9 +55,9 @@
 	return next, change
 }
 
-// settled says whether those of the chain that are heard have adopted the view. Until then the members stay, so that a
-// member that has just come has the state before the next one changes.
-func settled(v View, self MemberID, c Connectivity) bool {
+// chainHasInstalled reports whether all chain members that are heard have installed the view. Membership does not change
+// before that, so a newly added member receives the state before the next change.
+func chainHasInstalled(v View, self MemberID, c Connectivity) bool {
 	for _, id := range v.Chain {
 		if id != self && c.SilentFor(id) < SuspectAfter && !c.HasInstalled(id) {
 			return false
@@ -72,7 +72,7 @@
 		if next.HasMember(joining.ID) || !c.Hears(joining.ID, self) {
 			continue
 		}
-		if at := placeFor(*next, joining, self, c); at >= 0 {
+		if at := findReplacedMember(*next, joining, self, c); at >= 0 {
 			next.Members[at] = joining
 			return AddMember
 		}
@@ -84,30 +84,31 @@
 	if len(next.Members) <= next.Initial {
 		return NoChange
 	}
-	if at := longestSilent(*next, self, c); at >= 0 {
+	if at := findDeadMember(*next, self, c); at >= 0 {
 		next.Members = slices.Delete(next.Members, at, at+1)
 		return RemoveMember
 	}
 	return NoChange
 }
 
-// placeFor finds the member whose place a new one takes: the one of the same node, whose disk must be lost, or one that
-// is silent; -1: none.
-func placeFor(v View, joining Member, self MemberID, c Connectivity) int {
-	same := slices.IndexFunc(v.Members, func(m Member) bool {
+// findReplacedMember returns the index of the member that a joining node replaces: the one of the same node, whose disk
+// must be lost, or else a dead one; -1 if there is none.
+func findReplacedMember(v View, joining Member, self MemberID, c Connectivity) int {
+	sameNode := slices.IndexFunc(v.Members, func(m Member) bool {
 		return m.ID != self && (m.Address == joining.Address || m.Name != "" && m.Name == joining.Name)
 	})
-	if same >= 0 {
-		return same
+	if sameNode >= 0 {
+		return sameNode
 	}
-	return longestSilent(v, self, c)
+	return findDeadMember(v, self, c)
 }
 
-// longestSilent finds a member that has been silent for ReplaceAfter and that nobody else hears either; -1: none.
-func longestSilent(v View, self MemberID, c Connectivity) int {
+// findDeadMember returns the index of the member that has been silent longest, at least for ReplaceAfter, and that no other
+// member hears; -1 if there is none.
+func findDeadMember(v View, self MemberID, c Connectivity) int {
 	found, longest := -1, ReplaceAfter
 	for at, m := range v.Members {
-		if m.ID == self || c.SilentFor(m.ID) < longest || heardByOthers(v, m.ID, self, c) {
+		if m.ID == self || c.SilentFor(m.ID) < longest || isHeardByOthers(v, m.ID, self, c) {
 			continue
 		}
 		found, longest = at, c.SilentFor(m.ID)
@@ -115,14 +116,14 @@
 	return found
 }
 
-func heardByOthers(v View, id, self MemberID, c Connectivity) bool {
+func isHeardByOthers(v View, id, self MemberID, c Connectivity) bool {
 	return slices.ContainsFunc(v.Members, func(m Member) bool {
 		return m.ID != self && m.ID != id && c.Hears(self, m.ID) && c.Hears(m.ID, id)
 	})
 }
 
-// planChain picks members that all hear each other, this one among them: those of the present chain first, in its order.
-// A member that one of the chain doesn't hear would stall it.
+// planChain selects members that all hear each other, including this one, preferring the members of the current chain in
+// their order. A member that another chain member doesn't hear would stall the chain.
 func planChain(v, next View, self MemberID, c Connectivity) []MemberID {
 	candidates := slices.Clone(v.Chain)
 	for _, m := range next.Members {
--- a/coordination/view/view.go
+++ b/coordination/view/view.go
@@ -6,29 +6,29 @@
 	"github.com/rotisserie/eris"
 )
 
-// MemberID names one member for the life of its disk. A node that lost its disk comes back under another.
+// MemberID identifies one member for the lifetime of its disk. A node that lost its disk returns with a new id.
 type MemberID int64
 
-// MaxMembers bounds a view: every member sends heartbeats to every other.
+// MaxMembers limits the size of a view, since every member sends heartbeats to every other.
 const MaxMembers = 9
 
-// Member is a replica that may vote.
+// Member is a voting replica.
 type Member struct {
 	ID      MemberID
-	Name    string // of the node; empty for a first member until it is replaced
-	Address string // where the others reach it
+	Name    string // node name; empty for a first member until it is replaced
+	Address string // where the other members reach it
 	Zone    string
 }
 
-// View says who votes on the next view and who replicates until then.
+// View defines the members that vote on the next view and the chain that replicates entries until then.
 type View struct {
 	Epoch   int64
-	Initial int // members of the first view
+	Initial int // number of members of the first view
 	Members []Member
 	Chain   []MemberID // head first
 }
 
-// First is the view of epoch 1: all members, in their order, are the chain.
+// First returns the view of epoch 1, whose chain is all members in the given order.
 func First(members []Member) View {
 	v := View{Epoch: 1, Initial: len(members), Members: members}
 	for _, m := range members {
@@ -37,10 +37,10 @@
 	return v
 }
 
-// Majority is the least number of members that meets every other such number of them.
+// Majority returns the size of the smallest quorum: any two sets of this many members intersect.
 func (v View) Majority() int { return len(v.Members)/2 + 1 }
 
-// Member finds a member by its id.
+// Member looks up a member by its id.
 func (v View) Member(id MemberID) (Member, bool) {
 	at := slices.IndexFunc(v.Members, func(m Member) bool { return m.ID == id })
 	if at < 0 {
@@ -49,16 +49,16 @@
 	return v.Members[at], true
 }
 
-// HasMember says whether the id is a member's.
+// HasMember reports whether id belongs to a member.
 func (v View) HasMember(id MemberID) bool {
 	_, ok := v.Member(id)
 	return ok
 }
 
-// ChainPosition is the place of a member in the chain, -1 if it is not in it.
+// ChainPosition returns the index of a member in the chain, or -1 if it is not part of it.
 func (v View) ChainPosition(id MemberID) int { return slices.Index(v.Chain, id) }
 
-// Head is the first of the chain; false in the zero View.
+// Head returns the first member of the chain; false for the zero View.
 func (v View) Head() (Member, bool) {
 	if len(v.Chain) == 0 {
 		return Member{}, false
@@ -66,7 +66,7 @@
 	return v.Member(v.Chain[0])
 }
 
-// Tail is the last of the chain; false in the zero View.
+// Tail returns the last member of the chain; false for the zero View.
 func (v View) Tail() (Member, bool) {
 	if len(v.Chain) == 0 {
 		return Member{}, false
@@ -74,7 +74,7 @@
 	return v.Member(v.Chain[len(v.Chain)-1])
 }
 
-// Successor is the next member of the chain after a member; false for the tail and for those outside.
+// Successor returns the member that follows id in the chain; false for the tail and for ids outside the chain.
 func (v View) Successor(id MemberID) (Member, bool) {
 	at := v.ChainPosition(id)
 	if at < 0 || at+1 >= len(v.Chain) {
@@ -83,7 +83,7 @@
 	return v.Member(v.Chain[at+1])
 }
 
-// Predecessor is the member of the chain before a member; false for the head and for those outside.
+// Predecessor returns the member that precedes id in the chain; false for the head and for ids outside the chain.
 func (v View) Predecessor(id MemberID) (Member, bool) {
 	at := v.ChainPosition(id)
 	if at <= 0 {
@@ -92,7 +92,7 @@
 	return v.Member(v.Chain[at-1])
 }
 
-// Validate checks what every decided view holds to.
+// Validate checks the properties that every decided view has.
 func (v View) Validate() error {
 	if v.Epoch == 0 || len(v.Members) == 0 || len(v.Members) > MaxMembers {
 		return eris.Errorf("view %d has %d members", v.Epoch, len(v.Members))
@@ -100,18 +100,18 @@
 	seen := make(map[MemberID]bool, len(v.Members))
 	for _, m := range v.Members {
 		if seen[m.ID] || m.ID == 0 {
-			return eris.Errorf("view %d names member %d twice, or none", v.Epoch, m.ID)
+			return eris.Errorf("view %d has a duplicate or zero member id %d", v.Epoch, m.ID)
 		}
 		seen[m.ID] = true
 	}
 	for _, id := range v.Chain {
 		if !seen[id] {
-			return eris.Errorf("view %d has %d in the chain, which is no member or there twice", v.Epoch, id)
+			return eris.Errorf("view %d has a duplicate or unknown member %d in its chain", v.Epoch, id)
 		}
 		seen[id] = false
 	}
 	if len(v.Chain) < v.Majority() {
-		return eris.Errorf("view %d has a chain of %d among %d members", v.Epoch, len(v.Chain), len(v.Members))
+		return eris.Errorf("view %d has a chain of only %d of %d members", v.Epoch, len(v.Chain), len(v.Members))
 	}
 	return nil
 }
