--- a/coordination/chain/begin_test.go
+++ b/coordination/chain/begin_test.go
@@ -10,8 +10,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// interruptedBootstrap is a trio that lost power when so many records of each first member's disk had been synced; it starts
-// again, as of then no first start.
+// interruptedBootstrap returns a cluster of three whose first start a power failure interrupted, after the given number of
+// records was synced at each member. The nodes are started again from what their disks hold.
 func interruptedBootstrap(synced [3]int, bootstrap bool) *testCluster {
 	t := newTestCluster()
 	t.seeds = []string{"a", "b", "c"}
@@ -19,9 +19,9 @@
 		t.start(name, true)
 	}
 	t.undelivered, t.nodes = nil, map[string]*chain.Node{}
-	for at, name := range t.seeds {
+	for i, name := range t.seeds {
 		Expect(len(t.disks[name])).To(BeNumerically(">=", 2))
-		t.disks[name] = t.disks[name][:synced[at]]
+		t.disks[name] = t.disks[name][:synced[i]]
 	}
 	for _, name := range t.seeds {
 		t.start(name, bootstrap)
@@ -34,7 +34,7 @@
 	return is
 }
 
-// commitsChange says whether a change is committed within some seconds.
+// commitsChange reports whether a change is committed within a few seconds.
 func (t *testCluster) commitsChange() bool {
 	t.runFor(2 * time.Second)
 	t.propose("a", 0, 7)
@@ -42,17 +42,17 @@
 	return len(t.replies["a"]) == 1
 }
 
-var _ = Describe("a first start that a loss of power interrupted", func() {
+var _ = Describe("a first start interrupted by a power failure", func() {
 	for state := range 27 {
 		synced := [3]int{state % 3, state / 3 % 3, state / 9}
-		It(fmt.Sprintf("goes on by itself with %v records synced, unless no disk holds any", synced), func() {
+		It(fmt.Sprintf("completes by itself with %v records synced, unless no disk holds any", synced), func() {
 			Expect(interruptedBootstrap(synced, false).commitsChange()).To(Equal(state > 0))
 		})
 	}
-	It("is made again where no disk holds any", func() {
+	It("is repeated with Bootstrap if no disk holds any records", func() {
 		Expect(interruptedBootstrap([3]int{}, true).commitsChange()).To(BeTrue())
 	})
-	It("waits for each first member: a silent one may know what was acknowledged", func() {
+	It("waits for every first member, as a silent one may hold acknowledged entries", func() {
 		t := interruptedBootstrap([3]int{1, 1, 1}, false)
 		t.stop("c")
 		Expect(t.commitsChange()).To(BeFalse())
@@ -60,7 +60,7 @@
 		t.runFor(2 * time.Second)
 		Expect(t.replies["a"]).To(HaveLen(1))
 	})
-	It("is none where a first member has gone on", func() {
+	It("is not assumed if a first member already holds an entry", func() {
 		t := newTestCluster("a", "b", "c")
 		t.propose("a", 0, 7)
 		for _, name := range []string{"b", "c"} {
@@ -74,7 +74,7 @@
 			Expect(e.From.Address == "a" && isPristineReply(e)).To(BeFalse())
 		}
 	})
-	It("takes only answers to its own questions", func() {
+	It("ignores replies to probes of another process", func() {
 		t := interruptedBootstrap([3]int{1, 0, 0}, false)
 		t.stop("b")
 		t.stop("c")
--- a/coordination/chain/calls.go
+++ b/coordination/chain/calls.go
@@ -75,7 +75,7 @@
 	}
 	c.epoch = v.Epoch
 	id := CommandID{Process: n.processID, Number: c.number}
-	if c.command != nil && !n.knowsCommitted {
+	if c.command != nil && !n.knownCommittedValid {
 		// Without a known committed sequence, the command would be too old wherever it arrives late: ask for the sequence
 		// first.
 		if tail, ok := v.Tail(); ok {
@@ -88,7 +88,7 @@
 		n.sendMember(target, Propose{ID: id, After: c.after, Command: c.command})
 		return
 	}
-	c.cached = n.latestCommitted
+	c.cached = n.newestCommitted
 	have := c.cached.Sequence
 	if c.cached.Snapshot == nil {
 		have = noState
@@ -143,16 +143,16 @@
 
 // resendCalls resends unanswered calls. Their receivers may be gone, so another node is asked for a newer view as well.
 func (n *Node) resendCalls() {
-	late := false
+	overdue := false
 	for _, number := range n.sortedCallNumbers() {
 		c := n.calls.pending[number]
 		if n.now-c.sentAt < callResendAfter {
 			continue
 		}
-		late = late || c.epoch > 0
+		overdue = overdue || c.epoch > 0
 		n.sendCall(c)
 	}
-	if late {
+	if overdue {
 		n.requestViewFromNext()
 	}
 }
@@ -187,7 +187,7 @@
 	return n.calls.pending[id.Number]
 }
 
-func (n *Node) onResult(m ProposeResult) {
+func (n *Node) onProposeResult(m ProposeResult) {
 	c := n.findCall(m.ID)
 	if c == nil || c.command == nil {
 		return
@@ -256,7 +256,7 @@
 // noteKnownCommitted records that the entries up to sequence are committed.
 func (n *Node) noteKnownCommitted(sequence int64) {
 	n.knownCommitted = max(n.knownCommitted, sequence)
-	n.knowsCommitted = true
+	n.knownCommittedValid = true
 }
 
 func (n *Node) reply(r Reply) { n.output.Replies = append(n.output.Replies, r) }
--- a/coordination/chain/confirm.go
+++ b/coordination/chain/confirm.go
@@ -93,9 +93,9 @@
 		return
 	}
 	c.active = false
-	for at := range c.waiters {
-		if c.waiters[at].nonce == c.nonce {
-			c.waiters[at].confirmed = true
+	for i := range c.waiters {
+		if c.waiters[i].nonce == c.nonce {
+			c.waiters[i].confirmed = true
 		}
 	}
 	n.answerConfirmed()
@@ -122,9 +122,9 @@
 		n.send(w.client, ProposeResult{ID: w.id, Verdict: ResultRefused, Epoch: n.view.Epoch, Sequence: n.committed, Result: w.result})
 		return
 	}
-	answer := ReadResult{ID: w.id, Epoch: n.view.Epoch, Sequence: n.latestCommitted.Sequence}
+	answer := ReadResult{ID: w.id, Epoch: n.view.Epoch, Sequence: n.newestCommitted.Sequence}
 	if w.have != answer.Sequence {
-		answer.Full, answer.Snapshot = true, n.latestCommitted.Snapshot
+		answer.Full, answer.Snapshot = true, n.newestCommitted.Snapshot
 	}
 	n.send(w.client, answer)
 }
--- a/coordination/chain/conformance_test.go
+++ b/coordination/chain/conformance_test.go
@@ -16,7 +16,7 @@
 }
 
 var _ = Describe("the first start", func() {
-	It("is epoch 1 with the seeds, on each disk before anything is sent", func() {
+	It("creates epoch 1 with the seeds as members and persists it on each disk first", func() {
 		t := newTestCluster("a", "b", "c")
 		for _, name := range t.seeds {
 			Expect(t.nodes[name].View().Epoch).To(Equal(int64(1)))
@@ -29,7 +29,7 @@
 		Expect(t.commits["b"]).To(HaveLen(1))
 	})
 
-	It("takes in who is no seed", func() {
+	It("adds a node that is not a seed", func() {
 		t := newTestCluster("a", "b", "c")
 		t.start("d", true)
 		t.runFor(time.Second)
@@ -39,7 +39,7 @@
 		Expect(t.answers("d")).To(Equal([]int{1}))
 	})
 
-	It("works for one node alone", func() {
+	It("works for a single node", func() {
 		t := newTestCluster("a")
 		t.propose("a", 0, 5)
 		t.propose("a", 0, 6)
@@ -55,7 +55,7 @@
 })
 
 var _ = Describe("a write", func() {
-	It("goes down the chain and its commit back up, each entry on the disk before it is passed on", func() {
+	It("passes down the chain and its commit back up, each entry persisted before it is forwarded", func() {
 		t := newTestCluster("a", "b", "c")
 		since := len(t.sent)
 		t.propose("c", 0, 5)
@@ -71,7 +71,7 @@
 		}
 	})
 
-	It("comes alone: the next one waits for its commit", func() {
+	It("is in flight alone: the next one waits for its commit", func() {
 		t := newTestCluster("a", "b", "c")
 		t.dropMessage = isMessage[chain.Append]
 		t.propose("a", 0, 5)
@@ -84,7 +84,7 @@
 		Expect(t.answers("b")).To(Equal([]int{2}))
 	})
 
-	DescribeTable("is answered once though messages are lost", func(lose func(chain.Envelope) bool) {
+	DescribeTable("is answered once despite message loss", func(lose func(chain.Envelope) bool) {
 		t := newTestCluster("a", "b", "c")
 		t.dropMessage = lose
 		t.propose("b", 0, 5)
@@ -94,13 +94,13 @@
 		Expect(t.answers("b")).To(Equal([]int{1}))
 		Expect(t.newestView().Epoch).To(Equal(int64(1)))
 	},
-		Entry("to the head", isMessage[chain.Propose]),
-		Entry("down the chain", isMessage[chain.Append]),
-		Entry("up the chain", isMessage[chain.Ack]),
-		Entry("to who asked", isMessage[chain.ProposeResult]),
+		Entry("of commands to the head", isMessage[chain.Propose]),
+		Entry("of entries down the chain", isMessage[chain.Append]),
+		Entry("of acks up the chain", isMessage[chain.Ack]),
+		Entry("of results to the caller", isMessage[chain.ProposeResult]),
 	)
 
-	It("that was carried out is not carried out again when it comes again", func() {
+	It("is not applied again when the command is received twice", func() {
 		t := newTestCluster("a", "b", "c")
 		since := len(t.sent)
 		t.propose("b", 0, 5)
@@ -111,7 +111,7 @@
 		Expect(out.Send[0].Body.(chain.ProposeResult).Verdict).To(Equal(chain.ResultOK))
 	})
 
-	It("whose head dies is brought to the next one", func() {
+	It("is resent to the next head if its head fails", func() {
 		t := newTestCluster("a", "b", "c")
 		t.dropMessage = func(e chain.Envelope) bool { return isMessage[chain.ProposeResult](e) }
 		t.propose("b", 0, 5)
@@ -121,11 +121,11 @@
 		Expect(t.answers("b")).To(Equal([]int{1}))
 		Expect(t.head()).To(Equal("b"))
 		_, values := t.nodes["b"].Progress()
-		Expect(values).To(Equal(int64(1)), "it was carried out once")
+		Expect(values).To(Equal(int64(1)), "it was applied once")
 	})
 })
 
-var _ = Describe("what a head took alone", func() {
+var _ = Describe("an entry that only a partitioned head has", func() {
 	var t *testCluster
 	BeforeEach(func() {
 		t = newTestCluster("a", "b", "c")
@@ -136,7 +136,7 @@
 		Expect(chainAddresses(t.nodes["b"].View())).To(Equal([]string{"b", "c"}))
 	})
 
-	It("is dropped for what the others took, and brought to their head", func() {
+	It("is replaced by the entry of the new chain, and its command is resent to the new head", func() {
 		t.propose("c", 0, 6)
 		Expect(t.answers("c")).To(Equal([]int{1}))
 		t.heal()
@@ -145,7 +145,7 @@
 		Expect(chainAddresses(t.newestView())).To(Equal([]string{"b", "c", "a"}))
 	})
 
-	It("is told to nobody as committed, also after a restart", func() {
+	It("is never reported as committed, not even after a restart", func() {
 		t.stop("a")
 		commits := len(t.commits["a"])
 		t.start("a", false)
@@ -159,8 +159,8 @@
 	})
 })
 
-var _ = Describe("an entry on some disks when all lose power", func() {
-	It("is committed once the chain is back", func() {
+var _ = Describe("an entry on some of the disks when all members lose power", func() {
+	It("is committed after the chain has restarted", func() {
 		t := newTestCluster("a", "b", "c")
 		t.dropMessage = func(e chain.Envelope) bool { return isMessage[chain.Append](e) && e.To.Address == "c" }
 		t.propose("b", 0, 5)
@@ -179,7 +179,7 @@
 		Expect(t.newestView().Epoch).To(Equal(int64(1)))
 	})
 
-	It("begins the next view if the rest of the chain is gone", func() {
+	It("is part of the state of the next view if the head is gone", func() {
 		t := newTestCluster("a", "b", "c")
 		t.dropMessage = func(e chain.Envelope) bool { return isMessage[chain.Append](e) && e.To.Address == "c" }
 		t.propose("c", 0, 5)
@@ -193,7 +193,7 @@
 })
 
 var _ = Describe("refusals and reads", func() {
-	DescribeTable("wait for a majority to say that the epoch is open", func(call func(*testCluster)) {
+	DescribeTable("wait for a majority to confirm that the epoch is not sealed", func(call func(*testCluster)) {
 		t := newTestCluster("a", "b", "c")
 		t.propose("a", 0, 5)
 		t.dropMessage = isMessage[chain.EpochConfirmed]
@@ -208,19 +208,19 @@
 		Entry("a read", func(t *testCluster) { t.read("a") }),
 	)
 
-	It("take an answer to their own question only", func() {
+	It("count only confirmations of a round that started after them", func() {
 		t := newTestCluster("a", "b", "c")
 		t.dropMessage = isMessage[chain.EpochConfirmed]
-		t.read("a") // its questions are answered, the answers on their way
+		t.read("a") // the members have confirmed, but their messages are lost
 		since := len(t.sent)
 		t.read("a")
-		Expect(t.messageKinds(since)).To(BeEmpty(), "the second waits for a round of its own")
+		Expect(t.messageKinds(since)).To(BeEmpty(), "the second read waits for the next round")
 		t.heal()
 		t.runFor(300 * time.Millisecond)
 		Expect(t.answers("a")).To(Equal([]int{100, 100}))
 	})
 
-	It("are not given by a head that was left out", func() {
+	It("are not answered by a head that was removed from the chain", func() {
 		t := newTestCluster("a", "b", "c")
 		t.propose("a", 0, 5)
 		t.isolate("a")
@@ -235,39 +235,39 @@
 		Expect(t.answers("a")).To(ConsistOf(1, -2, 102))
 	})
 
-	It("come to a node that is no member", func() {
+	It("reach a node that is not a member", func() {
 		t := newTestCluster("a", "b", "c")
 		t.propose("a", 0, 5)
-		t.start("visitor", false)
-		Expect(t.disks["visitor"]).To(BeEmpty())
-		t.propose("visitor", 0, 6)
-		t.read("visitor")
+		t.start("forwarder", false)
+		Expect(t.disks["forwarder"]).To(BeEmpty())
+		t.propose("forwarder", 0, 6)
+		t.read("forwarder")
 		t.runFor(time.Second)
-		Expect(t.answers("visitor")).To(ConsistOf(-1, 101))
-		Expect(t.nodes["visitor"].IsMember()).To(BeFalse())
-		Expect(t.newestView().HasMember(t.nodes["visitor"].Self().ID)).To(BeFalse())
+		Expect(t.answers("forwarder")).To(ConsistOf(-1, 101))
+		Expect(t.nodes["forwarder"].IsMember()).To(BeFalse())
+		Expect(t.newestView().HasMember(t.nodes["forwarder"].Self().ID)).To(BeFalse())
 	})
 
-	It("are not needed for a node that is no member to know who votes", func() {
+	It("are not needed for a node that is not a member to learn of a new view", func() {
 		t := newTestCluster("a", "b", "c")
-		t.start("visitor", false)
+		t.start("forwarder", false)
 		t.runFor(100 * time.Millisecond)
-		Expect(t.nodes["visitor"].View()).To(Equal(t.newestView()))
+		Expect(t.nodes["forwarder"].View()).To(Equal(t.newestView()))
 		t.start("d", true)
 		t.runFor(3 * time.Second)
 		Expect(t.newestView().Members).To(HaveLen(4))
-		Expect(t.nodes["visitor"].View()).To(Equal(t.newestView()))
-		Expect(t.nodes["visitor"].IsMember()).To(BeFalse())
+		Expect(t.nodes["forwarder"].View()).To(Equal(t.newestView()))
+		Expect(t.nodes["forwarder"].IsMember()).To(BeFalse())
 	})
 
-	It("find a command of open fate too old", func() {
+	It("report the fate of a command as unknown if its outcome was dropped", func() {
 		t := newTestCluster("a", "b", "c")
 		t.dropMessage = isMessage[chain.ProposeResult]
 		t.propose("b", 0, 5)
 		t.dropMessage = func(e chain.Envelope) bool {
 			return isMessage[chain.ProposeResult](e) && e.To.Address == "b" || isMessage[chain.Propose](e) && e.From.Address == "b"
 		}
-		for n := uint64(1); n < 300; n++ { // more than the state keeps outcomes of
+		for n := uint64(1); n < 300; n++ { // more than the number of outcomes kept
 			t.propose("a", n, n)
 		}
 		t.heal()
@@ -276,7 +276,7 @@
 	})
 })
 
-var _ = Describe("a member that has promised", func() {
+var _ = Describe("a member that has promised a ballot", func() {
 	var t *testCluster
 	var b *chain.Node
 	var from, to chain.Peer
@@ -294,7 +294,7 @@
 		return send(chain.Prepare{Epoch: 1, Ballot: view.Ballot{Round: round, Proposer: from.ID}, Sequence: sequence})
 	}
 
-	It("has it on its disk, and gives its state to who has less", func() {
+	It("persists the promise, and sends its state to a proposer with an older one", func() {
 		out := prepare(1, 0)
 		Expect(out.Persist).To(HaveLen(1))
 		promise := out.Send[0].Body.(chain.Promise)
@@ -305,14 +305,14 @@
 		Expect(again.Send[0].Body.(chain.Promise).State.Full).To(BeFalse())
 	})
 
-	It("takes no entry and confirms nothing", func() {
+	It("takes no entry and does not confirm the epoch", func() {
 		prepare(1, 1)
 		entry := chain.Entry{Sequence: 2, Command: encodeCommand(1, 6)}
 		Expect(send(chain.Append{Epoch: 1, Entry: entry, Committed: 1})).To(Equal(chain.Output{}))
 		Expect(send(chain.ConfirmEpoch{Epoch: 1, Nonce: 7})).To(Equal(chain.Output{}))
 	})
 
-	It("turns earlier ballots away", func() {
+	It("rejects earlier ballots", func() {
 		prepare(3, 1)
 		out := prepare(2, 1)
 		Expect(out.Persist).To(BeEmpty())
@@ -322,7 +322,7 @@
 		Expect(out.Send[0].Body).To(BeAssignableToTypeOf(chain.BallotRejected{}))
 	})
 
-	It("tells what it accepted, also after a restart", func() {
+	It("reports what it accepted, also after a restart", func() {
 		prepare(1, 1)
 		next := view.View{Epoch: 2, Initial: 3, Members: b.View().Members, Chain: b.View().Chain[:2]}
 		t.handleOutput("b", send(chain.Accept{Epoch: 1, Ballot: view.Ballot{Round: 1, Proposer: from.ID},
@@ -335,7 +335,7 @@
 		Expect(promise.Value.State.Full).To(BeTrue())
 	})
 
-	It("sees to it that a view follows, if who asked is gone", func() {
+	It("proposes the next view itself if the proposer is gone", func() {
 		t.handleOutput("b", prepare(1, 1))
 		t.undelivered = nil
 		t.runFor(3 * time.Second)
@@ -344,7 +344,7 @@
 		Expect(t.answers("b")).To(Equal([]int{2}))
 	})
 
-	It("heeds nobody who is no member, nor messages to the member it was before", func() {
+	It("ignores nodes that are not members, and messages to another member id", func() {
 		from = chain.Peer{ID: 99, Address: "x"}
 		Expect(prepare(5, 1).Persist).To(BeEmpty())
 		from = chain.Peer{ID: chain.FirstMemberID("a"), Address: "a"}
@@ -354,7 +354,7 @@
 })
 
 var _ = Describe("members", func() {
-	It("leave out who is silent, and take it back", func() {
+	It("remove a silent member from the chain, and take it back", func() {
 		t := newTestCluster("a", "b", "c")
 		t.isolate("b")
 		t.runFor(1500 * time.Millisecond)
@@ -368,7 +368,7 @@
 		Expect(committed).To(Equal(int64(1)))
 	})
 
-	It("never go on with less than a majority", func() {
+	It("never proceed without a majority", func() {
 		t := newTestCluster("a", "b", "c")
 		t.stop("b")
 		t.stop("c")
@@ -380,7 +380,7 @@
 		Expect(t.answers("a")).To(BeEmpty())
 	})
 
-	It("swap in the empty disk of a node", func() {
+	It("replace a member by the same node with an empty disk", func() {
 		t := newTestCluster("a", "b", "c")
 		t.propose("a", 0, 5)
 		t.stop("b")
@@ -395,7 +395,7 @@
 		Expect(committed).To(Equal(int64(1)))
 	})
 
-	It("swap another node for a dead one", func() {
+	It("replace a dead member by another node", func() {
 		t := newTestCluster("a", "b", "c")
 		t.stop("a")
 		t.runFor(2 * time.Second)
@@ -405,7 +405,7 @@
 		Expect(t.newestView().Members).To(HaveLen(3))
 	})
 
-	DescribeTable("go on at once without one that resigns, which answers until then", func(name string, names ...string) {
+	DescribeTable("continue at once without one that leaves the chain, which answers until then", func(name string, names ...string) {
 		t := newTestCluster(names...)
 		t.propose(names[1], 0, 5)
 		t.runFor(300 * time.Millisecond)
@@ -415,7 +415,7 @@
 		}
 		t.handleOutput(name, t.nodes[name].LeaveChain(t.now))
 		began := t.now
-		t.propose(name, 1, 6) // its own call goes on
+		t.propose(name, 1, 6) // a call that it makes itself is answered
 		for !t.nodes[name].HasLeftChain() && t.now-began < 5*time.Second {
 			t.runFor(25 * time.Millisecond)
 		}
@@ -425,7 +425,7 @@
 		t.propose(by, 2, 7)
 		Expect(t.answers(by)).To(ContainElement(3))
 		Expect(chainAddresses(t.newestView())).NotTo(ContainElement(name))
-		Expect(t.newestView().Members).To(HaveLen(len(names)), "it still votes: it comes back")
+		Expect(t.newestView().Members).To(HaveLen(len(names)), "it remains a voting member, as it will return")
 
 		t.start(name, false)
 		t.runFor(time.Second)
@@ -437,7 +437,7 @@
 		Entry("the head of four", "a", "a", "b", "c", "d"),
 	)
 
-	It("keep one that resigns where too few would be left", func() {
+	It("keep a leaving one in the chain if too few would be left", func() {
 		t := newTestCluster("a", "b", "c")
 		t.stop("c")
 		t.runFor(2 * time.Second)
@@ -446,10 +446,10 @@
 		Expect(t.nodes["a"].HasLeftChain()).To(BeFalse())
 		Expect(chainAddresses(t.newestView())).To(Equal([]string{"a", "b"}))
 		t.propose("b", 0, 5)
-		Expect(t.answers("b")).To(Equal([]int{1}), "it goes on meanwhile")
+		Expect(t.answers("b")).To(Equal([]int{1}), "it serves calls meanwhile")
 	})
 
-	It("do not wait for those before them in the chain that are silent", func() {
+	It("do not wait for silent members that precede them in the chain", func() {
 		t := newTestCluster("a", "b", "c")
 		t.stop("a")
 		began := t.now
@@ -460,7 +460,7 @@
 		Expect(t.now - began).To(BeNumerically("<=", view.SuspectAfter+100*time.Millisecond))
 	})
 
-	It("remove a dead one of four, which comes back as another", func() {
+	It("remove a dead one of four, which returns with a new id", func() {
 		t := newTestCluster("a", "b", "c")
 		t.start("d", true)
 		t.runFor(time.Second)
@@ -482,7 +482,7 @@
 		Expect(durable.Acceptor.Sealed()).To(BeFalse())
 	})
 
-	It("that did not run for a time do not take the others for silent", func() {
+	It("that were suspended do not take the others for silent", func() {
 		t := newTestCluster("a", "b", "c")
 		t.now += 10 * time.Second
 		since := len(t.sent)
@@ -495,7 +495,7 @@
 		Expect(t.newestView().Epoch).To(Equal(int64(1)))
 	})
 
-	It("send nothing but heartbeats while nothing happens", func() {
+	It("send only heartbeats while idle", func() {
 		t := newTestCluster("a", "b", "c")
 		since := len(t.sent)
 		t.runFor(10 * time.Second)
--- a/coordination/chain/contacts.go
+++ b/coordination/chain/contacts.go
@@ -13,7 +13,7 @@
 	lastHeard       time.Duration                   // when its last message arrived
 	reportedHearing map[view.MemberID]time.Duration // which members it reported as heard, and when
 	assumedHearing  time.Duration                   // when it is assumed to have heard members it never reported
-	epoch           int64                           // as in its latest message
+	epoch           int64                           // from its last Heartbeat or LeavingChain
 	leavingChain    bool                            // it announced that it is about to stop, and has sent no heartbeat since
 }
 
@@ -28,31 +28,31 @@
 		}
 		delete(n.joining, m.ID)
 	}
-	gone := func(id view.MemberID) bool {
-		_, joins := n.joining[id]
-		return !joins && !n.view.HasMember(id)
+	isUnknown := func(id view.MemberID) bool {
+		_, isJoining := n.joining[id]
+		return !isJoining && !n.view.HasMember(id)
 	}
-	for id, c := range n.peers {
-		if gone(id) {
+	for id, p := range n.peers {
+		if isUnknown(id) {
 			delete(n.peers, id)
 			continue
 		}
-		maps.DeleteFunc(c.reportedHearing, func(id view.MemberID, _ time.Duration) bool { return gone(id) })
+		maps.DeleteFunc(p.reportedHearing, func(id view.MemberID, _ time.Duration) bool { return isUnknown(id) })
 	}
 }
 
 // resetSilence discards the silence measured while this process was suspended.
 func (n *Node) resetSilence(now time.Duration) {
-	for _, c := range n.peers {
-		c.lastHeard, c.assumedHearing = now, now
-		clear(c.reportedHearing)
+	for _, p := range n.peers {
+		p.lastHeard, p.assumedHearing = now, now
+		clear(p.reportedHearing)
 	}
 	n.planned = plannedChange{}
 }
 
 func (n *Node) noteHeard(from Peer) {
-	if c := n.peers[from.ID]; c != nil {
-		c.lastHeard = n.now
+	if p := n.peers[from.ID]; p != nil {
+		p.lastHeard = n.now
 	}
 }
 
@@ -93,11 +93,11 @@
 	if other == nil || c.SilentFor(by) >= view.SuspectAfter {
 		return false
 	}
-	at, ok := other.reportedHearing[of]
+	heardAt, ok := other.reportedHearing[of]
 	if !ok {
-		at = other.assumedHearing
+		heardAt = other.assumedHearing
 	}
-	return c.now-at < view.SuspectAfter
+	return c.now-heardAt < view.SuspectAfter
 }
 
 func (c connectivity) isLeaving(id view.MemberID) bool {
--- a/coordination/chain/foreign_test.go
+++ b/coordination/chain/foreign_test.go
@@ -7,14 +7,14 @@
 	. "github.com/onsi/gomega"
 )
 
-// A machine gets the disk of another cluster, whose first members had the same addresses: its member has the id of a member
-// here, and a later view. Nothing of it may be taken over. It is a test of its own, and no spec, so that KNOWN-RED.txt can
-// name it alone.
+// A machine gets the disk of another cluster whose first members had the same addresses: its member has the id of a member
+// here, and a later view. None of that state may be taken over. It is a test function of its own rather than a spec, so
+// that KNOWN-RED.txt can name it alone.
 func TestADiskOfAnotherClusterIsNotTakenOver(t *testing.T) {
 	RegisterTestingT(t)
 	other := newTestCluster("a", "b", "c")
 	other.propose("a", 0, 111)
-	other.stop("c") // the others go on in a later view
+	other.stop("c") // the others continue in a later view
 	other.runFor(3 * time.Second)
 	other.propose("a", 1, 112)
 	foreign := other.disks["a"]
--- a/coordination/chain/members.go
+++ b/coordination/chain/members.go
@@ -54,18 +54,18 @@
 
 // onLeavingChain records that a member is about to stop. The first heartbeat of its next process clears this.
 func (n *Node) onLeavingChain(from Peer, m LeavingChain) {
-	if c := n.peers[from.ID]; c != nil {
-		c.leavingChain, c.epoch = true, m.Epoch
+	if p := n.peers[from.ID]; p != nil {
+		p.leavingChain, p.epoch = true, m.Epoch
 	}
 	n.checkEpoch(from, m.Epoch, true)
 }
 
 func (n *Node) onHeartbeat(from Peer, m Heartbeat) {
-	if c := n.peers[from.ID]; c != nil {
-		c.epoch, c.leavingChain = m.Epoch, false
+	if p := n.peers[from.ID]; p != nil {
+		p.epoch, p.leavingChain = m.Epoch, false
 		for _, id := range m.Heard {
-			if _, joins := n.joining[id]; joins || n.view.HasMember(id) {
-				c.reportedHearing[id] = n.now
+			if _, isJoining := n.joining[id]; isJoining || n.view.HasMember(id) {
+				p.reportedHearing[id] = n.now
 			}
 		}
 	}
@@ -140,8 +140,8 @@
 // trackAnsweringMember records that a member answers this node, which wants to join, and soon sends the members an updated
 // list of those it hears.
 func (n *Node) trackAnsweringMember(id view.MemberID) {
-	if c := n.peers[id]; c != nil {
-		c.lastHeard = n.now
+	if p := n.peers[id]; p != nil {
+		p.lastHeard = n.now
 		return
 	}
 	if len(n.peers) >= 2*view.MaxMembers {
@@ -192,8 +192,8 @@
 func (n *Node) redirectQueue() {
 	queue := n.commandQueue
 	n.commandQueue = nil
-	for _, p := range queue {
-		n.send(p.client, ProposeResult{ID: p.ID, Verdict: ResultRetry, Epoch: n.view.Epoch})
+	for _, c := range queue {
+		n.send(c.client, ProposeResult{ID: c.ID, Verdict: ResultRetry, Epoch: n.view.Epoch})
 	}
 }
 
@@ -232,11 +232,11 @@
 		n.joining[from.ID] = m.Member
 		n.peers[from.ID] = &peerState{reportedHearing: map[view.MemberID]time.Duration{}, assumedHearing: neverHeard}
 	}
-	c := n.peers[from.ID]
-	c.lastHeard = n.now
+	p := n.peers[from.ID]
+	p.lastHeard = n.now
 	for _, id := range m.Heard {
 		if n.view.HasMember(id) {
-			c.reportedHearing[id] = n.now
+			p.reportedHearing[id] = n.now
 		}
 	}
 }
--- a/coordination/chain/node.go
+++ b/coordination/chain/node.go
@@ -100,9 +100,9 @@
 	newestEntry *Entry // newest entry of this epoch
 	lastAppend  time.Duration
 
-	latestCommitted CommittedState // newest committed state whose snapshot is available here
-	knownCommitted  int64          // newest sequence known to be committed
-	knowsCommitted  bool           // knownCommitted is valid: a commit was heard of, or it is known that there is none
+	newestCommitted     CommittedState // newest committed state whose snapshot is available here
+	knownCommitted      int64          // newest sequence known to be committed
+	knownCommittedValid bool           // knownCommitted is valid: a commit was heard of, or it is known that there is none
 
 	leavingChain bool // this process is about to stop
 
@@ -267,7 +267,7 @@
 	case Propose:
 		n.onPropose(e.From, m)
 	case ProposeResult:
-		n.onResult(m)
+		n.onProposeResult(m)
 	case Read:
 		n.onRead(e.From, m)
 	case ReadResult:
--- a/coordination/chain/reconfigure.go
+++ b/coordination/chain/reconfigure.go
@@ -92,16 +92,16 @@
 // rank returns the position in the chain; members outside the chain follow it. Chain members before this one that are
 // silent or about to stop are not counted, as they will not propose anything.
 func (n *Node) rank() int {
-	if at := n.view.ChainPosition(n.self.ID); at >= 0 {
-		return at - n.countAbsent(n.view.Chain[:at])
+	if position := n.view.ChainPosition(n.self.ID); position >= 0 {
+		return position - n.countAbsent(n.view.Chain[:position])
 	}
-	at := slices.IndexFunc(n.view.Members, func(m view.Member) bool { return m.ID == n.self.ID })
-	return len(n.view.Chain) + at
+	position := slices.IndexFunc(n.view.Members, func(m view.Member) bool { return m.ID == n.self.ID })
+	return len(n.view.Chain) + position
 }
 
-func (n *Node) countAbsent(members []view.MemberID) int {
+func (n *Node) countAbsent(ids []view.MemberID) int {
 	count := 0
-	for _, id := range members {
+	for _, id := range ids {
 		c := connectivity{n}
 		if c.SilentFor(id) >= view.SuspectAfter || c.isLeaving(id) {
 			count++
@@ -170,12 +170,12 @@
 		return
 	}
 	n.highestRound = max(n.highestRound, m.Ballot.Round)
-	before := n.acceptor.Promised
+	promised := n.acceptor.Promised
 	if !n.acceptor.Prepare(m.Ballot) {
-		n.send(from, BallotRejected{Epoch: m.Epoch, Ballot: m.Ballot, Promised: before})
+		n.send(from, BallotRejected{Epoch: m.Epoch, Ballot: m.Ballot, Promised: promised})
 		return
 	}
-	if before != m.Ballot {
+	if promised != m.Ballot {
 		n.persistVote()
 	}
 	n.yieldToBallot(m.Ballot)
@@ -208,8 +208,8 @@
 
 // fullState returns this member's current state with its snapshot.
 func (n *Node) fullState() State {
-	snapshot := n.latestCommitted.Snapshot
-	if snapshot == nil || n.committed != n.sequence || n.latestCommitted.Sequence != n.sequence {
+	snapshot := n.newestCommitted.Snapshot
+	if snapshot == nil || n.committed != n.sequence || n.newestCommitted.Sequence != n.sequence {
 		snapshot = n.machine.Snapshot()
 	}
 	return State{
@@ -314,9 +314,9 @@
 	case !value.State.Full:
 		return
 	}
-	before := n.acceptor.Promised
+	promised := n.acceptor.Promised
 	if !n.acceptor.Accept(m.Ballot, value) {
-		n.send(from, BallotRejected{Epoch: m.Epoch, Ballot: m.Ballot, Promised: before})
+		n.send(from, BallotRejected{Epoch: m.Epoch, Ballot: m.Ballot, Promised: promised})
 		return
 	}
 	n.persistVote()
--- a/coordination/chain/record.go
+++ b/coordination/chain/record.go
@@ -117,8 +117,8 @@
 	if len(d.Last) > 0 {
 		last = &d.Last[0]
 	}
-	for at := range d.Entries {
-		e := d.Entries[at]
+	for i := range d.Entries {
+		e := d.Entries[i]
 		result, changed := machine.Apply(e.Command)
 		if !changed {
 			return nil, nil, eris.Errorf("entry %d changes nothing", e.Sequence)
--- a/coordination/chain/register_test.go
+++ b/coordination/chain/register_test.go
@@ -7,14 +7,14 @@
 	"github.com/rotisserie/eris"
 )
 
-// register is a register with versions: version v has the v-th value. A command puts a value on top of a base version.
+// register is a versioned register: version v holds the v-th value. A command adds a value on top of a base version.
 type register struct{ values []uint64 }
 
 func encodeCommand(base, value uint64) []byte {
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, base), value)
 }
 
-// Apply gives the version that is current afterwards, and whether the command's value is at its place.
+// Apply returns the version after the command, and whether the command's value is the one that follows its base.
 func (r *register) Apply(command []byte) ([]byte, bool) {
 	base, value := binary.BigEndian.Uint64(command), binary.BigEndian.Uint64(command[8:])
 	current := uint64(len(r.values))
@@ -49,7 +49,7 @@
 
 func parseSnapshot(snapshot []byte) ([]uint64, error) {
 	if len(snapshot)%8 != 1 || snapshot[0] != 'v' {
-		return nil, eris.Errorf("snapshot of %d bytes", len(snapshot))
+		return nil, eris.Errorf("invalid snapshot of %d bytes", len(snapshot))
 	}
 	values := make([]uint64, 0, len(snapshot)/8)
 	for part := range slices.Chunk(snapshot[1:], 8) {
--- a/coordination/chain/second_loss_test.go
+++ b/coordination/chain/second_loss_test.go
@@ -11,22 +11,22 @@
 	. "github.com/onsi/gomega"
 )
 
-// crashPoint is where in the handling of a message a node is lost.
+// crashPoint is the point in the handling of a message at which a node fails.
 type crashPoint int
 
 const (
-	beforeMessage crashPoint = iota // it never hears the message
-	beforeSync                      // it has handled it, and nothing of that is on its disk or has left
-	afterSync                       // what it persisted is on its disk, and nothing has left
-	afterSend                       // the answers are on their way
+	beforeMessage crashPoint = iota // the message is not handled
+	beforeSync                      // handled, but nothing is persisted or sent
+	afterSync                       // persisted, but nothing is sent
+	afterSend                       // the responses are sent
 	crashPoints
 )
 
-func (m crashPoint) String() string {
-	return []string{"before the message", "before the sync", "after the sync", "after the sending"}[m]
+func (p crashPoint) String() string {
+	return []string{"before the message", "before the sync", "after the sync", "after sending"}[p]
 }
 
-// asked is a call of a node, by its number there; proposal is the change that it asks for.
+// callKey identifies a call by its node and its number there; proposedValue is the change that the call proposes.
 type (
 	callKey struct {
 		node   string
@@ -35,15 +35,15 @@
 	proposedValue struct{ base, value uint64 }
 )
 
-// doubleLossRun is a few nodes that lose one, and another one in the middle of the repair.
+// doubleLossRun is a cluster that loses one node, and a second one, the victim, during the repair.
 type doubleLossRun struct {
 	*testCluster
-	lastValue uint64 // of the changes that were sent, from 1 on
+	lastValue uint64 // of the changes proposed, counted from 1
 	sent      map[callKey]proposedValue
-	acked     map[uint64]uint64 // values by their bases
+	acked     map[uint64]uint64 // acknowledged values by their bases
 
 	victim            string
-	messagesUntilLoss int // messages that the victim hears until it is lost
+	messagesUntilLoss int // messages that the victim receives before it fails
 	lossPoint         crashPoint
 	victimLost        bool
 }
@@ -58,7 +58,7 @@
 	return r
 }
 
-// proposeNext has a node propose the next value on top of all that it knows as acknowledged.
+// proposeNext has a node propose the next value on top of all acknowledged ones.
 func (r *doubleLossRun) proposeNext(name string) {
 	if r.nodes[name] == nil {
 		return
@@ -71,7 +71,7 @@
 	r.handleOutput(name, out)
 }
 
-// advance lets time pass; messages are delivered one at a time, and the victim is lost at its moment.
+// advance runs the cluster for a duration, delivering one message at a time; the victim fails at its crash point.
 func (r *doubleLossRun) advance(d time.Duration) {
 	for end := r.now + d; r.now < end; r.now += 25 * time.Millisecond {
 		for _, name := range sortedNames(r.nodes) {
@@ -116,15 +116,15 @@
 	}
 }
 
-// collectReplies takes the answers to changes; those to reads stay. At most one change is acknowledged on a base.
+// collectReplies consumes the replies to changes and keeps those to reads. At most one change is acknowledged per base.
 func (r *doubleLossRun) collectReplies() {
 	for _, name := range sortedNames(r.nodes) {
 		r.replies[name] = slices.DeleteFunc(r.replies[name], func(reply chain.Reply) bool {
 			if reply.Result != nil && reply.Result[8] == 1 {
 				c := r.sent[callKey{name, reply.Number}]
-				Expect(c.value).NotTo(BeZero(), "an answer to a call that %s did not make", name)
+				Expect(c.value).NotTo(BeZero(), "a reply to a call that %s did not make", name)
 				Expect(r.acked).NotTo(HaveKey(c.base))
-				Expect(r.isCommitted(c)).To(BeTrue(), "value %d was acknowledged and nobody has committed it", c.value)
+				Expect(r.isCommitted(c)).To(BeTrue(), "value %d was acknowledged, but no node has committed it", c.value)
 				r.acked[c.base] = c.value
 			}
 			return reply.Unknown || reply.Result != nil
@@ -132,7 +132,7 @@
 	}
 }
 
-// isCommitted says whether a running node has told a committed state with a change at its place.
+// isCommitted reports whether a running node has emitted a committed state that contains a change.
 func (r *doubleLossRun) isCommitted(p proposedValue) bool {
 	for _, name := range sortedNames(r.nodes) {
 		for _, c := range slices.Backward(r.commits[name]) {
@@ -146,7 +146,7 @@
 	return false
 }
 
-// isFullChain says whether all nodes that run are in the chain of one view, caught up.
+// isFullChain reports whether all running nodes are in the chain of one view and up to date.
 func (r *doubleLossRun) isFullChain() bool {
 	v := r.newestView()
 	if len(v.Chain) != len(r.nodes) || len(v.Members) != len(r.nodes) {
@@ -161,7 +161,7 @@
 	return true
 }
 
-// expectConsistent checks that all that was acknowledged is there, in one order, and that the nodes go on.
+// expectConsistent checks that every node returns all acknowledged values in the same order, and that all nodes serve calls.
 func (r *doubleLossRun) expectConsistent(why string) {
 	GinkgoHelper()
 	r.advance(4 * time.Second)
@@ -171,42 +171,42 @@
 		r.replies[name] = nil
 		r.read(name)
 		r.advance(500 * time.Millisecond)
-		Expect(r.replies[name]).NotTo(BeEmpty(), "%s: no read at %s", why, name)
+		Expect(r.replies[name]).NotTo(BeEmpty(), "%s: no reply to a read at %s", why, name)
 		values, err := parseSnapshot(r.replies[name][len(r.replies[name])-1].Snapshot)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(len(values)).To(BeNumerically(">=", before), why)
 		for base, value := range r.acked {
-			Expect(values[base]).To(Equal(value), "%s: at %s, on %d", why, name, base)
+			Expect(values[base]).To(Equal(value), "%s: at %s, base %d", why, name, base)
 		}
 	}
 }
 
-// firstLosses are how the first node goes, and what takes its place.
+// firstLosses are the ways in which the first node is lost and replaced.
 var firstLosses = []struct {
 	name string
 	lose func(r *doubleLossRun, name string)
 }{
-	{"killed, back from its disk", func(r *doubleLossRun, name string) {
+	{"killed, restarted from its disk", func(r *doubleLossRun, name string) {
 		r.stop(name)
 		r.advance(900 * time.Millisecond)
 		r.start(name, false)
 	}},
-	{"its disk lost", func(r *doubleLossRun, name string) {
+	{"restarted with an empty disk", func(r *doubleLossRun, name string) {
 		r.stop(name)
 		r.disks[name] = nil
 		r.start(name, false)
 	}},
-	{"gone for good, another in its place", func(r *doubleLossRun, name string) {
+	{"removed, replaced by another node", func(r *doubleLossRun, name string) {
 		r.stop(name)
 		r.disks[name] = nil
 		r.start("e", false)
 	}},
-	{"cut off for long and joined again", func(r *doubleLossRun, name string) {
+	{"partitioned for long, reconnected", func(r *doubleLossRun, name string) {
 		r.isolate(name)
 		r.advance(2 * time.Second)
 		r.heal()
 	}},
-	{"replaced as planned, the new one first", func(r *doubleLossRun, name string) {
+	{"removed after its replacement has joined", func(r *doubleLossRun, name string) {
 		r.start("e", false)
 		r.advance(time.Second)
 		r.stop(name)
@@ -214,7 +214,7 @@
 	}},
 }
 
-// stepIncrement leaves out most of the later messages: the repair is over after some twenty.
+// stepIncrement skips most of the later messages, as the repair is complete after some twenty.
 func stepIncrement(step int) int {
 	if step < 24 {
 		return 1
@@ -222,11 +222,11 @@
 	return 6
 }
 
-// A second node is lost, by a loss of power, at each message that it hears while the first loss is repaired, before and after
-// each sync. Nothing acknowledged is lost, nothing is acknowledged twice on one base, and all goes on once it is back.
-var _ = Describe("a second loss in the middle of a repair", func() {
-	const most = 60 // messages of a repair; those that follow are heartbeats
-	DescribeTable("loses nothing, and goes on once one is back", func(names []string, wiped string) {
+// A second node loses power at each message that it receives while the first loss is repaired, before and after each sync.
+// No acknowledged change may be lost, no two changes acknowledged on one base, and all nodes must work once it is back.
+var _ = Describe("a second loss during a repair", func() {
+	const most = 60 // messages of a repair; later ones are heartbeats
+	DescribeTable("loses nothing, and all nodes work once the second one is back", func(names []string, wiped string) {
 		runs := 0
 		for _, first := range firstLosses {
 			for _, gone := range []string{names[0], names[len(names)-1]} {
@@ -235,10 +235,10 @@
 						continue
 					}
 					for step := 0; step < most; step += stepIncrement(step) {
-						for at := range crashPoints {
+						for point := range crashPoints {
 							r := newDoubleLossRun(names...)
-							why := fmt.Sprintf("%s %s, %s lost at its message %d, %s", gone, first.name, victim, step, at)
-							r.victim, r.messagesUntilLoss, r.lossPoint = victim, step, at
+							why := fmt.Sprintf("%s %s, %s failed at its message %d, %s", gone, first.name, victim, step, point)
+							r.victim, r.messagesUntilLoss, r.lossPoint = victim, step, point
 							if wiped != "" {
 								r.stop(wiped)
 								r.disks[wiped] = nil
@@ -266,6 +266,6 @@
 	},
 		Entry("of three", []string{"a", "b", "c"}, ""),
 		Entry("of four", []string{"a", "b", "c", "d"}, ""),
-		Entry("of five, where another has lost its disk with the first", []string{"a", "b", "c", "d", "f"}, "c"),
+		Entry("of five, one of which lost its disk together with the first", []string{"a", "b", "c", "d", "f"}, "c"),
 	)
 })
--- a/coordination/chain/simulation_test.go
+++ b/coordination/chain/simulation_test.go
@@ -11,13 +11,14 @@
 	. "github.com/onsi/gomega"
 )
 
-// The simulation runs CHAIN_SEEDS seeds from CHAIN_FIRST on; with CHAIN_TRACE it tells what happens.
+// defaultSeeds is the number of simulated seeds. CHAIN_SEEDS sets another number, CHAIN_FIRST the first seed, and
+// CHAIN_TRACE prints a trace of the events.
 const defaultSeeds = 200
 
-// gcPercent suits a small heap that is made anew with each seed.
+// gcPercent reduces garbage collection: the heap is small and rebuilt for each seed.
 const gcPercent = 800
 
-// faultsPerRun is how often trouble strikes a cluster.
+// faultsPerRun is the number of faults injected per seed.
 const faultsPerRun = 9
 
 func intFromEnvironment(name string, fallback int) int {
@@ -28,7 +29,7 @@
 }
 
 var _ = Describe("a cluster under faults", func() {
-	It("loses nothing acknowledged, applies nothing refused, reads nothing stale, and goes on once calm", func() {
+	It("loses nothing acknowledged, applies nothing refused, reads nothing stale, and makes progress after the faults", func() {
 		DeferCleanup(debug.SetGCPercent, debug.SetGCPercent(gcPercent))
 		first := intFromEnvironment("CHAIN_FIRST", 1)
 		var total checker
@@ -55,55 +56,55 @@
 		trace = func(format string, arguments ...any) { fmt.Fprintf(GinkgoWriter, format+"\n", arguments...) }
 	}
 	hosts := 3 + int(seed%3)
-	w := newSimulation(seed, hosts, min(3, hosts), trace)
-	w.checker = checker{refused: map[[2]uint64]bool{}, acked: map[uint64]uint64{}}
-	t := &faultInjector{simulation: w}
-	t.chooseRates()
+	s := newSimulation(seed, hosts, min(3, hosts), trace)
+	s.checker = checker{refused: map[[2]uint64]bool{}, acked: map[uint64]uint64{}}
+	faults := &faultInjector{simulation: s}
+	faults.chooseRates()
 	for range faultsPerRun {
-		t.injectFault()
-		w.runClients(w.between(200*time.Millisecond, 4*time.Second))
+		faults.injectFault()
+		s.runClients(s.between(200*time.Millisecond, 4*time.Second))
 	}
-	t.heal()
-	w.runClients(8 * time.Second)
-	w.checkProgress()
-	return w.checker, nil
+	faults.heal()
+	s.runClients(8 * time.Second)
+	s.checkProgress()
+	return s.checker, nil
 }
 
-// runClients call at random for a time.
-func (w *simulation) runClients(d time.Duration) {
-	end := w.now + d
-	for w.now < end {
-		w.startClientCall(w.hosts[w.random.IntN(len(w.hosts))])
-		w.runFor(w.between(5*time.Millisecond, 150*time.Millisecond))
+// runClients makes client calls at random intervals for a duration.
+func (s *simulation) runClients(d time.Duration) {
+	end := s.now + d
+	for s.now < end {
+		s.startClientCall(s.hosts[s.random.IntN(len(s.hosts))])
+		s.runFor(s.between(5*time.Millisecond, 150*time.Millisecond))
 	}
 }
 
-// checkProgress checks that once calm, each host brings a change and a read through, and that all are in the chain.
-func (w *simulation) checkProgress() {
-	for _, h := range w.hosts {
+// checkProgress checks that without faults each host completes a change, and that all hosts are in the chain.
+func (s *simulation) checkProgress() {
+	for _, h := range s.hosts {
 		if h.removed {
 			continue
 		}
 		if h.node == nil {
-			fail(w, "%s does not run", h.address)
+			fail(s, "%s is not running", h.address)
 		}
-		answers := w.checker.answers
-		w.checker.lastValue++
-		known := w.checker.knownVersions
-		c := w.checker.startCall(w, &clientCall{base: uint64(known), value: w.checker.lastValue})
-		number, out, _ := h.node.Propose(w.now, encodeCommand(c.base, c.value))
+		answers := s.checker.answers
+		s.checker.lastValue++
+		known := s.checker.knownVersions
+		c := s.checker.startCall(s, &clientCall{base: uint64(known), value: s.checker.lastValue})
+		number, out, _ := h.node.Propose(s.now, encodeCommand(c.base, c.value))
 		h.calls[number] = c
-		w.handleOutput(h, out)
-		w.schedule(h)
-		w.runFor(2 * time.Second)
-		if w.checker.answers == answers {
-			fail(w, "%s answers nothing when all is calm: view %+v", h.address, h.node.View())
+		s.handleOutput(h, out)
+		s.schedule(h)
+		s.runFor(2 * time.Second)
+		if s.checker.answers == answers {
+			fail(s, "%s does not answer without faults: view %+v", h.address, h.node.View())
 		}
-		if w.checker.knownVersions <= known {
-			fail(w, "%s takes nothing when all is calm: %d versions", h.address, known)
+		if s.checker.knownVersions <= known {
+			fail(s, "%s completes no change without faults: %d versions", h.address, known)
 		}
 		if v := h.node.View(); !h.node.IsMember() || v.ChainPosition(h.node.Self().ID) < 0 {
-			fail(w, "%s (%d) is not in the chain when all is calm: view %+v", h.address, h.node.Self().ID, v)
+			fail(s, "%s (%d) is not in the chain without faults: view %+v", h.address, h.node.Self().ID, v)
 		}
 	}
 }
--- a/coordination/chain/trio_test.go
+++ b/coordination/chain/trio_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// testCluster is a few nodes whose messages are delivered at once and in order, unless the test holds them back.
+// testCluster runs a few nodes whose messages are delivered at once and in order, unless dropMessage drops them.
 type testCluster struct {
 	now         time.Duration
 	nodes       map[string]*chain.Node
@@ -43,12 +43,12 @@
 func (t *testCluster) settingsFor(name string, bootstrap bool) chain.Settings {
 	t.starts++
 	return chain.Settings{
-		Name: name, Address: name, Voter: name != "visitor", Bootstrap: bootstrap, Seeds: t.seeds,
+		Name: name, Address: name, Voter: name != "forwarder", Bootstrap: bootstrap, Seeds: t.seeds,
 		Random: [2]uint64{t.starts, 1},
 	}
 }
 
-// start runs a node on the disk that it has.
+// start starts a node from the records on its disk.
 func (t *testCluster) start(name string, bootstrap bool) {
 	var durable chain.DurableState
 	for _, r := range t.disks[name] {
@@ -70,7 +70,7 @@
 	t.sent = append(t.sent, out.Send...)
 }
 
-// deliver brings all messages, and those that they lead to.
+// deliver delivers all messages, including those sent in response.
 func (t *testCluster) deliver() {
 	for len(t.undelivered) > 0 {
 		e := t.undelivered[0]
@@ -81,7 +81,7 @@
 	}
 }
 
-// runFor lets time go by.
+// runFor advances the time, with ticks and deliveries.
 func (t *testCluster) runFor(d time.Duration) {
 	for end := t.now + d; t.now < end; t.now += 25 * time.Millisecond {
 		for _, name := range sortedNames(t.nodes) {
@@ -107,7 +107,7 @@
 	t.deliver()
 }
 
-// isolate loses all messages from and to a node.
+// isolate drops all messages from and to a node.
 func (t *testCluster) isolate(name string) {
 	t.dropMessage = func(e chain.Envelope) bool { return e.From.Address == name || e.To.Address == name }
 }
@@ -116,7 +116,7 @@
 
 func (t *testCluster) head() string { m, _ := t.newestView().Head(); return m.Address }
 
-// newestView is the newest that any node is in.
+// newestView returns the newest view known to any node.
 func (t *testCluster) newestView() view.View {
 	var newest view.View
 	for _, node := range t.nodes {
@@ -127,7 +127,7 @@
 	return newest
 }
 
-// chainAddresses are those of a view's chain.
+// chainAddresses returns the addresses of a view's chain, head first.
 func chainAddresses(v view.View) []string {
 	var all []string
 	for _, id := range v.Chain {
@@ -147,7 +147,8 @@
 	return kinds
 }
 
-// answers gives what calls at a node came to: the versions of changes, minus those of refusals.
+// answers returns the replies to the calls at a node: the version for a change, the negative version for a refusal, 100 plus
+// the number of versions for a read, and 0 for an unknown fate.
 func (t *testCluster) answers(name string) []int {
 	var all []int
 	for _, r := range t.replies[name] {
@@ -169,7 +170,7 @@
 
 func sortedNames(nodes map[string]*chain.Node) []string {
 	var names []string
-	for _, name := range []string{"a", "b", "c", "d", "e", "f", "visitor"} {
+	for _, name := range []string{"a", "b", "c", "d", "e", "f", "forwarder"} {
 		if nodes[name] != nil {
 			names = append(names, name)
 		}
--- a/coordination/chain/trouble_test.go
+++ b/coordination/chain/trouble_test.go
@@ -5,173 +5,174 @@
 	"time"
 )
 
-// recoveryTime is how long after the last trouble a disk may be lost: what is tolerated is one at a time.
+// recoveryTime is the minimum time between the end of the last fault and the loss of a disk, as only one loss at a time is
+// tolerated.
 const recoveryTime = 4500 * time.Millisecond
 
-// faultInjector strikes a world.
+// faultInjector injects random faults into a simulation.
 type faultInjector struct {
 	*simulation
-	faultsEnd    time.Duration // end of the newest trouble but disks
-	lastDiskLoss time.Duration // when a host without its disk was back
+	faultsEnd    time.Duration // end of the latest fault other than a disk loss
+	lastDiskLoss time.Duration // when the host that last lost its disk starts again
 	replaced     int
 }
 
-func (t *faultInjector) randomHost() *host {
+func (f *faultInjector) randomHost() *host {
 	for {
-		if h := t.hosts[t.random.IntN(len(t.hosts))]; !h.removed {
+		if h := f.hosts[f.random.IntN(len(f.hosts))]; !h.removed {
 			return h
 		}
 	}
 }
 
-// extendFaults notes that something goes on until then.
-func (t *faultInjector) extendFaults(d time.Duration) time.Duration {
-	t.faultsEnd = max(t.faultsEnd, t.now+d)
+// extendFaults records that a fault starting now lasts for d.
+func (f *faultInjector) extendFaults(d time.Duration) time.Duration {
+	f.faultsEnd = max(f.faultsEnd, f.now+d)
 	return d
 }
 
-// chooseRates draws what goes on all the time.
-func (t *faultInjector) chooseRates() {
-	t.lossRate = []float64{0, 0, 0.05, 0.2}[t.random.IntN(4)]
-	t.duplicateRate = []float64{0, 0.03, 0.1}[t.random.IntN(3)]
-	t.delayRate = []float64{0, 0.02, 0.2}[t.random.IntN(3)]
-	t.maxDelay = []time.Duration{400 * time.Millisecond, 3 * time.Second}[t.random.IntN(2)]
-	t.crashRate = []float64{0, 0.0005, 0.005, 0.02}[t.random.IntN(4)]
-	t.maxRestartDelay = []time.Duration{200 * time.Millisecond, 2 * time.Second}[t.random.IntN(2)]
+// chooseRates picks the rates of the faults that occur throughout the run.
+func (f *faultInjector) chooseRates() {
+	f.lossRate = []float64{0, 0, 0.05, 0.2}[f.random.IntN(4)]
+	f.duplicateRate = []float64{0, 0.03, 0.1}[f.random.IntN(3)]
+	f.delayRate = []float64{0, 0.02, 0.2}[f.random.IntN(3)]
+	f.maxDelay = []time.Duration{400 * time.Millisecond, 3 * time.Second}[f.random.IntN(2)]
+	f.crashRate = []float64{0, 0.0005, 0.005, 0.02}[f.random.IntN(4)]
+	f.maxRestartDelay = []time.Duration{200 * time.Millisecond, 2 * time.Second}[f.random.IntN(2)]
 }
 
-func (t *faultInjector) injectFault() {
-	switch t.random.IntN(12) {
+func (f *faultInjector) injectFault() {
+	switch f.random.IntN(12) {
 	case 0, 1:
-		t.kill(t.randomHost())
+		f.kill(f.randomHost())
 	case 2:
-		t.killAll()
+		f.killAll()
 	case 3:
-		h := t.randomHost()
-		t.trace("%v freeze %s", t.now, h.address)
-		t.freeze(h, t.extendFaults(t.between(300*time.Millisecond, 5*time.Second)))
+		h := f.randomHost()
+		f.trace("%v freeze %s", f.now, h.address)
+		f.freeze(h, f.extendFaults(f.between(300*time.Millisecond, 5*time.Second)))
 	case 4:
-		for _, h := range t.hosts {
-			t.freeze(h, t.extendFaults(t.between(300*time.Millisecond, 3*time.Second)))
+		for _, h := range f.hosts {
+			f.freeze(h, f.extendFaults(f.between(300*time.Millisecond, 3*time.Second)))
 		}
 	case 5, 6:
-		t.isolate()
+		f.isolate()
 	case 7:
-		t.blockOneLink()
+		f.blockOneLink()
 	case 8:
-		t.partition()
+		f.partition()
 	case 9, 10, 11:
-		t.loseDisk()
+		f.loseDisk()
 	}
 }
 
-func (t *faultInjector) kill(h *host) {
-	t.trace("%v kill %s", t.now, h.address)
-	t.stop(h)
-	t.after(t.extendFaults(t.between(50*time.Millisecond, 3*time.Second)), func() { t.start(h) })
+func (f *faultInjector) kill(h *host) {
+	f.trace("%v kill %s", f.now, h.address)
+	f.stop(h)
+	f.after(f.extendFaults(f.between(50*time.Millisecond, 3*time.Second)), func() { f.start(h) })
 }
 
-func (t *faultInjector) killAll() {
-	for _, h := range t.hosts {
+func (f *faultInjector) killAll() {
+	for _, h := range f.hosts {
 		if !h.removed {
-			t.kill(h)
+			f.kill(h)
 		}
 	}
 }
 
-func (t *faultInjector) blockLink(from, to *host, d time.Duration) {
+func (f *faultInjector) blockLink(from, to *host, d time.Duration) {
 	key := [2]string{from.address, to.address}
-	t.trace("%v cut %s -> %s for %v", t.now, key[0], key[1], d)
-	t.blocked[key] = true
-	t.after(t.extendFaults(d), func() { delete(t.blocked, key) })
+	f.trace("%v block %s -> %s for %v", f.now, key[0], key[1], d)
+	f.blocked[key] = true
+	f.after(f.extendFaults(d), func() { delete(f.blocked, key) })
 }
 
-// isolate cuts one host off, in one direction or both.
-func (t *faultInjector) isolate() {
-	one, d, way := t.randomHost(), t.between(500*time.Millisecond, 6*time.Second), t.random.IntN(3)
-	for _, h := range t.hosts {
+// isolate blocks all links of one host, in one direction or both.
+func (f *faultInjector) isolate() {
+	one, d, way := f.randomHost(), f.between(500*time.Millisecond, 6*time.Second), f.random.IntN(3)
+	for _, h := range f.hosts {
 		if h == one {
 			continue
 		}
 		if way != 0 {
-			t.blockLink(one, h, d)
+			f.blockLink(one, h, d)
 		}
 		if way != 1 {
-			t.blockLink(h, one, d)
+			f.blockLink(h, one, d)
 		}
 	}
 }
 
-func (t *faultInjector) blockOneLink() {
-	a, b, d := t.randomHost(), t.randomHost(), t.between(500*time.Millisecond, 6*time.Second)
+func (f *faultInjector) blockOneLink() {
+	a, b, d := f.randomHost(), f.randomHost(), f.between(500*time.Millisecond, 6*time.Second)
 	if a == b {
 		return
 	}
-	t.blockLink(a, b, d)
-	if t.random.IntN(2) == 0 {
-		t.blockLink(b, a, d)
+	f.blockLink(a, b, d)
+	if f.random.IntN(2) == 0 {
+		f.blockLink(b, a, d)
 	}
 }
 
-// partition cuts the hosts into two sides, with clients on both.
-func (t *faultInjector) partition() {
-	side, d := map[*host]bool{}, t.between(500*time.Millisecond, 6*time.Second)
-	for _, h := range t.hosts {
-		side[h] = t.random.IntN(2) == 0
+// partition splits the hosts into two sides, with clients on both.
+func (f *faultInjector) partition() {
+	side, d := map[*host]bool{}, f.between(500*time.Millisecond, 6*time.Second)
+	for _, h := range f.hosts {
+		side[h] = f.random.IntN(2) == 0
 	}
-	for _, a := range t.hosts {
-		for _, b := range t.hosts {
+	for _, a := range f.hosts {
+		for _, b := range f.hosts {
 			if side[a] != side[b] {
-				t.blockLink(a, b, d)
+				f.blockLink(a, b, d)
 			}
 		}
 	}
 }
 
-// loseDisk takes one disk, with all others losing power at the same time, or replaces a host. It waits until what was
-// before is over for long enough.
-func (t *faultInjector) loseDisk() {
-	loss, slow, crash := t.lossRate, t.delayRate, t.crashRate
-	t.lossRate, t.delayRate, t.crashRate = min(loss, 0.05), min(slow, 0.02), 0
-	t.runClients(max(0, max(t.faultsEnd, t.lastDiskLoss)+recoveryTime-t.now))
-	h := t.randomHost()
-	back := t.between(50*time.Millisecond, 1500*time.Millisecond)
-	switch t.random.IntN(3) {
+// loseDisk wipes the disk of a host, in some cases while all hosts lose power or by replacing the host. It first waits until
+// earlier faults have been over for recoveryTime.
+func (f *faultInjector) loseDisk() {
+	loss, slow, crash := f.lossRate, f.delayRate, f.crashRate
+	f.lossRate, f.delayRate, f.crashRate = min(loss, 0.05), min(slow, 0.02), 0
+	f.runClients(max(0, max(f.faultsEnd, f.lastDiskLoss)+recoveryTime-f.now))
+	h := f.randomHost()
+	back := f.between(50*time.Millisecond, 1500*time.Millisecond)
+	switch f.random.IntN(3) {
 	case 0:
-		t.trace("%v all lose power", t.now)
-		t.killAll()
+		f.trace("%v all lose power", f.now)
+		f.killAll()
 	case 1:
-		h = t.replace(h)
+		h = f.replace(h)
 	}
-	t.trace("%v wipe %s", t.now, h.address)
-	t.wipe(h)
-	t.after(back, func() { t.start(h) })
-	t.lastDiskLoss = t.now + back
-	t.runClients(max(back, t.faultsEnd-t.now) + recoveryTime)
-	t.lossRate, t.delayRate, t.crashRate = loss, slow, crash
+	f.trace("%v wipe %s", f.now, h.address)
+	f.wipe(h)
+	f.after(back, func() { f.start(h) })
+	f.lastDiskLoss = f.now + back
+	f.runClients(max(back, f.faultsEnd-f.now) + recoveryTime)
+	f.lossRate, f.delayRate, f.crashRate = loss, slow, crash
 }
 
-// replace takes a host away for good and brings another.
-func (t *faultInjector) replace(h *host) *host {
-	t.stop(h)
+// replace removes a host permanently and adds another.
+func (f *faultInjector) replace(h *host) *host {
+	f.stop(h)
 	h.removed = true
-	t.replaced++
-	next := &host{address: fmt.Sprintf("other%d", t.replaced)}
-	t.hosts = append(t.hosts, next)
+	f.replaced++
+	next := &host{address: fmt.Sprintf("other%d", f.replaced)}
+	f.hosts = append(f.hosts, next)
 	return next
 }
 
-func (t *faultInjector) heal() {
-	t.crashRate, t.lossRate, t.duplicateRate, t.delayRate = 0, 0, 0, 0
-	clear(t.blocked)
-	for _, h := range t.hosts {
+func (f *faultInjector) heal() {
+	f.crashRate, f.lossRate, f.duplicateRate, f.delayRate = 0, 0, 0, 0
+	clear(f.blocked)
+	for _, h := range f.hosts {
 		if h.frozen {
-			t.unfreeze(h)
+			f.unfreeze(h)
 		}
 	}
-	for _, h := range t.hosts {
+	for _, h := range f.hosts {
 		if h.node == nil {
-			t.start(h)
+			f.start(h)
 		}
 	}
 }
--- a/coordination/chain/world_test.go
+++ b/coordination/chain/world_test.go
@@ -10,8 +10,8 @@
 	"emberquay/coordination/chain"
 )
 
-// simulation runs nodes under one seeded scheduler: a network that loses, repeats and reorders, disks that keep what was
-// synced, processes that end at any point, freeze and lose their disks.
+// simulation runs nodes under one seeded scheduler: the network drops, duplicates and reorders messages, disks keep what was
+// synced, and processes crash at any point, freeze and lose their disks.
 type simulation struct {
 	random          *rand.Rand
 	now             time.Duration
@@ -21,30 +21,30 @@
 	blocked         map[[2]string]bool // from, to
 	lossRate        float64
 	duplicateRate   float64
-	delayRate       float64 // chance that a message takes long
+	delayRate       float64 // probability that a message is delayed by up to maxDelay
 	maxDelay        time.Duration
-	crashRate       float64       // chance that a process ends within a step
-	maxRestartDelay time.Duration // until it starts again, at most
+	crashRate       float64       // probability that a process crashes within a step
+	maxRestartDelay time.Duration // after such a crash
 	checker         checker
 	trace           func(string, ...any)
 	lastOrder       uint64
 }
 
-// host is a machine and its disk.
+// host is a machine with its disk and its process.
 type host struct {
 	address         string
 	bootstrap       bool
-	removed         bool // for good
+	removed         bool // permanently
 	records         []chain.Record
 	node            *chain.Node
-	starts          int // counts the starts
+	starts          int // incremented whenever the process starts or stops
 	frozen          bool
-	backlog         []func() // of a frozen host
-	timerGeneration uint64   // the newest timer
+	backlog         []func() // deferred actions of a frozen host
+	timerGeneration uint64   // of the newest timer; older ones are void
 	calls           map[int64]*clientCall
 }
 
-// event is something that happens later.
+// event is an action scheduled for a later time.
 type event struct {
 	at     time.Duration
 	order  uint64
@@ -69,45 +69,45 @@
 }
 
 func newSimulation(seed uint64, hosts, seeds int, trace func(string, ...any)) *simulation {
-	w := &simulation{
+	s := &simulation{
 		random:  rand.New(rand.NewPCG(seed, 77)),
 		blocked: map[[2]string]bool{},
 		trace:   trace,
 	}
-	for at := range hosts {
-		w.hosts = append(w.hosts, &host{address: fmt.Sprintf("host%d", at), bootstrap: true})
-		if at < seeds {
-			w.seeds = append(w.seeds, fmt.Sprintf("host%d", at))
+	for i := range hosts {
+		s.hosts = append(s.hosts, &host{address: fmt.Sprintf("host%d", i), bootstrap: true})
+		if i < seeds {
+			s.seeds = append(s.seeds, fmt.Sprintf("host%d", i))
 		}
 	}
-	for _, h := range w.hosts {
-		w.after(w.between(0, 300*time.Millisecond), func() { w.start(h) })
+	for _, h := range s.hosts {
+		s.after(s.between(0, 300*time.Millisecond), func() { s.start(h) })
 	}
-	return w
+	return s
 }
 
-func (w *simulation) after(d time.Duration, do func()) {
-	w.lastOrder++
-	heap.Push(&w.events, event{w.now + d, w.lastOrder, do})
+func (s *simulation) after(d time.Duration, do func()) {
+	s.lastOrder++
+	heap.Push(&s.events, event{s.now + d, s.lastOrder, do})
 }
 
-func (w *simulation) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(w.random.Int64N(int64(most-least)))
+func (s *simulation) between(least, most time.Duration) time.Duration {
+	return least + time.Duration(s.random.Int64N(int64(most-least)))
 }
 
-// runFor lets time pass.
-func (w *simulation) runFor(d time.Duration) {
-	end := w.now + d
-	for len(w.events) > 0 && w.events[0].at <= end {
-		e := heap.Pop(&w.events).(event)
-		w.now = e.at
+// runFor runs all events that are due within d.
+func (s *simulation) runFor(d time.Duration) {
+	end := s.now + d
+	for len(s.events) > 0 && s.events[0].at <= end {
+		e := heap.Pop(&s.events).(event)
+		s.now = e.at
 		e.action()
 	}
-	w.now = end
+	s.now = end
 }
 
-// runOnHost does something in a host's process as it is now, later if it is frozen, never if it has ended.
-func (w *simulation) runOnHost(h *host, do func()) {
+// runOnHost runs an action in the current process of a host: later if it is frozen, never if it has ended.
+func (s *simulation) runOnHost(h *host, do func()) {
 	process := h.starts
 	guarded := func() {
 		if h.node != nil && h.starts == process {
@@ -121,7 +121,7 @@
 	guarded()
 }
 
-func (w *simulation) start(h *host) {
+func (s *simulation) start(h *host) {
 	if h.removed || h.node != nil {
 		return
 	}
@@ -133,27 +133,27 @@
 	}
 	settings := chain.Settings{
 		Name: h.address, Address: h.address, Zone: "z", Voter: true,
-		Bootstrap: h.bootstrap, Seeds: w.seedsFor(h),
-		Random: [2]uint64{w.random.Uint64(), w.random.Uint64()},
+		Bootstrap: h.bootstrap, Seeds: s.seedsFor(h),
+		Random: [2]uint64{s.random.Uint64(), s.random.Uint64()},
 	}
-	node, out, err := chain.New(settings, &durable, &register{}, w.now)
+	node, out, err := chain.New(settings, &durable, &register{}, s.now)
 	if err != nil {
 		panic(err)
 	}
 	h.node, h.calls, h.frozen, h.backlog = node, map[int64]*clientCall{}, false, nil
 	h.starts++
-	w.trace("%v start %s as %d, %d records", w.now, h.address, node.Self().ID, len(h.records))
-	w.handleOutput(h, out)
-	w.schedule(h)
+	s.trace("%v start %s as %d, %d records", s.now, h.address, node.Self().ID, len(h.records))
+	s.handleOutput(h, out)
+	s.schedule(h)
 }
 
-// seedsFor is the operator's list when a host first starts; three of those that are there, later on.
-func (w *simulation) seedsFor(h *host) []string {
+// seedsFor returns the configured seeds at the first start of a host, and three of the remaining hosts at later ones.
+func (s *simulation) seedsFor(h *host) []string {
 	if h.bootstrap && h.starts == 0 {
-		return w.seeds
+		return s.seeds
 	}
 	var seeds []string
-	for _, other := range w.hosts {
+	for _, other := range s.hosts {
 		if !other.removed && len(seeds) < 3 {
 			seeds = append(seeds, other.address)
 		}
@@ -161,123 +161,123 @@
 	return seeds
 }
 
-func (w *simulation) stop(h *host) {
+func (s *simulation) stop(h *host) {
 	h.node, h.calls, h.frozen, h.backlog = nil, nil, false, nil
 	h.starts++
 }
 
-// wipe takes a host's disk; it starts again later.
-func (w *simulation) wipe(h *host) {
-	w.stop(h)
+// wipe stops a host and empties its disk; the caller starts it again later.
+func (s *simulation) wipe(h *host) {
+	s.stop(h)
 	h.records, h.bootstrap = nil, false
 }
 
-// handleOutput does what a node asks for, unless the process ends within it: then a part of the records was synced, or all and
-// a part of the messages left.
-func (w *simulation) handleOutput(h *host, out chain.Output) {
+// handleOutput carries out the output of a node. If the process crashes in between, either only some of the records are
+// synced, or all of them are and only some of the messages are sent.
+func (s *simulation) handleOutput(h *host, out chain.Output) {
 	before := len(h.records)
 	h.records = append(h.records, out.Persist...)
 	sends := len(out.Send)
-	crashes := w.random.Float64() < w.crashRate
+	crashes := s.random.Float64() < s.crashRate
 	if crashes {
-		if kept := w.random.IntN(len(out.Persist) + 1); kept < len(out.Persist) {
+		if kept := s.random.IntN(len(out.Persist) + 1); kept < len(out.Persist) {
 			h.records = h.records[:before+kept]
 			sends = 0
 		} else {
-			sends = w.random.IntN(sends + 1)
+			sends = s.random.IntN(sends + 1)
 		}
 	} else {
 		for _, c := range out.Committed {
-			w.checker.checkCommitted(w, h, c)
+			s.checker.checkCommitted(s, h, c)
 		}
 	}
 	for _, e := range out.Send[:sends] {
-		w.transmit(e)
+		s.transmit(e)
 	}
 	if crashes {
-		w.trace("%v %s ends within a step", w.now, h.address)
-		w.stop(h)
-		w.after(w.between(10*time.Millisecond, w.maxRestartDelay), func() { w.start(h) })
+		s.trace("%v %s crashes within a step", s.now, h.address)
+		s.stop(h)
+		s.after(s.between(10*time.Millisecond, s.maxRestartDelay), func() { s.start(h) })
 		return
 	}
 	for _, r := range out.Replies {
-		w.checker.checkReply(w, h, r)
+		s.checker.checkReply(s, h, r)
 	}
-	if len(h.records) > 40 && w.random.IntN(4) == 0 {
-		h.records = append(slices.Clone(h.records[w.random.IntN(len(h.records)):]), h.node.Checkpoint()...)
-		if w.random.IntN(2) == 0 {
+	if len(h.records) > 40 && s.random.IntN(4) == 0 {
+		h.records = append(slices.Clone(h.records[s.random.IntN(len(h.records)):]), h.node.Checkpoint()...)
+		if s.random.IntN(2) == 0 {
 			h.records = h.node.Checkpoint()
 		}
 	}
 }
 
-func (w *simulation) transmit(e chain.Envelope) {
-	if w.blocked[[2]string{e.From.Address, e.To.Address}] || w.random.Float64() < w.lossRate {
+func (s *simulation) transmit(e chain.Envelope) {
+	if s.blocked[[2]string{e.From.Address, e.To.Address}] || s.random.Float64() < s.lossRate {
 		return
 	}
 	copies := 1
-	if w.random.Float64() < w.duplicateRate {
+	if s.random.Float64() < s.duplicateRate {
 		copies = 2
 	}
 	for range copies {
-		delay := w.between(time.Millisecond, 15*time.Millisecond)
-		if w.random.Float64() < w.delayRate {
-			delay += w.between(0, w.maxDelay)
+		delay := s.between(time.Millisecond, 15*time.Millisecond)
+		if s.random.Float64() < s.delayRate {
+			delay += s.between(0, s.maxDelay)
 		}
-		w.after(delay, func() { w.deliver(e) })
+		s.after(delay, func() { s.deliver(e) })
 	}
 }
 
-func (w *simulation) deliver(e chain.Envelope) {
-	at := slices.IndexFunc(w.hosts, func(h *host) bool { return h.address == e.To.Address })
-	if at < 0 {
+func (s *simulation) deliver(e chain.Envelope) {
+	i := slices.IndexFunc(s.hosts, func(h *host) bool { return h.address == e.To.Address })
+	if i < 0 {
 		return
 	}
-	h := w.hosts[at]
-	w.runOnHost(h, func() {
-		w.traceMessage(e)
-		w.handleOutput(h, h.node.Step(w.now, e))
-		w.schedule(h)
+	h := s.hosts[i]
+	s.runOnHost(h, func() {
+		s.traceMessage(e)
+		s.handleOutput(h, h.node.Step(s.now, e))
+		s.schedule(h)
 	})
 }
 
-func (w *simulation) traceMessage(e chain.Envelope) {
+func (s *simulation) traceMessage(e chain.Envelope) {
 	if _, beat := e.Body.(chain.Heartbeat); !beat {
-		w.trace("%v %s -> %s %T%+v", w.now, e.From.Address, e.To.Address, e.Body, e.Body)
+		s.trace("%v %s -> %s %T%+v", s.now, e.From.Address, e.To.Address, e.Body, e.Body)
 	}
 }
 
-// schedule sets the host's timer to what its node wants.
-func (w *simulation) schedule(h *host) {
+// schedule sets the host's timer to its node's deadline.
+func (s *simulation) schedule(h *host) {
 	if h.node == nil {
 		return
 	}
 	h.timerGeneration++
 	tick := h.timerGeneration
-	w.after(max(0, h.node.Deadline()-w.now)+w.between(0, 3*time.Millisecond), func() {
-		w.runOnHost(h, func() {
+	s.after(max(0, h.node.Deadline()-s.now)+s.between(0, 3*time.Millisecond), func() {
+		s.runOnHost(h, func() {
 			if h.timerGeneration == tick {
-				w.handleOutput(h, h.node.Tick(w.now))
-				w.schedule(h)
+				s.handleOutput(h, h.node.Tick(s.now))
+				s.schedule(h)
 			}
 		})
 	})
 }
 
-func (w *simulation) freeze(h *host, d time.Duration) {
+func (s *simulation) freeze(h *host, d time.Duration) {
 	if h.node == nil || h.frozen {
 		return
 	}
 	h.frozen = true
 	process := h.starts
-	w.after(d, func() {
+	s.after(d, func() {
 		if h.starts == process {
-			w.unfreeze(h)
+			s.unfreeze(h)
 		}
 	})
 }
 
-func (w *simulation) unfreeze(h *host) {
+func (s *simulation) unfreeze(h *host) {
 	backlog := h.backlog
 	h.frozen, h.backlog = false, nil
 	for _, do := range backlog {
--- a/coordination/chain/write.go
+++ b/coordination/chain/write.go
@@ -39,12 +39,12 @@
 }
 
 // answerDuplicate answers a command that already has an entry.
-func (n *Node) answerDuplicate(to Peer, o Outcome) {
+func (n *Node) answerDuplicate(client Peer, o Outcome) {
 	if o.Sequence > n.committed {
-		n.inFlight = inFlightCommand{client: to, id: o.ID}
+		n.inFlight = inFlightCommand{client: client, id: o.ID}
 		return
 	}
-	n.send(to, n.resultFor(o))
+	n.send(client, n.resultFor(o))
 }
 
 func (n *Node) resultFor(o Outcome) ProposeResult {
@@ -52,17 +52,17 @@
 }
 
 func (n *Node) findOutcome(id CommandID) (Outcome, bool) {
-	for at := len(n.recent) - 1; at >= 0; at-- {
-		if n.recent[at].ID == id {
-			return n.recent[at], true
+	for i := len(n.recent) - 1; i >= 0; i-- {
+		if n.recent[i].ID == id {
+			return n.recent[i], true
 		}
 	}
 	return Outcome{}, false
 }
 
 func (n *Node) isPendingCommand(id CommandID) bool {
-	for _, p := range n.commandQueue {
-		if p.ID == id {
+	for _, c := range n.commandQueue {
+		if c.ID == id {
 			return true
 		}
 	}
@@ -73,28 +73,28 @@
 // name a version that never comes to exist.
 func (n *Node) processQueue() {
 	for len(n.commandQueue) > 0 && n.isHead() && !n.acceptor.Sealed() && n.committed == n.sequence {
-		p := n.commandQueue[0]
+		c := n.commandQueue[0]
 		n.commandQueue = n.commandQueue[1:]
-		n.evaluateCommand(p)
+		n.evaluateCommand(c)
 	}
 }
 
-func (n *Node) evaluateCommand(p queuedCommand) {
-	if o, ok := n.findOutcome(p.ID); ok {
-		n.answerDuplicate(p.client, o)
+func (n *Node) evaluateCommand(c queuedCommand) {
+	if o, ok := n.findOutcome(c.ID); ok {
+		n.answerDuplicate(c.client, o)
 		return
 	}
-	if p.After+int64(len(n.recent)) < n.sequence {
-		n.send(p.client, ProposeResult{ID: p.ID, Verdict: ResultTooOld, Epoch: n.view.Epoch, Sequence: n.sequence})
+	if c.After+int64(len(n.recent)) < n.sequence {
+		n.send(c.client, ProposeResult{ID: c.ID, Verdict: ResultTooOld, Epoch: n.view.Epoch, Sequence: n.sequence})
 		return
 	}
-	result, changed := n.machine.Apply(p.Command)
+	result, changed := n.machine.Apply(c.Command)
 	if !changed {
-		n.awaitConfirmation(waiter{client: p.client, id: p.ID, result: result})
+		n.awaitConfirmation(waiter{client: c.client, id: c.ID, result: result})
 		return
 	}
-	n.inFlight = inFlightCommand{client: p.client, id: p.ID}
-	n.appendEntry(Entry{Sequence: n.sequence + 1, ID: p.ID, Command: p.Command}, result)
+	n.inFlight = inFlightCommand{client: c.client, id: c.ID}
+	n.appendEntry(Entry{Sequence: n.sequence + 1, ID: c.ID, Command: c.Command}, result)
 }
 
 // appendEntry records an entry that has been applied, and forwards it.
@@ -174,12 +174,12 @@
 	if n.committed != n.sequence {
 		return
 	}
-	n.knowsCommitted = true
-	if n.latestCommitted.Snapshot == nil || n.latestCommitted.Sequence != n.committed {
-		n.latestCommitted.Snapshot = n.machine.Snapshot()
+	n.knownCommittedValid = true
+	if n.newestCommitted.Snapshot == nil || n.newestCommitted.Sequence != n.committed {
+		n.newestCommitted.Snapshot = n.machine.Snapshot()
 	}
-	n.latestCommitted.Epoch, n.latestCommitted.Sequence = n.view.Epoch, n.committed
-	n.output.Committed = append(n.output.Committed, n.latestCommitted)
+	n.newestCommitted.Epoch, n.newestCommitted.Sequence = n.view.Epoch, n.committed
+	n.output.Committed = append(n.output.Committed, n.newestCommitted)
 }
 
 func (n *Node) answerInFlight() {
--- a/coordination/view/paxos_test.go
+++ b/coordination/view/paxos_test.go
@@ -24,12 +24,12 @@
 			Expect(a.Promised).To(Equal(promised))
 		}
 	},
-		Entry("at first", view.Ballot{}, ballot(1, 1), true),
-		Entry("the same again", ballot(1, 1), ballot(1, 1), true),
+		Entry("the first ballot", view.Ballot{}, ballot(1, 1), true),
+		Entry("the same ballot again", ballot(1, 1), ballot(1, 1), true),
 		Entry("a later round", ballot(1, 2), ballot(2, 1), true),
-		Entry("a later proposer of the round", ballot(1, 1), ballot(1, 2), true),
+		Entry("a higher proposer in the same round", ballot(1, 1), ballot(1, 2), true),
 		Entry("no earlier round", ballot(2, 1), ballot(1, 2), false),
-		Entry("no earlier proposer of the round", ballot(1, 2), ballot(1, 1), false),
+		Entry("no lower proposer in the same round", ballot(1, 2), ballot(1, 1), false),
 	)
 
 	DescribeTable("accepts", func(promised, asked view.Ballot, expected bool) {
@@ -41,22 +41,22 @@
 			Expect(a).To(Equal(view.Acceptor[string]{Promised: promised, Accepted: ballot(1, 1), Value: "old"}))
 		}
 	},
-		Entry("what it promised", ballot(2, 1), ballot(2, 1), true),
+		Entry("the promised ballot", ballot(2, 1), ballot(2, 1), true),
 		Entry("a later ballot", ballot(2, 1), ballot(3, 1), true),
-		Entry("no earlier one", ballot(3, 1), ballot(2, 2), false),
+		Entry("no earlier ballot", ballot(3, 1), ballot(2, 2), false),
 	)
 
-	It("is open before it has promised anything", func() {
+	It("is not sealed before its first promise", func() {
 		Expect((&view.Acceptor[string]{}).Sealed()).To(BeFalse())
 	})
 })
 
 var _ = Describe("a proposer", func() {
-	It("has a majority once, and counts nobody twice", func() {
+	It("reports a majority once, and counts no member twice", func() {
 		p := view.NewProposer[string](ballot(1, 1), 2)
 		Expect(p.RecordPromise(1, view.Ballot{}, "")).To(BeFalse())
 		Expect(p.RecordPromise(1, view.Ballot{}, "")).To(BeFalse())
-		Expect(p.RecordAccepted(1)).To(BeFalse(), "nothing is proposed yet")
+		Expect(p.RecordAccepted(1)).To(BeFalse(), "no value is proposed yet")
 		Expect(p.RecordPromise(2, view.Ballot{}, "")).To(BeTrue())
 		Expect(p.RecordPromise(3, view.Ballot{}, "")).To(BeFalse())
 		_, found := p.RequiredValue()
@@ -68,7 +68,7 @@
 		Expect(p.RecordAccepted(2)).To(BeFalse())
 	})
 
-	It("finds the value of the latest ballot that anyone accepted", func() {
+	It("requires the value accepted in the highest ballot", func() {
 		p := view.NewProposer[string](ballot(9, 1), 3)
 		p.RecordPromise(1, ballot(2, 5), "second")
 		p.RecordPromise(2, ballot(3, 1), "third")
@@ -78,36 +78,36 @@
 		Expect(value).To(Equal("third"))
 	})
 
-	It("never decides two values, whatever is lost and however ballots cross", func() {
+	It("never decides two values, whichever messages are lost and however ballots interleave", func() {
 		for seed := range uint64(3000) {
 			Expect(len(runProposers(rand.New(rand.NewPCG(seed, 3))))).To(BeNumerically("<=", 1), "seed %d", seed)
 		}
 	})
 })
 
-// runProposers runs proposers against five acceptors, a step of any of them at a time, and gives the values decided.
+// runProposers runs three proposers against five acceptors, one random step at a time, and returns the values decided.
 func runProposers(random *rand.Rand) map[int64]bool {
 	acceptors := make([]view.Acceptor[int64], 5)
 	proposers := make([]*view.Proposer[int64], 3)
 	decided := map[int64]bool{}
 	round := int64(0)
 	for range 200 {
-		at := random.IntN(len(proposers))
-		p := proposers[at]
+		i := random.IntN(len(proposers))
+		p := proposers[i]
 		if p == nil || random.IntN(25) == 0 {
 			round++
-			proposers[at] = view.NewProposer[int64](ballot(round, view.MemberID(at+1)), 3)
+			proposers[i] = view.NewProposer[int64](ballot(round, view.MemberID(i+1)), 3)
 			continue
 		}
-		id := random.IntN(len(acceptors))
-		a := &acceptors[id]
+		acceptorIndex := random.IntN(len(acceptors))
+		a := &acceptors[acceptorIndex]
 		if p.HasProposed() {
-			if a.Accept(p.Ballot, p.Value()) && p.RecordAccepted(view.MemberID(id+1)) {
+			if a.Accept(p.Ballot, p.Value()) && p.RecordAccepted(view.MemberID(acceptorIndex+1)) {
 				decided[p.Value()] = true
 			}
 			continue
 		}
-		if a.Prepare(p.Ballot) && p.RecordPromise(view.MemberID(id+1), a.Accepted, a.Value) {
+		if a.Prepare(p.Ballot) && p.RecordPromise(view.MemberID(acceptorIndex+1), a.Accepted, a.Value) {
 			value, found := p.RequiredValue()
 			if !found {
 				value = p.Ballot.Round
--- a/coordination/view/plan.go
+++ b/coordination/view/plan.go
@@ -72,8 +72,8 @@
 		if next.HasMember(joining.ID) || !c.Hears(joining.ID, self) {
 			continue
 		}
-		if at := findReplacedMember(*next, joining, self, c); at >= 0 {
-			next.Members[at] = joining
+		if i := findReplacedMember(*next, joining, self, c); i >= 0 {
+			next.Members[i] = joining
 			return AddMember
 		}
 		if len(next.Members) < MaxMembers {
@@ -84,8 +84,8 @@
 	if len(next.Members) <= next.Initial {
 		return NoChange
 	}
-	if at := findDeadMember(*next, self, c); at >= 0 {
-		next.Members = slices.Delete(next.Members, at, at+1)
+	if i := findDeadMember(*next, self, c); i >= 0 {
+		next.Members = slices.Delete(next.Members, i, i+1)
 		return RemoveMember
 	}
 	return NoChange
@@ -107,11 +107,11 @@
 // member hears; -1 if there is none.
 func findDeadMember(v View, self MemberID, c Connectivity) int {
 	found, longest := -1, ReplaceAfter
-	for at, m := range v.Members {
+	for i, m := range v.Members {
 		if m.ID == self || c.SilentFor(m.ID) < longest || isHeardByOthers(v, m.ID, self, c) {
 			continue
 		}
-		found, longest = at, c.SilentFor(m.ID)
+		found, longest = i, c.SilentFor(m.ID)
 	}
 	return found
 }
--- a/coordination/view/plan_test.go
+++ b/coordination/view/plan_test.go
@@ -10,13 +10,13 @@
 	. "github.com/onsi/gomega"
 )
 
-// fakeConnectivity is what member 1 knows: all hear each other but for what is named.
+// fakeConnectivity is the view.Connectivity of member 1: all members hear each other, with the listed exceptions.
 type fakeConnectivity struct {
 	silent          map[view.MemberID]time.Duration
 	notHearing      [][2]view.MemberID // by, of
 	notInstalled    []view.MemberID
 	joining         []view.Member
-	heardOnlyBySelf []view.MemberID // joining, but not heard by the others
+	heardOnlyBySelf []view.MemberID // joining, heard only by member 1
 }
 
 func (l fakeConnectivity) SilentFor(id view.MemberID) time.Duration { return l.silent[id] }
@@ -85,40 +85,40 @@
 			Expect(next.Validate()).To(Succeed())
 		}
 	},
-		Entry("nothing while all hear each other", threeMembers, fakeConnectivity{}, view.NoChange, ids{1, 2, 3}, ids{1, 2, 3}),
-		Entry("nothing for a short silence", threeMembers, fakeConnectivity{silent: silent(suspectAfter-1, 2)}, view.NoChange, ids{1, 2, 3}, ids{1, 2, 3}),
-		Entry("to leave out who is silent", threeMembers, fakeConnectivity{silent: silent(suspectAfter, 2)}, view.ShrinkChain, ids{1, 3}, ids{1, 2, 3}),
-		Entry("to leave out who does not hear this one", threeMembers, fakeConnectivity{notHearing: [][2]view.MemberID{{3, 1}}}, view.ShrinkChain, ids{1, 2}, ids{1, 2, 3}),
-		Entry("to leave out the later of two that don't hear each other", threeMembers, fakeConnectivity{notHearing: [][2]view.MemberID{{2, 3}}}, view.ShrinkChain, ids{1, 2}, ids{1, 2, 3}),
-		Entry("to keep the first members however long one is silent", threeMembers, fakeConnectivity{silent: silent(replaceAfter, 3)}, view.ShrinkChain, ids{1, 2}, ids{1, 2, 3}),
-		Entry("to take back who is heard again", shortChain, fakeConnectivity{}, view.ExtendChain, ids{1, 2, 3}, ids{1, 2, 3}),
-		Entry("not to take back who one of the chain does not hear", shortChain, fakeConnectivity{notHearing: [][2]view.MemberID{{2, 3}}}, view.NoChange, ids{1, 2}, ids{1, 2, 3}),
-		Entry("to remove a dead one of more than at first", fourMembers, fakeConnectivity{silent: silent(replaceAfter, 4)}, view.RemoveMember, ids{1, 2, 3}, ids{1, 2, 3}),
-		Entry("not to remove one that another hears", view.View{Epoch: 7, Initial: 3, Members: members(1, 2, 3, 4), Chain: ids{1, 2, 3}},
+		Entry("no change while all hear each other", threeMembers, fakeConnectivity{}, view.NoChange, ids{1, 2, 3}, ids{1, 2, 3}),
+		Entry("no change for a short silence", threeMembers, fakeConnectivity{silent: silent(suspectAfter-1, 2)}, view.NoChange, ids{1, 2, 3}, ids{1, 2, 3}),
+		Entry("to remove a silent member from the chain", threeMembers, fakeConnectivity{silent: silent(suspectAfter, 2)}, view.ShrinkChain, ids{1, 3}, ids{1, 2, 3}),
+		Entry("to remove a member from the chain that does not hear this one", threeMembers, fakeConnectivity{notHearing: [][2]view.MemberID{{3, 1}}}, view.ShrinkChain, ids{1, 2}, ids{1, 2, 3}),
+		Entry("to remove the later of two chain members that don't hear each other", threeMembers, fakeConnectivity{notHearing: [][2]view.MemberID{{2, 3}}}, view.ShrinkChain, ids{1, 2}, ids{1, 2, 3}),
+		Entry("to keep the first members, however long one is silent", threeMembers, fakeConnectivity{silent: silent(replaceAfter, 3)}, view.ShrinkChain, ids{1, 2}, ids{1, 2, 3}),
+		Entry("to take back a member that is heard again", shortChain, fakeConnectivity{}, view.ExtendChain, ids{1, 2, 3}, ids{1, 2, 3}),
+		Entry("not to take back a member that one of the chain does not hear", shortChain, fakeConnectivity{notHearing: [][2]view.MemberID{{2, 3}}}, view.NoChange, ids{1, 2}, ids{1, 2, 3}),
+		Entry("to remove a dead member if there are more than at first", fourMembers, fakeConnectivity{silent: silent(replaceAfter, 4)}, view.RemoveMember, ids{1, 2, 3}, ids{1, 2, 3}),
+		Entry("not to remove a member that another one hears", view.View{Epoch: 7, Initial: 3, Members: members(1, 2, 3, 4), Chain: ids{1, 2, 3}},
 			fakeConnectivity{silent: silent(suspectAfter-1, 2)}, view.ExtendChain, ids{1, 2, 3, 4}, ids{1, 2, 3, 4}),
-		Entry("to swap in the empty disk of the same node", threeMembers, fakeConnectivity{joining: newOf(9, 2)}, view.AddMember, ids{1, 3, 9}, ids{1, 9, 3}),
-		Entry("to swap a new node for a dead one", shortChain, fakeConnectivity{silent: silent(replaceAfter, 3), joining: newOf(9, 9)}, view.AddMember, ids{1, 2, 9}, ids{1, 2, 9}),
+		Entry("to replace a member by the same node with an empty disk", threeMembers, fakeConnectivity{joining: newOf(9, 2)}, view.AddMember, ids{1, 3, 9}, ids{1, 9, 3}),
+		Entry("to replace a dead member by a new node", shortChain, fakeConnectivity{silent: silent(replaceAfter, 3), joining: newOf(9, 9)}, view.AddMember, ids{1, 2, 9}, ids{1, 2, 9}),
 		Entry("to add a new node", threeMembers, fakeConnectivity{joining: newOf(9, 9)}, view.AddMember, ids{1, 2, 3, 9}, ids{1, 2, 3, 9}),
-		Entry("to add one that the others don't hear, outside the chain", threeMembers, fakeConnectivity{joining: newOf(9, 9), heardOnlyBySelf: ids{9}}, view.AddMember, ids{1, 2, 3}, ids{1, 2, 3, 9}),
-		Entry("not to add one that does not hear this one", threeMembers, fakeConnectivity{joining: newOf(9, 9), notHearing: [][2]view.MemberID{{9, 1}}}, view.NoChange, ids{1, 2, 3}, ids{1, 2, 3}),
-		Entry("to wait with members until the view is adopted", threeMembers, fakeConnectivity{joining: newOf(9, 9), notInstalled: ids{2}}, view.NoChange, ids{1, 2, 3}, ids{1, 2, 3}),
-		Entry("not to wait for a dead one", threeMembers, fakeConnectivity{joining: newOf(9, 2), notInstalled: ids{2}, silent: silent(suspectAfter, 2)}, view.AddMember, ids{1, 3, 9}, ids{1, 9, 3}),
+		Entry("to add a node that the others don't hear, outside the chain", threeMembers, fakeConnectivity{joining: newOf(9, 9), heardOnlyBySelf: ids{9}}, view.AddMember, ids{1, 2, 3}, ids{1, 2, 3, 9}),
+		Entry("not to add a node that does not hear this one", threeMembers, fakeConnectivity{joining: newOf(9, 9), notHearing: [][2]view.MemberID{{9, 1}}}, view.NoChange, ids{1, 2, 3}, ids{1, 2, 3}),
+		Entry("to keep the members until the view is installed", threeMembers, fakeConnectivity{joining: newOf(9, 9), notInstalled: ids{2}}, view.NoChange, ids{1, 2, 3}, ids{1, 2, 3}),
+		Entry("not to wait for a dead member", threeMembers, fakeConnectivity{joining: newOf(9, 2), notInstalled: ids{2}, silent: silent(suspectAfter, 2)}, view.AddMember, ids{1, 3, 9}, ids{1, 9, 3}),
 	)
 
-	It("never has more than the bound of members", func() {
+	It("never exceeds the maximum number of members", func() {
 		full := view.First(members(1, 2, 3, 4, 5, 6, 7, 8, 9))
 		_, change := view.Plan(full, 1, fakeConnectivity{joining: members(10)})
 		Expect(change).To(Equal(view.NoChange))
 	})
 
-	It("is no view where too few hear this one", func() {
+	It("is not valid if too few hear this one", func() {
 		next, _ := view.Plan(threeMembers, 1, fakeConnectivity{silent: silent(suspectAfter, 2, 3)})
 		Expect(next.Validate()).NotTo(Succeed())
 	})
 })
 
 var _ = Describe("a view", func() {
-	It("knows its chain", func() {
+	It("looks up chain positions", func() {
 		head, _ := threeMembers.Head()
 		tail, _ := threeMembers.Tail()
 		Expect(head.ID).To(Equal(view.MemberID(1)))
@@ -141,8 +141,8 @@
 		Entry("without an epoch", view.View{Members: members(1), Chain: ids{1}}),
 		Entry("without members", view.View{Epoch: 1}),
 		Entry("with a member twice", view.View{Epoch: 1, Members: members(1, 1), Chain: ids{1, 1}}),
-		Entry("with a stranger in the chain", view.View{Epoch: 1, Members: members(1, 2), Chain: ids{1, 3}}),
-		Entry("with one twice in the chain", view.View{Epoch: 1, Members: members(1, 2, 3), Chain: ids{1, 1}}),
+		Entry("with a non-member in the chain", view.View{Epoch: 1, Members: members(1, 2), Chain: ids{1, 3}}),
+		Entry("with a member twice in the chain", view.View{Epoch: 1, Members: members(1, 2, 3), Chain: ids{1, 1}}),
 		Entry("with less than a majority in the chain", view.View{Epoch: 1, Members: members(1, 2, 3, 4), Chain: ids{1, 2}}),
 	)
 })
--- a/coordination/view/view.go
+++ b/coordination/view/view.go
@@ -42,11 +42,11 @@
 
 // Member looks up a member by its id.
 func (v View) Member(id MemberID) (Member, bool) {
-	at := slices.IndexFunc(v.Members, func(m Member) bool { return m.ID == id })
-	if at < 0 {
+	i := slices.IndexFunc(v.Members, func(m Member) bool { return m.ID == id })
+	if i < 0 {
 		return Member{}, false
 	}
-	return v.Members[at], true
+	return v.Members[i], true
 }
 
 // HasMember reports whether id belongs to a member.
@@ -76,20 +76,20 @@
 
 // Successor returns the member that follows id in the chain; false for the tail and for ids outside the chain.
 func (v View) Successor(id MemberID) (Member, bool) {
-	at := v.ChainPosition(id)
-	if at < 0 || at+1 >= len(v.Chain) {
+	position := v.ChainPosition(id)
+	if position < 0 || position+1 >= len(v.Chain) {
 		return Member{}, false
 	}
-	return v.Member(v.Chain[at+1])
+	return v.Member(v.Chain[position+1])
 }
 
 // Predecessor returns the member that precedes id in the chain; false for the head and for ids outside the chain.
 func (v View) Predecessor(id MemberID) (Member, bool) {
-	at := v.ChainPosition(id)
-	if at <= 0 {
+	position := v.ChainPosition(id)
+	if position <= 0 {
 		return Member{}, false
 	}
-	return v.Member(v.Chain[at-1])
+	return v.Member(v.Chain[position-1])
 }
 
 // Validate checks the properties that every decided view has.
