--- a/coordination/chain/second_loss_test.go
+++ b/coordination/chain/second_loss_test.go
@@ -225,26 +225,26 @@
 // A second node loses power at each message that it receives while the first loss is repaired, before and after each sync.
 // No acknowledged change may be lost, no two changes acknowledged on one base, and all nodes must work once it is back.
 var _ = Describe("a second loss during a repair", func() {
-	const most = 60 // messages of a repair; later ones are heartbeats
+	const maxMessages = 60 // messages of a repair; later ones are heartbeats
 	DescribeTable("loses nothing, and all nodes work once the second one is back", func(names []string, wiped string) {
 		runs := 0
-		for _, first := range firstLosses {
-			for _, gone := range []string{names[0], names[len(names)-1]} {
+		for _, loss := range firstLosses {
+			for _, firstLost := range []string{names[0], names[len(names)-1]} {
 				for _, victim := range names {
-					if victim == gone || victim == wiped || gone == wiped {
+					if victim == firstLost || victim == wiped || firstLost == wiped {
 						continue
 					}
-					for step := 0; step < most; step += stepIncrement(step) {
+					for step := 0; step < maxMessages; step += stepIncrement(step) {
 						for point := range crashPoints {
 							r := newDoubleLossRun(names...)
-							why := fmt.Sprintf("%s %s, %s failed at its message %d, %s", gone, first.name, victim, step, point)
+							why := fmt.Sprintf("%s %s, %s failed at its message %d, %s", firstLost, loss.name, victim, step, point)
 							r.victim, r.messagesUntilLoss, r.lossPoint = victim, step, point
 							if wiped != "" {
 								r.stop(wiped)
 								r.disks[wiped] = nil
 								r.start(wiped, false)
 							}
-							first.lose(r, gone)
+							loss.lose(r, firstLost)
 							for range 6 {
 								r.proposeNext(names[1])
 								r.proposeNext(names[2])
--- a/coordination/chain/trouble_test.go
+++ b/coordination/chain/trouble_test.go
@@ -89,16 +89,16 @@
 
 // isolate blocks all links of one host, in one direction or both.
 func (f *faultInjector) isolate() {
-	one, d, way := f.randomHost(), f.between(500*time.Millisecond, 6*time.Second), f.random.IntN(3)
+	isolated, d, direction := f.randomHost(), f.between(500*time.Millisecond, 6*time.Second), f.random.IntN(3)
 	for _, h := range f.hosts {
-		if h == one {
+		if h == isolated {
 			continue
 		}
-		if way != 0 {
-			f.blockLink(one, h, d)
+		if direction != 0 {
+			f.blockLink(isolated, h, d)
 		}
-		if way != 1 {
-			f.blockLink(h, one, d)
+		if direction != 1 {
+			f.blockLink(h, isolated, d)
 		}
 	}
 }
@@ -132,11 +132,11 @@
 // loseDisk wipes the disk of a host, in some cases while all hosts lose power or by replacing the host. It first waits until
 // earlier faults have been over for recoveryTime.
 func (f *faultInjector) loseDisk() {
-	loss, slow, crash := f.lossRate, f.delayRate, f.crashRate
-	f.lossRate, f.delayRate, f.crashRate = min(loss, 0.05), min(slow, 0.02), 0
+	lossRate, delayRate, crashRate := f.lossRate, f.delayRate, f.crashRate
+	f.lossRate, f.delayRate, f.crashRate = min(lossRate, 0.05), min(delayRate, 0.02), 0
 	f.runClients(max(0, max(f.faultsEnd, f.lastDiskLoss)+recoveryTime-f.now))
 	h := f.randomHost()
-	back := f.between(50*time.Millisecond, 1500*time.Millisecond)
+	restartDelay := f.between(50*time.Millisecond, 1500*time.Millisecond)
 	switch f.random.IntN(3) {
 	case 0:
 		f.trace("%v all lose power", f.now)
@@ -146,10 +146,10 @@
 	}
 	f.trace("%v wipe %s", f.now, h.address)
 	f.wipe(h)
-	f.after(back, func() { f.start(h) })
-	f.lastDiskLoss = f.now + back
-	f.runClients(max(back, f.faultsEnd-f.now) + recoveryTime)
-	f.lossRate, f.delayRate, f.crashRate = loss, slow, crash
+	f.after(restartDelay, func() { f.start(h) })
+	f.lastDiskLoss = f.now + restartDelay
+	f.runClients(max(restartDelay, f.faultsEnd-f.now) + recoveryTime)
+	f.lossRate, f.delayRate, f.crashRate = lossRate, delayRate, crashRate
 }
 
 // replace removes a host permanently and adds another.
--- a/coordination/chain/world_test.go
+++ b/coordination/chain/world_test.go
@@ -91,8 +91,8 @@
 	heap.Push(&s.events, event{s.now + d, s.lastOrder, do})
 }
 
-func (s *simulation) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(s.random.Int64N(int64(most-least)))
+func (s *simulation) between(low, high time.Duration) time.Duration {
+	return low + time.Duration(s.random.Int64N(int64(high-low)))
 }
 
 // runFor runs all events that are due within d.
--- a/coordination/view/plan_test.go
+++ b/coordination/view/plan_test.go
@@ -44,7 +44,7 @@
 	return all
 }
 
-func silent(d time.Duration, ids ...view.MemberID) map[view.MemberID]time.Duration {
+func silentFor(d time.Duration, ids ...view.MemberID) map[view.MemberID]time.Duration {
 	m := map[view.MemberID]time.Duration{}
 	for _, id := range ids {
 		m[id] = d
@@ -71,7 +71,7 @@
 )
 
 var _ = Describe("the plan of member 1", func() {
-	newOf := func(id, address view.MemberID) []view.Member {
+	joiningNode := func(id, address view.MemberID) []view.Member {
 		return []view.Member{{ID: id, Address: string(rune('a' + address))}}
 	}
 	DescribeTable("is", func(v view.View, l fakeConnectivity, change view.Change, chain, all ids) {
@@ -86,23 +86,23 @@
 		}
 	},
 		Entry("no change while all hear each other", threeMembers, fakeConnectivity{}, view.NoChange, ids{1, 2, 3}, ids{1, 2, 3}),
-		Entry("no change for a short silence", threeMembers, fakeConnectivity{silent: silent(suspectAfter-1, 2)}, view.NoChange, ids{1, 2, 3}, ids{1, 2, 3}),
-		Entry("to remove a silent member from the chain", threeMembers, fakeConnectivity{silent: silent(suspectAfter, 2)}, view.ShrinkChain, ids{1, 3}, ids{1, 2, 3}),
+		Entry("no change for a short silence", threeMembers, fakeConnectivity{silent: silentFor(suspectAfter-1, 2)}, view.NoChange, ids{1, 2, 3}, ids{1, 2, 3}),
+		Entry("to remove a silent member from the chain", threeMembers, fakeConnectivity{silent: silentFor(suspectAfter, 2)}, view.ShrinkChain, ids{1, 3}, ids{1, 2, 3}),
 		Entry("to remove a member from the chain that does not hear this one", threeMembers, fakeConnectivity{notHearing: [][2]view.MemberID{{3, 1}}}, view.ShrinkChain, ids{1, 2}, ids{1, 2, 3}),
 		Entry("to remove the later of two chain members that don't hear each other", threeMembers, fakeConnectivity{notHearing: [][2]view.MemberID{{2, 3}}}, view.ShrinkChain, ids{1, 2}, ids{1, 2, 3}),
-		Entry("to keep the first members, however long one is silent", threeMembers, fakeConnectivity{silent: silent(replaceAfter, 3)}, view.ShrinkChain, ids{1, 2}, ids{1, 2, 3}),
+		Entry("to keep the first members, however long one is silent", threeMembers, fakeConnectivity{silent: silentFor(replaceAfter, 3)}, view.ShrinkChain, ids{1, 2}, ids{1, 2, 3}),
 		Entry("to take back a member that is heard again", shortChain, fakeConnectivity{}, view.ExtendChain, ids{1, 2, 3}, ids{1, 2, 3}),
 		Entry("not to take back a member that one of the chain does not hear", shortChain, fakeConnectivity{notHearing: [][2]view.MemberID{{2, 3}}}, view.NoChange, ids{1, 2}, ids{1, 2, 3}),
-		Entry("to remove a dead member if there are more than at first", fourMembers, fakeConnectivity{silent: silent(replaceAfter, 4)}, view.RemoveMember, ids{1, 2, 3}, ids{1, 2, 3}),
+		Entry("to remove a dead member if there are more than at first", fourMembers, fakeConnectivity{silent: silentFor(replaceAfter, 4)}, view.RemoveMember, ids{1, 2, 3}, ids{1, 2, 3}),
 		Entry("not to remove a member that another one hears", view.View{Epoch: 7, Initial: 3, Members: members(1, 2, 3, 4), Chain: ids{1, 2, 3}},
-			fakeConnectivity{silent: silent(suspectAfter-1, 2)}, view.ExtendChain, ids{1, 2, 3, 4}, ids{1, 2, 3, 4}),
-		Entry("to replace a member by the same node with an empty disk", threeMembers, fakeConnectivity{joining: newOf(9, 2)}, view.AddMember, ids{1, 3, 9}, ids{1, 9, 3}),
-		Entry("to replace a dead member by a new node", shortChain, fakeConnectivity{silent: silent(replaceAfter, 3), joining: newOf(9, 9)}, view.AddMember, ids{1, 2, 9}, ids{1, 2, 9}),
-		Entry("to add a new node", threeMembers, fakeConnectivity{joining: newOf(9, 9)}, view.AddMember, ids{1, 2, 3, 9}, ids{1, 2, 3, 9}),
-		Entry("to add a node that the others don't hear, outside the chain", threeMembers, fakeConnectivity{joining: newOf(9, 9), heardOnlyBySelf: ids{9}}, view.AddMember, ids{1, 2, 3}, ids{1, 2, 3, 9}),
-		Entry("not to add a node that does not hear this one", threeMembers, fakeConnectivity{joining: newOf(9, 9), notHearing: [][2]view.MemberID{{9, 1}}}, view.NoChange, ids{1, 2, 3}, ids{1, 2, 3}),
-		Entry("to keep the members until the view is installed", threeMembers, fakeConnectivity{joining: newOf(9, 9), notInstalled: ids{2}}, view.NoChange, ids{1, 2, 3}, ids{1, 2, 3}),
-		Entry("not to wait for a dead member", threeMembers, fakeConnectivity{joining: newOf(9, 2), notInstalled: ids{2}, silent: silent(suspectAfter, 2)}, view.AddMember, ids{1, 3, 9}, ids{1, 9, 3}),
+			fakeConnectivity{silent: silentFor(suspectAfter-1, 2)}, view.ExtendChain, ids{1, 2, 3, 4}, ids{1, 2, 3, 4}),
+		Entry("to replace a member by the same node with an empty disk", threeMembers, fakeConnectivity{joining: joiningNode(9, 2)}, view.AddMember, ids{1, 3, 9}, ids{1, 9, 3}),
+		Entry("to replace a dead member by a new node", shortChain, fakeConnectivity{silent: silentFor(replaceAfter, 3), joining: joiningNode(9, 9)}, view.AddMember, ids{1, 2, 9}, ids{1, 2, 9}),
+		Entry("to add a new node", threeMembers, fakeConnectivity{joining: joiningNode(9, 9)}, view.AddMember, ids{1, 2, 3, 9}, ids{1, 2, 3, 9}),
+		Entry("to add a node that the others don't hear, outside the chain", threeMembers, fakeConnectivity{joining: joiningNode(9, 9), heardOnlyBySelf: ids{9}}, view.AddMember, ids{1, 2, 3}, ids{1, 2, 3, 9}),
+		Entry("not to add a node that does not hear this one", threeMembers, fakeConnectivity{joining: joiningNode(9, 9), notHearing: [][2]view.MemberID{{9, 1}}}, view.NoChange, ids{1, 2, 3}, ids{1, 2, 3}),
+		Entry("to keep the members until the view is installed", threeMembers, fakeConnectivity{joining: joiningNode(9, 9), notInstalled: ids{2}}, view.NoChange, ids{1, 2, 3}, ids{1, 2, 3}),
+		Entry("not to wait for a dead member", threeMembers, fakeConnectivity{joining: joiningNode(9, 2), notInstalled: ids{2}, silent: silentFor(suspectAfter, 2)}, view.AddMember, ids{1, 3, 9}, ids{1, 9, 3}),
 	)
 
 	It("never exceeds the maximum number of members", func() {
@@ -112,7 +112,7 @@
 	})
 
 	It("is not valid if too few hear this one", func() {
-		next, _ := view.Plan(threeMembers, 1, fakeConnectivity{silent: silent(suspectAfter, 2, 3)})
+		next, _ := view.Plan(threeMembers, 1, fakeConnectivity{silent: silentFor(suspectAfter, 2, 3)})
 		Expect(next.Validate()).NotTo(Succeed())
 	})
 })
