--- a/coordination/budget/attempt.go
+++ b/coordination/budget/attempt.go
@@ -5,13 +5,14 @@
 
 // Possible decisions.
 const (
-	// Pending: more reports are needed.
+	// Pending means that more reports are needed.
 	Pending Decision = iota
-	// Granted: the turn may run.
+	// Granted means that the turn may run.
 	Granted
-	// Exhausted: the settled turns alone use up the budget.
+	// Exhausted means that the settled turns alone use up the budget.
 	Exhausted
-	// Undecided: whether the budget suffices depends on turns that are still open, or the turn itself is already settled.
+	// Undecided means that whether the budget suffices depends on turns that are still open, or that the turn itself is
+	// already settled.
 	Undecided
 )
 
--- a/coordination/budget/ledger.go
+++ b/coordination/budget/ledger.go
@@ -46,7 +46,7 @@
 // maxUnabridgedEntries is the number of entries up to which a report lists all of them, about 1 KB.
 const maxUnabridgedEntries = 64
 
-// Outcome is the result of a reservation at a store.
+// Outcome is the result of a reservation at one store.
 type Outcome int
 
 // Possible outcomes.
@@ -185,7 +185,7 @@
 type Report struct {
 	TurnClosed    bool   // the turn itself is already settled
 	SettledTokens int64  // tokens used by the other settled turns
-	Digest        uint64 // of the other settled entries
+	Digest        uint64 // digest of the other settled entries
 	Whole         bool   // Entries includes settled entries, not only open ones
 	Entries       []Entry
 }
--- a/coordination/budget/race_test.go
+++ b/coordination/budget/race_test.go
@@ -81,7 +81,7 @@
 	if s.racers[0].decision == budget.Granted && s.racers[1].decision == budget.Granted {
 		t.Fatalf("both reservations are granted: %+v", s.racers)
 	}
-	hasSuccessor := false
+	hasNextState := false
 	for racerIndex := range s.racers {
 		r := &s.racers[racerIndex]
 		if r.decision != budget.Pending {
@@ -89,19 +89,19 @@
 		}
 		for store := range 3 {
 			if r.round == 0 && !r.firstRound[store] || r.round == 1 && !r.secondRound[store] {
-				hasSuccessor = true
+				hasNextState = true
 				s.answer(racerIndex, store).explore(t, seen, outcomes)
 			}
 		}
 		if r.round == 0 && r.attempt().HasQuorum() {
-			hasSuccessor = true
+			hasNextState = true
 			next := s
 			next.racers[racerIndex].round = 1
 			next.racers[racerIndex].reports = [3]budget.Report{}
 			next.explore(t, seen, outcomes)
 		}
 	}
-	if !hasSuccessor {
+	if !hasNextState {
 		outcomes[fmt.Sprint(s.racers[0].decision, s.racers[1].decision)]++
 	}
 }
--- a/coordination/budget/runs_test.go
+++ b/coordination/budget/runs_test.go
@@ -47,8 +47,8 @@
 			m.startTurn()
 			m.turns[len(m.turns)-1].maxTokens = 4
 		}
-		for at := range m.messages {
-			m.messages[at].tokens = 4
+		for index := range m.messages {
+			m.messages[index].tokens = 4
 		}
 		for range 120 {
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
--- a/coordination/gossip/entry.go
+++ b/coordination/gossip/entry.go
@@ -22,7 +22,7 @@
 // After reports whether s is newer than other.
 func (s Stamp) After(other Stamp) bool { return s.Compare(other) > 0 }
 
-// IsZero reports whether s is the zero stamp, which no entry has.
+// IsZero reports whether s is the zero stamp, which no entry may have.
 func (s Stamp) IsZero() bool { return s == Stamp{} }
 
 // Entry is a key of the table with its value and version. A value must not be modified once it is in an entry.
--- a/coordination/gossip/table.go
+++ b/coordination/gossip/table.go
@@ -140,7 +140,7 @@
 
 // expire advances the records with a lifetime and returns the keys that have just expired. It removes tombstones that
 // are too old or too many.
-func (t *table) expire(now time.Time) (dropped []string) {
+func (t *table) expire(now time.Time) (expired []string) {
 	for key, r := range t.expiring {
 		age := now.Sub(r.receivedAt)
 		before := r.phase
@@ -151,14 +151,14 @@
 			t.advance(r, aging)
 		}
 		if before != tombstone && r.phase == tombstone {
-			dropped = append(dropped, key)
+			expired = append(expired, key)
 		}
 		if r.phase == tombstone && (age >= tombstoneLifetimes*r.lifetime || r.kind.tombstones > r.kind.Limit || r.kind.Ephemeral) {
 			t.remove(&t.buckets[bucketOf(key)], r)
 		}
 	}
-	slices.Sort(dropped)
-	return dropped
+	slices.Sort(expired)
+	return expired
 }
 
 func (r *record) version() Version { return Version{Key: r.entry.Key, Stamp: r.entry.Stamp} }
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -246,11 +246,11 @@
 // HasRecentContact reports whether this node has recently heard from another machine, or knows of no other.
 func (m *Membership) HasRecentContact(now time.Time) bool { return m.hasRecentContactExcept(now, "") }
 
-// hasRecentContactExcept is HasRecentContact without regard to the machine of that name.
-func (m *Membership) hasRecentContactExcept(now time.Time, name string) bool {
+// hasRecentContactExcept is HasRecentContact disregarding one machine.
+func (m *Membership) hasRecentContactExcept(now time.Time, machine string) bool {
 	others := 0
 	for _, peer := range m.order {
-		if !peer.node.Live() || peer.node.Name == m.self.Name || peer.node.Name == name {
+		if !peer.node.Live() || peer.node.Name == m.self.Name || peer.node.Name == machine {
 			continue
 		}
 		others++
