--- a/cmd/emberquay/disk_print.go
+++ b/cmd/emberquay/disk_print.go
@@ -18,7 +18,7 @@
 		fmt.Printf("kind=%s records=%d bytes=%d\n", k.Kind, k.Records, k.Bytes)
 	}
 	for _, p := range found.Programs.Listed {
-		fmt.Printf("program=%q open=%d most=%d settled=%d\n", p.Name, p.Open, p.Most, p.Settled)
+		fmt.Printf("program=%q open=%d most=%d settled=%d\n", p.Name, p.OpenReservations, p.ReservedTokens, p.SettledTokens)
 	}
 	for _, m := range found.View.Members {
 		fmt.Printf("member id=%s node=%s zone=%s address=%s retiring=%v replaced=%v\n",
@@ -26,7 +26,7 @@
 	}
 	for _, end := range []struct {
 		name  string
-		place *store.TurnPlace
+		place *store.TurnLocation
 	}{{"oldest", found.Turns.Oldest}, {"newest", found.Turns.Newest}} {
 		if end.place != nil {
 			fmt.Printf("%s turn=%q file=%s offset=%d\n", end.name, end.place.ID, end.place.File, end.place.Offset)
@@ -35,7 +35,7 @@
 	turns, programs := found.Turns, found.Programs
 	fmt.Printf("turns=%d bytes=%d conversations=%d whole=%d partial=%d missing=%d\n",
 		turns.Count, turns.Bytes, turns.Conversations, turns.Whole, turns.Partial, turns.MissingCount)
-	fmt.Printf("programs=%d with_open=%d open=%d\n", programs.Count, programs.WithOpen, programs.Open)
+	fmt.Printf("programs=%d with_open=%d open=%d\n", programs.Count, programs.WithOpen, programs.OpenReservations)
 	fmt.Printf("store=%s complete=%v unsettled=%v fence=%d view=%d members=%d tolerance=%d findings=%d\n",
 		found.ID, found.Complete, found.Unsettled, found.Fence,
 		found.View.Epoch, len(found.View.Members), found.View.Tolerance, found.Findings.Count)
--- a/internal/tier/store/bench_catchup_test.go
+++ b/internal/tier/store/bench_catchup_test.go
@@ -61,8 +61,8 @@
 		for !s.Complete() {
 			time.Sleep(time.Millisecond)
 		}
-		if s.Turns() != 4000 {
-			b.Fatal(s.Turns())
+		if s.TurnCount() != 4000 {
+			b.Fatal(s.TurnCount())
 		}
 	}
 }
--- a/internal/tier/store/budgets_test.go
+++ b/internal/tier/store/budgets_test.go
@@ -154,11 +154,11 @@
 		Expect(client.Reserve(ctx, reservation("1"))).To(Equal(storeclient.Granted))
 		c.pass(100 * time.Second)
 		c.rounds(2)
-		Expect(c.nodes[0].store.ProgramsKnown()).To(Equal(1))
+		Expect(c.nodes[0].store.ProgramCount()).To(Equal(1))
 		c.pass(21 * time.Second)
 		c.rounds(2)
 		for _, n := range c.nodes {
-			Expect(n.store.ProgramsKnown()).To(BeZero())
+			Expect(n.store.ProgramCount()).To(BeZero())
 		}
 	})
 
--- a/internal/tier/store/cluster_test.go
+++ b/internal/tier/store/cluster_test.go
@@ -81,8 +81,8 @@
 		DiskBytes:      n.bytes,
 		Bootstrap:      bootstrap,
 		Caller:         network{n.cluster},
-		Newer:          func(epoch uint64) { n.newer.Store(epoch) },
-		Retired:        func() { n.retired.Add(1) },
+		OnNewerView:    func(epoch uint64) { n.newer.Store(epoch) },
+		OnRetired:      func() { n.retired.Add(1) },
 		Now:            func() time.Duration { return time.Duration(n.cluster.clock.Load()) },
 		RepairInterval: -1,
 	})
@@ -162,7 +162,7 @@
 	for turn := range count {
 		for _, n := range c.nodes {
 			if !n.down.Load() {
-				n.store.Round(turn)
+				n.store.RepairRound(turn)
 			}
 		}
 	}
--- a/internal/tier/store/crash_test.go
+++ b/internal/tier/store/crash_test.go
@@ -124,7 +124,7 @@
 		c.check()
 	case x < 15:
 		c.cluster.pass(time.Duration(c.chance.IntN(8000)) * time.Millisecond)
-		c.node.store.Round(0)
+		c.node.store.RepairRound(0)
 	case x < 30:
 		c.reserve()
 	case x < 40:
@@ -141,7 +141,7 @@
 			c.step()
 		}
 		c.check()
-		Expect(c.node.store.Oldest()).To(BeNumerically(">", 8), "half of the ring has been written over")
+		Expect(c.node.store.OldestSegment()).To(BeNumerically(">", 8), "half of the ring has been written over")
 		Expect(c.node.disk.Used()).To(BeNumerically("<=", 16<<20))
 	},
 	Entry("seed 1", uint64(1)), Entry("seed 2", uint64(2)), Entry("seed 3", uint64(3)), Entry("seed 4", uint64(4)),
--- a/internal/tier/store/export_test.go
+++ b/internal/tier/store/export_test.go
@@ -1,10 +1,10 @@
 package store
 
-// Round does one round of repair, with the other store whose turn it is.
-func (s *Store) Round(turn int) (urgent bool) { return s.round(turn) }
+// RepairRound does one round of repair, with the other store whose turn it is.
+func (s *Store) RepairRound(turn int) (urgent bool) { return s.round(turn) }
 
-// Turns counts the turns held.
-func (s *Store) Turns() int {
+// TurnCount counts the turns held.
+func (s *Store) TurnCount() int {
 	count := 0
 	if err := s.do(s.ctx, func(t *table) bool { count = len(t.turns); return false }); err != nil {
 		return 0
@@ -12,8 +12,8 @@
 	return count
 }
 
-// Programs counts the programs known.
-func (s *Store) ProgramsKnown() int {
+// ProgramCount counts the programs known.
+func (s *Store) ProgramCount() int {
 	count := 0
 	if err := s.do(s.ctx, func(t *table) bool { count = len(t.programs); return false }); err != nil {
 		return 0
@@ -21,5 +21,5 @@
 	return count
 }
 
-// Oldest is the oldest segment of the journal.
-func (s *Store) Oldest() uint64 { return s.journal.Oldest() }
+// OldestSegment is the oldest segment of the journal.
+func (s *Store) OldestSegment() uint64 { return s.journal.Oldest() }
--- a/internal/tier/store/inspect_read.go
+++ b/internal/tier/store/inspect_read.go
@@ -24,8 +24,8 @@
 type diskReader struct {
 	found    Inspection
 	records  int
-	unknown  int                   // records of no kind of a store
-	kinds    map[string]*KindFound // by name
+	unknown  int                     // records of no kind of a store
+	kinds    map[string]*KindSummary // by name
 	turns    map[string]*turnFound
 	order    []*turnFound // as first found
 	programs map[string]*budget.Ledger
@@ -33,7 +33,7 @@
 
 func newDiskReader() *diskReader {
 	return &diskReader{
-		kinds:    map[string]*KindFound{},
+		kinds:    map[string]*KindSummary{},
 		turns:    map[string]*turnFound{},
 		programs: map[string]*budget.Ledger{},
 	}
@@ -42,8 +42,8 @@
 type turnFound struct {
 	head   storewire.TurnHead
 	bytes  int64
-	sum    uint64    // of the record
-	place  TurnPlace // of the newest record, and its position
+	sum    uint64       // of the record
+	place  TurnLocation // of the newest record, and its position
 	at     journal.Position
 	follow follow
 }
@@ -74,7 +74,7 @@
 	}
 	kind := r.kinds[name]
 	if kind == nil {
-		kind = &KindFound{Kind: name}
+		kind = &KindSummary{Kind: name}
 		r.kinds[name] = kind
 	}
 	kind.Records++
@@ -126,7 +126,7 @@
 	if err != nil {
 		return err
 	}
-	place := TurnPlace{ID: head.ID, File: file, Offset: int64(p.Offset)}
+	place := TurnLocation{ID: head.ID, File: file, Offset: int64(p.Offset)}
 	sum := xxhash.Sum64(body)
 	r.found.Turns.Newest = &place
 	known := r.turns[head.ID]
@@ -169,8 +169,8 @@
 	r.found.Findings.Add(journal.Damage{File: file, Offset: int64(p.Offset), Problem: problem})
 }
 
-func (r *diskReader) sortedKinds() []KindFound {
-	var kinds []KindFound
+func (r *diskReader) sortedKinds() []KindSummary {
+	var kinds []KindSummary
 	for _, name := range slices.Sorted(maps.Keys(r.kinds)) {
 		kinds = append(kinds, *r.kinds[name])
 	}
@@ -250,22 +250,22 @@
 	found := &r.found.Programs
 	for _, name := range slices.Sorted(maps.Keys(r.programs)) {
 		ledger := r.programs[name]
-		one := ProgramFound{Name: name, Settled: ledger.SettledTokens()}
+		one := ProgramSummary{Name: name, SettledTokens: ledger.SettledTokens()}
 		for _, e := range ledger.Entries(nil) {
 			if e.Open {
-				one.Open++
-				one.Most += e.Tokens
+				one.OpenReservations++
+				one.ReservedTokens += e.Tokens
 			}
 		}
 		found.Count++
-		found.Open += one.Open
-		if one.Open > 0 {
+		found.OpenReservations += one.OpenReservations
+		if one.OpenReservations > 0 {
 			found.WithOpen++
 			found.Listed = append(found.Listed, one)
 		}
 	}
-	slices.SortFunc(found.Listed, func(a, b ProgramFound) int {
-		return cmp.Or(cmp.Compare(b.Most, a.Most), strings.Compare(a.Name, b.Name))
+	slices.SortFunc(found.Listed, func(a, b ProgramSummary) int {
+		return cmp.Or(cmp.Compare(b.ReservedTokens, a.ReservedTokens), strings.Compare(a.Name, b.Name))
 	})
-	found.Listed = found.Listed[:min(len(found.Listed), MostPrograms)]
+	found.Listed = found.Listed[:min(len(found.Listed), MaxListedPrograms)]
 }
--- a/internal/tier/store/inspect_test.go
+++ b/internal/tier/store/inspect_test.go
@@ -78,7 +78,7 @@
 		Expect(found.Turns.Newest.ID).To(Equal("t-2"))
 		Expect(found.Turns.Newest.File).To(Equal("ring-0000"))
 		Expect(found.Programs.Count).To(Equal(1))
-		Expect(found.Programs.Listed).To(Equal([]store.ProgramFound{{Name: "p", Open: 1, Most: 6, Settled: 4}}))
+		Expect(found.Programs.Listed).To(Equal([]store.ProgramSummary{{Name: "p", OpenReservations: 1, ReservedTokens: 6, SettledTokens: 4}}))
 		kinds := map[string]int{}
 		for _, k := range found.Records {
 			kinds[k.Kind] = k.Records
@@ -189,7 +189,7 @@
 		empty := memfs.New()
 		empty.Put("data/ring-0000", make([]byte, 1<<20))
 		_, err = store.Inspect(empty, "data")
-		Expect(err).To(MatchError(store.ErrNothingKept))
+		Expect(err).To(MatchError(store.ErrNoRecords))
 
 		other := memfs.New()
 		appended(other, "\x03a part of a replica's record")
--- a/internal/tier/store/repair.go
+++ b/internal/tier/store/repair.go
@@ -25,7 +25,7 @@
 	offerPage = 4096
 	// offerPrograms bounds its programs.
 	offerPrograms = 512
-	// retiredPause lies between two calls of Options.Retired.
+	// retiredPause lies between two calls of Options.OnRetired.
 	retiredPause = 2 * time.Second
 )
 
--- a/internal/tier/store/repair_test.go
+++ b/internal/tier/store/repair_test.go
@@ -22,17 +22,17 @@
 		client := c.client("a")
 		ids := chain(client, "talk", 20)
 		Expect(client.Reserve(ctx, reservation("1"))).To(Equal(storeclient.Granted))
-		held := c.nodes[0].store.Turns()
+		held := c.nodes[0].store.TurnCount()
 		c.nodes[0].wipe()
 		c.spread()
 		Expect(reserveAt(c, c.nodes[0], "x", true).Reply.Complete).To(BeFalse())
 		c.nodes[1].down.Store(true)
-		Expect(c.nodes[0].store.Round(0)).To(BeTrue(), "it goes on at once")
+		Expect(c.nodes[0].store.RepairRound(0)).To(BeTrue(), "it goes on at once")
 		Expect(c.nodes[0].store.Complete()).To(BeFalse())
 		c.nodes[1].down.Store(false)
-		Expect(c.nodes[0].store.Round(1)).To(BeFalse())
+		Expect(c.nodes[0].store.RepairRound(1)).To(BeFalse())
 		Expect(c.nodes[0].store.Complete()).To(BeTrue())
-		Expect(c.nodes[0].store.Turns()).To(Equal(held))
+		Expect(c.nodes[0].store.TurnCount()).To(Equal(held))
 		Expect(reserveAt(c, c.nodes[0], "x", true).Entries).NotTo(BeEmpty())
 		c.expectFound(ids)
 	})
@@ -43,18 +43,18 @@
 		c.spread()
 		c.nodes[0].restart(memfs.Power, rand.New(rand.NewPCG(3, 1)))
 		Expect(c.nodes[0].store.Complete()).To(BeFalse())
-		c.nodes[0].store.Round(0)
+		c.nodes[0].store.RepairRound(0)
 		Expect(c.nodes[0].store.Complete()).To(BeTrue())
 		c.nodes[0].restart(memfs.Power, rand.New(rand.NewPCG(3, 1)))
 		Expect(c.nodes[0].store.Complete()).To(BeTrue())
-		Expect(c.nodes[0].store.Turns()).To(Equal(5))
+		Expect(c.nodes[0].store.TurnCount()).To(Equal(5))
 	})
 
 	It("takes writes meanwhile", func() {
 		c.nodes[0].wipe()
 		c.spread()
 		ids := chain(c.client("a"), "talk", 3)
-		Expect(c.nodes[0].store.Turns()).To(Equal(3))
+		Expect(c.nodes[0].store.TurnCount()).To(Equal(3))
 		c.expectFound(ids)
 	})
 
@@ -64,12 +64,12 @@
 		c.spread()
 		c.nodes[2].down.Store(true)
 		for range 5 {
-			c.nodes[0].store.Round(0)
+			c.nodes[0].store.RepairRound(0)
 		}
 		Expect(c.counted("list")).To(Equal(1+5), "one of the one that answers, five of the one that does not")
 		Expect(c.nodes[0].store.Complete()).To(BeFalse())
 		c.nodes[2].down.Store(false)
-		c.nodes[0].store.Round(0)
+		c.nodes[0].store.RepairRound(0)
 		Expect(c.nodes[0].store.Complete()).To(BeTrue())
 	})
 
@@ -86,11 +86,11 @@
 			}
 			return nil
 		})
-		c.nodes[0].store.Round(0)
+		c.nodes[0].store.RepairRound(0)
 		Expect(c.nodes[0].store.Complete()).To(BeFalse())
-		c.nodes[0].store.Round(0)
+		c.nodes[0].store.RepairRound(0)
 		Expect(c.nodes[0].store.Complete()).To(BeTrue())
-		Expect(c.nodes[0].store.Turns()).To(Equal(4))
+		Expect(c.nodes[0].store.TurnCount()).To(Equal(4))
 		c.expectFound(ids)
 	})
 
@@ -103,8 +103,8 @@
 		}
 		c.nodes[0].wipe()
 		c.spread()
-		Expect(c.nodes[0].store.Round(0)).To(BeFalse())
-		Expect(c.nodes[0].store.Turns()).To(Equal(60))
+		Expect(c.nodes[0].store.RepairRound(0)).To(BeFalse())
+		Expect(c.nodes[0].store.TurnCount()).To(Equal(60))
 	})
 
 	It("does not come back knowing less than another one after it needs", func() {
@@ -114,7 +114,7 @@
 			for _, n := range c.nodes {
 				n.wipe()
 				c.spread()
-				Expect(n.store.Round(0)).To(BeFalse())
+				Expect(n.store.RepairRound(0)).To(BeFalse())
 				Expect(n.store.Complete()).To(BeTrue())
 				c.expectFound(ids)
 			}
@@ -130,7 +130,7 @@
 		for _, at := range []int{1, 2} {
 			c.nodes[at].wipe()
 			c.spread()
-			Expect(c.nodes[at].store.Round(0)).To(BeFalse())
+			Expect(c.nodes[at].store.RepairRound(0)).To(BeFalse())
 			Expect(c.lookUp(ids[0])).To(Equal(storeclient.Found))
 		}
 	})
@@ -153,10 +153,10 @@
 		c.nodes[0].down.Store(true)
 		chain(c.client("a"), "talk", 10)
 		c.nodes[0].down.Store(false)
-		Expect(c.nodes[0].store.Turns()).To(BeZero())
+		Expect(c.nodes[0].store.TurnCount()).To(BeZero())
 		c.pass(5 * time.Second)
 		c.rounds(3)
-		Expect(c.nodes[0].store.Turns()).To(Equal(10))
+		Expect(c.nodes[0].store.TurnCount()).To(Equal(10))
 		c.rounds(3)
 		before := c.counted("offer")
 		c.rounds(3)
@@ -187,11 +187,11 @@
 		c.join(n)
 		c.spread()
 		Expect(n.store.Complete()).To(BeFalse())
-		n.store.Round(0)
+		n.store.RepairRound(0)
 		Expect(n.store.Complete()).To(BeTrue())
 		c.pass(5 * time.Second)
 		c.rounds(4)
-		Expect(n.store.Turns()).To(BeNumerically(">", 0))
+		Expect(n.store.TurnCount()).To(BeNumerically(">", 0))
 		for _, ids := range chains {
 			c.expectFound(ids)
 		}
@@ -216,7 +216,7 @@
 		}
 		Expect(c.lookUp("unheard")).To(Equal(storeclient.Unsure))
 		for _, n := range c.nodes {
-			Expect(n.store.Round(0)).To(BeFalse())
+			Expect(n.store.RepairRound(0)).To(BeFalse())
 		}
 		Expect(c.lookUp("unheard")).To(Equal(storeclient.Missing))
 		for _, n := range c.nodes {
@@ -251,7 +251,7 @@
 		Expect(c.view.Members[3].Replaced).To(BeFalse())
 		Expect(c.lookUp("talk-4")).NotTo(Equal(storeclient.Missing))
 		Expect(reserveAt(c, c.nodes[1], "x", true).Reply.Complete).To(BeFalse())
-		n.store.Round(0)
+		n.store.RepairRound(0)
 		c.rounds(1)
 		c.expectFound([]string{"talk-0", "talk-1", "talk-2", "talk-3", "talk-4"})
 		Expect(c.lookUp("unheard")).To(Equal(storeclient.Missing))
@@ -276,10 +276,10 @@
 			n.start(false)
 			c.join(n)
 			c.spread()
-			n.store.Round(0)
+			n.store.RepairRound(0)
 			Expect(n.store.Complete()).To(BeTrue())
 			old := c.nodes[0]
-			Expect(old.store.Round(0)).To(BeFalse())
+			Expect(old.store.RepairRound(0)).To(BeFalse())
 			Expect(old.retired.Load()).To(BeNumerically(">", 0))
 			old.down.Store(true)
 			c.remove(old.name)
--- a/internal/tier/store/retire.go
+++ b/internal/tier/store/retire.go
@@ -77,19 +77,19 @@
 	return true
 }
 
-// reportRetired calls Options.Retired, from time to time.
+// reportRetired calls Options.OnRetired, from time to time.
 func (s *Store) reportRetired(epoch int64) {
 	now := s.now()
 	if s.reported.epoch == epoch && now-s.reported.at < retiredPause {
 		return
 	}
 	s.reported = retiredReport{epoch: epoch, at: now}
-	if s.options.Retired != nil {
-		s.options.Retired()
+	if s.options.OnRetired != nil {
+		s.options.OnRetired()
 	}
 }
 
-// retiredReport is the last call of Options.Retired.
+// retiredReport is the last call of Options.OnRetired.
 type retiredReport struct {
 	epoch int64
 	at    time.Duration
--- a/internal/tier/store/retire_test.go
+++ b/internal/tier/store/retire_test.go
@@ -24,7 +24,7 @@
 		ids := chain(client, "talk", 10)
 		Expect(client.Reserve(ctx, reservation("1"))).To(Equal(storeclient.Granted))
 		n := emptied()
-		Expect(n.store.Round(0)).To(BeFalse())
+		Expect(n.store.RepairRound(0)).To(BeFalse())
 		Expect(n.retired.Load()).To(Equal(int32(1)))
 		c.remove(n.name)
 		n.down.Store(true)
@@ -32,7 +32,7 @@
 		for _, other := range c.nodes[1:] {
 			other.wipe()
 			c.spread()
-			Expect(other.store.Round(0)).To(BeFalse())
+			Expect(other.store.RepairRound(0)).To(BeFalse())
 			history, verdict := c.client("b").History(ctx, ids[9])
 			Expect(verdict).To(Equal(storeclient.Found))
 			Expect(string(history.Body)).To(Equal(textOf(ids)))
@@ -47,10 +47,10 @@
 			Expect(client.Reserve(ctx, reservation("1"))).To(Equal(storeclient.Granted))
 			n := emptied()
 			c.failing(prepare)
-			Expect(n.store.Round(0)).To(BeTrue())
+			Expect(n.store.RepairRound(0)).To(BeTrue())
 			Expect(n.retired.Load()).To(BeZero())
 			c.failing(nil)
-			Expect(n.store.Round(1)).To(BeFalse())
+			Expect(n.store.RepairRound(1)).To(BeFalse())
 			Expect(n.retired.Load()).To(Equal(int32(1)))
 		},
 		Entry("a store is cut off", func(method, address string) error {
@@ -83,10 +83,10 @@
 			}
 			return nil
 		})
-		Expect(n.store.Round(0)).To(BeTrue())
+		Expect(n.store.RepairRound(0)).To(BeTrue())
 		Expect(n.retired.Load()).To(BeZero())
 		c.failing(nil)
-		Expect(n.store.Round(1)).To(BeFalse())
+		Expect(n.store.RepairRound(1)).To(BeFalse())
 		Expect(n.retired.Load()).To(Equal(int32(1)))
 		for _, other := range c.nodes[1:] {
 			Expect(reserveAt(c, other, "other", true).Entries).NotTo(BeEmpty())
@@ -97,14 +97,14 @@
 		ids := chain(c.client("a"), "talk", 3)
 		n := emptied()
 		for _, other := range c.nodes[1:] {
-			if other.store.Turns() > 0 {
+			if other.store.TurnCount() > 0 {
 				other.down.Store(true)
 			}
 		}
 		c.expectFound(ids)
-		before := n.store.Turns()
+		before := n.store.TurnCount()
 		chain(c.client("a"), "later", 3)
-		Expect(n.store.Turns()).To(Equal(before))
+		Expect(n.store.TurnCount()).To(Equal(before))
 	})
 
 	It("is not emptied while its own disk lacks what it should hold", func() {
@@ -114,11 +114,11 @@
 		c.retire(n.name)
 		c.spread()
 		c.nodes[1].down.Store(true)
-		n.store.Round(0)
+		n.store.RepairRound(0)
 		Expect(n.retired.Load()).To(BeZero())
 		c.nodes[1].down.Store(false)
-		n.store.Round(1)
-		n.store.Round(2)
+		n.store.RepairRound(1)
+		n.store.RepairRound(2)
 		Expect(n.retired.Load()).To(Equal(int32(1)))
 	})
 })
--- a/internal/tier/store/store.go
+++ b/internal/tier/store/store.go
@@ -2,7 +2,7 @@
 // the other stores of the view:
 //
 //	s, err := store.Start(store.Options{Files: vfs.OS{}, Dir: dir, DiskBytes: bytes, Bootstrap: bootstrap,
-//		Caller: storewire.NewCaller(calls), Newer: askForView, Retired: reportRetired})
+//		Caller: storewire.NewCaller(calls), OnNewerView: askForView, OnRetired: reportRetired})
 //	storewire.Register(mux, s)
 //	s.SetView(view)  // controlstate.StoreView, at each change; the store registers itself under s.ID()
 //	defer s.Close()
@@ -60,11 +60,11 @@
 	DiskBytes int64 // of the disk; four fifths are used. 0: 256 MiB
 	Bootstrap bool  // the whole system starts for the first time: an empty disk lacks nothing
 	Caller    storewire.Caller
-	// Newer is called when a caller works by a view newer than the store's, in a goroutine of its own. May be nil.
-	Newer func(epoch uint64)
-	// Retired is called once all that this store held is on the disks of the others, while the view says that it is
+	// OnNewerView is called when a caller works by a view newer than the store's, in a goroutine of its own. May be nil.
+	OnNewerView func(epoch uint64)
+	// OnRetired is called once all that this store held is on the disks of the others, while the view says that it is
 	// retiring; it is called again from time to time until the view changes. May be nil.
-	Retired func()
+	OnRetired func()
 	// Now is a clock that never steps, from any zero. nil: the machine's.
 	Now func() time.Duration
 	// RepairInterval: 0: 500 ms; below 0: repair is never begun by itself (tests).
@@ -243,8 +243,8 @@
 	}
 	if epoch := t.newer; epoch != 0 {
 		t.newer = 0
-		if s.options.Newer != nil {
-			go s.options.Newer(epoch)
+		if s.options.OnNewerView != nil {
+			go s.options.OnNewerView(epoch)
 		}
 	}
 }
--- a/internal/tier/store/turns_test.go
+++ b/internal/tier/store/turns_test.go
@@ -32,8 +32,8 @@
 
 	It("are at as many stores as may be lost and one more, one of them in the client's zone", func() {
 		chain(c.client("b"), "talk", 4)
-		Expect(c.nodes[1].store.Turns()).To(Equal(4))
-		Expect(c.nodes[0].store.Turns() + c.nodes[2].store.Turns()).To(Equal(4))
+		Expect(c.nodes[1].store.TurnCount()).To(Equal(4))
+		Expect(c.nodes[0].store.TurnCount() + c.nodes[2].store.TurnCount()).To(Equal(4))
 	})
 
 	It("may be continued by several", func() {
@@ -67,7 +67,7 @@
 		client := c.client("a")
 		ids := chain(client, "talk", 1)
 		Expect(client.Commit(ctx, turnOf(ids[0], "", ""))).To(Succeed())
-		Expect(c.nodes[0].store.Turns()).To(Equal(1))
+		Expect(c.nodes[0].store.TurnCount()).To(Equal(1))
 	})
 
 	It("are merged from stores that hold parts of the conversation", func() {
@@ -84,7 +84,7 @@
 			previous = id
 		}
 		for _, n := range c.nodes {
-			Expect(n.store.Turns()).To(BeNumerically("<", 9))
+			Expect(n.store.TurnCount()).To(BeNumerically("<", 9))
 		}
 		c.expectFound(ids)
 	})
@@ -106,7 +106,7 @@
 			return nil
 		})
 		ids := chain(client, "talk", 1)
-		Expect(c.nodes[1].store.Turns() + c.nodes[2].store.Turns()).To(Equal(2))
+		Expect(c.nodes[1].store.TurnCount() + c.nodes[2].store.TurnCount()).To(Equal(2))
 		c.failing(nil)
 		c.expectFound(ids)
 	})
@@ -137,7 +137,7 @@
 	Entry("known, the client's own store lost its disk", wiped(0), true, storeclient.Found),
 	Entry("known, only one that may not hold it is up", func(c *cluster) {
 		for at, n := range c.nodes {
-			if n.store.Turns() > 0 {
+			if n.store.TurnCount() > 0 {
 				down(at)(c)
 			}
 		}
@@ -217,7 +217,7 @@
 			t.Input = []byte(big)
 			Expect(client.Commit(ctx, t)).To(Succeed())
 			c.pass(time.Second)
-			c.nodes[0].store.Round(0)
+			c.nodes[0].store.RepairRound(0)
 		}
 		Expect(c.nodes[0].disk.Used()).To(BeNumerically("<=", 16<<20))
 		c.expectFound([]string{"keep"})
@@ -245,8 +245,8 @@
 			Expect(client.Commit(ctx, t)).To(Succeed())
 			ids = append(ids, t.ID)
 		}
-		Expect(small.store.Turns()).To(BeNumerically("<", 150))
-		Expect(c.nodes[1].store.Turns() + c.nodes[2].store.Turns()).To(BeNumerically(">", 450))
+		Expect(small.store.TurnCount()).To(BeNumerically("<", 150))
+		Expect(c.nodes[1].store.TurnCount() + c.nodes[2].store.TurnCount()).To(BeNumerically(">", 450))
 		answer, err := small.store.Reserve(ctx, storewire.ReserveRequest{
 			Header: storewire.Header{Epoch: int64(c.view.Epoch), Store: small.store.ID()}, Program: "q", Turn: "t", Budget: 5, Most: 5})
 		Expect(err).NotTo(HaveOccurred())
@@ -313,7 +313,7 @@
 		c.rounds(2)
 		Expect(c.lookUp("talk-2")).To(Equal(storeclient.Missing))
 		for _, n := range c.nodes {
-			Expect(n.store.Turns()).To(BeZero())
+			Expect(n.store.TurnCount()).To(BeZero())
 		}
 	})
 
@@ -324,8 +324,8 @@
 		c.nodes[0].restart(memfs.Process, nil)
 		c.pass(60 * time.Second)
 		c.rounds(4)
-		Expect(c.nodes[0].store.Turns()).To(Equal(2))
-		Expect(c.nodes[1].store.Turns() + c.nodes[2].store.Turns()).To(BeZero())
+		Expect(c.nodes[0].store.TurnCount()).To(Equal(2))
+		Expect(c.nodes[1].store.TurnCount() + c.nodes[2].store.TurnCount()).To(BeZero())
 	})
 })
 
--- a/internal/tier/storeplane/plane.go
+++ b/internal/tier/storeplane/plane.go
@@ -68,7 +68,7 @@
 	var err error
 	p.store, err = store.Start(store.Options{
 		Files: vfs.OS{}, Dir: p.base.Settings.DataDir, DiskBytes: int64(p.base.Settings.Limits.DiskMB) << 20,
-		Bootstrap: p.base.Settings.Bootstrap, Caller: storewire.NewCaller(p.base.Client), Retired: p.reportRetired,
+		Bootstrap: p.base.Settings.Bootstrap, Caller: storewire.NewCaller(p.base.Client), OnRetired: p.reportRetired,
 	})
 	if err != nil {
 		return err
