--- a/cmd/emberquay/disk_print.go
+++ b/cmd/emberquay/disk_print.go
@@ -55,7 +55,7 @@
 	printRing(found.Ring)
 	r := found.Records
 	fmt.Printf("identities=%d adoptions=%d additions=%d votes=%d unfinished=%d parts=%d bytes=%d\n",
-		r.Identities, r.Adoptions, r.Additions, r.Votes, r.Unfinished, r.Parts, r.Bytes)
+		r.Identities, r.Views, r.Entries, r.Votes, r.Incomplete, r.Fragments, r.Bytes)
 	for _, m := range found.View.Members {
 		fmt.Printf("member id=%d name=%q address=%s zone=%q\n", m.ID, m.Name, m.Address, m.Zone)
 	}
--- a/cmd/emberquay/disk_test.go
+++ b/cmd/emberquay/disk_test.go
@@ -64,9 +64,9 @@
 	const nobody = "127.0.0.1:1"
 	r, err := replica.Open(replica.Options{
 		Name: "front-1", Address: nobody, Zone: "a", Seeds: []string{nobody}, Bootstrap: true, Voter: true,
-		Files: vfs.OS{}, Dir: dir, DiskBytes: 1 << 20,
-		Machine: func() chain.StateMachine { return controlstate.New() },
-		Client:  client, Mux: transport.NewMux(), Log: &log.Logger{Handler: discard.Default},
+		Files: vfs.OS{}, Dir: dir, JournalBytes: 1 << 20,
+		NewStateMachine: func() chain.StateMachine { return controlstate.New() },
+		Client:          client, Mux: transport.NewMux(), Log: &log.Logger{Handler: discard.Default},
 	})
 	Expect(err).NotTo(HaveOccurred())
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
--- a/internal/tier/controlplane/inspect.go
+++ b/internal/tier/controlplane/inspect.go
@@ -18,7 +18,7 @@
 // Inspection is what the folder of a control plane holds, as a start would find it.
 type Inspection struct {
 	Ring    *journal.Inspection  `json:"ring"`
-	Records replica.RecordsFound `json:"records"`
+	Records replica.RecordCounts `json:"records"`
 
 	Member MemberFound `json:"member"` // as which this disk votes
 	View   ViewFound   `json:"view"`
@@ -76,7 +76,7 @@
 }
 
 // Inspect reads the folder of a control plane without writing anything. Errors: journal.ErrNoRing,
-// replica.ErrNothingKept, replica.ErrNotReplica, or the disk's; all else that is wrong is in the findings.
+// replica.ErrNoRecords, replica.ErrNotReplica, or the disk's; all else that is wrong is in the findings.
 func Inspect(files vfs.FS, dir string) (*Inspection, error) {
 	disk, err := replica.Inspect(files, dir)
 	if err != nil {
@@ -85,10 +85,10 @@
 	d := &disk.Durable
 	found := &Inspection{
 		Ring: disk.Ring, Records: disk.Records, Member: memberFound(d.Member), View: viewFound(d.View),
-		Sequence: disk.Sequence(), Committed: d.Committed, Vote: voteOf(d), Findings: disk.Findings,
+		Sequence: disk.LastSequence(), Committed: d.Committed, Vote: voteOf(d), Findings: disk.Findings,
 	}
 	if err := found.readState(d); err != nil {
-		found.Findings.Add(journal.Damage{File: "ring-*", Problem: fmt.Sprint(err)})
+		found.Findings.Add(journal.Finding{File: "ring-*", Problem: fmt.Sprint(err)})
 	}
 	return found, found.readKnown(snapshot.File{Files: files, Dir: dir})
 }
@@ -151,7 +151,7 @@
 func (i *Inspection) readKnown(file snapshot.File) error {
 	entries, err := file.Check()
 	if errors.Is(err, snapshot.ErrNotWhole) {
-		i.Findings.Add(journal.Damage{File: snapshot.Name, Problem: fmt.Sprint(err)})
+		i.Findings.Add(journal.Finding{File: snapshot.Name, Problem: fmt.Sprint(err)})
 		return nil
 	}
 	i.Known = len(entries)
--- a/internal/tier/controlplane/inspect_test.go
+++ b/internal/tier/controlplane/inspect_test.go
@@ -35,9 +35,9 @@
 	defer client.Close()
 	r, err := replica.Open(replica.Options{
 		Name: "front-1", Address: aloneAddress, Zone: "a", Seeds: []string{aloneAddress}, Bootstrap: true, Voter: true,
-		Files: disk, Dir: aloneFolder, DiskBytes: aloneDisk,
-		Machine: func() chain.StateMachine { return controlstate.New() },
-		Client:  client, Mux: transport.NewMux(), Log: &log.Logger{Handler: discard.Default},
+		Files: disk, Dir: aloneFolder, JournalBytes: aloneDisk,
+		NewStateMachine: func() chain.StateMachine { return controlstate.New() },
+		Client:          client, Mux: transport.NewMux(), Log: &log.Logger{Handler: discard.Default},
 	})
 	Expect(err).NotTo(HaveOccurred())
 	for _, command := range commands {
--- a/internal/tier/controlplane/plane.go
+++ b/internal/tier/controlplane/plane.go
@@ -116,12 +116,12 @@
 	options := replica.Options{
 		Name: node.Name, Address: p.base.Address, Zone: node.Zone,
 		Seeds: node.SeedInternalAddresses(), Bootstrap: node.Bootstrap, Voter: node.CountsForQuorum,
-		Machine:  func() chain.StateMachine { return controlstate.New() },
-		OnCommit: p.committed, Client: p.base.Client, Mux: p.base.Mux, Log: p.base.Log,
+		NewStateMachine: func() chain.StateMachine { return controlstate.New() },
+		OnCommit:        p.committed, Client: p.base.Client, Mux: p.base.Mux, Log: p.base.Log,
 	}
 	if node.HasDisk() {
 		options.Files, options.Dir = vfs.OS{}, node.DataDir
-		options.DiskBytes = int64(replicaDiskShare * float64(node.Limits.DiskMB<<20))
+		options.JournalBytes = int64(replicaDiskShare * float64(node.Limits.DiskMB<<20))
 	}
 	return replica.Open(options)
 }
@@ -195,7 +195,7 @@
 func (p *Plane) resign(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, resignTimeout)
 	defer cancel()
-	p.replica.Resign(ctx)
+	p.replica.LeaveChain(ctx)
 }
 
 func (p *Plane) close() {
--- a/internal/tier/controlplane/status.go
+++ b/internal/tier/controlplane/status.go
@@ -12,7 +12,7 @@
 	replica := p.replica.Status()
 	stores, _ := p.base.Cluster.Get(cluster.StoresKey)
 	control := &nodestatus.Control{
-		ID: int64(replica.Self.ID), Member: replica.Member, Epoch: replica.View.Epoch,
+		ID: int64(replica.Self.ID), Member: replica.IsMember, Epoch: replica.View.Epoch,
 		StoreEpoch: int64(stores.Stamp.Epoch),
 	}
 	for _, m := range replica.View.Members {
--- a/internal/tier/journal/crash_test.go
+++ b/internal/tier/journal/crash_test.go
@@ -166,8 +166,8 @@
 func (m *model) write(j *journal.Journal, random *rand.Rand) {
 	firsts := map[uint64]uint64{} // segment -> first record appended to it by this process
 	for range 200 {
-		for j.Free() < 2 && j.Oldest() < j.Newest() {
-			oldest := j.Oldest()
+		for j.FreeSegments() < 2 && j.OldestSegment() < j.NewestSegment() {
+			oldest := j.OldestSegment()
 			first, known := firsts[oldest+1]
 			if !known {
 				first = m.kept
--- a/internal/tier/journal/fuzz_test.go
+++ b/internal/tier/journal/fuzz_test.go
@@ -52,8 +52,8 @@
 		t.Fatal(err)
 	}
 	for n := uint64(1); n <= 60; n++ {
-		for j.Free() < 1 {
-			if err := j.Reclaim(j.Oldest()); err != nil {
+		for j.FreeSegments() < 1 {
+			if err := j.Reclaim(j.OldestSegment()); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/tier/journal/inspect.go
+++ b/internal/tier/journal/inspect.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// MostListed bounds the findings that are listed; all are counted.
-	MostListed = 100
+	// MaxListedFindings bounds the findings that are listed; all are counted.
+	MaxListedFindings = 100
 	// searchBytes bounds the part of a file that is searched for records behind a place that cannot be read: as
 	// much as the longest segments that the planes make.
 	searchBytes = 16 << 20
@@ -33,65 +33,65 @@
 // ErrNoRing: no file of the folder belongs to a ring.
 var ErrNoRing = eris.New("no ring of files is in it")
 
-// Damage is a place that cannot be read as it was written.
-type Damage struct {
+// Finding is a place that cannot be read as it was written.
+type Finding struct {
 	File    string `json:"file"` // name in the folder
 	Offset  int64  `json:"offset"`
 	Problem string `json:"problem"`
 }
 
-// Findings are what was found to be wrong: all are counted, the first MostListed kept.
+// Findings are what was found to be wrong: all are counted, the first MaxListedFindings kept.
 type Findings struct {
-	Count  int      `json:"count"`
-	Listed []Damage `json:"listed"`
+	Count  int       `json:"count"`
+	Listed []Finding `json:"listed"`
 }
 
 // Add takes one more.
-func (f *Findings) Add(d Damage) {
+func (f *Findings) Add(d Finding) {
 	f.Count++
-	if len(f.Listed) < MostListed {
+	if len(f.Listed) < MaxListedFindings {
 		f.Listed = append(f.Listed, d)
 	}
 }
 
-// Join takes those of another list.
-func (f *Findings) Join(other Findings) {
+// Merge takes those of another list.
+func (f *Findings) Merge(other Findings) {
 	for _, d := range other.Listed {
 		f.Add(d)
 	}
 	f.Count += other.Count - len(other.Listed)
 }
 
-// Stop says why the reading of a segment ended where it did.
-type Stop string
+// StopReason says why the reading of a segment ended where it did.
+type StopReason string
 
 // The reasons.
 const (
 	// StopFull: no further record had room.
-	StopFull Stop = "full"
+	StopFull StopReason = "full"
 	// StopUnwritten: nothing but zeros.
-	StopUnwritten Stop = "unwritten"
+	StopUnwritten StopReason = "unwritten"
 	// StopNoRecord: bytes that are no whole record. Behind the newest record these are what an earlier lap of
 	// the ring left, or a write that was cut short.
-	StopNoRecord Stop = "no record"
+	StopNoRecord StopReason = "no record"
 )
 
-// SegmentFound is a live segment as it was found.
-type SegmentFound struct {
-	File        string `json:"file"` // name in the folder
-	Sequence    uint64 `json:"sequence"`
-	FileBytes   int64  `json:"file_bytes"`
-	Records     int    `json:"records"`
-	RecordBytes int64  `json:"record_bytes"` // without their frames
-	End         int64  `json:"end"`          // offset at which the reading stopped
-	Stop        Stop   `json:"stop"`
+// SegmentSummary is a live segment as it was found.
+type SegmentSummary struct {
+	File        string     `json:"file"` // name in the folder
+	Sequence    uint64     `json:"sequence"`
+	FileBytes   int64      `json:"file_bytes"`
+	Records     int        `json:"records"`
+	RecordBytes int64      `json:"record_bytes"` // without their frames
+	End         int64      `json:"end"`          // offset at which the reading stopped
+	Stop        StopReason `json:"stop"`
 }
 
 // Inspection is what a folder holds.
 type Inspection struct {
-	Files      int            `json:"files"`    // of the ring
-	Segments   []SegmentFound `json:"segments"` // live ones, the oldest first
-	Generation uint32         `json:"generation"`
+	Files      int              `json:"files"`    // of the ring
+	Segments   []SegmentSummary `json:"segments"` // live ones, the oldest first
+	Generation uint32           `json:"generation"`
 	// Lost says that Open finds the disk to have lost what was synced (Journal.Damaged). Findings may hold more
 	// than Open can know: it takes the newest segment to end where it cannot be read.
 	Lost     bool     `json:"lost"`
@@ -190,8 +190,8 @@
 	return nil
 }
 
-func (i *inspector) readSegment(s *segment) (SegmentFound, uint32, error) {
-	one := SegmentFound{File: filepath.Base(s.slot.name), Sequence: s.sequence, FileBytes: s.slot.size}
+func (i *inspector) readSegment(s *segment) (SegmentSummary, uint32, error) {
+	one := SegmentSummary{File: filepath.Base(s.slot.name), Sequence: s.sequence, FileBytes: s.slot.size}
 	end, generation, err := scan(s.slot, s.sequence, s.slot.size, func(p Position, record []byte) error {
 		one.Records++
 		one.RecordBytes += int64(len(record))
@@ -207,7 +207,7 @@
 }
 
 // stopAt says what stands where a reading stopped.
-func stopAt(s *slot, end int64) (Stop, error) {
+func stopAt(s *slot, end int64) (StopReason, error) {
 	if end+frameBytes > s.size {
 		return StopFull, nil
 	}
@@ -233,7 +233,7 @@
 
 // checkTail looks for what Open cannot know: records behind the place at which the newest segment seems to
 // end.
-func (i *inspector) checkTail(s *segment, one SegmentFound, generation uint32) error {
+func (i *inspector) checkTail(s *segment, one SegmentSummary, generation uint32) error {
 	if one.Stop == StopFull {
 		return nil
 	}
@@ -281,7 +281,7 @@
 	for _, sequence := range missing {
 		if !slices.Contains(found, sequence) {
 			problem := fmt.Sprintf("segment %d is in no file: that is gone, or nothing in it can be read", sequence)
-			i.found.Findings.Add(Damage{File: namePrefix + "*", Problem: problem})
+			i.found.Findings.Add(Finding{File: namePrefix + "*", Problem: problem})
 		}
 	}
 	switch {
@@ -400,5 +400,5 @@
 }
 
 func (i *inspector) damage(s *slot, offset int64, problem string) {
-	i.found.Findings.Add(Damage{File: filepath.Base(s.name), Offset: offset, Problem: problem})
+	i.found.Findings.Add(Finding{File: filepath.Base(s.name), Offset: offset, Problem: problem})
 }
--- a/internal/tier/journal/inspect_test.go
+++ b/internal/tier/journal/inspect_test.go
@@ -99,7 +99,7 @@
 	It("says where each segment ends, and why", func() {
 		i, _ := inspect(ringOf(8))
 		Expect(i.Files).To(Equal(2))
-		Expect(i.Segments).To(Equal([]journal.SegmentFound{
+		Expect(i.Segments).To(Equal([]journal.SegmentSummary{
 			{File: "ring-0000", Sequence: 1, FileBytes: segmentBytes, Records: 6, RecordBytes: 6 * recordLength,
 				End: offsetOf(6), Stop: journal.StopUnwritten},
 			{File: "ring-0001", Sequence: 2, FileBytes: segmentBytes, Records: 2, RecordBytes: 2 * recordLength,
@@ -199,8 +199,8 @@
 			files := memfs.New()
 			j, _ := mustOpen(files)
 			for n := range 20 + seed {
-				for j.Free() < 2 {
-					Expect(j.Reclaim(j.Oldest())).To(Succeed())
+				for j.FreeSegments() < 2 {
+					Expect(j.Reclaim(j.OldestSegment())).To(Succeed())
 				}
 				mustAppend(j, n, 8+chance.IntN(180))
 				if chance.IntN(3) > 0 {
@@ -250,7 +250,7 @@
 	It("takes nothing from before a restart of the ring for damage", func() {
 		files := ringOf(20)
 		j, _ := mustOpen(files)
-		Expect(j.Restart()).To(Succeed())
+		Expect(j.Reset()).To(Succeed())
 		mustAppend(j, 20, 8)
 		Expect(j.Sync()).To(Succeed())
 		Expect(j.Close()).To(Succeed())
@@ -261,11 +261,11 @@
 
 	It("counts all findings and lists the first ones", func() {
 		var f journal.Findings
-		for n := range journal.MostListed + 7 {
-			f.Add(journal.Damage{Offset: int64(n)})
+		for n := range journal.MaxListedFindings + 7 {
+			f.Add(journal.Finding{Offset: int64(n)})
 		}
-		Expect(f.Count).To(Equal(journal.MostListed + 7))
-		Expect(f.Listed).To(HaveLen(journal.MostListed))
+		Expect(f.Count).To(Equal(journal.MaxListedFindings + 7))
+		Expect(f.Listed).To(HaveLen(journal.MaxListedFindings))
 		Expect(f.Listed[0].Offset).To(BeZero())
 	})
 
--- a/internal/tier/journal/journal.go
+++ b/internal/tier/journal/journal.go
@@ -5,9 +5,9 @@
 //	position, err := j.Append(record) // in memory
 //	err = j.Sync()                    // all that was appended before is on the disk: one write, one fsync
 //	record, err = j.Read(position, nil)
-//	if j.Free() < 2 {                 // the oldest segment has to make room
-//		err = j.Scan(j.Oldest(), func(p journal.Position, record []byte) error { ...append what is still needed... })
-//		err = j.Reclaim(j.Oldest())
+//	if j.FreeSegments() < 2 {                 // the oldest segment has to make room
+//		err = j.Scan(j.OldestSegment(), func(p journal.Position, record []byte) error { ...append what is still needed... })
+//		err = j.Reclaim(j.OldestSegment())
 //	}
 //
 // Invariants: records come back in the order of their appending, each whole or not at all, and none without all those
@@ -32,7 +32,7 @@
 var (
 	// ErrFull: no segment is free; the oldest has to be reclaimed first.
 	ErrFull = eris.New("journal: no free segment")
-	// ErrRecordSize: the record is empty or longer than MaxRecord.
+	// ErrRecordSize: the record is empty or longer than MaxRecordBytes.
 	ErrRecordSize = eris.New("journal: record is empty or too long")
 	// ErrNotFound: there is no such record at the position (any more).
 	ErrNotFound = eris.New("journal: no record at this position")
@@ -97,15 +97,15 @@
 	barrier bool
 }
 
-// MaxRecord is the greatest length of a record, bytes.
-func (j *Journal) MaxRecord() int {
+// MaxRecordBytes is the greatest length of a record, bytes.
+func (j *Journal) MaxRecordBytes() int {
 	return int(j.options.SegmentBytes) - headerBytes - 2*frameBytes
 }
 
 // Append adds a record, in memory: it is on the disk after the next Sync that returns nil. The record is copied.
 // Errors: ErrRecordSize, ErrFull.
 func (j *Journal) Append(record []byte) (Position, error) {
-	if len(record) == 0 || len(record) > j.MaxRecord() {
+	if len(record) == 0 || len(record) > j.MaxRecordBytes() {
 		return Position{}, ErrRecordSize
 	}
 	j.mu.Lock()
@@ -124,8 +124,8 @@
 	return position, nil
 }
 
-// Free counts the segments that can be begun before Append gives ErrFull.
-func (j *Journal) Free() int {
+// FreeSegments counts the segments that can be begun before Append gives ErrFull.
+func (j *Journal) FreeSegments() int {
 	j.mu.RLock()
 	defer j.mu.RUnlock()
 	free := 0
@@ -137,8 +137,8 @@
 	return free
 }
 
-// Oldest is the oldest segment, Newest the one that is written; 0: there is none yet.
-func (j *Journal) Oldest() uint64 {
+// OldestSegment is the number of the oldest segment; 0: there is none yet.
+func (j *Journal) OldestSegment() uint64 {
 	j.mu.RLock()
 	defer j.mu.RUnlock()
 	if len(j.live) == 0 {
@@ -147,8 +147,8 @@
 	return j.live[0].sequence
 }
 
-// Newest is the segment that is written; 0: there is none yet.
-func (j *Journal) Newest() uint64 {
+// NewestSegment is the segment that is written; 0: there is none yet.
+func (j *Journal) NewestSegment() uint64 {
 	j.mu.RLock()
 	defer j.mu.RUnlock()
 	if len(j.live) == 0 {
@@ -157,8 +157,8 @@
 	return j.tail().sequence
 }
 
-// Pending is the number of bytes that wait for Sync.
-func (j *Journal) Pending() int {
+// PendingBytes is the number of bytes that wait for Sync.
+func (j *Journal) PendingBytes() int {
 	j.mu.RLock()
 	defer j.mu.RUnlock()
 	sum := 0
@@ -168,7 +168,7 @@
 	return sum
 }
 
-// Damaged says that records which had been synced were not found at Open: the disk lost them. Restart ends that.
+// Damaged says that records which had been synced were not found at Open: the disk lost them. Reset ends that.
 func (j *Journal) Damaged() bool {
 	j.mu.RLock()
 	defer j.mu.RUnlock()
@@ -188,14 +188,14 @@
 	return nil
 }
 
-// Restart drops all records, in one step once it is synced. Errors: the disk's.
-func (j *Journal) Restart() error {
+// Reset drops all records, in one step once it is synced. Errors: the disk's.
+func (j *Journal) Reset() error {
 	if err := j.Sync(); err != nil {
 		return err
 	}
 	j.mu.Lock()
 	err := j.roll()
-	if err == ErrFull { // the oldest may go first: whatever is found without it is dropped by the next Restart
+	if err == ErrFull { // the oldest may go first: whatever is found without it is dropped by the next Reset
 		j.live[0].slot.taken = false
 		j.live = j.live[1:]
 		err = j.roll()
--- a/internal/tier/journal/journal_test.go
+++ b/internal/tier/journal/journal_test.go
@@ -88,9 +88,9 @@
 			}
 		}
 		read()
-		Expect(j.Pending()).To(BeNumerically(">", 0))
+		Expect(j.PendingBytes()).To(BeNumerically(">", 0))
 		Expect(j.Sync()).To(Succeed())
-		Expect(j.Pending()).To(BeZero())
+		Expect(j.PendingBytes()).To(BeZero())
 		read()
 		Expect(j.Close()).To(Succeed())
 		j, found = mustOpen(files)
@@ -116,14 +116,14 @@
 		Expect(err).To(MatchError(journal.ErrRecordSize))
 	},
 		Entry("that are empty", func(*journal.Journal) int { return 0 }),
-		Entry("that are too long", func(j *journal.Journal) int { return j.MaxRecord() + 1 }),
+		Entry("that are too long", func(j *journal.Journal) int { return j.MaxRecordBytes() + 1 }),
 	)
 
 	It("takes the longest record in any segment", func() {
 		files := memfs.New()
 		j, _ := mustOpen(files)
 		for n := range uint64(3) {
-			mustAppend(j, n, j.MaxRecord()-8)
+			mustAppend(j, n, j.MaxRecordBytes()-8)
 		}
 		Expect(j.Sync()).To(Succeed())
 		_, found := mustOpen(files)
@@ -143,8 +143,8 @@
 				}
 				next++
 			}
-			Expect(j.Free()).To(BeZero())
-			oldest := j.Oldest()
+			Expect(j.FreeSegments()).To(BeZero())
+			oldest := j.OldestSegment()
 			Expect(j.Reclaim(oldest + 1)).To(MatchError(journal.ErrNotOldest))
 			Expect(j.Scan(oldest, func(p journal.Position, b []byte) error {
 				Expect(binary.BigEndian.Uint64(b)).To(Equal(live))
@@ -153,7 +153,7 @@
 				return nil
 			})).To(Succeed())
 			Expect(j.Reclaim(oldest)).To(Succeed())
-			Expect(j.Free()).To(Equal(1))
+			Expect(j.FreeSegments()).To(Equal(1))
 			Expect(j.Scan(oldest, nil)).To(MatchError(journal.ErrNotFound))
 		}
 		Expect(j.Sync()).To(Succeed())
@@ -168,7 +168,7 @@
 	It("does not reclaim the segment that is written", func() {
 		j, _ := mustOpen(memfs.New())
 		mustAppend(j, 1, 1)
-		Expect(j.Reclaim(j.Oldest())).To(MatchError(journal.ErrNotOldest))
+		Expect(j.Reclaim(j.OldestSegment())).To(MatchError(journal.ErrNotOldest))
 	})
 
 	It("keeps what a sync did not take for the next one", func() {
@@ -219,9 +219,9 @@
 		Expect(j.Damaged()).To(BeTrue())
 		Expect(len(found)).To(BeNumerically("<", 25))
 		Expect(found).To(ContainElement(uint64(24)))
-		Expect(j.Reclaim(j.Oldest())).To(Succeed())
-		Expect(j.Scan(j.Oldest(), func(journal.Position, []byte) error { return nil })).To(Succeed())
-		Expect(j.Restart()).To(Succeed())
+		Expect(j.Reclaim(j.OldestSegment())).To(Succeed())
+		Expect(j.Scan(j.OldestSegment(), func(journal.Position, []byte) error { return nil })).To(Succeed())
+		Expect(j.Reset()).To(Succeed())
 		Expect(j.Damaged()).To(BeFalse())
 		mustAppend(j, 100, 5)
 		Expect(j.Sync()).To(Succeed())
@@ -233,14 +233,14 @@
 	It("restarts though no segment is free", func() {
 		files := memfs.New()
 		j, _ := mustOpen(files)
-		for n := uint64(0); j.Free() > 0; n++ {
+		for n := uint64(0); j.FreeSegments() > 0; n++ {
 			mustAppend(j, n, 90)
 		}
 		Expect(j.Sync()).To(Succeed())
-		Expect(j.Restart()).To(Succeed())
+		Expect(j.Reset()).To(Succeed())
 		mustAppend(j, 100, 5)
 		Expect(j.Sync()).To(Succeed())
-		Expect(j.Free()).To(Equal(segments - 1))
+		Expect(j.FreeSegments()).To(Equal(segments - 1))
 		_, found := mustOpen(files)
 		Expect(found).To(Equal([]uint64{100}))
 	})
@@ -250,8 +250,8 @@
 		j, err := journal.Open(o, nil)
 		Expect(err).NotTo(HaveOccurred())
 		for n := range uint64(100) {
-			for j.Free() < 2 {
-				Expect(j.Reclaim(j.Oldest())).To(Succeed())
+			for j.FreeSegments() < 2 {
+				Expect(j.Reclaim(j.OldestSegment())).To(Succeed())
 			}
 			p := mustAppend(j, n, 90)
 			Expect(j.Sync()).To(Succeed())
@@ -316,8 +316,8 @@
 			}
 		})
 		for n := range uint64(500) {
-			for j.Free() < 2 {
-				Expect(j.Reclaim(j.Oldest())).To(Succeed())
+			for j.FreeSegments() < 2 {
+				Expect(j.Reclaim(j.OldestSegment())).To(Succeed())
 			}
 			positions <- mustAppend(j, n, 40)
 		}
--- a/internal/tier/replica/disk.go
+++ b/internal/tier/replica/disk.go
@@ -14,7 +14,7 @@
 	if r.options.Files == nil || !r.options.Voter {
 		return durable, false, nil
 	}
-	bytes := r.options.DiskBytes
+	bytes := r.options.JournalBytes
 	if bytes == 0 {
 		bytes = defaultDiskBytes
 	}
@@ -34,7 +34,7 @@
 		return durable, false, nil
 	}
 	r.log.WithError(broken).Error("replica: the disk lost what was synced; coming back as a new member")
-	if err := r.journal.Restart(); err != nil {
+	if err := r.journal.Reset(); err != nil {
 		r.closeJournal()
 		return nil, false, err
 	}
@@ -78,7 +78,7 @@
 	if err != nil {
 		return r.fail(err)
 	}
-	most := r.journal.MaxRecord() - 1
+	most := r.journal.MaxRecordBytes() - 1
 	for first := true; first || len(b) > 0; first = false {
 		n := min(most, len(b))
 		if _, err := r.journal.Append(part(b[:n], first, n == len(b))); err != nil {
@@ -91,17 +91,17 @@
 
 // makeRoom puts a checkpoint and gives older segments free before the last ones that are free are needed.
 func (r *Replica) makeRoom() bool {
-	if r.journal.Free() >= spareSegments {
+	if r.journal.FreeSegments() >= spareSegments {
 		return true
 	}
-	from := r.journal.Newest()
+	from := r.journal.NewestSegment()
 	for _, record := range r.node.Checkpoint() {
 		if !r.append(record) {
 			return false
 		}
 	}
-	for r.journal.Oldest() < from {
-		if err := r.journal.Reclaim(r.journal.Oldest()); err != nil {
+	for r.journal.OldestSegment() < from {
+		if err := r.journal.Reclaim(r.journal.OldestSegment()); err != nil {
 			return r.fail(err)
 		}
 	}
--- a/internal/tier/replica/first_minute_test.go
+++ b/internal/tier/replica/first_minute_test.go
@@ -66,7 +66,7 @@
 	closing := make(chan struct{})
 	close(closing) // a disk that fails is not tried again: power is gone
 	r := &Replica{
-		options: Options{Address: address, Voter: true, Files: disk, Dir: "d", DiskBytes: journalBytes},
+		options: Options{Address: address, Voter: true, Files: disk, Dir: "d", JournalBytes: journalBytes},
 		log:     &log.Logger{Handler: discard.New()}, closing: closing, waiting: map[int64]chan chain.Reply{},
 	}
 	durable, lost, err := r.openJournal()
@@ -158,7 +158,7 @@
 
 // names says whether a disk holds the identity of a first member at least. The disk is used up by that.
 func names(disk *memfs.Mem) bool {
-	r := &Replica{options: Options{Voter: true, Files: disk, Dir: "d", DiskBytes: journalBytes},
+	r := &Replica{options: Options{Voter: true, Files: disk, Dir: "d", JournalBytes: journalBytes},
 		log: &log.Logger{Handler: discard.New()}}
 	durable, _, err := r.openJournal()
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/tier/replica/inspect.go
+++ b/internal/tier/replica/inspect.go
@@ -13,8 +13,8 @@
 
 // Errors of Inspect.
 var (
-	// ErrNothingKept: the ring holds no record, nor anything that is damaged.
-	ErrNothingKept = eris.New("nothing is kept in it yet")
+	// ErrNoRecords: the ring holds no record, nor anything that is damaged.
+	ErrNoRecords = eris.New("nothing is kept in it yet")
 	// ErrNotReplica: the records are not those of a replica.
 	ErrNotReplica = eris.New("its records are not those of a control plane")
 )
@@ -22,30 +22,30 @@
 // Inspection is what the disk of a replica holds, as Open would take it up.
 type Inspection struct {
 	Ring    *journal.Inspection
-	Records RecordsFound
+	Records RecordCounts
 	Durable chain.DurableState // what the records add up to
 	// Findings are those of the ring and of the records in it. After some of them, Open takes the disk for
 	// empty, and the replica comes back as a new member.
 	Findings journal.Findings
 }
 
-// Sequence is that of the last entry taken, committed or not.
-func (i *Inspection) Sequence() int64 {
+// LastSequence is that of the last entry taken, committed or not.
+func (i *Inspection) LastSequence() int64 {
 	return i.Durable.State.Sequence + int64(len(i.Durable.Entries))
 }
 
-// RecordsFound counts the records by kind, those included that newer ones replace.
-type RecordsFound struct {
+// RecordCounts counts the records by kind, those included that newer ones replace.
+type RecordCounts struct {
 	Identities int   `json:"identities"`
-	Adoptions  int   `json:"adoptions"` // of views, and checkpoints
-	Additions  int   `json:"additions"` // entries taken
+	Views      int   `json:"adoptions"` // of views, and checkpoints
+	Entries    int   `json:"additions"` // entries taken
 	Votes      int   `json:"votes"`
-	Unfinished int   `json:"unfinished"` // parts are missing: reclaimed, or never written
-	Parts      int   `json:"parts"`      // in the journal, of all records
+	Incomplete int   `json:"unfinished"` // parts are missing: reclaimed, or never written
+	Fragments  int   `json:"parts"`      // in the journal, of all records
 	Bytes      int64 `json:"bytes"`      // of all parts
 }
 
-// Inspect reads the disk of a replica without writing anything. Errors: journal.ErrNoRing, ErrNothingKept,
+// Inspect reads the disk of a replica without writing anything. Errors: journal.ErrNoRing, ErrNoRecords,
 // ErrNotReplica, or the disk's; all else that is wrong is in the findings.
 func Inspect(files vfs.FS, dir string) (*Inspection, error) {
 	r := &diskReader{}
@@ -53,18 +53,18 @@
 	switch {
 	case err != nil:
 		return nil, err
-	case r.found.Records.Parts > 0 && r.foreign == r.found.Records.Parts:
+	case r.found.Records.Fragments > 0 && r.foreign == r.found.Records.Fragments:
 		return nil, ErrNotReplica
-	case r.found.Records.Parts == 0 && ring.Findings.Count == 0:
-		return nil, ErrNothingKept
+	case r.found.Records.Fragments == 0 && ring.Findings.Count == 0:
+		return nil, ErrNoRecords
 	}
 	if r.parts.open {
-		r.found.Records.Unfinished++
+		r.found.Records.Incomplete++
 	}
 	r.found.Ring = ring
 	findings := journal.Findings{}
-	findings.Join(ring.Findings)
-	findings.Join(r.found.Findings)
+	findings.Merge(ring.Findings)
+	findings.Merge(r.found.Findings)
 	r.found.Findings = findings
 	return &r.found, nil
 }
@@ -73,16 +73,16 @@
 type diskReader struct {
 	found   Inspection
 	parts   assembler
-	first   journal.Damage // the place of the first part of the present record
-	foreign int            // parts that no replica writes
-	broken  bool           // a record could not follow those before it
+	first   journal.Finding // the place of the first part of the present record
+	foreign int             // parts that no replica writes
+	broken  bool            // a record could not follow those before it
 }
 
 // take takes the next part of a record.
 func (r *diskReader) take(file string, p journal.Position, b []byte) {
-	r.found.Records.Parts++
+	r.found.Records.Fragments++
 	r.found.Records.Bytes += int64(len(b))
-	place := journal.Damage{File: file, Offset: int64(p.Offset)}
+	place := journal.Finding{File: file, Offset: int64(p.Offset)}
 	if b[0] > firstPart|lastPart {
 		r.foreign++
 		r.damage(place, eris.Errorf("a part of a record is marked %d", b[0]))
@@ -106,7 +106,7 @@
 	begins := mark&firstPart != 0
 	if begins == r.parts.open { // another one begins before the end, or a part has no beginning
 		if begins || mark&lastPart != 0 {
-			r.found.Records.Unfinished++
+			r.found.Records.Incomplete++
 		}
 	}
 }
@@ -125,9 +125,9 @@
 	case chain.IdentityRecord:
 		r.found.Records.Identities++
 	case chain.ViewRecord:
-		r.found.Records.Adoptions++
+		r.found.Records.Views++
 	case chain.EntryRecord:
-		r.found.Records.Additions++
+		r.found.Records.Entries++
 	case chain.VoteRecord:
 		r.found.Records.Votes++
 	}
@@ -139,7 +139,7 @@
 	return err
 }
 
-func (r *diskReader) damage(place journal.Damage, err error) {
+func (r *diskReader) damage(place journal.Finding, err error) {
 	place.Problem = fmt.Sprint(err)
 	r.found.Findings.Add(place)
 }
--- a/internal/tier/replica/inspect_test.go
+++ b/internal/tier/replica/inspect_test.go
@@ -55,9 +55,9 @@
 		Expect(found.Durable.View.Epoch).To(Equal(int64(1)))
 		Expect(found.Durable.View.Members).To(HaveLen(1))
 		Expect(found.Durable.Member.ID).To(Equal(found.Durable.View.Chain[0]))
-		Expect(found.Sequence()).To(Equal(int64(3)))
-		Expect(found.Records).To(And(HaveField("Identities", 1), HaveField("Adoptions", 1), HaveField("Additions", 3),
-			HaveField("Unfinished", 0), HaveField("Parts", 5)))
+		Expect(found.LastSequence()).To(Equal(int64(3)))
+		Expect(found.Records).To(And(HaveField("Identities", 1), HaveField("Views", 1), HaveField("Entries", 3),
+			HaveField("Incomplete", 0), HaveField("Fragments", 5)))
 	}, NodeTimeout(time.Minute))
 
 	It("holds what was acknowledged after a loss of power, over several laps of the journal", func(ctx SpecContext) {
@@ -65,7 +65,7 @@
 		found := inspected(disk)
 		Expect(found.Findings.Count).To(BeZero(), "%+v", found.Findings)
 		Expect(found.Ring.Segments[0].Sequence).To(BeNumerically(">", 1))
-		Expect(found.Sequence()).To(Equal(int64(1500)))
+		Expect(found.LastSequence()).To(Equal(int64(1500)))
 		state := found.Durable.State
 		Expect(binary.BigEndian.Uint64(state.Snapshot)).To(Equal(uint64(state.Sequence)))
 	}, NodeTimeout(time.Minute))
@@ -78,7 +78,7 @@
 			Expect(found.Findings.Count).To(Equal(1), "%+v", found.Findings)
 			Expect(found.Findings.Listed[0].Offset).To(Equal(int64(p.Offset)))
 			Expect(found.Findings.Listed[0].Problem).To(ContainSubstring(problem))
-			Expect(found.Sequence()).To(Equal(int64(2)))
+			Expect(found.LastSequence()).To(Equal(int64(2)))
 		},
 		Entry("a part of something else", "Xyz", "a part of a record is marked 88", NodeTimeout(time.Minute)),
 		Entry("a record of another kind", "\x03\x09", "kind 9 is not known", NodeTimeout(time.Minute)),
@@ -96,7 +96,7 @@
 		addedPart(disk, "\x01the first part of a record")
 		found := inspected(disk)
 		Expect(found.Findings.Count).To(BeZero())
-		Expect(found.Records.Unfinished).To(Equal(2))
+		Expect(found.Records.Incomplete).To(Equal(2))
 	}, NodeTimeout(time.Minute))
 
 	It("finds a flipped byte", func(ctx SpecContext) {
@@ -115,7 +115,7 @@
 		empty := memfs.New()
 		empty.Put("control/ring-0000", make([]byte, partsBytes))
 		_, err = replica.Inspect(empty, "control")
-		Expect(err).To(MatchError(replica.ErrNothingKept))
+		Expect(err).To(MatchError(replica.ErrNoRecords))
 
 		other := memfs.New()
 		addedPart(other, "Ta turn of a store")
--- a/internal/tier/replica/large_test.go
+++ b/internal/tier/replica/large_test.go
@@ -29,8 +29,8 @@
 func (m *controlMember) start(bootstrap bool) {
 	GinkgoHelper()
 	m.open(replica.Options{
-		Bootstrap: bootstrap, DiskBytes: smallDisk,
-		Machine: func() chain.StateMachine { return controlstate.New() },
+		Bootstrap: bootstrap, JournalBytes: smallDisk,
+		NewStateMachine: func() chain.StateMachine { return controlstate.New() },
 		OnCommit: func(_, _ uint64, snapshot []byte) {
 			state := controlstate.New()
 			if state.Restore(snapshot) == nil {
--- a/internal/tier/replica/loop.go
+++ b/internal/tier/replica/loop.go
@@ -93,10 +93,10 @@
 func (r *Replica) publish() {
 	old := r.status.Load()
 	self, v, member := r.node.Self(), r.node.View(), r.node.IsMember()
-	if old != nil && old.Self == self && old.View.Epoch == v.Epoch && old.Member == member {
+	if old != nil && old.Self == self && old.View.Epoch == v.Epoch && old.IsMember == member {
 		return
 	}
-	r.status.Store(&Status{Self: self, View: v, Member: member})
+	r.status.Store(&Status{Self: self, View: v, IsMember: member})
 	r.log.WithField("epoch", v.Epoch).WithField("members", len(v.Members)).WithField("chain", len(v.Chain)).
 		WithField("member", member).Info("replica: view")
 }
--- a/internal/tier/replica/replica.go
+++ b/internal/tier/replica/replica.go
@@ -2,8 +2,8 @@
 //
 //	r, err := replica.Open(replica.Options{
 //		Name: "front-1", Address: "10.1.0.38:7381", Zone: "a", Seeds: seeds, Bootstrap: true, Voter: true,
-//		Files: vfs.OS{}, Dir: dir, DiskBytes: 16 << 20,
-//		Machine: func() chain.StateMachine { return controlstate.New() },
+//		Files: vfs.OS{}, Dir: dir, JournalBytes: 16 << 20,
+//		NewStateMachine: func() chain.StateMachine { return controlstate.New() },
 //		OnCommit: func(epoch, sequence uint64, snapshot []byte) { ... },
 //		Client: client, Mux: mux, Log: logger,
 //	})
@@ -32,8 +32,8 @@
 
 // Errors of calls. After any error of Propose, and after the end of its context, its fate is open.
 var (
-	// ErrOpenFate: the command may have been carried out or may yet be.
-	ErrOpenFate = eris.New("replica: it is not known whether the command was carried out")
+	// ErrOutcomeUnknown: the command may have been carried out or may yet be.
+	ErrOutcomeUnknown = eris.New("replica: it is not known whether the command was carried out")
 	// ErrBusy: too many calls wait; this one was not made.
 	ErrBusy = eris.New("replica: too many calls wait")
 	// ErrClosed: the replica is closed, or ended for want of its disk.
@@ -60,11 +60,11 @@
 	Bootstrap           bool     // the first start of the whole system
 	Voter               bool     // false: it only forwards calls
 
-	Files     vfs.FS // nil: what it holds is lost with the process
-	Dir       string
-	DiskBytes int64 // bound of the journal; 0: a default
+	Files        vfs.FS // nil: what it holds is lost with the process
+	Dir          string
+	JournalBytes int64 // bound of the journal; 0: a default
 
-	Machine func() chain.StateMachine
+	NewStateMachine func() chain.StateMachine
 	// OnCommit is told of states known to be committed, each newer than the one before; where several follow each other
 	// fast some are left out, never the last. It runs in a goroutine of its own. May be nil.
 	OnCommit func(epoch, sequence uint64, snapshot []byte)
@@ -76,9 +76,9 @@
 
 // Status is what a replica is.
 type Status struct {
-	Self   view.Member
-	View   view.View // its own, or the newest it heard of
-	Member bool      // of View
+	Self     view.Member
+	View     view.View // its own, or the newest it heard of
+	IsMember bool      // of View
 }
 
 // Replica is one running member.
@@ -120,7 +120,7 @@
 		Name: o.Name, Address: o.Address, Zone: o.Zone, Seeds: o.Seeds, Voter: o.Voter,
 		Bootstrap: o.Bootstrap && !lost, Random: randomSeed(),
 	}
-	node, out, err := chain.New(settings, durable, o.Machine(), r.now())
+	node, out, err := chain.New(settings, durable, o.NewStateMachine(), r.now())
 	if err != nil {
 		r.closeJournal()
 		return nil, err
@@ -135,14 +135,14 @@
 }
 
 // Propose has a command carried out and gives its result, once it is committed, or once it is confirmed that it changed
-// nothing. Errors: ErrOpenFate, ErrBusy, ErrClosed, or the context's end.
+// nothing. Errors: ErrOutcomeUnknown, ErrBusy, ErrClosed, or the context's end.
 func (r *Replica) Propose(ctx context.Context, command []byte) (result []byte, err error) {
 	reply, err := r.call(ctx, func() (int64, chain.Output, bool) { return r.node.Propose(r.now(), command) })
 	if err != nil {
 		return nil, err
 	}
 	if reply.Unknown {
-		return nil, ErrOpenFate
+		return nil, ErrOutcomeUnknown
 	}
 	return reply.Result, nil
 }
@@ -170,15 +170,15 @@
 	}
 }
 
-// Ended is closed once the replica has ended: by Close, or because the disk can't hold its state.
-func (r *Replica) Ended() <-chan struct{} { return r.ended }
+// Stopped is closed once the replica has ended: by Close, or because the disk can't hold its state.
+func (r *Replica) Stopped() <-chan struct{} { return r.ended }
 
-// resignPoll is how often Resign looks whether the others go on without this member.
+// resignPoll is how often LeaveChain looks whether the others go on without this member.
 const resignPoll = 10 * time.Millisecond
 
-// Resign has the other members go on without this one before it ends, so that no order waits until its silence is noticed.
+// LeaveChain has the other members go on without this one before it ends, so that no order waits until its silence is noticed.
 // It returns once they do, or when ctx ends; calls are served until Close.
-func (r *Replica) Resign(ctx context.Context) {
+func (r *Replica) LeaveChain(ctx context.Context) {
 	if r.enqueue(ctx, func() { r.carryOut(r.node.LeaveChain(r.now())) }) != nil {
 		return
 	}
@@ -186,7 +186,7 @@
 	defer ticker.Stop()
 	for {
 		status := r.Status()
-		if !status.Member || status.View.ChainPosition(status.Self.ID) < 0 {
+		if !status.IsMember || status.View.ChainPosition(status.Self.ID) < 0 {
 			return
 		}
 		select {
--- a/internal/tier/replica/replica_test.go
+++ b/internal/tier/replica/replica_test.go
@@ -121,8 +121,8 @@
 		return memfs.Verdict{}
 	}
 	m.open(replica.Options{
-		Bootstrap: bootstrap, DiskBytes: 48 << 10,
-		Machine: func() chain.StateMachine { return &counter{} },
+		Bootstrap: bootstrap, JournalBytes: 48 << 10,
+		NewStateMachine: func() chain.StateMachine { return &counter{} },
 		OnCommit: func(_, sequence uint64, snapshot []byte) {
 			m.mutex.Lock()
 			defer m.mutex.Unlock()
@@ -284,7 +284,7 @@
 		advance(ctx, machines[1], 20)
 		for _, m := range machines {
 			Expect(m.replica.Members()).To(HaveLen(3))
-			Expect(m.replica.Status().Member).To(BeTrue())
+			Expect(m.replica.Status().IsMember).To(BeTrue())
 		}
 	}, NodeTimeout(time.Minute))
 
@@ -307,7 +307,7 @@
 		}()
 		Expect(machines[0].replica.Close()).To(Succeed())
 		Expect(<-failed).To(MatchError(replica.ErrClosed))
-		Eventually(machines[0].replica.Ended()).Should(BeClosed())
+		Eventually(machines[0].replica.Stopped()).Should(BeClosed())
 		_, err := machines[0].replica.Propose(ctx, on(1))
 		Expect(err).To(MatchError(replica.ErrClosed))
 	}, NodeTimeout(time.Minute))
@@ -319,7 +319,7 @@
 		DeferCleanup(forwards.kill)
 		advance(ctx, forwards, 0)
 		Expect(version(ctx, forwards)).To(Equal(uint64(1)))
-		Expect(forwards.replica.Status().Member).To(BeFalse())
+		Expect(forwards.replica.Status().IsMember).To(BeFalse())
 
 		fourth := &machine{process: process{address: freeAddress(), seeds: machines[0].seeds, voter: true, disk: memfs.New()}}
 		fourth.start(false)
--- a/internal/tier/store/catchup.go
+++ b/internal/tier/store/catchup.go
@@ -142,7 +142,7 @@
 	taken := false
 	err := s.do(ctx, func(t *table) bool {
 		taken = t.take(in)
-		return taken && t.journal.Pending() > intakePending
+		return taken && t.journal.PendingBytes() > intakePending
 	})
 	return err == nil && taken
 }
--- a/internal/tier/store/export_test.go
+++ b/internal/tier/store/export_test.go
@@ -22,4 +22,4 @@
 }
 
 // OldestSegment is the oldest segment of the journal.
-func (s *Store) OldestSegment() uint64 { return s.journal.Oldest() }
+func (s *Store) OldestSegment() uint64 { return s.journal.OldestSegment() }
--- a/internal/tier/store/inspect.go
+++ b/internal/tier/store/inspect.go
@@ -98,7 +98,7 @@
 	Whole         int           `json:"whole"`   // turns that can be followed to their root on this disk
 	Partial       int           `json:"partial"` // turns of which a turn before is elsewhere
 	MissingCount  int           `json:"missing_count"`
-	Missing       []MissingTurn `json:"missing"` // the first journal.MostListed of them
+	Missing       []MissingTurn `json:"missing"` // the first journal.MaxListedFindings of them
 }
 
 // ProgramSummary is what the disk knows of a program's budget.
@@ -140,7 +140,7 @@
 	r.countPrograms()
 	findings := ring.Findings
 	findings.Listed = slices.Clone(findings.Listed)
-	findings.Join(r.found.Findings)
+	findings.Merge(r.found.Findings)
 	r.found.Findings = findings
 	return &r.found, nil
 }
--- a/internal/tier/store/inspect_read.go
+++ b/internal/tier/store/inspect_read.go
@@ -166,7 +166,7 @@
 }
 
 func (r *diskReader) damage(file string, p journal.Position, problem string) {
-	r.found.Findings.Add(journal.Damage{File: file, Offset: int64(p.Offset), Problem: problem})
+	r.found.Findings.Add(journal.Finding{File: file, Offset: int64(p.Offset), Problem: problem})
 }
 
 func (r *diskReader) sortedKinds() []KindSummary {
@@ -199,7 +199,7 @@
 		if previous := x.head.Previous; previous != "" && r.turns[previous] == nil && !missing[previous] {
 			missing[previous] = true
 			found.MissingCount++
-			if len(found.Missing) < journal.MostListed {
+			if len(found.Missing) < journal.MaxListedFindings {
 				found.Missing = append(found.Missing, MissingTurn{ID: previous, Root: x.head.Root, Next: x.place})
 			}
 		}
@@ -242,7 +242,7 @@
 }
 
 func (r *diskReader) wrong(x *turnFound, problem string) {
-	r.found.Findings.Add(journal.Damage{File: x.place.File, Offset: x.place.Offset, Problem: problem})
+	r.found.Findings.Add(journal.Finding{File: x.place.File, Offset: x.place.Offset, Problem: problem})
 }
 
 // countPrograms counts the programs and lists those whose open reservations may use most.
--- a/internal/tier/store/log.go
+++ b/internal/tier/store/log.go
@@ -84,7 +84,7 @@
 func freshTable(o Options, opened *table) (*table, error) {
 	lost := opened.journal.Damaged()
 	if lost {
-		if err := opened.journal.Restart(); err != nil {
+		if err := opened.journal.Reset(); err != nil {
 			return nil, eris.Wrap(err, "store")
 		}
 	}
@@ -158,12 +158,12 @@
 
 // append adds a record if so many segments are free, or can be made so.
 func (t *table) append(record []byte, room int) (journal.Position, bool) {
-	for t.journal.Free() < room {
+	for t.journal.FreeSegments() < room {
 		if room <= reclaimRoom || !t.reclaim() {
 			break
 		}
 	}
-	if t.journal.Free() < room && room > reclaimRoom {
+	if t.journal.FreeSegments() < room && room > reclaimRoom {
 		return journal.Position{}, false
 	}
 	position, err := t.journal.Append(record)
@@ -208,8 +208,8 @@
 // reclaim frees the oldest segment: what of it is still needed is appended anew. It gives false where that would free
 // too little, or fails.
 func (t *table) reclaim() bool {
-	oldest := t.journal.Oldest()
-	if oldest == t.journal.Newest() || t.live[oldest] > t.segmentBytes*3/4 {
+	oldest := t.journal.OldestSegment()
+	if oldest == t.journal.NewestSegment() || t.live[oldest] > t.segmentBytes*3/4 {
 		return false
 	}
 	if !t.moveTurns(oldest) || !t.movePrograms(oldest) || !t.keepMeta(t.meta) {
@@ -264,7 +264,7 @@
 func (t *table) tidy() {
 	t.expireTurns()
 	t.dropPrograms()
-	for t.journal.Oldest() != t.journal.Newest() && t.live[t.journal.Oldest()] <= t.segmentBytes/8 {
+	for t.journal.OldestSegment() != t.journal.NewestSegment() && t.live[t.journal.OldestSegment()] <= t.segmentBytes/8 {
 		if !t.reclaim() {
 			return
 		}
--- a/internal/tier/store/status.go
+++ b/internal/tier/store/status.go
@@ -35,7 +35,7 @@
 		Complete: t.meta.Complete, Retiring: t.retiring(), Member: t.self >= 0,
 		Epoch: t.meta.View.Epoch, Members: len(t.meta.View.Members),
 		Turns: len(t.turns), Programs: len(t.programs), Entries: t.entries,
-		RingBytes: t.segmentBytes * segments, FreeBytes: t.segmentBytes * int64(t.journal.Free()),
+		RingBytes: t.segmentBytes * segments, FreeBytes: t.segmentBytes * int64(t.journal.FreeSegments()),
 	}
 	for _, bytes := range t.live {
 		status.TurnBytes += bytes
--- a/internal/tier/store/table.go
+++ b/internal/tier/store/table.go
@@ -94,7 +94,7 @@
 	if t.syncRuns && t.now()-t.syncStarted > stallLimit {
 		return true
 	}
-	return len(t.waiting) > mostWaiting || t.journal.Pending() > mostPending
+	return len(t.waiting) > mostWaiting || t.journal.PendingBytes() > mostPending
 }
 
 // admit checks the header of a request and begins the reply. Where it gives false the reply says all there is to say.
