--- a/cmd/emberquay/disk.go
+++ b/cmd/emberquay/disk.go
@@ -99,7 +99,7 @@
 		return err
 	}
 	fmt.Printf("sound segments=%d records=%d epoch=%d sequence=%d configuration=%d\n", len(found.Ring.Segments),
-		recordsOf(found.Ring), found.View.Epoch, found.Sequence, found.State.ConfigurationVersion)
+		recordsOf(found.Ring), found.View.Epoch, found.LastSequence, found.State.ConfigurationVersion)
 	return nil
 }
 
--- a/cmd/emberquay/disk_print.go
+++ b/cmd/emberquay/disk_print.go
@@ -69,7 +69,7 @@
 	fmt.Printf("store_epoch=%d stores=%d retirements=%d\n", s.StoreEpoch, s.Stores, s.Retirements)
 	fmt.Printf("epoch=%d members=%d chain=%s\n", found.View.Epoch, len(found.View.Members), listed(found.View.Chain))
 	fmt.Printf("member=%d sequence=%d committed=%d known=%d findings=%d\n",
-		found.Member.ID, found.Sequence, found.Committed, found.Known, found.Findings.Count)
+		found.Member.ID, found.LastSequence, found.Committed, found.SavedEntries, found.Findings.Count)
 }
 
 func printRing(ring *journal.Inspection) {
--- a/internal/tier/controlplane/inspect.go
+++ b/internal/tier/controlplane/inspect.go
@@ -20,52 +20,52 @@
 	Ring    *journal.Inspection  `json:"ring"`
 	Records replica.RecordCounts `json:"records"`
 
-	Member MemberFound `json:"member"` // as which this disk votes
-	View   ViewFound   `json:"view"`
-	// Sequence is that of the last entry taken; those above Committed were not known to be committed yet.
-	Sequence  int64      `json:"sequence"`
-	Committed int64      `json:"committed"`
-	Vote      VoteFound  `json:"vote"`
-	State     StateFound `json:"state"` // as of Sequence
-	Known     int        `json:"known"` // entries of the cluster's table that are kept over a stop
+	Member MemberSummary `json:"member"` // as which this disk votes
+	View   ViewSummary   `json:"view"`
+	// LastSequence is that of the last entry taken; those above Committed were not known to be committed yet.
+	LastSequence int64        `json:"sequence"`
+	Committed    int64        `json:"committed"`
+	Vote         VoteSummary  `json:"vote"`
+	State        StateSummary `json:"state"` // as of Sequence
+	SavedEntries int          `json:"known"` // entries of the cluster's table that are kept over a stop
 	// Findings are those of the ring, of the records in it, of the state that they add up to and of the kept
 	// entries.
 	Findings journal.Findings `json:"findings"`
 }
 
-// MemberFound is a member of the control state.
-type MemberFound struct {
+// MemberSummary is a member of the control state.
+type MemberSummary struct {
 	ID      int64  `json:"id"` // 0: none was drawn yet
 	Name    string `json:"name"`
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
 }
 
-// ViewFound is the newest view that the disk has adopted.
-type ViewFound struct {
-	Epoch   int64         `json:"epoch"` // 0: none
-	Members []MemberFound `json:"members"`
-	Chain   []int64       `json:"chain"` // member ids, head first
+// ViewSummary is the newest view that the disk has adopted.
+type ViewSummary struct {
+	Epoch   int64           `json:"epoch"` // 0: none
+	Members []MemberSummary `json:"members"`
+	Chain   []int64         `json:"chain"` // member ids, head first
 }
 
-// BallotFound is a ballot of the agreement on the view that is to follow.
-type BallotFound struct {
+// BallotSummary is a ballot of the agreement on the view that is to follow.
+type BallotSummary struct {
 	Round    int64 `json:"round"` // 0: none
 	Proposer int64 `json:"proposer"`
 }
 
-// VoteFound is what the disk promised and accepted on the view that is to follow.
-type VoteFound struct {
-	Sealed        bool        `json:"sealed"` // the epoch takes no more writes here
-	Promised      BallotFound `json:"promised"`
-	Accepted      BallotFound `json:"accepted"`
-	AcceptedEpoch int64       `json:"accepted_epoch"`
+// VoteSummary is what the disk promised and accepted on the view that is to follow.
+type VoteSummary struct {
+	Sealed        bool          `json:"sealed"` // the epoch takes no more writes here
+	Promised      BallotSummary `json:"promised"`
+	Accepted      BallotSummary `json:"accepted"`
+	AcceptedEpoch int64         `json:"accepted_epoch"`
 	// AcceptedSequence is the end of the state with which the accepted view would begin.
 	AcceptedSequence int64 `json:"accepted_sequence"`
 }
 
-// StateFound is the control state.
-type StateFound struct {
+// StateSummary is the control state.
+type StateSummary struct {
 	ConfigurationVersion uint64 `json:"configuration_version"`
 	ConfigurationBytes   int    `json:"configuration_bytes"`
 	AcceptedChanges      int    `json:"accepted_changes"` // that would be acknowledged again
@@ -85,7 +85,7 @@
 	d := &disk.Durable
 	found := &Inspection{
 		Ring: disk.Ring, Records: disk.Records, Member: memberFound(d.Member), View: viewFound(d.View),
-		Sequence: disk.LastSequence(), Committed: d.Committed, Vote: voteOf(d), Findings: disk.Findings,
+		LastSequence: disk.LastSequence(), Committed: d.Committed, Vote: voteOf(d), Findings: disk.Findings,
 	}
 	if err := found.readState(d); err != nil {
 		found.Findings.Add(journal.Finding{File: "ring-*", Problem: fmt.Sprint(err)})
@@ -93,22 +93,22 @@
 	return found, found.readKnown(snapshot.File{Files: files, Dir: dir})
 }
 
-func voteOf(d *chain.DurableState) VoteFound {
+func voteOf(d *chain.DurableState) VoteSummary {
 	a := &d.Acceptor
-	return VoteFound{
+	return VoteSummary{
 		Sealed:        a.Sealed(),
-		Promised:      BallotFound{Round: a.Promised.Round, Proposer: int64(a.Promised.Proposer)},
-		Accepted:      BallotFound{Round: a.Accepted.Round, Proposer: int64(a.Accepted.Proposer)},
+		Promised:      BallotSummary{Round: a.Promised.Round, Proposer: int64(a.Promised.Proposer)},
+		Accepted:      BallotSummary{Round: a.Accepted.Round, Proposer: int64(a.Accepted.Proposer)},
 		AcceptedEpoch: a.Value.View.Epoch, AcceptedSequence: a.Value.State.Sequence,
 	}
 }
 
-func memberFound(m view.Member) MemberFound {
-	return MemberFound{ID: int64(m.ID), Name: m.Name, Address: m.Address, Zone: m.Zone}
+func memberFound(m view.Member) MemberSummary {
+	return MemberSummary{ID: int64(m.ID), Name: m.Name, Address: m.Address, Zone: m.Zone}
 }
 
-func viewFound(v view.View) ViewFound {
-	found := ViewFound{Epoch: v.Epoch}
+func viewFound(v view.View) ViewSummary {
+	found := ViewSummary{Epoch: v.Epoch}
 	for _, m := range v.Members {
 		found.Members = append(found.Members, memberFound(m))
 	}
@@ -137,9 +137,9 @@
 		state.Apply(entry.Command)
 	}
 	version, body := state.Configuration()
-	accepted, refused := state.Changes()
+	accepted, refused := state.ChangeCounts()
 	stores := state.Stores()
-	i.State = StateFound{
+	i.State = StateSummary{
 		ConfigurationVersion: version, ConfigurationBytes: len(body),
 		AcceptedChanges: accepted, RefusedChanges: refused,
 		StoreEpoch: stores.Epoch, Stores: len(stores.Members), Retirements: len(state.Retirements()),
@@ -154,6 +154,6 @@
 		i.Findings.Add(journal.Finding{File: snapshot.Name, Problem: fmt.Sprint(err)})
 		return nil
 	}
-	i.Known = len(entries)
+	i.SavedEntries = len(entries)
 	return err
 }
--- a/internal/tier/controlplane/inspect_test.go
+++ b/internal/tier/controlplane/inspect_test.go
@@ -69,10 +69,10 @@
 		Expect(found.Member.Address).To(Equal(aloneAddress))
 		Expect(found.View.Epoch).To(Equal(int64(1)))
 		Expect(found.View.Chain).To(Equal([]int64{found.Member.ID}))
-		Expect(found.Sequence).To(Equal(int64(2)))
-		Expect(found.Known).To(Equal(1))
+		Expect(found.LastSequence).To(Equal(int64(2)))
+		Expect(found.SavedEntries).To(Equal(1))
 		Expect(found.Vote.Sealed).To(BeFalse())
-		Expect(found.State).To(Equal(StateFound{ConfigurationVersion: 7, ConfigurationBytes: len(configuration),
+		Expect(found.State).To(Equal(StateSummary{ConfigurationVersion: 7, ConfigurationBytes: len(configuration),
 			AcceptedChanges: 1, StoreEpoch: 1, Stores: 1}))
 	}, NodeTimeout(time.Minute))
 
@@ -108,7 +108,7 @@
 		Expect(j.Sync()).To(Succeed())
 		found, err := Inspect(disk, aloneFolder)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(found.Sequence).To(Equal(int64(2)))
+		Expect(found.LastSequence).To(Equal(int64(2)))
 		Expect(found.Findings.Listed).To(HaveLen(1))
 		Expect(found.Findings.Listed[0].Problem).To(ContainSubstring("entry 2"))
 	}, NodeTimeout(time.Minute))
--- a/internal/tier/controlstate/configuration_test.go
+++ b/internal/tier/controlstate/configuration_test.go
@@ -254,7 +254,7 @@
 		result, _ = apply(state, early(100))
 		Expect(result.Status).To(Equal(controlstate.StatusPreconditionFailed))
 		taken(state, replace(100, document(1124, "t")))
-		_, refused := state.Changes()
+		_, refused := state.ChangeCounts()
 		Expect(refused).To(BeZero())
 	})
 })
--- a/internal/tier/controlstate/snapshot.go
+++ b/internal/tier/controlstate/snapshot.go
@@ -80,7 +80,7 @@
 	}
 	for _, m := range s.stores.Members {
 		record.Members = append(record.Members,
-			memberRecord{m.ID, m.Node, m.Zone, m.Address, m.Retiring, m.Replaced, int64(m.Joined)})
+			memberRecord{m.ID, m.Node, m.Zone, m.Address, m.Retiring, m.Replaced, int64(m.JoinEpoch)})
 	}
 	for _, r := range s.retirements {
 		record.Retirements = append(record.Retirements, retirementRecord(r))
@@ -187,7 +187,7 @@
 			return eris.Errorf("members[%d]: store %q on node %q stands there twice", i, m.ID, m.Node)
 		}
 		s.stores.Members = append(s.stores.Members, StoreMember{ID: m.ID, Node: m.Node, Zone: m.Zone, Address: m.Address,
-			Retiring: m.Retiring, Replaced: m.Replaced, Joined: uint64(m.Joined)})
+			Retiring: m.Retiring, Replaced: m.Replaced, JoinEpoch: uint64(m.Joined)})
 	}
 	return nil
 }
--- a/internal/tier/controlstate/state.go
+++ b/internal/tier/controlstate/state.go
@@ -54,8 +54,10 @@
 // Configuration gives the configuration in force. The body must not be changed. Version 0 says that there is none yet.
 func (s *State) Configuration() (version uint64, body []byte) { return s.version, s.body }
 
-// Changes counts the changes that are known to have been taken, and the refused ones that are kept.
-func (s *State) Changes() (accepted, refused int) { return len(s.accepted.order), len(s.refused.order) }
+// ChangeCounts counts the changes that are known to have been taken, and the refused ones that are kept.
+func (s *State) ChangeCounts() (accepted, refused int) {
+	return len(s.accepted.order), len(s.refused.order)
+}
 
 // Apply carries out a command and gives its coded Result. changed says that the state is another one than before; a
 // refusal may change it too. What cannot be decoded is refused.
--- a/internal/tier/controlstate/stores.go
+++ b/internal/tier/controlstate/stores.go
@@ -20,8 +20,8 @@
 	Address  string // for internal calls
 	Retiring bool   // it is being emptied and takes nothing new
 
-	Replaced bool   // it took the place of a store of the same node, whose disk is lost: it may lack what that one held
-	Joined   uint64 // epoch of the view that it came in with: what was written in earlier ones it may lack
+	Replaced  bool   // it took the place of a store of the same node, whose disk is lost: it may lack what that one held
+	JoinEpoch uint64 // epoch of the view that it came in with: what was written in earlier ones it may lack
 }
 
 // RetirementState says how far the retirement of a machine is.
@@ -100,7 +100,7 @@
 	}
 	s.stores.Epoch++
 	store.Replaced = at >= 0 && !c.Bootstrap
-	store.Joined = s.stores.Epoch
+	store.JoinEpoch = s.stores.Epoch
 	store.Retiring = s.Retirement(store.Node) == RetirementRunning
 	if at >= 0 {
 		s.stores.Members[at] = store // the disk of the member before is lost
--- a/internal/tier/controlstate/stores_test.go
+++ b/internal/tier/controlstate/stores_test.go
@@ -72,8 +72,8 @@
 	It("takes stores in, each in an epoch of its own", func() {
 		state := withStores(2)
 		one, two := store(1), store(2)
-		one.Replaced, one.Joined = false, 1
-		two.Replaced, two.Joined = false, 2
+		one.Replaced, one.JoinEpoch = false, 1
+		two.Replaced, two.JoinEpoch = false, 2
 		Expect(state.Stores()).To(Equal(controlstate.StoreView{Epoch: 2, Tolerance: 1, Members: []controlstate.StoreMember{one, two}}))
 		Expect(restored(state).Stores()).To(Equal(state.Stores()))
 	})
@@ -97,7 +97,7 @@
 		command := register(moved)
 		command.Bootstrap = false
 		taken(state, command)
-		moved.Replaced, moved.Joined = false, 1
+		moved.Replaced, moved.JoinEpoch = false, 1
 		Expect(state.Stores().Members[0]).To(Equal(moved))
 		Expect(state.Stores().Epoch).To(BeEquivalentTo(3))
 	})
@@ -112,7 +112,7 @@
 		Expect(ids(state)).To(Equal([]string{"id-fresh", "id-2"}))
 		Expect(state.Stores().Members[0].Replaced).To(BeTrue())
 		Expect(restored(state).Stores().Members[0].Replaced).To(BeTrue())
-		Expect(state.Stores().Members[0].Joined).To(BeEquivalentTo(3))
+		Expect(state.Stores().Members[0].JoinEpoch).To(BeEquivalentTo(3))
 	})
 
 	It("is not touched by those who hold a copy", func() {
@@ -125,7 +125,7 @@
 		state := withStores(3)
 		taken(state, remove("id-3"))
 		taken(state, register(store(3)))
-		Expect(state.Stores().Members[2].Joined).To(BeEquivalentTo(5))
+		Expect(state.Stores().Members[2].JoinEpoch).To(BeEquivalentTo(5))
 	})
 
 	It("is bounded", func() {
