--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -243,7 +243,7 @@
 	r.last = c.Snapshot
 	version, body := state.Configuration()
 	if version > 0 && r.older(core.ConfigurationKey, version) {
-		if value, err := records.Configurations.Encode(records.ConfigurationRecord{Version: version, Body: body}); err == nil {
+		if value, err := records.ConfigurationCodec.Encode(records.ConfigurationRecord{Version: version, Body: body}); err == nil {
 			r.life.core.Publish(w.clock(), gossip.Entry{Key: core.ConfigurationKey, Value: value, Stamp: gossip.Stamp{Epoch: version, Sequence: 1}})
 		}
 	}
--- a/internal/lab/sim/edge.go
+++ b/internal/lab/sim/edge.go
@@ -34,7 +34,7 @@
 			e.adopt(storewire.ViewOf(view))
 		}
 	case strings.HasPrefix(entry.Key, core.ReceiverPrefix):
-		if record, err := records.Receivers.Decode(entry.Value); err == nil {
+		if record, err := records.ReceiverCodec.Decode(entry.Value); err == nil {
 			e.receivers[record.ID] = record.State
 			e.life.host.world.trace("%s learns that %s is %s, by %s, %v", e.life.host.name, record.ID, record.State, record.Owner, entry.Stamp)
 		}
@@ -43,7 +43,7 @@
 
 func (e *edge) configure(entry gossipEntry) {
 	w := e.life.host.world
-	record, err := records.Configurations.Decode(entry.Value)
+	record, err := records.ConfigurationCodec.Decode(entry.Value)
 	if err != nil {
 		w.judge.breach(ConfigRule, "%s: a configuration that cannot be read: %v", e.life.host.name, err)
 		return
--- a/internal/lab/sim/host.go
+++ b/internal/lab/sim/host.go
@@ -203,7 +203,7 @@
 		if w.has(digestMissesEntry) {
 			answer = withoutEntry(answer)
 		}
-		if envelope.WantsAnswer() {
+		if envelope.ExpectsAnswer() {
 			reply(answer)
 		}
 	}
@@ -220,7 +220,7 @@
 	effects := l.core.Take()
 	self := l.core.Self()
 	answer := core.Envelope{From: self.ID(), Incarnation: self.Incarnation, Syncing: !l.core.Ready()}
-	if e.WantsAnswer() {
+	if e.ExpectsAnswer() {
 		kept := effects.Messages[:0]
 		for _, out := range effects.Messages {
 			if out.To == e.From {
--- a/internal/lab/sim/receiver.go
+++ b/internal/lab/sim/receiver.go
@@ -37,7 +37,7 @@
 	if !ok {
 		return nil
 	}
-	record, err := records.Receivers.Decode(entry.Value)
+	record, err := records.ReceiverCodec.Decode(entry.Value)
 	if err != nil {
 		return nil
 	}
@@ -101,7 +101,7 @@
 		reply(true)
 		return
 	}
-	r.life.core.PublishApart(w.clock(), entry)
+	r.life.core.PublishWithoutPush(w.clock(), entry)
 	r.life.settleCore()
 	confirmed := func(ok bool) {
 		if ok {
@@ -119,7 +119,7 @@
 	if !change.News {
 		return r.life.core.Get(key)
 	}
-	value, err := records.Receivers.Encode(change.Record)
+	value, err := records.ReceiverCodec.Encode(change.Record)
 	return gossip.Entry{Key: key, Value: value, Stamp: change.Stamp}, err == nil
 }
 
@@ -178,7 +178,7 @@
 	told := false
 	from := c.life.core.Self().ID()
 	exchange(w, c.life, address, func(to *life, reply func(bool)) {
-		to.core.Deliver(w.clock(), from, c.entry, false)
+		to.core.ReceiveEntry(w.clock(), from, c.entry, false)
 		to.settleCore()
 		reply(to.core.Has(c.entry.Key, c.entry.Stamp))
 	}, func(has bool) {
--- a/internal/tier/cluster/cluster.go
+++ b/internal/tier/cluster/cluster.go
@@ -149,9 +149,9 @@
 // keepFunc returns nil once an entry of the table is kept as its node promises.
 type keepFunc func(ctx context.Context, key string, stamp Stamp) error
 
-// ConfirmAfter has this node say that it has an entry which PublishConfirmed brings here only once keep has returned nil
+// SetPersistFunc has this node say that it has an entry which PublishConfirmed brings here only once keep has returned nil
 // for it. Without it, having the entry in memory is enough.
-func (c *Cluster) ConfirmAfter(keep func(ctx context.Context, key string, stamp Stamp) error) {
+func (c *Cluster) SetPersistFunc(keep func(ctx context.Context, key string, stamp Stamp) error) {
 	f := keepFunc(keep)
 	c.keep.Store(&f)
 }
--- a/internal/tier/cluster/cluster_test.go
+++ b/internal/tier/cluster/cluster_test.go
@@ -156,7 +156,7 @@
 		second := start(all[1], all[0].Address)
 		Eventually(func() []cluster.Node { return first.cluster.Nodes() }).WithContext(ctx).Should(HaveLen(2))
 		var asked atomic.Int32
-		second.cluster.ConfirmAfter(func(_ context.Context, key string, stamp cluster.Stamp) error {
+		second.cluster.SetPersistFunc(func(_ context.Context, key string, stamp cluster.Stamp) error {
 			entry, known := second.cluster.Get(key)
 			if !known || stamp.After(entry.Stamp) {
 				return errors.New("asked before it was there")
--- a/internal/tier/cluster/confirm.go
+++ b/internal/tier/cluster/confirm.go
@@ -35,7 +35,7 @@
 	c.do(func(o *owner, now time.Time) {
 		publish := o.core.Publish
 		if direct {
-			publish = o.core.PublishApart
+			publish = o.core.PublishWithoutPush
 		}
 		stamped, _ := publish(now, entry)
 		published <- stamped
@@ -224,7 +224,7 @@
 	return confirmAnswer{Has: has && c.isKept(ctx, request)}, err
 }
 
-// isKept says whether an entry that is in the table is kept as ConfirmAfter asks.
+// isKept says whether an entry that is in the table is kept as SetPersistFunc asks.
 func (c *Cluster) isKept(ctx context.Context, request confirmRequest) bool {
 	keep := c.keep.Load()
 	if keep == nil {
@@ -241,7 +241,7 @@
 	result := make(chan bool, 1)
 	c.do(func(o *owner, now time.Time) {
 		if entry != nil {
-			o.core.Deliver(now, membership.ID(request.From), *entry, request.Forward)
+			o.core.ReceiveEntry(now, membership.ID(request.From), *entry, request.Forward)
 			o.carryOut() // it must be seen here before its sender hears that it is
 		}
 		result <- o.core.Has(request.Entry.Key, stamp)
--- a/internal/tier/cluster/core/alloc_test.go
+++ b/internal/tier/cluster/core/alloc_test.go
@@ -14,7 +14,7 @@
 	data = binary.AppendVarint(data, 15<<20)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	_, err := core.Envelopes.Decode(data)
+	_, err := core.EnvelopeCodec.Decode(data)
 	runtime.ReadMemStats(&after)
 	t.Logf("%v, %d bytes allocated", err, after.TotalAlloc-before.TotalAlloc)
 	if err == nil || after.TotalAlloc-before.TotalAlloc > 64<<20 {
--- a/internal/tier/cluster/core/chaos_test.go
+++ b/internal/tier/cluster/core/chaos_test.go
@@ -126,7 +126,7 @@
 	if c.random.IntN(2) == 0 {
 		state := records.ReceiverState(c.random.IntN(4))
 		var err error
-		value, err = records.Receivers.Encode(records.ReceiverRecord{ID: key, State: state, Owner: p.node.Name})
+		value, err = records.ReceiverCodec.Encode(records.ReceiverRecord{ID: key, State: state, Owner: p.node.Name})
 		Expect(err).NotTo(HaveOccurred())
 	}
 	p.core.Publish(c.now, gossip.Entry{Key: key, Value: value})
--- a/internal/tier/cluster/core/core.go
+++ b/internal/tier/cluster/core/core.go
@@ -71,8 +71,8 @@
 	return c.publish(now, e, c.gossip.Publish)
 }
 
-// PublishApart does the same without pushing the entry to others: the caller brings it to all.
-func (c *Core) PublishApart(now time.Time, e gossip.Entry) (gossip.Entry, bool) {
+// PublishWithoutPush does the same without pushing the entry to others: the caller brings it to all.
+func (c *Core) PublishWithoutPush(now time.Time, e gossip.Entry) (gossip.Entry, bool) {
 	return c.publish(now, e, c.gossip.Put)
 }
 
@@ -85,8 +85,8 @@
 	return e, news
 }
 
-// Deliver takes an entry that a peer has brought directly. Forward has it pushed on.
-func (c *Core) Deliver(now time.Time, from membership.ID, e gossip.Entry, forward bool) {
+// ReceiveEntry takes an entry that a peer has brought directly. Forward has it pushed on.
+func (c *Core) ReceiveEntry(now time.Time, from membership.ID, e gossip.Entry, forward bool) {
 	if forward {
 		c.gossip.Receive(now, string(from), gossip.Message{Push: []gossip.Entry{e}})
 	} else {
@@ -252,10 +252,10 @@
 		}
 	}
 	for _, key := range effects.Expired {
-		c.effects.Dropped = append(c.effects.Dropped, key)
+		c.effects.Expired = append(c.effects.Expired, key)
 		if id, isNode := nodeIDOf(key); isNode {
 			c.membership.Remove(id)
-			c.effects.Nodes = append(c.effects.Nodes, id)
+			c.effects.ChangedNodes = append(c.effects.ChangedNodes, id)
 		}
 	}
 }
@@ -274,7 +274,7 @@
 		}
 	}
 	for _, id := range effects.Changed {
-		c.effects.Nodes = append(c.effects.Nodes, id)
+		c.effects.ChangedNodes = append(c.effects.ChangedNodes, id)
 		c.peersStale = true
 		if n, known := c.membership.Node(id); known {
 			c.rejoin.note(n)
--- a/internal/tier/cluster/core/core_test.go
+++ b/internal/tier/cluster/core/core_test.go
@@ -86,7 +86,7 @@
 	if strings.HasPrefix(e.Key, core.NodePrefix) {
 		return e.Stamp.Sequence > 0
 	}
-	receiver, err := records.Receivers.Decode(e.Value)
+	receiver, err := records.ReceiverCodec.Decode(e.Value)
 	return err == nil && receiver.State == records.ReceiverGone
 }
 
--- a/internal/tier/cluster/core/envelope.go
+++ b/internal/tier/cluster/core/envelope.go
@@ -15,8 +15,8 @@
 	Membership []membership.Message
 }
 
-// WantsAnswer tells whether the sender waits for what the envelope asks. What wants none may be sent without.
-func (e Envelope) WantsAnswer() bool {
+// ExpectsAnswer tells whether the sender waits for what the envelope asks. What wants none may be sent without.
+func (e Envelope) ExpectsAnswer() bool {
 	for _, m := range e.Gossip {
 		if m.Compare != nil || m.BucketSums != nil || m.Summary != nil || len(m.Want) > 0 || len(m.Offer) > 0 {
 			return true
@@ -40,8 +40,8 @@
 
 // Effects is what a step asks of the runtime.
 type Effects struct {
-	Messages []Outgoing
-	Changed  []gossip.Entry  // new entries, in order
-	Dropped  []string        // keys of entries that are no longer kept
-	Nodes    []membership.ID // nodes whose view here has changed or that are forgotten
+	Messages     []Outgoing
+	Changed      []gossip.Entry  // new entries, in order
+	Expired      []string        // keys of entries that are no longer kept
+	ChangedNodes []membership.ID // nodes whose view here has changed or that are forgotten
 }
--- a/internal/tier/cluster/core/fuzz_test.go
+++ b/internal/tier/cluster/core/fuzz_test.go
@@ -18,18 +18,18 @@
 		{From: "front-2/control", Gossip: []gossip.Message{{BucketSums: make([]uint32, 16)}, {Summary: &gossip.Summary{Buckets: []int{1, -1, 1 << 30}}}}},
 		{From: "front-2/control", Gossip: []gossip.Message{{Delta: &gossip.Delta{Want: []string{"x"}}, Push: []gossip.Entry{{Key: core.NodePrefix + "x/proxy", Value: []byte{1}}}}}},
 	} {
-		data, err := core.Envelopes.Encode(core.ToWire(e))
+		data, err := core.EnvelopeCodec.Encode(core.EnvelopeToWire(e))
 		if err != nil {
 			f.Fatal(err)
 		}
 		f.Add(data)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		wire, err := core.Envelopes.Decode(data)
+		wire, err := core.EnvelopeCodec.Decode(data)
 		if err != nil {
 			return
 		}
-		envelope, err := core.FromWire(wire)
+		envelope, err := core.EnvelopeFromWire(wire)
 		if err != nil {
 			return
 		}
@@ -43,7 +43,7 @@
 			node.Receive(now, envelope, "")
 			node.Receive(now, envelope, "10.0.0.2:7381")
 			for _, out := range node.Take().Messages {
-				if _, err := core.Envelopes.Encode(core.ToWire(out.Envelope)); err != nil {
+				if _, err := core.EnvelopeCodec.Encode(core.EnvelopeToWire(out.Envelope)); err != nil {
 					t.Fatalf("what it sends cannot be coded: %v", err)
 				}
 			}
--- a/internal/tier/cluster/core/kinds.go
+++ b/internal/tier/cluster/core/kinds.go
@@ -46,7 +46,7 @@
 }
 
 func receiverLife(e gossip.Entry) time.Duration {
-	receiver, err := records.Receivers.Decode(e.Value)
+	receiver, err := records.ReceiverCodec.Decode(e.Value)
 	if err == nil && receiver.State == records.ReceiverGone {
 		return tombstoneLife
 	}
--- a/internal/tier/cluster/core/kinds_test.go
+++ b/internal/tier/cluster/core/kinds_test.go
@@ -24,15 +24,15 @@
 		for i := range retiredEntries {
 			key := fmt.Sprintf("report/i-%d", i)
 			stamp := gossip.Stamp{Epoch: 1, Sequence: 1, Origin: "b/0"}
-			c.Deliver(epoch, "b/0", gossip.Entry{Key: key, Value: []byte("x"), Stamp: stamp}, true)
+			c.ReceiveEntry(epoch, "b/0", gossip.Entry{Key: key, Value: []byte("x"), Stamp: stamp}, true)
 			Expect(c.Has(key, stamp)).To(BeFalse())
 		}
 		Expect(c.Take().Changed).To(BeEmpty())
 
-		body, err := records.Configurations.Encode(records.ConfigurationRecord{Version: 1, Body: []byte("{}")})
+		body, err := records.ConfigurationCodec.Encode(records.ConfigurationRecord{Version: 1, Body: []byte("{}")})
 		Expect(err).NotTo(HaveOccurred())
 		stamp := gossip.Stamp{Epoch: 1, Sequence: 1, Origin: "b/0"}
-		c.Deliver(epoch, "b/0", gossip.Entry{Key: core.ConfigurationKey, Value: body, Stamp: stamp}, true)
+		c.ReceiveEntry(epoch, "b/0", gossip.Entry{Key: core.ConfigurationKey, Value: body, Stamp: stamp}, true)
 		Expect(c.Has(core.ConfigurationKey, stamp)).To(BeTrue())
 	})
 })
--- a/internal/tier/cluster/core/wire.go
+++ b/internal/tier/cluster/core/wire.go
@@ -10,8 +10,8 @@
 	"emberquay/internal/tier/transport"
 )
 
-// Wire is an envelope as avro holds it: numbers without sign as longs, the sums of buckets as bytes.
-type Wire struct {
+// WireEnvelope is an envelope as avro holds it: numbers without sign as longs, the sums of buckets as bytes.
+type WireEnvelope struct {
 	From        string           `avro:"from"`
 	Incarnation int64            `avro:"incarnation"`
 	Syncing     bool             `avro:"syncing"`
@@ -125,17 +125,17 @@
 		{"name":"incarnation","type":"long"},
 		{"name":"for","type":"string"}]}]}]}`
 
-// Envelopes codes envelopes on the wire.
-var Envelopes = transport.MustCodec[Wire](`{"type":"record","name":"ClusterEnvelope","fields":[
+// EnvelopeCodec codes envelopes on the wire.
+var EnvelopeCodec = transport.MustCodec[WireEnvelope](`{"type":"record","name":"ClusterEnvelope","fields":[
 	{"name":"from","type":"string"},
 	{"name":"incarnation","type":"long"},
 	{"name":"syncing","type":"boolean"},
 	{"name":"gossip","type":{"type":"array","items":` + gossipSchema + `}},
 	{"name":"membership","type":{"type":"array","items":` + membershipSchema + `}}]}`)
 
-// ToWire gives the form of an envelope that avro holds.
-func ToWire(e Envelope) Wire {
-	return Wire{
+// EnvelopeToWire gives the form of an envelope that avro holds.
+func EnvelopeToWire(e Envelope) WireEnvelope {
+	return WireEnvelope{
 		From:        string(e.From),
 		Incarnation: int64(e.Incarnation),
 		Syncing:     e.Syncing,
@@ -144,8 +144,8 @@
 	}
 }
 
-// FromWire reads an envelope.
-func FromWire(w Wire) (Envelope, error) {
+// EnvelopeFromWire reads an envelope.
+func EnvelopeFromWire(w WireEnvelope) (Envelope, error) {
 	e := Envelope{
 		From:        membership.ID(w.From),
 		Incarnation: uint64(w.Incarnation),
--- a/internal/tier/cluster/core/wire_test.go
+++ b/internal/tier/cluster/core/wire_test.go
@@ -84,19 +84,19 @@
 		for range rapid.IntRange(0, 3).Draw(t, "membership") {
 			e.Membership = append(e.Membership, drawMembership(t))
 		}
-		data, err := core.Envelopes.Encode(core.ToWire(e))
+		data, err := core.EnvelopeCodec.Encode(core.EnvelopeToWire(e))
 		if err != nil {
 			t.Fatal(err)
 		}
-		wire, err := core.Envelopes.Decode(data)
+		wire, err := core.EnvelopeCodec.Decode(data)
 		if err != nil {
 			t.Fatal(err)
 		}
-		back, err := core.FromWire(wire)
+		back, err := core.EnvelopeFromWire(wire)
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := core.Envelopes.Encode(core.ToWire(back)) // an empty list and none are the same
+		again, err := core.EnvelopeCodec.Encode(core.EnvelopeToWire(back)) // an empty list and none are the same
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -108,9 +108,9 @@
 
 func TestAnyBytesAreBorne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		wire, err := core.Envelopes.Decode(rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "bytes"))
+		wire, err := core.EnvelopeCodec.Decode(rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "bytes"))
 		if err == nil {
-			_, _ = core.FromWire(wire)
+			_, _ = core.EnvelopeFromWire(wire)
 		}
 	})
 }
--- a/internal/tier/cluster/core/world_test.go
+++ b/internal/tier/cluster/core/world_test.go
@@ -203,7 +203,7 @@
 	w.count(p, out)
 	w.deliver(p, func() *process { return w.at[out.Address] }, func(to *process) {
 		answer := to.answer(out.Envelope)
-		if !out.Envelope.WantsAnswer() {
+		if !out.Envelope.ExpectsAnswer() {
 			return
 		}
 		w.countBytes(to, p, answer)
@@ -220,7 +220,7 @@
 	effects := p.core.Take()
 	self := p.core.Self()
 	answer := core.Envelope{From: self.ID(), Incarnation: self.Incarnation, Syncing: !p.core.Ready()}
-	if !e.WantsAnswer() {
+	if !e.ExpectsAnswer() {
 		p.carryOutThese(effects)
 		return answer
 	}
@@ -271,7 +271,7 @@
 	if !w.measure {
 		return
 	}
-	data, err := core.Envelopes.Encode(core.ToWire(e))
+	data, err := core.EnvelopeCodec.Encode(core.EnvelopeToWire(e))
 	Expect(err).NotTo(HaveOccurred())
 	w.sent++
 	w.bytes += len(data) + frameBytes
--- a/internal/tier/cluster/exchange.go
+++ b/internal/tier/cluster/exchange.go
@@ -74,19 +74,19 @@
 	c := s.cluster
 	ctx, cancel := context.WithTimeout(context.Background(), sendTime)
 	defer cancel()
-	wire := core.ToWire(out.Envelope)
-	if !out.Envelope.WantsAnswer() {
-		if err := transport.Send(ctx, c.client, out.Address, methodTell, core.Envelopes, wire); err != nil {
+	wire := core.EnvelopeToWire(out.Envelope)
+	if !out.Envelope.ExpectsAnswer() {
+		if err := transport.Send(ctx, c.client, out.Address, methodTell, core.EnvelopeCodec, wire); err != nil {
 			c.log.WithError(err).Debug("cluster: not told")
 		}
 		return
 	}
-	answer, err := transport.Call(ctx, c.client, out.Address, methodExchange, core.Envelopes, core.Envelopes, wire)
+	answer, err := transport.Call(ctx, c.client, out.Address, methodExchange, core.EnvelopeCodec, core.EnvelopeCodec, wire)
 	if err != nil {
 		c.log.WithError(err).Debug("cluster: no answer")
 		return
 	}
-	envelope, err := core.FromWire(answer)
+	envelope, err := core.EnvelopeFromWire(answer)
 	if err != nil {
 		c.log.WithError(err).Warnf("cluster: answer of %s", out.Address)
 		return
@@ -96,31 +96,31 @@
 
 // handle registers what other nodes call.
 func (c *Cluster) handle(mux *transport.Mux) {
-	transport.Handle(mux, methodExchange, core.Envelopes, core.Envelopes, c.exchanged)
-	transport.Receive(mux, methodTell, core.Envelopes, c.told)
+	transport.Handle(mux, methodExchange, core.EnvelopeCodec, core.EnvelopeCodec, c.exchanged)
+	transport.Receive(mux, methodTell, core.EnvelopeCodec, c.told)
 	transport.Handle(mux, methodConfirm, confirmRequests, confirmAnswers, c.confirmed)
 	transport.Handle(mux, methodFetch, fetchRequests, fetchAnswers, c.fetched)
 }
 
-func (c *Cluster) exchanged(ctx context.Context, w core.Wire) (core.Wire, error) {
-	envelope, err := core.FromWire(w)
+func (c *Cluster) exchanged(ctx context.Context, w core.WireEnvelope) (core.WireEnvelope, error) {
+	envelope, err := core.EnvelopeFromWire(w)
 	if err != nil {
-		return core.Wire{}, err
+		return core.WireEnvelope{}, err
 	}
 	answers := make(chan core.Envelope, 1)
 	c.do(func(o *owner, now time.Time) { answers <- o.receive(now, envelope, "") })
 	select {
 	case answer := <-answers:
-		return core.ToWire(answer), nil
+		return core.EnvelopeToWire(answer), nil
 	case <-ctx.Done():
-		return core.Wire{}, ctx.Err()
+		return core.WireEnvelope{}, ctx.Err()
 	case <-c.done:
-		return core.Wire{}, errClosed
+		return core.WireEnvelope{}, errClosed
 	}
 }
 
-func (c *Cluster) told(_ context.Context, w core.Wire) {
-	envelope, err := core.FromWire(w)
+func (c *Cluster) told(_ context.Context, w core.WireEnvelope) {
+	envelope, err := core.EnvelopeFromWire(w)
 	if err != nil {
 		c.log.WithError(err).Warn("cluster: envelope")
 		return
--- a/internal/tier/cluster/owner.go
+++ b/internal/tier/cluster/owner.go
@@ -58,7 +58,7 @@
 	for _, e := range effects.Changed {
 		o.cluster.notify.entry(e.Key)
 	}
-	for _, id := range effects.Nodes {
+	for _, id := range effects.ChangedNodes {
 		o.cluster.notify.node(id)
 	}
 	for _, out := range effects.Messages {
@@ -74,19 +74,19 @@
 
 // snapshot publishes the state that others read: before they are told of it.
 func (o *owner) snapshot(effects core.Effects) {
-	if len(effects.Changed)+len(effects.Dropped) > 0 {
+	if len(effects.Changed)+len(effects.Expired) > 0 {
 		table := o.cluster.table.Load().Txn()
 		for _, e := range effects.Changed {
 			table.Insert([]byte(e.Key), e)
 		}
-		for _, key := range effects.Dropped {
+		for _, key := range effects.Expired {
 			if _, there := o.core.Get(key); !there {
 				table.Delete([]byte(key))
 			}
 		}
 		o.cluster.table.Store(table.Commit())
 	}
-	if len(effects.Nodes) > 0 || o.cluster.nodes.Load() == nil {
+	if len(effects.ChangedNodes) > 0 || o.cluster.nodes.Load() == nil {
 		nodes := o.core.Nodes()
 		o.cluster.nodes.Store(&nodes)
 	}
--- a/internal/tier/cluster/records/other.go
+++ b/internal/tier/cluster/records/other.go
@@ -21,8 +21,8 @@
 	{"name":"age_millis","type":"long"},
 	{"name":"sequence","type":"long"}]}`
 
-// Check gives a FieldError for the first field that is out of bounds.
-func (r ReportRecord) Check() error {
+// Validate gives a FieldError for the first field that is out of bounds.
+func (r ReportRecord) Validate() error {
 	c := checker{record: "report"}
 	c.text("instance", r.Instance, true)
 	c.within("running", int64(r.Running), 0, maxCount)
@@ -51,12 +51,12 @@
 
 func checkConfiguration(r configurationWire) error {
 	c := checker{record: "configuration"}
-	c.within("body", int64(len(r.Body)), 0, MaxConfiguration)
+	c.within("body", int64(len(r.Body)), 0, MaxConfigurationBytes)
 	return c.first
 }
 
-// Configurations codes the value of configuration.
-var Configurations configurationCodec
+// ConfigurationCodec codes the value of configuration.
+var ConfigurationCodec configurationCodec
 
 type configurationCodec struct{}
 
@@ -77,12 +77,12 @@
 	View []byte `avro:"view"`
 }
 
-// Stores codes the value of stores.
-var Stores = newCodec(`{"type":"record","name":"Stores","fields":[
+// StoresCodec codes the value of stores.
+var StoresCodec = newCodec(`{"type":"record","name":"Stores","fields":[
 	{"name":"view","type":"bytes"}]}`, checkStores)
 
 func checkStores(r StoresRecord) error {
 	c := checker{record: "stores"}
-	c.within("view", int64(len(r.View)), 0, MaxStores)
+	c.within("view", int64(len(r.View)), 0, MaxStoresBytes)
 	return c.first
 }
--- a/internal/tier/cluster/records/receiver.go
+++ b/internal/tier/cluster/records/receiver.go
@@ -37,8 +37,8 @@
 	Owner               string        `avro:"owner"`    // node name of the control node that took the heartbeat
 }
 
-// Receivers codes the values of receiver/ID.
-var Receivers = newCodec(`{"type":"record","name":"Receiver","fields":[
+// ReceiverCodec codes the values of receiver/ID.
+var ReceiverCodec = newCodec(`{"type":"record","name":"Receiver","fields":[
 	{"name":"id","type":"string"},
 	{"name":"service","type":"string"},
 	{"name":"address","type":"string"},
--- a/internal/tier/cluster/records/records.go
+++ b/internal/tier/cluster/records/records.go
@@ -1,7 +1,7 @@
 // Package records holds the typed values of the cluster's table and their avro bytes.
 //
-//	value, err := records.Receivers.Encode(records.ReceiverRecord{ID: "i-7f3a91c2", Service: "models", ...})
-//	receiver, err := records.Receivers.Decode(entry.Value)
+//	value, err := records.ReceiverCodec.Encode(records.ReceiverRecord{ID: "i-7f3a91c2", Service: "models", ...})
+//	receiver, err := records.ReceiverCodec.Decode(entry.Value)
 //
 // Both directions check the bounds: what breaks them is an error that names the field.
 package records
@@ -14,13 +14,13 @@
 
 // Bounds of what a record may hold.
 const (
-	MaxText          = 512                   // bytes of a name, an id or an address
-	MaxModels        = 64                    // models of a receiver
-	MaxSlots         = 1 << 20               // slots of a receiver
-	MaxConfiguration = 8 << 20               // bytes of a configuration: twice the largest that the operator may send
-	MaxStores        = 1 << 20               // bytes of a store view
-	maxCount         = 1 << 40               // tokens, calls
-	maxMillis        = 24 * 3600 * 1000 * 30 // 30 days
+	MaxTextBytes          = 512                   // bytes of a name, an id or an address
+	MaxModels             = 64                    // models of a receiver
+	MaxSlots              = 1 << 20               // slots of a receiver
+	MaxConfigurationBytes = 8 << 20               // bytes of a configuration: twice the largest that the operator may send
+	MaxStoresBytes        = 1 << 20               // bytes of a store view
+	maxCount              = 1 << 40               // tokens, calls
+	maxMillis             = 24 * 3600 * 1000 * 30 // 30 days
 )
 
 // Codec turns the records of one kind into bytes and back.
@@ -72,7 +72,7 @@
 }
 
 func (c *checker) text(field, text string, required bool) {
-	if len(text) > MaxText {
+	if len(text) > MaxTextBytes {
 		c.fail(field, "too long")
 	}
 	if required && text == "" {
--- a/internal/tier/cluster/records/records_test.go
+++ b/internal/tier/cluster/records/records_test.go
@@ -25,19 +25,19 @@
 
 var _ = Describe("records", func() {
 	It("come back as they were", func() {
-		value, err := records.Receivers.Encode(receiver)
+		value, err := records.ReceiverCodec.Encode(receiver)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(records.Receivers.Decode(value)).To(Equal(receiver))
+		Expect(records.ReceiverCodec.Decode(value)).To(Equal(receiver))
 
 		configuration := records.ConfigurationRecord{Version: 1<<63 + 5, Body: []byte(`{"version":1}`)}
-		value, err = records.Configurations.Encode(configuration)
+		value, err = records.ConfigurationCodec.Encode(configuration)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(records.Configurations.Decode(value)).To(Equal(configuration))
+		Expect(records.ConfigurationCodec.Decode(value)).To(Equal(configuration))
 
 		stores := records.StoresRecord{View: []byte{1, 2, 3}}
-		value, err = records.Stores.Encode(stores)
+		value, err = records.StoresCodec.Encode(stores)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(records.Stores.Decode(value)).To(Equal(stores))
+		Expect(records.StoresCodec.Decode(value)).To(Equal(stores))
 
 		node := records.NodeRecord{Name: "front-1", Role: membership.Store, Zone: "a", Region: "r", Address: "10.0.0.1:7380", State: membership.Left}
 		value, err = records.EncodeNode(node)
@@ -49,13 +49,13 @@
 		func(field string, change func(*records.ReceiverRecord)) {
 			bad := receiver
 			change(&bad)
-			_, err := records.Receivers.Encode(bad)
+			_, err := records.ReceiverCodec.Encode(bad)
 			var fault *records.FieldError
 			Expect(errors.As(err, &fault)).To(BeTrue())
 			Expect(fault.Field).To(Equal(field))
 		},
 		Entry("no id", "id", func(r *records.ReceiverRecord) { r.ID = "" }),
-		Entry("a long address", "address", func(r *records.ReceiverRecord) { r.Address = strings.Repeat("x", records.MaxText+1) }),
+		Entry("a long address", "address", func(r *records.ReceiverRecord) { r.Address = strings.Repeat("x", records.MaxTextBytes+1) }),
 		Entry("negative slots", "slots", func(r *records.ReceiverRecord) { r.Slots = -1 }),
 		Entry("an unknown state", "state", func(r *records.ReceiverRecord) { r.State = 4 }),
 		Entry("many models", "models", func(r *records.ReceiverRecord) { r.Models = make([]string, records.MaxModels+1) }),
@@ -64,10 +64,10 @@
 	DescribeTable("of a report out of bounds are refused, with the field's name",
 		func(field string, change func(*records.ReportRecord)) {
 			bad := records.ReportRecord{Instance: "i", Running: 3, Queued: 1, KVUsed: 200_000, KVTotal: 220_394, AgeMillis: 12, Sequence: 9}
-			Expect(bad.Check()).To(Succeed())
+			Expect(bad.Validate()).To(Succeed())
 			change(&bad)
 			var fault *records.FieldError
-			Expect(errors.As(bad.Check(), &fault)).To(BeTrue())
+			Expect(errors.As(bad.Validate(), &fault)).To(BeTrue())
 			Expect(fault.Field).To(Equal(field))
 		},
 		Entry("no instance", "instance", func(r *records.ReportRecord) { r.Instance = "" }),
@@ -87,9 +87,9 @@
 func TestAnyBytesAreBorne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		value := rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "value")
-		_, _ = records.Receivers.Decode(value)
-		_, _ = records.Configurations.Decode(value)
-		_, _ = records.Stores.Decode(value)
+		_, _ = records.ReceiverCodec.Decode(value)
+		_, _ = records.ConfigurationCodec.Decode(value)
+		_, _ = records.StoresCodec.Decode(value)
 		_, _ = records.DecodeNode(value)
 	})
 }
--- a/internal/tier/controlplane/alone_test.go
+++ b/internal/tier/controlplane/alone_test.go
@@ -177,7 +177,7 @@
 		entries, err := snapshot.File{Files: vfs.OS{}, Dir: dir}.Load()
 		Expect(err).NotTo(HaveOccurred())
 		for _, e := range entries {
-			record, err := records.Receivers.Decode(e.Value)
+			record, err := records.ReceiverCodec.Decode(e.Value)
 			if e.Key == cluster.ReceiverPrefix+id && err == nil && record.State != records.ReceiverReady {
 				count++
 			}
--- a/internal/tier/controlplane/keep.go
+++ b/internal/tier/controlplane/keep.go
@@ -159,7 +159,7 @@
 	for _, prefix := range keptPrefixes {
 		p.base.Cluster.Watch(prefix, func(cluster.Entry) { p.keeper.note() })
 	}
-	p.base.Cluster.ConfirmAfter(p.keeper.keep)
+	p.base.Cluster.SetPersistFunc(p.keeper.keep)
 	go p.keeper.run(ctx, func(err error) { p.base.Log.WithError(err).Warn("what is known is not kept") })
 }
 
--- a/internal/tier/controlplane/plane.go
+++ b/internal/tier/controlplane/plane.go
@@ -143,7 +143,7 @@
 	if known, ok := p.base.Cluster.Get(cluster.ConfigurationKey); ok && known.Stamp.Epoch >= version {
 		return
 	}
-	value, err := records.Configurations.Encode(records.ConfigurationRecord{Version: version, Body: body})
+	value, err := records.ConfigurationCodec.Encode(records.ConfigurationRecord{Version: version, Body: body})
 	if err != nil {
 		p.base.Log.WithError(err).Error("configuration not spread")
 		return
--- a/internal/tier/controlplane/receivers.go
+++ b/internal/tier/controlplane/receivers.go
@@ -125,7 +125,7 @@
 		}
 		return known, nil
 	}
-	value, err := records.Receivers.Encode(change.Record)
+	value, err := records.ReceiverCodec.Encode(change.Record)
 	return cluster.Entry{Key: key, Value: value, Stamp: change.Stamp}, err
 }
 
@@ -175,7 +175,7 @@
 	if !known {
 		return nil
 	}
-	record, err := records.Receivers.Decode(entry.Value)
+	record, err := records.ReceiverCodec.Decode(entry.Value)
 	if err != nil {
 		return nil
 	}
@@ -187,7 +187,7 @@
 	entries := p.base.Cluster.List(cluster.ReceiverPrefix)
 	list := make([]records.ReceiverRecord, 0, len(entries))
 	for _, e := range entries {
-		if r, err := records.Receivers.Decode(e.Value); err == nil {
+		if r, err := records.ReceiverCodec.Decode(e.Value); err == nil {
 			list = append(list, r)
 		}
 	}
--- a/internal/tier/dataplane/plane.go
+++ b/internal/tier/dataplane/plane.go
@@ -115,7 +115,7 @@
 }
 
 func (p *Plane) takeConfiguration(entry cluster.Entry) {
-	record, err := records.Configurations.Decode(entry.Value)
+	record, err := records.ConfigurationCodec.Decode(entry.Value)
 	if err != nil {
 		p.base.Log.WithError(err).Error("configuration cannot be read")
 		return
@@ -144,7 +144,7 @@
 }
 
 func (p *Plane) takeReceiver(entry cluster.Entry) {
-	record, err := records.Receivers.Decode(entry.Value)
+	record, err := records.ReceiverCodec.Decode(entry.Value)
 	if err != nil {
 		p.base.Log.WithError(err).Error("receiver's record cannot be read")
 		return
--- a/internal/tier/nodestatus/nodestatus.go
+++ b/internal/tier/nodestatus/nodestatus.go
@@ -72,7 +72,7 @@
 func countReceivers(entries []cluster.Entry) Receivers {
 	var counts Receivers
 	for _, e := range entries {
-		record, err := records.Receivers.Decode(e.Value)
+		record, err := records.ReceiverCodec.Decode(e.Value)
 		if err != nil {
 			continue
 		}
--- a/internal/tier/nodestatus/nodestatus_test.go
+++ b/internal/tier/nodestatus/nodestatus_test.go
@@ -112,7 +112,7 @@
 			"i-1": records.ReceiverReady, "i-2": records.ReceiverReady, "i-3": records.ReceiverDraining,
 			"i-4": records.ReceiverSilent, "i-5": records.ReceiverGone,
 		} {
-			value, err := records.Receivers.Encode(records.ReceiverRecord{ID: id, State: state})
+			value, err := records.ReceiverCodec.Encode(records.ReceiverRecord{ID: id, State: state})
 			Expect(err).NotTo(HaveOccurred())
 			c.Publish(cluster.Entry{Key: cluster.ReceiverPrefix + id, Value: value})
 		}
