--- a/internal/tier/store/bench_catchup_test.go
+++ b/internal/tier/store/bench_catchup_test.go
@@ -21,7 +21,7 @@
 	calls := transport.NewClient()
 	b.Cleanup(calls.Close)
 	view := controlstate.StoreView{Epoch: 1, Tolerance: 1}
-	open := func(bootstrap bool) (*store.Store, string) {
+	startStore := func(bootstrap bool) (*store.Store, string) {
 		s, err := store.Start(store.Options{Files: vfs.OS{}, Dir: b.TempDir(), DiskBytes: 128 << 20, Bootstrap: bootstrap,
 			Caller: storewire.NewCaller(calls)})
 		Expect(err).NotTo(HaveOccurred())
@@ -34,9 +34,9 @@
 		return s, server.Address()
 	}
 	var stores []*store.Store
-	for at := range 3 {
-		s, address := open(true)
-		name := fmt.Sprint("store-", at)
+	for i := range 3 {
+		s, address := startStore(true)
+		name := fmt.Sprint("store-", i)
 		view.Members = append(view.Members, controlstate.StoreMember{ID: s.ID(), Node: name, Zone: name, Address: address})
 		stores = append(stores, s)
 	}
@@ -46,14 +46,14 @@
 	client := storeclient.New(storeclient.Options{Caller: storewire.NewCaller(calls), Zone: "store-0"})
 	b.Cleanup(client.Close)
 	client.SetView(view)
-	for at := range 4000 {
-		turn := storeclient.Turn{ID: fmt.Sprint("turn-", at), Input: make([]byte, 10<<10), Retention: time.Hour}
+	for i := range 4000 {
+		turn := storeclient.Turn{ID: fmt.Sprint("turn-", i), Input: make([]byte, 10<<10), Retention: time.Hour}
 		Expect(client.Commit(ctx, turn)).To(Succeed())
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		s, address := open(false)
+		s, address := startStore(false)
 		view.Epoch++
 		view.Members = append([]controlstate.StoreMember(nil), view.Members...)
 		view.Members[0] = controlstate.StoreMember{ID: s.ID(), Node: "store-0", Zone: "store-0", Address: address, Replaced: true}
--- a/internal/tier/store/bench_test.go
+++ b/internal/tier/store/bench_test.go
@@ -15,14 +15,14 @@
 	"emberquay/internal/vfs"
 )
 
-// benchStores starts three stores on the machine's own disk, called over the loopback.
-func benchStores(b *testing.B) *storeclient.Client {
+// newBenchClient starts three stores on the machine's own disk, called over the loopback.
+func newBenchClient(b *testing.B) *storeclient.Client {
 	RegisterTestingT(b)
 	calls := transport.NewClient()
 	b.Cleanup(calls.Close)
 	view := controlstate.StoreView{Epoch: 1, Tolerance: 1}
 	var stores []*store.Store
-	for at := range 3 {
+	for i := range 3 {
 		s, err := store.Start(store.Options{Files: vfs.OS{}, Dir: b.TempDir(), DiskBytes: 1 << 30, Bootstrap: true,
 			Caller: storewire.NewCaller(calls)})
 		Expect(err).NotTo(HaveOccurred())
@@ -32,7 +32,7 @@
 		server, err := transport.Listen("127.0.0.1:0", mux)
 		Expect(err).NotTo(HaveOccurred())
 		b.Cleanup(func() { server.Close() })
-		name := fmt.Sprint("store-", at)
+		name := fmt.Sprint("store-", i)
 		view.Members = append(view.Members, controlstate.StoreMember{ID: s.ID(), Node: name, Zone: name, Address: server.Address()})
 		stores = append(stores, s)
 	}
@@ -47,12 +47,12 @@
 
 // BenchmarkCommit keeps turns of 6 KB, one after the other.
 func BenchmarkCommit(b *testing.B) {
-	client := benchStores(b)
+	client := newBenchClient(b)
 	turn := storeclient.Turn{Program: "p", Input: make([]byte, 5<<10), Output: make([]byte, 1<<10), Retention: time.Second}
 	b.ReportAllocs()
 	b.ResetTimer()
-	for at := range b.N {
-		turn.ID = fmt.Sprint("turn-", at)
+	for i := range b.N {
+		turn.ID = fmt.Sprint("turn-", i)
 		if err := client.Commit(ctx, turn); err != nil {
 			b.Fatal(err)
 		}
@@ -61,14 +61,14 @@
 
 // BenchmarkCommitMany keeps turns side by side: they share syncs.
 func BenchmarkCommitMany(b *testing.B) {
-	client := benchStores(b)
+	client := newBenchClient(b)
 	b.ReportAllocs()
 	b.SetParallelism(8)
 	b.ResetTimer()
 	b.RunParallel(func(pb *testing.PB) {
 		turn := storeclient.Turn{Program: "p", Input: make([]byte, 5<<10), Output: make([]byte, 1<<10), Retention: time.Second}
-		for at := 0; pb.Next(); at++ {
-			turn.ID = fmt.Sprintf("turn-%p-%d", &turn, at)
+		for i := 0; pb.Next(); i++ {
+			turn.ID = fmt.Sprintf("turn-%p-%d", &turn, i)
 			if err := client.Commit(ctx, turn); err != nil {
 				b.Error(err)
 				return
@@ -79,11 +79,11 @@
 
 // BenchmarkReserve grants and settles turns of programs of 20 turns.
 func BenchmarkReserve(b *testing.B) {
-	client := benchStores(b)
+	client := newBenchClient(b)
 	b.ReportAllocs()
 	b.ResetTimer()
-	for at := range b.N {
-		r := storeclient.Reservation{Program: fmt.Sprint("program-", at/20), Turn: fmt.Sprint("turn-", at), Budget: 10000, Most: 100}
+	for i := range b.N {
+		r := storeclient.Reservation{Program: fmt.Sprint("program-", i/20), Turn: fmt.Sprint("turn-", i), Budget: 10000, Most: 100}
 		if verdict := client.Reserve(ctx, r); verdict != storeclient.Granted {
 			b.Fatal(verdict)
 		}
--- a/internal/tier/store/budgets_test.go
+++ b/internal/tier/store/budgets_test.go
@@ -67,9 +67,9 @@
 		client.Settle("p", "1", 2)
 		client.Settle("p", "2", 3)
 		a := attempts{client: client}
-		Eventually(a.next, patience).Should(Equal(storeclient.Granted), "5 of 10 are used")
+		Eventually(a.next, eventuallyTimeout).Should(Equal(storeclient.Granted), "5 of 10 are used")
 		client.Settle("p", fmt.Sprint("attempt-", a.count), 5)
-		Eventually(a.next, patience).Should(Equal(storeclient.Spent))
+		Eventually(a.next, eventuallyTimeout).Should(Equal(storeclient.Spent))
 	})
 
 	It("count what a proxy that died had reserved", func() {
@@ -102,7 +102,7 @@
 		Expect(client.Reserve(ctx, reservation("2"))).To(Equal(storeclient.Granted))
 		Expect(client.Reserve(ctx, reservation("3"))).To(Equal(storeclient.Undecided))
 		for _, n := range c.nodes {
-			Eventually(func() bool { return reserveAt(c, n, "3", true).Closed }, patience).Should(BeTrue())
+			Eventually(func() bool { return reserveAt(c, n, "3", true).Closed }, eventuallyTimeout).Should(BeTrue())
 		}
 	})
 
@@ -111,9 +111,9 @@
 		Expect(client.Reserve(ctx, reservation("1"))).To(Equal(storeclient.Granted))
 		c.nodes[2].down.Store(true)
 		client.Settle("p", "1", 4)
-		Eventually(func() bool { return reserveAt(c, c.nodes[0], "1", true).Closed }, patience).Should(BeTrue())
+		Eventually(func() bool { return reserveAt(c, c.nodes[0], "1", true).Closed }, eventuallyTimeout).Should(BeTrue())
 		c.nodes[2].down.Store(false)
-		Eventually(func() bool { return reserveAt(c, c.nodes[2], "1", true).Closed }, patience).Should(BeTrue())
+		Eventually(func() bool { return reserveAt(c, c.nodes[2], "1", true).Closed }, eventuallyTimeout).Should(BeTrue())
 	})
 
 	It("are known after restarts of all", func() {
@@ -128,35 +128,35 @@
 
 	It("are exact where lists are long and differ", func() {
 		const many = 100
-		for at := range many {
+		for i := range many {
 			for _, n := range c.nodes {
-				settleAt(c, n, fmt.Sprint("old", at), 1)
+				settleAt(c, n, fmt.Sprint("old", i), 1)
 			}
 		}
-		for at := range 2 {
-			settleAt(c, c.nodes[at], "x", 1)
-			settleAt(c, c.nodes[at+1], "y", 1)
+		for i := range 2 {
+			settleAt(c, c.nodes[i], "x", 1)
+			settleAt(c, c.nodes[i+1], "y", 1)
 		}
 		client := c.client("a")
-		wide := func(turn string, tokens int64) storeclient.Verdict {
+		reserveOne := func(turn string, tokens int64) storeclient.Verdict {
 			return client.Reserve(ctx, storeclient.Reservation{Program: "p", Turn: turn, Budget: tokens, Most: 1})
 		}
-		Expect(wide("spent", many+2)).To(Equal(storeclient.Spent))
+		Expect(reserveOne("spent", many+2)).To(Equal(storeclient.Spent))
 		tries := 0
 		Eventually(func() storeclient.Verdict {
 			tries++
-			return wide(fmt.Sprint("one left", tries), many+3)
-		}, patience).Should(Equal(storeclient.Granted), "once those refused before are withdrawn")
+			return reserveOne(fmt.Sprint("one left", tries), many+3)
+		}, eventuallyTimeout).Should(Equal(storeclient.Granted), "once those refused before are withdrawn")
 	})
 
 	It("are forgotten long after a program was last heard of", func() {
 		client := c.client("a")
 		Expect(client.Reserve(ctx, reservation("1"))).To(Equal(storeclient.Granted))
-		c.pass(100 * time.Second)
-		c.rounds(2)
+		c.advanceClock(100 * time.Second)
+		c.repairRounds(2)
 		Expect(c.nodes[0].store.ProgramCount()).To(Equal(1))
-		c.pass(21 * time.Second)
-		c.rounds(2)
+		c.advanceClock(21 * time.Second)
+		c.repairRounds(2)
 		for _, n := range c.nodes {
 			Expect(n.store.ProgramCount()).To(BeZero())
 		}
@@ -166,12 +166,12 @@
 		const budgetTokens, most, racers = 40, 7, 12
 		granted := make(chan string, racers)
 		var racing sync.WaitGroup
-		for at := range racers {
-			client := c.client(c.nodes[at%3].zone)
+		for i := range racers {
+			client := c.client(c.nodes[i%3].zone)
 			racing.Add(1)
 			go func() {
 				defer racing.Done()
-				turn := fmt.Sprint("racer-", at)
+				turn := fmt.Sprint("racer-", i)
 				r := storeclient.Reservation{Program: "race", Turn: turn, Budget: budgetTokens, Most: most}
 				if client.Reserve(ctx, r) == storeclient.Granted {
 					granted <- turn
@@ -189,7 +189,7 @@
 		client := c.client("a")
 		old := storewire.Header{Epoch: int64(c.view.Epoch), Store: c.nodes[0].store.ID()}
 		c.nodes[2].wipe()
-		c.spread()
+		c.publishView()
 		answer, err := c.nodes[0].store.Reserve(ctx, storewire.ReserveRequest{Header: old, Program: "p", Turn: "1", Budget: 10, Most: 6})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Reply.Standing).To(Equal(storewire.Stale))
@@ -204,7 +204,7 @@
 		newer := storewire.Header{Epoch: int64(c.view.Epoch) + 5, Store: n.store.ID()}
 		_, err := n.store.History(ctx, storewire.HistoryRequest{Header: newer, Turn: "x"})
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(n.newer.Load, patience).Should(Equal(uint64(newer.Epoch)), "the owner is asked for the view")
+		Eventually(n.newerEpoch.Load, eventuallyTimeout).Should(Equal(uint64(newer.Epoch)), "the owner is asked for the view")
 		n.restart(memfs.Power, rand.New(rand.NewPCG(3, 1)))
 		older := storewire.Header{Epoch: newer.Epoch - 1, Store: n.store.ID()}
 		answer, err := n.store.Commit(ctx, storewire.CommitRequest{Header: older, Turn: storewire.Turn{ID: "x", Root: "x"}})
@@ -253,7 +253,7 @@
 		c := newCluster(1, "a", "b", "c")
 		old := c.view
 		c.retire("store-2")
-		c.spread()
+		c.publishView()
 		c.nodes[0].store.SetView(old)
 		c.nodes[0].store.SetView(controlstate.StoreView{})
 		answer, err := c.nodes[0].store.History(ctx, storewire.HistoryRequest{
--- a/internal/tier/store/catchup.go
+++ b/internal/tier/store/catchup.go
@@ -8,8 +8,8 @@
 	"emberquay/internal/tier/storewire"
 )
 
-// intakePending bounds what is taken in ahead of the disk, bytes.
-const intakePending = 2 << 20
+// maxPendingReceivedBytes bounds what is taken in ahead of the disk, bytes.
+const maxPendingReceivedBytes = 2 << 20
 
 // inventory is what another store holds, as far as it has not been taken in.
 type inventory struct {
@@ -17,231 +17,231 @@
 	turns  []storewire.Listed
 }
 
-// inventories are those taken under one view, by member. They are kept until enough have come: a store that can't be
+// inventorySet are those taken under one view, by member. They are kept until enough have come: a store that can't be
 // reached must not have the others tell all they hold again and again. They belong to the repair.
-type inventories struct {
-	epoch  int64
-	taken  map[int]*inventory
-	failed map[int]bool // holders that did not send what they hold: others are asked first
+type inventorySet struct {
+	epoch    int64
+	received map[int]*inventory
+	failed   map[int]bool // holders that did not send what they hold: others are asked first
 }
 
 // catchUp compares with the other members until it lacks nothing, and says whether it does. A store that was added
 // lacks nothing that a quorum would miss, as the quorums grew with it: it has nothing to wait for.
-func (s *Store) catchUp(ctx context.Context, d duty) bool {
-	if !d.complete && !d.unsettled && !d.view.Members[d.self].Replaced {
-		return s.complete(ctx)
+func (s *Store) catchUp(ctx context.Context, round roundInput) bool {
+	if !round.complete && !round.unsettled && !round.view.Members[round.self].Replaced {
+		return s.markComplete(ctx)
 	}
-	s.takeInventories(ctx, d)
-	if len(s.taken.taken) < d.view.CatchUp() || !s.fetchAll(ctx, d) {
+	s.collectInventories(ctx, round)
+	if len(s.inventories.received) < round.view.CatchUp() || !s.fetchMissing(ctx, round) {
 		return false
 	}
-	s.taken = inventories{}
+	s.inventories = inventorySet{}
 	settled := false
 	err := s.do(ctx, func(t *table) bool {
 		// A machine that was removed meanwhile may have held what is missing now.
-		if t.meta.View.Epoch != d.view.Epoch && removed(d.view, t.meta.View) {
+		if t.meta.View.Epoch != round.view.Epoch && holderRemoved(round.view, t.meta.View) {
 			return false
 		}
 		meta := t.meta
 		meta.Complete, meta.Unsettled = true, false
-		settled = t.keepMeta(meta)
+		settled = t.appendMeta(meta)
 		return settled
 	})
 	return err == nil && settled
 }
 
-// complete notes that this store's "unknown" counts.
-func (s *Store) complete(ctx context.Context) bool {
+// markComplete notes that this store's "unknown" counts.
+func (s *Store) markComplete(ctx context.Context) bool {
 	kept := false
 	err := s.do(ctx, func(t *table) bool {
 		meta := t.meta
 		meta.Complete = true
-		kept = t.keepMeta(meta)
+		kept = t.appendMeta(meta)
 		return kept
 	})
 	return err == nil && kept
 }
 
-// takeInventories asks all others, that have not answered under this view, at once. Those that don't answer whole, or
+// collectInventories asks all others, that have not answered under this view, at once. Those that don't answer whole, or
 // are not complete themselves, are left out.
-func (s *Store) takeInventories(ctx context.Context, d duty) {
-	if s.taken.epoch != d.view.Epoch {
-		s.taken = inventories{epoch: d.view.Epoch, taken: map[int]*inventory{}, failed: map[int]bool{}}
+func (s *Store) collectInventories(ctx context.Context, round roundInput) {
+	if s.inventories.epoch != round.view.Epoch {
+		s.inventories = inventorySet{epoch: round.view.Epoch, received: map[int]*inventory{}, failed: map[int]bool{}}
 	}
-	answers := make(chan *inventory, len(d.view.Members))
+	answers := make(chan *inventory, len(round.view.Members))
 	var asking sync.WaitGroup
-	for member := range d.view.Members {
-		if member == d.self || s.taken.taken[member] != nil {
+	for member := range round.view.Members {
+		if member == round.self || s.inventories.received[member] != nil {
 			continue
 		}
 		asking.Add(1)
 		go func() {
 			defer asking.Done()
-			i := &inventory{member: member}
-			if s.listTurns(ctx, d, i) && s.takePrograms(ctx, d, member) {
-				answers <- i
+			inv := &inventory{member: member}
+			if s.fetchInventory(ctx, round, inv) && s.fetchPrograms(ctx, round, member) {
+				answers <- inv
 			}
 		}()
 	}
 	asking.Wait()
 	close(answers)
-	for i := range answers {
-		s.taken.taken[i.member] = i
+	for inv := range answers {
+		s.inventories.received[inv.member] = inv
 	}
 }
 
-func (s *Store) listTurns(ctx context.Context, d duty, i *inventory) bool {
-	q := storewire.ListRequest{Header: d.header(i.member), Sender: s.id, First: true}
+func (s *Store) fetchInventory(ctx context.Context, round roundInput, inv *inventory) bool {
+	request := storewire.ListRequest{Header: round.header(inv.member), Sender: s.id, First: true}
 	for {
-		a, err := s.list(ctx, d, i.member, q)
-		if err != nil || !s.heed(a.Reply) || !a.Reply.Complete {
+		answer, err := s.callList(ctx, round, inv.member, request)
+		if err != nil || !s.acceptReply(answer.Reply) || !answer.Reply.Complete {
 			return false
 		}
-		page, err := storewire.ListedTurns(a.Turns)
-		if err != nil || len(page) == 0 && a.More {
+		page, err := storewire.ListedTurns(answer.Turns)
+		if err != nil || len(page) == 0 && answer.More {
 			return false
 		}
-		i.turns = append(i.turns, page...)
-		if !a.More {
+		inv.turns = append(inv.turns, page...)
+		if !answer.More {
 			return true
 		}
-		q.First, q.After = false, int64(page[len(page)-1].Key)
+		request.First, request.After = false, int64(page[len(page)-1].Key)
 	}
 }
 
-func (s *Store) list(ctx context.Context, d duty, member int, q storewire.ListRequest) (storewire.ListAnswer, error) {
-	ctx, cancel := context.WithTimeout(ctx, peerLimit)
+func (s *Store) callList(ctx context.Context, round roundInput, member int, request storewire.ListRequest) (storewire.ListAnswer, error) {
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	return s.caller.List(ctx, d.view.Members[member].Address, q)
+	return s.caller.List(ctx, round.view.Members[member].Address, request)
 }
 
-// takePrograms takes in all that another store knows of budgets.
-func (s *Store) takePrograms(ctx context.Context, d duty, member int) bool {
-	q := storewire.ProgramsRequest{Header: d.header(member)}
+// fetchPrograms takes in all that another store knows of budgets.
+func (s *Store) fetchPrograms(ctx context.Context, round roundInput, member int) bool {
+	request := storewire.ProgramsRequest{Header: round.header(member)}
 	for {
-		callContext, cancel := context.WithTimeout(ctx, peerLimit)
-		a, err := s.caller.Programs(callContext, d.view.Members[member].Address, q)
+		callCtx, cancel := context.WithTimeout(ctx, peerTimeout)
+		answer, err := s.caller.Programs(callCtx, round.view.Members[member].Address, request)
 		cancel()
-		if err != nil || !s.heed(a.Reply) || !a.Reply.Complete || len(a.Programs) == 0 && a.More {
+		if err != nil || !s.acceptReply(answer.Reply) || !answer.Reply.Complete || len(answer.Programs) == 0 && answer.More {
 			return false
 		}
-		in, err := read(nil, a.Programs)
-		if err != nil || !s.takeIn(ctx, in) {
+		records, err := decodeReceived(nil, answer.Programs)
+		if err != nil || !s.storeReceived(ctx, records) {
 			return false
 		}
-		if !a.More {
+		if !answer.More {
 			return true
 		}
-		q.After = a.Programs[len(a.Programs)-1].Name
+		request.After = answer.Programs[len(answer.Programs)-1].Name
 	}
 }
 
-// takeIn keeps what came. It waits for the disk only where much is waiting for it: the record that says that this store
+// storeReceived keeps what came. It waits for the disk only where much is waiting for it: the record that says that this store
 // is complete gets there after all of it.
-func (s *Store) takeIn(ctx context.Context, in *intake) bool {
-	taken := false
+func (s *Store) storeReceived(ctx context.Context, records *received) bool {
+	stored := false
 	err := s.do(ctx, func(t *table) bool {
-		taken = t.take(in)
-		return taken && t.journal.PendingBytes() > intakePending
+		stored = t.storeReceived(records)
+		return stored && t.journal.PendingBytes() > maxPendingReceivedBytes
 	})
-	return err == nil && taken
+	return err == nil && stored
 }
 
-// wanted is a turn that is to be brought here.
-type wanted struct {
-	holders []int
-	placed  bool
+// wantedTurn is a turn that is to be brought here.
+type wantedTurn struct {
+	holders    []int
+	placedHere bool
 }
 
-// fetchAll brings the turns that belong here, and those that too few of the others hold: this store may have been one
+// fetchMissing brings the turns that belong here, and those that too few of the others hold: this store may have been one
 // of theirs before it lost its disk.
-func (s *Store) fetchAll(ctx context.Context, d duty) bool {
-	missing, ok := s.missing(ctx, d, s.taken.taken)
+func (s *Store) fetchMissing(ctx context.Context, round roundInput) bool {
+	missing, ok := s.missingTurns(ctx, round, s.inventories.received)
 	if !ok {
 		return false
 	}
-	loads := map[int][]uint64{}
-	for key, w := range missing {
+	keysByHolder := map[int][]uint64{}
+	for key, wanted := range missing {
 		// The holder with the least to send, so that they send side by side.
-		best := slices.MinFunc(w.holders, func(a, b int) int {
-			if s.taken.failed[a] != s.taken.failed[b] {
-				return boolOrder(s.taken.failed[a])
+		holder := slices.MinFunc(wanted.holders, func(a, b int) int {
+			if s.inventories.failed[a] != s.inventories.failed[b] {
+				return failedLast(s.inventories.failed[a])
 			}
-			return len(loads[a]) - len(loads[b])
+			return len(keysByHolder[a]) - len(keysByHolder[b])
 		})
-		loads[best] = append(loads[best], key)
+		keysByHolder[holder] = append(keysByHolder[holder], key)
 	}
 	type result struct {
 		member  int
 		fetched bool
 	}
-	results := make(chan result, len(loads))
-	for member, keys := range loads {
-		go func() { results <- result{member: member, fetched: s.fetch(ctx, d, member, keys)} }()
+	results := make(chan result, len(keysByHolder))
+	for member, keys := range keysByHolder {
+		go func() { results <- result{member: member, fetched: s.fetchFrom(ctx, round, member, keys)} }()
 	}
-	all := true
-	for range loads {
+	allFetched := true
+	for range keysByHolder {
 		r := <-results
-		s.taken.failed[r.member] = !r.fetched
-		all = all && r.fetched
+		s.inventories.failed[r.member] = !r.fetched
+		allFetched = allFetched && r.fetched
 	}
-	return all
+	return allFetched
 }
 
-// boolOrder puts true behind false.
-func boolOrder(later bool) int {
-	if later {
+// failedLast puts true behind false.
+func failedLast(failed bool) int {
+	if failed {
 		return 1
 	}
 	return -1
 }
 
-// missing works out what is to be brought.
-func (s *Store) missing(ctx context.Context, d duty, inventories map[int]*inventory) (map[uint64]*wanted, bool) {
-	all := map[uint64]*wanted{}
-	for _, inventory := range inventories {
-		for _, l := range inventory.turns {
-			w := all[l.Key]
-			if w == nil {
-				w = &wanted{}
-				all[l.Key] = w
+// missingTurns works out what is to be brought.
+func (s *Store) missingTurns(ctx context.Context, round roundInput, inventories map[int]*inventory) (map[uint64]*wantedTurn, bool) {
+	missing := map[uint64]*wantedTurn{}
+	for _, inv := range inventories {
+		for _, listed := range inv.turns {
+			wanted := missing[listed.Key]
+			if wanted == nil {
+				wanted = &wantedTurn{}
+				missing[listed.Key] = wanted
 			}
-			w.holders = append(w.holders, inventory.member)
-			w.placed = w.placed || l.Placed
+			wanted.holders = append(wanted.holders, inv.member)
+			wanted.placedHere = wanted.placedHere || listed.Placed
 		}
 	}
-	copies := d.view.Copies()
+	copies := round.view.Copies()
 	err := s.do(ctx, func(t *table) bool {
-		for key, w := range all {
-			if t.holds(key) || !w.placed && len(w.holders) >= copies {
-				delete(all, key)
+		for key, wanted := range missing {
+			if t.heldOrExpired(key) || !wanted.placedHere && len(wanted.holders) >= copies {
+				delete(missing, key)
 			}
 		}
 		return false
 	})
-	return all, err == nil
+	return missing, err == nil
 }
 
-// fetch brings turns from one holder.
-func (s *Store) fetch(ctx context.Context, d duty, member int, keys []uint64) bool {
+// fetchFrom brings turns from one holder.
+func (s *Store) fetchFrom(ctx context.Context, round roundInput, member int, keys []uint64) bool {
 	for len(keys) > 0 {
-		page := keys[:min(len(keys), offerPage)]
-		var packed []byte
+		page := keys[:min(len(keys), maxOfferKeys)]
+		var packedKeys []byte
 		for _, key := range page {
-			packed = storewire.AppendKey(packed, key)
+			packedKeys = storewire.AppendKey(packedKeys, key)
 		}
-		callContext, cancel := context.WithTimeout(ctx, peerLimit)
-		a, err := s.caller.Fetch(callContext, d.view.Members[member].Address,
-			storewire.FetchRequest{Header: d.header(member), Keys: packed})
+		callCtx, cancel := context.WithTimeout(ctx, peerTimeout)
+		answer, err := s.caller.Fetch(callCtx, round.view.Members[member].Address,
+			storewire.FetchRequest{Header: round.header(member), Keys: packedKeys})
 		cancel()
-		if err != nil || !s.heed(a.Reply) || a.Looked < 1 || a.Looked > len(page) {
+		if err != nil || !s.acceptReply(answer.Reply) || answer.Looked < 1 || answer.Looked > len(page) {
 			return false
 		}
-		in, err := read(a.Parcels, nil)
-		if err != nil || !s.takeIn(ctx, in) {
+		records, err := decodeReceived(answer.Parcels, nil)
+		if err != nil || !s.storeReceived(ctx, records) {
 			return false
 		}
-		keys = keys[a.Looked:]
+		keys = keys[answer.Looked:]
 	}
 	return true
 }
--- a/internal/tier/store/crash_test.go
+++ b/internal/tier/store/crash_test.go
@@ -14,76 +14,76 @@
 	"emberquay/internal/vfs/memfs"
 )
 
-// crashing is one store that is killed and loses power at random, and what it has acknowledged.
-type crashing struct {
-	cluster *cluster
-	node    *node
-	chance  *rand.Rand
-	turns   map[string]time.Duration // acknowledged turns -> until when they have to be there
-	size    map[string]int
-	open    map[string]int64 // acknowledged reservations that may be open
-	used    map[string]int64 // settlements that were told: each may be lost, and then counts at its most
-	count   int
+// crashTest is one store that is killed and loses power at random, and what it has acknowledged.
+type crashTest struct {
+	cluster        *cluster
+	node           *node
+	rng            *rand.Rand
+	retainedUntil  map[string]time.Duration // acknowledged turns -> until when they have to be there
+	inputBytes     map[string]int
+	reservedTokens map[string]int64 // acknowledged reservations that may be open
+	settledTokens  map[string]int64 // settlements that were told: each may be lost, and then counts at its most
+	sequence       int
 }
 
-func newCrashing(seed uint64) *crashing {
+func newCrashTest(seed uint64) *crashTest {
 	c := newCluster(0, "a")
-	return &crashing{cluster: c, node: c.nodes[0], chance: rand.New(rand.NewPCG(seed, 2)), turns: map[string]time.Duration{},
-		size: map[string]int{}, open: map[string]int64{}, used: map[string]int64{}}
+	return &crashTest{cluster: c, node: c.nodes[0], rng: rand.New(rand.NewPCG(seed, 2)), retainedUntil: map[string]time.Duration{},
+		inputBytes: map[string]int{}, reservedTokens: map[string]int64{}, settledTokens: map[string]int64{}}
 }
 
-func (c *crashing) header() storewire.Header {
+func (c *crashTest) header() storewire.Header {
 	return storewire.Header{Epoch: int64(c.cluster.view.Epoch), Store: c.node.store.ID()}
 }
 
-func (c *crashing) now() time.Duration { return time.Duration(c.cluster.clock.Load()) }
+func (c *crashTest) now() time.Duration { return time.Duration(c.cluster.clock.Load()) }
 
-// keep commits a turn of some size, so that the ring is gone around many times.
-func (c *crashing) keep() {
-	c.count++
-	t := storewire.Turn{ID: fmt.Sprint("turn-", c.count), RetentionMillis: 20_000,
-		Input: []byte(strings.Repeat("x", c.chance.IntN(200<<10)))}
+// commitTurn commits a turn of some size, so that the ring is gone around many times.
+func (c *crashTest) commitTurn() {
+	c.sequence++
+	t := storewire.Turn{ID: fmt.Sprint("turn-", c.sequence), RetentionMillis: 20_000,
+		Input: []byte(strings.Repeat("x", c.rng.IntN(200<<10)))}
 	t.Root = t.ID
-	if c.chance.IntN(10) == 0 {
+	if c.rng.IntN(10) == 0 {
 		t.RetentionMillis = 600_000
 		t.Input = t.Input[:min(len(t.Input), 10<<10)]
 	}
 	answer, err := c.node.store.Commit(ctx, storewire.CommitRequest{Header: c.header(), Turn: t})
 	Expect(err).NotTo(HaveOccurred())
 	if answer.Reply.Standing == storewire.Served {
-		c.turns[t.ID] = c.now() + time.Duration(t.RetentionMillis)*time.Millisecond
-		c.size[t.ID] = len(t.Input)
+		c.retainedUntil[t.ID] = c.now() + time.Duration(t.RetentionMillis)*time.Millisecond
+		c.inputBytes[t.ID] = len(t.Input)
 	}
 }
 
-func (c *crashing) reserve() {
-	c.count++
-	turn := fmt.Sprint("turn-", c.count)
+func (c *crashTest) reserve() {
+	c.sequence++
+	turn := fmt.Sprint("turn-", c.sequence)
 	answer, err := c.node.store.Reserve(ctx, storewire.ReserveRequest{Header: c.header(), Program: "p", Turn: turn, Budget: 1 << 40, Most: 5})
 	Expect(err).NotTo(HaveOccurred())
 	if answer.Kept {
-		c.open[turn] = 5
+		c.reservedTokens[turn] = 5
 	}
 }
 
-func (c *crashing) settle() {
-	for turn := range c.open {
-		if _, settled := c.used[turn]; settled {
+func (c *crashTest) settle() {
+	for turn := range c.reservedTokens {
+		if _, settled := c.settledTokens[turn]; settled {
 			continue
 		}
 		_, err := c.node.store.Settle(ctx, storewire.SettleRequest{Header: c.header(),
 			Settlements: []storewire.Settlement{{Program: "p", Turn: int64(budget.TurnKeyOf(turn)), Used: 2}}})
 		Expect(err).NotTo(HaveOccurred())
-		c.used[turn] = 2
+		c.settledTokens[turn] = 2
 		return
 	}
 }
 
 // check: all that was acknowledged is there.
-func (c *crashing) check() {
-	for id, until := range c.turns {
+func (c *crashTest) check() {
+	for id, until := range c.retainedUntil {
 		if until < c.now() {
-			delete(c.turns, id)
+			delete(c.retainedUntil, id)
 			continue
 		}
 		answer, err := c.node.store.History(ctx, storewire.HistoryRequest{Header: c.header(), Turn: id, Bodies: true})
@@ -91,7 +91,7 @@
 		Expect(answer.Known).To(BeTrue(), id)
 		t, err := storewire.DecodeTurn(answer.Turns[0])
 		Expect(err).NotTo(HaveOccurred())
-		Expect(t.Input).To(HaveLen(c.size[id]))
+		Expect(t.Input).To(HaveLen(c.inputBytes[id]))
 	}
 	answer, err := c.node.store.Reserve(ctx, storewire.ReserveRequest{Header: c.header(), Program: "p", Turn: "look", Recheck: true, Whole: true})
 	Expect(err).NotTo(HaveOccurred())
@@ -101,10 +101,10 @@
 	for _, e := range entries {
 		known[e.Turn] = e
 	}
-	for turn, most := range c.open {
+	for turn, most := range c.reservedTokens {
 		e, ok := known[budget.TurnKeyOf(turn)]
 		Expect(ok).To(BeTrue(), turn)
-		used, settled := c.used[turn]
+		used, settled := c.settledTokens[turn]
 		if e.Open {
 			Expect(e.Tokens).To(Equal(most))
 		} else {
@@ -114,29 +114,29 @@
 	}
 }
 
-func (c *crashing) step() {
-	switch x := c.chance.IntN(100); {
-	case x == 0:
-		c.node.restart(memfs.Power, c.chance)
+func (c *crashTest) step() {
+	switch draw := c.rng.IntN(100); {
+	case draw == 0:
+		c.node.restart(memfs.Power, c.rng)
 		c.check()
-	case x == 1:
+	case draw == 1:
 		c.node.restart(memfs.Process, nil)
 		c.check()
-	case x < 15:
-		c.cluster.pass(time.Duration(c.chance.IntN(8000)) * time.Millisecond)
+	case draw < 15:
+		c.cluster.advanceClock(time.Duration(c.rng.IntN(8000)) * time.Millisecond)
 		c.node.store.RepairRound(0)
-	case x < 30:
+	case draw < 30:
 		c.reserve()
-	case x < 40:
+	case draw < 40:
 		c.settle()
 	default:
-		c.keep()
+		c.commitTurn()
 	}
 }
 
 var _ = DescribeTable("a store that is killed and loses power again and again keeps all that it acknowledged",
 	func(seed uint64) {
-		c := newCrashing(seed)
+		c := newCrashTest(seed)
 		for range 800 {
 			c.step()
 		}
--- a/internal/tier/store/export_test.go
+++ b/internal/tier/store/export_test.go
@@ -1,7 +1,7 @@
 package store
 
 // RepairRound does one round of repair, with the other store whose turn it is.
-func (s *Store) RepairRound(turn int) (urgent bool) { return s.round(turn) }
+func (s *Store) RepairRound(roundNumber int) (urgent bool) { return s.repairRound(roundNumber) }
 
 // TurnCount counts the turns held.
 func (s *Store) TurnCount() int {
--- a/internal/tier/store/fuzz_test.go
+++ b/internal/tier/store/fuzz_test.go
@@ -27,14 +27,14 @@
 	f.Add(append([]byte{programKind}, program...), []byte{programKind})
 	f.Add([]byte{metaKind}, []byte{turnKind, 2, 2})
 	f.Fuzz(func(_ *testing.T, first, second []byte) {
-		t := newTable(Options{Files: memfs.New(), Dir: "data", Now: func() time.Duration { return 0 }}, leastSegment)
-		for at, record := range [][]byte{first, second, first} {
+		t := newTable(Options{Files: memfs.New(), Dir: "data", Now: func() time.Duration { return 0 }}, minSegmentBytes)
+		for i, record := range [][]byte{first, second, first} {
 			if len(record) == 0 {
 				continue // the journal keeps none that is empty
 			}
-			_ = t.replay(journal.Position{Segment: 1, Offset: uint32(at), Length: uint32(len(record))}, record)
+			_ = t.replay(journal.Position{Segment: 1, Offset: uint32(i), Length: uint32(len(record))}, record)
 		}
-		t.useView()
+		t.recomputePlacement()
 		for _, x := range t.turns {
 			_ = t.placesOf(x)
 		}
--- a/internal/tier/store/inspect.go
+++ b/internal/tier/store/inspect.go
@@ -58,12 +58,12 @@
 	Replaced bool   `json:"replaced"`
 }
 
-func viewOf(v storewire.View) ViewSummary {
-	found := ViewSummary{Epoch: v.Epoch, Tolerance: v.Tolerance}
-	for _, m := range v.Members {
-		found.Members = append(found.Members, MemberSummary(m))
+func summarizeView(view storewire.View) ViewSummary {
+	summary := ViewSummary{Epoch: view.Epoch, Tolerance: view.Tolerance}
+	for _, m := range view.Members {
+		summary.Members = append(summary.Members, MemberSummary(m))
 	}
-	return found
+	return summary
 }
 
 // KindSummary counts the records of a kind, those included that newer ones replace.
@@ -121,7 +121,7 @@
 // ErrNotStore, or the disk's; all else that is wrong is in the findings.
 func Inspect(files vfs.FS, dir string) (*Inspection, error) {
 	r := newDiskReader()
-	ring, err := journal.Inspect(files, dir, r.take)
+	ring, err := journal.Inspect(files, dir, r.addRecord)
 	switch {
 	case err != nil:
 		return nil, err
@@ -133,11 +133,11 @@
 	r.found.Ring = ring
 	if r.records > 0 && r.found.ID == "" {
 		problem := "no record says which store this is: a start begins anew under another id"
-		r.damage(ring.Segments[0].File, journal.Position{}, problem)
+		r.addFinding(ring.Segments[0].File, journal.Position{}, problem)
 	}
 	r.found.Records = r.sortedKinds()
-	r.followTurns()
-	r.countPrograms()
+	r.summarizeTurns()
+	r.summarizePrograms()
 	findings := ring.Findings
 	findings.Listed = slices.Clone(findings.Listed)
 	findings.Merge(r.found.Findings)
--- a/internal/tier/store/inspect_read.go
+++ b/internal/tier/store/inspect_read.go
@@ -16,9 +16,9 @@
 	"emberquay/internal/tier/storewire"
 )
 
-// errCoded: bytes that decode, but are not those that a store writes. The library takes a record that ends
+// errNotCanonical: bytes that decode, but are not those that a store writes. The library takes a record that ends
 // too early for one whose last fields are empty.
-var errCoded = eris.New("the record is coded otherwise than a store does")
+var errNotCanonical = eris.New("the record is coded otherwise than a store does")
 
 // diskReader adds up the records of a disk.
 type diskReader struct {
@@ -26,48 +26,48 @@
 	records  int
 	unknown  int                     // records of no kind of a store
 	kinds    map[string]*KindSummary // by name
-	turns    map[string]*turnFound
-	order    []*turnFound // as first found
+	turns    map[string]*inspectedTurn
+	order    []*inspectedTurn // as first found
 	programs map[string]*budget.Ledger
 }
 
 func newDiskReader() *diskReader {
 	return &diskReader{
 		kinds:    map[string]*KindSummary{},
-		turns:    map[string]*turnFound{},
+		turns:    map[string]*inspectedTurn{},
 		programs: map[string]*budget.Ledger{},
 	}
 }
 
-type turnFound struct {
-	head   storewire.TurnHead
-	bytes  int64
-	sum    uint64       // of the record
-	place  TurnLocation // of the newest record, and its position
-	at     journal.Position
-	follow follow
+type inspectedTurn struct {
+	head     storewire.TurnHead
+	bytes    int64
+	checksum uint64       // of the record
+	location TurnLocation // of the newest record, and its position
+	position journal.Position
+	traced   traceResult
 }
 
-// before says that a turn's record is the older one.
-func (x *turnFound) before(other *turnFound) bool {
-	return cmp.Or(cmp.Compare(x.at.Segment, other.at.Segment), cmp.Compare(x.at.Offset, other.at.Offset)) < 0
+// olderThan says that a turn's record is the older one.
+func (x *inspectedTurn) olderThan(other *inspectedTurn) bool {
+	return cmp.Or(cmp.Compare(x.position.Segment, other.position.Segment), cmp.Compare(x.position.Offset, other.position.Offset)) < 0
 }
 
-// follow says how far a turn was followed towards the root of its conversation.
-type follow int
+// traceResult says how far a turn was followed towards the root of its conversation.
+type traceResult int
 
 const (
-	notFollowed follow = iota
-	beingFollowed
-	followedWhole
-	followedPartly // a turn before it is not on this disk
-	followedWrong  // the turns before it make no conversation
+	untraced traceResult = iota
+	tracing
+	tracedToRoot
+	tracedPartly  // a turn before it is not on this disk
+	tracedInvalid // the turns before it make no conversation
 )
 
-// take takes one record.
-func (r *diskReader) take(file string, p journal.Position, record []byte) {
+// addRecord takes one record.
+func (r *diskReader) addRecord(file string, position journal.Position, record []byte) {
 	r.records++
-	name, err := r.decode(file, p, record)
+	name, err := r.decodeRecord(file, position, record)
 	if name == "" {
 		r.unknown++
 		name = "unknown"
@@ -80,69 +80,69 @@
 	kind.Records++
 	kind.Bytes += int64(len(record))
 	if err != nil {
-		r.damage(file, p, fmt.Sprintf("%s record: %v", name, err))
+		r.addFinding(file, position, fmt.Sprintf("%s record: %v", name, err))
 	}
 }
 
-// decode reads one record whole and gives the name of its kind, or none.
-func (r *diskReader) decode(file string, p journal.Position, record []byte) (kind string, err error) {
+// decodeRecord reads one record whole and gives the name of its kind, or none.
+func (r *diskReader) decodeRecord(file string, position journal.Position, record []byte) (kind string, err error) {
 	switch body := record[1:]; record[0] {
 	case metaKind:
-		return "meta", r.takeMeta(body)
+		return "meta", r.addMeta(body)
 	case turnKind:
-		return "turn", r.takeTurn(file, p, body)
+		return "turn", r.addTurn(file, position, body)
 	case programKind:
-		return "program", r.takeProgram(body)
+		return "program", r.addProgram(body)
 	}
 	return "", eris.Errorf("kind %d is not known", record[0])
 }
 
-func (r *diskReader) takeMeta(body []byte) error {
-	m, err := metaCodec.Decode(body)
+func (r *diskReader) addMeta(body []byte) error {
+	record, err := metaCodec.Decode(body)
 	if err != nil {
 		return err
 	}
-	view, err := storewire.DecodeView(m.View)
+	view, err := storewire.DecodeView(record.View)
 	if err != nil {
 		return err
 	}
-	if again, err := metaCodec.Encode(m); err != nil || !bytes.Equal(again, body) {
-		return errCoded
+	if reencoded, err := metaCodec.Encode(record); err != nil || !bytes.Equal(reencoded, body) {
+		return errNotCanonical
 	}
-	r.found.ID, r.found.Complete, r.found.Unsettled = m.ID, m.Complete, m.Unsettled
-	r.found.Fence, r.found.View = m.Fence, viewOf(view)
+	r.found.ID, r.found.Complete, r.found.Unsettled = record.ID, record.Complete, record.Unsettled
+	r.found.Fence, r.found.View = record.Fence, summarizeView(view)
 	return nil
 }
 
-func (r *diskReader) takeTurn(file string, p journal.Position, body []byte) error {
+func (r *diskReader) addTurn(file string, position journal.Position, body []byte) error {
 	turn, err := storewire.DecodeTurn(body)
 	if err != nil {
 		return err
 	}
-	if again, err := storewire.EncodeTurn(turn); err != nil || !bytes.Equal(again, body) {
-		return errCoded
+	if reencoded, err := storewire.EncodeTurn(turn); err != nil || !bytes.Equal(reencoded, body) {
+		return errNotCanonical
 	}
 	head, err := storewire.DecodeTurnHead(body)
 	if err != nil {
 		return err
 	}
-	place := TurnLocation{ID: head.ID, File: file, Offset: int64(p.Offset)}
-	sum := xxhash.Sum64(body)
-	r.found.Turns.Newest = &place
+	location := TurnLocation{ID: head.ID, File: file, Offset: int64(position.Offset)}
+	checksum := xxhash.Sum64(body)
+	r.found.Turns.Newest = &location
 	known := r.turns[head.ID]
 	if known == nil {
-		known = &turnFound{head: head, bytes: int64(len(body)), sum: sum}
+		known = &inspectedTurn{head: head, bytes: int64(len(body)), checksum: checksum}
 		r.turns[head.ID] = known
 		r.order = append(r.order, known)
 	}
-	known.place, known.at = place, p
-	if known.sum != sum {
+	known.location, known.position = location, position
+	if known.checksum != checksum {
 		return eris.Errorf("turn %s stands here with other contents than before", head.ID)
 	}
 	return nil
 }
 
-func (r *diskReader) takeProgram(body []byte) error {
+func (r *diskReader) addProgram(body []byte) error {
 	program, err := programCodec.Decode(body)
 	if err != nil {
 		return err
@@ -151,8 +151,8 @@
 	if err != nil {
 		return err
 	}
-	if again, err := programCodec.Encode(program); err != nil || !bytes.Equal(again, body) {
-		return errCoded
+	if reencoded, err := programCodec.Encode(program); err != nil || !bytes.Equal(reencoded, body) {
+		return errNotCanonical
 	}
 	ledger := r.programs[program.Name]
 	if ledger == nil {
@@ -165,8 +165,8 @@
 	return nil
 }
 
-func (r *diskReader) damage(file string, p journal.Position, problem string) {
-	r.found.Findings.Add(journal.Finding{File: file, Offset: int64(p.Offset), Problem: problem})
+func (r *diskReader) addFinding(file string, position journal.Position, problem string) {
+	r.found.Findings.Add(journal.Finding{File: file, Offset: int64(position.Offset), Problem: problem})
 }
 
 func (r *diskReader) sortedKinds() []KindSummary {
@@ -177,95 +177,95 @@
 	return kinds
 }
 
-// followTurns counts the turns, in the order of their records, and follows each towards its root.
-func (r *diskReader) followTurns() {
-	found := &r.found.Turns
+// summarizeTurns counts the turns, in the order of their records, and follows each towards its root.
+func (r *diskReader) summarizeTurns() {
+	summary := &r.found.Turns
 	roots := map[string]bool{}
 	missing := map[string]bool{}
-	var oldest *turnFound
-	for _, x := range r.order {
-		found.Count++
-		found.Bytes += x.bytes
-		roots[x.head.Root] = true
-		if oldest == nil || x.before(oldest) {
-			oldest, found.Oldest = x, &x.place
+	var oldest *inspectedTurn
+	for _, turn := range r.order {
+		summary.Count++
+		summary.Bytes += turn.bytes
+		roots[turn.head.Root] = true
+		if oldest == nil || turn.olderThan(oldest) {
+			oldest, summary.Oldest = turn, &turn.location
 		}
-		switch r.follow(x) {
-		case followedWhole:
-			found.Whole++
-		case followedPartly:
-			found.Partial++
+		switch r.trace(turn) {
+		case tracedToRoot:
+			summary.Whole++
+		case tracedPartly:
+			summary.Partial++
 		}
-		if previous := x.head.Previous; previous != "" && r.turns[previous] == nil && !missing[previous] {
+		if previous := turn.head.Previous; previous != "" && r.turns[previous] == nil && !missing[previous] {
 			missing[previous] = true
-			found.MissingCount++
-			if len(found.Missing) < journal.MaxListedFindings {
-				found.Missing = append(found.Missing, MissingTurn{ID: previous, Root: x.head.Root, Next: x.place})
+			summary.MissingCount++
+			if len(summary.Missing) < journal.MaxListedFindings {
+				summary.Missing = append(summary.Missing, MissingTurn{ID: previous, Root: turn.head.Root, Next: turn.location})
 			}
 		}
 	}
-	found.Conversations = len(roots)
+	summary.Conversations = len(roots)
 }
 
-// follow goes from a turn to those before it, and marks all that it passes.
-func (r *diskReader) follow(x *turnFound) follow {
-	if x.follow != notFollowed {
-		return x.follow
+// trace goes from a turn to those before it, and marks all that it passes.
+func (r *diskReader) trace(turn *inspectedTurn) traceResult {
+	if turn.traced != untraced {
+		return turn.traced
 	}
-	var passed []*turnFound
-	end := notFollowed
-	for end == notFollowed {
-		passed = append(passed, x)
-		x.follow = beingFollowed
-		previous := r.turns[x.head.Previous]
+	var path []*inspectedTurn
+	result := untraced
+	for result == untraced {
+		path = append(path, turn)
+		turn.traced = tracing
+		previous := r.turns[turn.head.Previous]
 		switch {
-		case x.head.Previous == "":
-			end = followedWhole
+		case turn.head.Previous == "":
+			result = tracedToRoot
 		case previous == nil:
-			end = followedPartly
-		case previous.follow == beingFollowed:
-			end = followedWrong
-			r.wrong(x, fmt.Sprintf("turn %s continues %s, which continues it", x.head.ID, x.head.Previous))
-		case previous.head.Root != x.head.Root:
-			end = followedWrong
-			r.wrong(x, fmt.Sprintf("turn %s of conversation %s continues %s of conversation %s",
-				x.head.ID, x.head.Root, previous.head.ID, previous.head.Root))
+			result = tracedPartly
+		case previous.traced == tracing:
+			result = tracedInvalid
+			r.addTurnFinding(turn, fmt.Sprintf("turn %s continues %s, which continues it", turn.head.ID, turn.head.Previous))
+		case previous.head.Root != turn.head.Root:
+			result = tracedInvalid
+			r.addTurnFinding(turn, fmt.Sprintf("turn %s of conversation %s continues %s of conversation %s",
+				turn.head.ID, turn.head.Root, previous.head.ID, previous.head.Root))
 		default:
-			end = previous.follow
-			x = previous
+			result = previous.traced
+			turn = previous
 		}
 	}
-	for _, p := range passed {
-		p.follow = end
+	for _, visited := range path {
+		visited.traced = result
 	}
-	return end
+	return result
 }
 
-func (r *diskReader) wrong(x *turnFound, problem string) {
-	r.found.Findings.Add(journal.Finding{File: x.place.File, Offset: x.place.Offset, Problem: problem})
+func (r *diskReader) addTurnFinding(turn *inspectedTurn, problem string) {
+	r.found.Findings.Add(journal.Finding{File: turn.location.File, Offset: turn.location.Offset, Problem: problem})
 }
 
-// countPrograms counts the programs and lists those whose open reservations may use most.
-func (r *diskReader) countPrograms() {
-	found := &r.found.Programs
+// summarizePrograms counts the programs and lists those whose open reservations may use most.
+func (r *diskReader) summarizePrograms() {
+	summary := &r.found.Programs
 	for _, name := range slices.Sorted(maps.Keys(r.programs)) {
 		ledger := r.programs[name]
-		one := ProgramSummary{Name: name, SettledTokens: ledger.SettledTokens()}
+		program := ProgramSummary{Name: name, SettledTokens: ledger.SettledTokens()}
 		for _, e := range ledger.Entries(nil) {
 			if e.Open {
-				one.OpenReservations++
-				one.ReservedTokens += e.Tokens
+				program.OpenReservations++
+				program.ReservedTokens += e.Tokens
 			}
 		}
-		found.Count++
-		found.OpenReservations += one.OpenReservations
-		if one.OpenReservations > 0 {
-			found.WithOpen++
-			found.Listed = append(found.Listed, one)
+		summary.Count++
+		summary.OpenReservations += program.OpenReservations
+		if program.OpenReservations > 0 {
+			summary.WithOpen++
+			summary.Listed = append(summary.Listed, program)
 		}
 	}
-	slices.SortFunc(found.Listed, func(a, b ProgramSummary) int {
+	slices.SortFunc(summary.Listed, func(a, b ProgramSummary) int {
 		return cmp.Or(cmp.Compare(b.ReservedTokens, a.ReservedTokens), strings.Compare(a.Name, b.Name))
 	})
-	found.Listed = found.Listed[:min(len(found.Listed), MaxListedPrograms)]
+	summary.Listed = summary.Listed[:min(len(summary.Listed), MaxListedPrograms)]
 }
--- a/internal/tier/store/inspect_test.go
+++ b/internal/tier/store/inspect_test.go
@@ -12,8 +12,8 @@
 	"emberquay/internal/vfs/memfs"
 )
 
-// keepAt commits a turn at one store alone.
-func keepAt(c *cluster, n *node, id, root, previous string) {
+// commitAt commits a turn at one store alone.
+func commitAt(c *cluster, n *node, id, root, previous string) {
 	GinkgoHelper()
 	answer, err := n.store.Commit(ctx, storewire.CommitRequest{
 		Header: storewire.Header{Epoch: int64(c.view.Epoch), Store: n.store.ID()},
@@ -24,17 +24,17 @@
 	Expect(answer.Reply.Standing).To(Equal(storewire.Served))
 }
 
-// written gives the disk of a store that has kept what the function had it keep, and has ended.
-func written(keep func(*cluster, *node)) (*memfs.Mem, *node) {
+// diskAfter gives the disk of a store that has kept what the function had it keep, and has ended.
+func diskAfter(commit func(*cluster, *node)) (*memfs.Mem, *node) {
 	c := newCluster(0, "a")
 	n := c.nodes[0]
-	keep(c, n)
+	commit(c, n)
 	Expect(n.store.Close()).To(Succeed())
 	return n.disk, n
 }
 
-// appended puts a record into the ring, whole, whatever it says.
-func appended(disk *memfs.Mem, record string) journal.Position {
+// appendRecord puts a record into the ring, whole, whatever it says.
+func appendRecord(disk *memfs.Mem, record string) journal.Position {
 	GinkgoHelper()
 	j, err := journal.Open(journal.Options{Files: disk, Dir: "data", SegmentBytes: 1 << 20, Segments: 16},
 		func(journal.Position, []byte) error { return nil })
@@ -46,18 +46,18 @@
 	return p
 }
 
-func inspected(disk *memfs.Mem) *store.Inspection {
+func inspectDisk(disk *memfs.Mem) *store.Inspection {
 	GinkgoHelper()
 	found, err := store.Inspect(disk, "data")
 	Expect(err).NotTo(HaveOccurred())
 	return found
 }
 
-// conversation keeps three turns, and reservations of two programs of which one is settled.
-func conversation(c *cluster, n *node) {
-	keepAt(c, n, "t-0", "t-0", "")
-	keepAt(c, n, "t-1", "t-0", "t-0")
-	keepAt(c, n, "t-2", "t-0", "t-1")
+// commitConversation keeps three turns, and reservations of two programs of which one is settled.
+func commitConversation(c *cluster, n *node) {
+	commitAt(c, n, "t-0", "t-0", "")
+	commitAt(c, n, "t-1", "t-0", "t-0")
+	commitAt(c, n, "t-2", "t-0", "t-1")
 	reserveAt(c, n, "a", false)
 	settleAt(c, n, "a", 4)
 	reserveAt(c, n, "b", false) // answered from the disk, and with it what was told before
@@ -65,8 +65,8 @@
 
 var _ = Describe("the inspection of a store's disk", func() {
 	It("says what a start would find", func() {
-		disk, n := written(conversation)
-		found := inspected(disk)
+		disk, n := diskAfter(commitConversation)
+		found := inspectDisk(disk)
 		Expect(found.ID).To(Equal(n.store.ID()))
 		Expect(found.Complete).To(BeTrue())
 		Expect(found.View.Epoch).To(Equal(int64(1)))
@@ -89,30 +89,30 @@
 	})
 
 	It("holds what was acknowledged after a loss of power, over many laps of the ring", func() {
-		c := newCrashing(5)
+		c := newCrashTest(5)
 		for range 400 {
 			c.step()
 		}
 		disk := c.node.disk.After(memfs.Power, rand.New(rand.NewPCG(1, 1)))
-		found := inspected(disk)
+		found := inspectDisk(disk)
 		Expect(found.Findings.Count).To(BeZero(), "%+v", found.Findings)
-		for id, until := range c.turns {
+		for id, until := range c.retainedUntil {
 			if until < c.now() {
-				delete(c.turns, id)
+				delete(c.retainedUntil, id)
 			}
 		}
-		Expect(found.Turns.Count).To(BeNumerically(">=", len(c.turns)))
+		Expect(found.Turns.Count).To(BeNumerically(">=", len(c.retainedUntil)))
 		Expect(found.Ring.Segments[0].Sequence).To(BeNumerically(">", 1))
 	})
 
 	It("names the turns that are held elsewhere and does not take them for damage", func() {
-		disk, _ := written(func(c *cluster, n *node) {
-			conversation(c, n)
-			keepAt(c, n, "u-5", "u-0", "u-4")
-			keepAt(c, n, "u-6", "u-0", "u-5")
-			keepAt(c, n, "u-5-again", "u-0", "u-4")
+		disk, _ := diskAfter(func(c *cluster, n *node) {
+			commitConversation(c, n)
+			commitAt(c, n, "u-5", "u-0", "u-4")
+			commitAt(c, n, "u-6", "u-0", "u-5")
+			commitAt(c, n, "u-5-again", "u-0", "u-4")
 		})
-		found := inspected(disk)
+		found := inspectDisk(disk)
 		Expect(found.Findings.Count).To(BeZero())
 		Expect(found.Turns.Whole).To(Equal(3))
 		Expect(found.Turns.Partial).To(Equal(3))
@@ -123,29 +123,29 @@
 	})
 
 	DescribeTable("finds conversations that make no sense",
-		func(keep func(*cluster, *node), problem string) {
-			disk, _ := written(keep)
-			found := inspected(disk)
+		func(commit func(*cluster, *node), problem string) {
+			disk, _ := diskAfter(commit)
+			found := inspectDisk(disk)
 			Expect(found.Findings.Count).To(Equal(1), "%+v", found.Findings)
 			Expect(found.Findings.Listed[0].Problem).To(ContainSubstring(problem))
 			Expect(found.Findings.Listed[0].Offset).To(BeNumerically(">", 0))
 		},
 		Entry("turns in a circle", func(c *cluster, n *node) {
-			keepAt(c, n, "a", "r", "b")
-			keepAt(c, n, "b", "r", "a")
+			commitAt(c, n, "a", "r", "b")
+			commitAt(c, n, "b", "r", "a")
 		}, "continues a, which continues it"),
 		Entry("a turn of another conversation before it", func(c *cluster, n *node) {
-			keepAt(c, n, "a", "a", "")
-			keepAt(c, n, "b", "other", "a")
-			keepAt(c, n, "c", "other", "b")
+			commitAt(c, n, "a", "a", "")
+			commitAt(c, n, "b", "other", "a")
+			commitAt(c, n, "c", "other", "b")
 		}, "turn b of conversation other continues a of conversation a"),
 	)
 
 	DescribeTable("finds records that are whole but make no sense, at their place",
 		func(record string, problem string) {
-			disk, _ := written(conversation)
-			p := appended(disk, record)
-			found := inspected(disk)
+			disk, _ := diskAfter(commitConversation)
+			p := appendRecord(disk, record)
+			found := inspectDisk(disk)
 			Expect(found.Findings.Count).To(Equal(1), "%+v", found.Findings)
 			Expect(found.Findings.Listed[0].File).To(Equal("ring-0000"))
 			Expect(found.Findings.Listed[0].Offset).To(Equal(int64(p.Offset)))
@@ -162,20 +162,20 @@
 	)
 
 	It("shows a torn tail as the place where the reading stopped", func() {
-		disk, _ := written(conversation)
-		before := inspected(disk)
+		disk, _ := diskAfter(commitConversation)
+		before := inspectDisk(disk)
 		end := before.Ring.Segments[0].End
 		copy(disk.Data("data/ring-0000")[end:], "half of a record")
-		found := inspected(disk)
+		found := inspectDisk(disk)
 		Expect(found.Findings.Count).To(BeZero())
 		Expect(found.Ring.Segments[0].End).To(Equal(end))
 		Expect(found.Ring.Segments[0].Stop).To(Equal(journal.StopNoRecord))
 	})
 
 	It("finds a flipped byte, and a disk whose first record is lost", func() {
-		disk, _ := written(conversation)
+		disk, _ := diskAfter(commitConversation)
 		disk.Data("data/ring-0000")[60] ^= 4 // in the first record, which says which store this is
-		found := inspected(disk)
+		found := inspectDisk(disk)
 		Expect(found.ID).To(BeEmpty())
 		Expect(found.Findings.Count).To(Equal(1), "%+v", found.Findings)
 		Expect(found.Findings.Listed[0].Offset).To(Equal(int64(40)))
@@ -192,7 +192,7 @@
 		Expect(err).To(MatchError(store.ErrNoRecords))
 
 		other := memfs.New()
-		appended(other, "\x03a part of a replica's record")
+		appendRecord(other, "\x03a part of a replica's record")
 		_, err = store.Inspect(other, "data")
 		Expect(err).To(MatchError(store.ErrNotStore))
 	})
--- a/internal/tier/store/log.go
+++ b/internal/tier/store/log.go
@@ -22,22 +22,22 @@
 
 // Segments that have to be free for a record to be taken; the last one is for reclaiming.
 const (
-	turnRoom    = 3
-	reserveRoom = 2
-	reclaimRoom = 1
+	minFreeForTurn        = 3
+	minFreeForReservation = 2
+	minFreeForReclaim     = 1
 )
 
-// idBytes of a store's id: drawn alike never.
-const idBytes = 8
+// storeIDBytes of a store's id: drawn alike never.
+const storeIDBytes = 8
 
 // meta is what the store knows of itself.
 type meta struct {
-	ID        string
-	Complete  bool  // it lacks nothing that it should hold
-	Unsettled bool  // a machine was removed since, and what it held may not be here
-	Fence     int64 // epoch of the newest view by which a request was served
-	View      storewire.View
-	sequence  uint64 // of the record
+	ID           string
+	Complete     bool  // it lacks nothing that it should hold
+	Unsettled    bool  // a machine was removed since, and what it held may not be here
+	Fence        int64 // epoch of the newest view by which a request was served
+	View         storewire.View
+	recordNumber uint64 // of the record
 }
 
 type metaRecord struct {
@@ -55,57 +55,57 @@
 var programCodec = transport.MustCodec[storewire.Program](`{"type":"record","name":"Program","fields":[
 	{"name":"name","type":"string"},{"name":"idle_millis","type":"long"},{"name":"entries","type":"bytes"}]}`)
 
-// ErrRecord: a record of the journal that this version does not understand.
-var ErrRecord = eris.New("store: unknown record")
+// ErrUnknownRecord: a record of the journal that this version does not understand.
+var ErrUnknownRecord = eris.New("store: unknown record")
 
 // openTable opens the journal and reads it.
-func openTable(o Options) (*table, error) {
-	segmentBytes := int64(float64(o.DiskBytes) * diskShare / segments)
-	segmentBytes = min(max(segmentBytes, leastSegment), mostSegment)
-	t := newTable(o, segmentBytes)
-	options := journal.Options{Files: o.Files, Dir: o.Dir, SegmentBytes: segmentBytes, Segments: segments}
-	log, err := journal.Open(options, t.replay)
+func openTable(options Options) (*table, error) {
+	segmentBytes := int64(float64(options.DiskBytes) * ringDiskShare / segmentCount)
+	segmentBytes = min(max(segmentBytes, minSegmentBytes), maxSegmentBytes)
+	t := newTable(options, segmentBytes)
+	journalOptions := journal.Options{Files: options.Files, Dir: options.Dir, SegmentBytes: segmentBytes, Segments: segmentCount}
+	j, err := journal.Open(journalOptions, t.replay)
 	if err != nil {
 		return nil, eris.Wrap(err, "store")
 	}
-	t.journal = log
-	if log.Damaged() || t.meta.ID == "" {
-		t, err = freshTable(o, t)
+	t.journal = j
+	if j.Damaged() || t.meta.ID == "" {
+		t, err = initializeTable(options, t)
 	}
 	if err != nil {
-		log.Close()
+		j.Close()
 		return nil, err
 	}
-	t.useView()
+	t.recomputePlacement()
 	return t, nil
 }
 
-// freshTable begins anew under a new id: the disk is empty, or has lost what it had acknowledged.
-func freshTable(o Options, opened *table) (*table, error) {
-	lost := opened.journal.Damaged()
-	if lost {
+// initializeTable begins anew under a new id: the disk is empty, or has lost what it had acknowledged.
+func initializeTable(options Options, opened *table) (*table, error) {
+	dataLost := opened.journal.Damaged()
+	if dataLost {
 		if err := opened.journal.Reset(); err != nil {
 			return nil, eris.Wrap(err, "store")
 		}
 	}
-	t := newTable(o, opened.segmentBytes)
+	t := newTable(options, opened.segmentBytes)
 	t.journal = opened.journal
-	var id [idBytes]byte
+	var id [storeIDBytes]byte
 	if _, err := rand.Read(id[:]); err != nil {
 		return nil, eris.Wrap(err, "store")
 	}
-	if !t.keepMeta(meta{ID: hex.EncodeToString(id[:]), Complete: o.Bootstrap && !lost}) {
+	if !t.appendMeta(meta{ID: hex.EncodeToString(id[:]), Complete: options.Bootstrap && !dataLost}) {
 		return nil, eris.Wrap(journal.ErrFull, "store")
 	}
 	if err := t.journal.Sync(); err != nil {
 		return nil, eris.Wrap(err, "store")
 	}
-	t.durable = t.appended
+	t.durableRecords = t.appendedRecords
 	return t, nil
 }
 
 // replay takes in one record at the start.
-func (t *table) replay(p journal.Position, record []byte) error {
+func (t *table) replay(position journal.Position, record []byte) error {
 	switch body := record[1:]; record[0] {
 	case metaKind:
 		return t.replayMeta(body)
@@ -114,93 +114,93 @@
 		if err != nil {
 			return err
 		}
-		t.addTurn(head, p, retentionOf(head))
+		t.addTurn(head, position, initialTTL(head))
 		return nil
 	case programKind:
-		return t.replayProgram(p, body)
+		return t.replayProgram(position, body)
 	}
-	return eris.Wrapf(ErrRecord, "kind %d", record[0])
+	return eris.Wrapf(ErrUnknownRecord, "kind %d", record[0])
 }
 
 func (t *table) replayMeta(body []byte) error {
-	r, err := metaCodec.Decode(body)
+	record, err := metaCodec.Decode(body)
 	if err != nil {
 		return err
 	}
-	view, err := storewire.DecodeView(r.View)
+	view, err := storewire.DecodeView(record.View)
 	if err != nil {
 		return err
 	}
-	t.meta = meta{ID: r.ID, Complete: r.Complete, Unsettled: r.Unsettled, Fence: r.Fence, View: view}
+	t.meta = meta{ID: record.ID, Complete: record.Complete, Unsettled: record.Unsettled, Fence: record.Fence, View: view}
 	return nil
 }
 
-func (t *table) replayProgram(p journal.Position, body []byte) error {
-	w, err := programCodec.Decode(body)
+func (t *table) replayProgram(position journal.Position, body []byte) error {
+	record, err := programCodec.Decode(body)
 	if err != nil {
 		return err
 	}
-	entries, err := budget.DecodeEntries(w.Entries)
+	entries, err := budget.DecodeEntries(record.Entries)
 	if err != nil {
 		return err
 	}
-	program := t.program(w.Name)
-	if program.oldest == 0 {
-		program.oldest = p.Segment
+	program := t.findOrAddProgram(record.Name)
+	if program.oldestSegment == 0 {
+		program.oldestSegment = position.Segment
 	}
-	t.change(program, func(l *budget.Ledger) {
+	t.updateLedger(program, func(ledger *budget.Ledger) {
 		for _, e := range entries {
-			l.Merge(e)
+			ledger.Merge(e)
 		}
 	})
 	return nil
 }
 
 // append adds a record if so many segments are free, or can be made so.
-func (t *table) append(record []byte, room int) (journal.Position, bool) {
-	for t.journal.FreeSegments() < room {
-		if room <= reclaimRoom || !t.reclaim() {
+func (t *table) append(record []byte, minFree int) (journal.Position, bool) {
+	for t.journal.FreeSegments() < minFree {
+		if minFree <= minFreeForReclaim || !t.reclaim() {
 			break
 		}
 	}
-	if t.journal.FreeSegments() < room && room > reclaimRoom {
+	if t.journal.FreeSegments() < minFree && minFree > minFreeForReclaim {
 		return journal.Position{}, false
 	}
 	position, err := t.journal.Append(record)
 	if err != nil {
 		return journal.Position{}, false // too long, or full
 	}
-	t.appended++
+	t.appendedRecords++
 	return position, true
 }
 
-// keepMeta appends what the store knows of itself.
-func (t *table) keepMeta(m meta) bool {
-	view, err := storewire.EncodeView(m.View)
+// appendMeta appends what the store knows of itself.
+func (t *table) appendMeta(updated meta) bool {
+	view, err := storewire.EncodeView(updated.View)
 	if err != nil {
 		panic(err) // the schema does not fit the type
 	}
-	body, err := metaCodec.Encode(metaRecord{ID: m.ID, Complete: m.Complete, Unsettled: m.Unsettled, Fence: m.Fence, View: view})
+	body, err := metaCodec.Encode(metaRecord{ID: updated.ID, Complete: updated.Complete, Unsettled: updated.Unsettled, Fence: updated.Fence, View: view})
 	if err != nil {
 		panic(err)
 	}
-	if _, ok := t.append(append([]byte{metaKind}, body...), reclaimRoom); !ok {
+	if _, ok := t.append(append([]byte{metaKind}, body...), minFreeForReclaim); !ok {
 		return false
 	}
-	t.meta = m
-	t.meta.sequence = t.appended
+	t.meta = updated
+	t.meta.recordNumber = t.appendedRecords
 	return true
 }
 
 // appendProgram appends entries of a program.
-func (t *table) appendProgram(p *program, entries []budget.Entry, room int) bool {
+func (t *table) appendProgram(p *program, entries []budget.Entry, minFree int) bool {
 	body, err := programCodec.Encode(storewire.Program{Name: p.name, Entries: budget.EncodeEntries(nil, entries)})
 	if err != nil {
 		panic(err)
 	}
-	position, ok := t.append(append([]byte{programKind}, body...), room)
-	if ok && p.oldest == 0 {
-		p.oldest = position.Segment
+	position, ok := t.append(append([]byte{programKind}, body...), minFree)
+	if ok && p.oldestSegment == 0 {
+		p.oldestSegment = position.Segment
 	}
 	return ok
 }
@@ -209,62 +209,62 @@
 // too little, or fails.
 func (t *table) reclaim() bool {
 	oldest := t.journal.OldestSegment()
-	if oldest == t.journal.NewestSegment() || t.live[oldest] > t.segmentBytes*3/4 {
+	if oldest == t.journal.NewestSegment() || t.liveTurnBytes[oldest] > t.segmentBytes*3/4 {
 		return false
 	}
-	if !t.moveTurns(oldest) || !t.movePrograms(oldest) || !t.keepMeta(t.meta) {
+	if !t.relocateTurns(oldest) || !t.relocatePrograms(oldest) || !t.appendMeta(t.meta) {
 		return false
 	}
 	return t.journal.Reclaim(oldest) == nil
 }
 
-func (t *table) moveTurns(segment uint64) bool {
-	if t.live[segment] == 0 {
+func (t *table) relocateTurns(segment uint64) bool {
+	if t.liveTurnBytes[segment] == 0 {
 		return true
 	}
 	var buffer []byte
-	for _, x := range t.turns {
-		if x.position.Segment != segment {
+	for _, turn := range t.turns {
+		if turn.position.Segment != segment {
 			continue
 		}
-		record, err := t.journal.Read(x.position, buffer)
+		record, err := t.journal.Read(turn.position, buffer)
 		if errors.Is(err, journal.ErrNotFound) {
-			t.removeTurn(x) // the disk has lost it
+			t.removeTurn(turn) // the disk has lost it
 			continue
 		}
 		if err != nil {
 			return false
 		}
-		position, ok := t.append(record, reclaimRoom)
+		position, ok := t.append(record, minFreeForReclaim)
 		if !ok {
 			return false
 		}
-		t.moveTurn(x, position)
+		t.setTurnPosition(turn, position)
 		buffer = record[:0]
 	}
 	return true
 }
 
-func (t *table) movePrograms(segment uint64) bool {
+func (t *table) relocatePrograms(segment uint64) bool {
 	for _, p := range t.programs {
-		if p.oldest > segment || p.ledger.Len() == 0 {
+		if p.oldestSegment > segment || p.ledger.Len() == 0 {
 			continue
 		}
-		before := p.oldest
-		p.oldest = 0
-		if !t.appendProgram(p, p.ledger.Entries(nil), reclaimRoom) {
-			p.oldest = before
+		previousOldest := p.oldestSegment
+		p.oldestSegment = 0
+		if !t.appendProgram(p, p.ledger.Entries(nil), minFreeForReclaim) {
+			p.oldestSegment = previousOldest
 			return false
 		}
 	}
 	return true
 }
 
-// tidy drops what is over and frees the segments that hold next to nothing any more.
-func (t *table) tidy() {
+// expireAndReclaim drops what is over and frees the segments that hold next to nothing any more.
+func (t *table) expireAndReclaim() {
 	t.expireTurns()
-	t.dropPrograms()
-	for t.journal.OldestSegment() != t.journal.NewestSegment() && t.live[t.journal.OldestSegment()] <= t.segmentBytes/8 {
+	t.expirePrograms()
+	for t.journal.OldestSegment() != t.journal.NewestSegment() && t.liveTurnBytes[t.journal.OldestSegment()] <= t.segmentBytes/8 {
 		if !t.reclaim() {
 			return
 		}
--- a/internal/tier/store/repair.go
+++ b/internal/tier/store/repair.go
@@ -11,50 +11,50 @@
 )
 
 const (
-	// urgentInterval lies between the first two rounds of a store that is incomplete or being emptied; it doubles up to
+	// minUrgentInterval lies between the first two rounds of a store that is incomplete or being emptied; it doubles up to
 	// the usual one, since what those wait for may be down for long.
-	urgentInterval = 50 * time.Millisecond
-	// peerLimit bounds a call to another store.
-	peerLimit = time.Second
-	// roundLimit bounds a whole round.
-	roundLimit = 5 * time.Second
-	// settleTime is how old a turn has to be, and for how long a program has to be idle, before it is offered: what is
+	minUrgentInterval = 50 * time.Millisecond
+	// peerTimeout bounds a call to another store.
+	peerTimeout = time.Second
+	// roundTimeout bounds a whole round.
+	roundTimeout = 5 * time.Second
+	// minOfferAge is how old a turn has to be, and for how long a program has to be idle, before it is offered: what is
 	// on its way to the other store anyway is not brought twice.
-	settleTime = time.Second
-	// offerPage bounds the keys of one offer, 32 KB.
-	offerPage = 4096
-	// offerPrograms bounds its programs.
-	offerPrograms = 512
-	// retiredPause lies between two calls of Options.OnRetired.
-	retiredPause = 2 * time.Second
+	minOfferAge = time.Second
+	// maxOfferKeys bounds the keys of one offer, 32 KB.
+	maxOfferKeys = 4096
+	// maxOfferPrograms bounds its programs.
+	maxOfferPrograms = 512
+	// retiredCallInterval lies between two calls of Options.OnRetired.
+	retiredCallInterval = 2 * time.Second
 )
 
-// repair runs rounds until the store is closed.
-func (s *Store) repair() {
-	defer s.done.Done()
+// runRepair runs rounds until the store is closed.
+func (s *Store) runRepair() {
+	defer s.running.Done()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	urgent := urgentInterval
-	for next := 0; ; next++ {
+	urgentInterval := minUrgentInterval
+	for roundNumber := 0; ; roundNumber++ {
 		select {
 		case <-timer.C:
-		case <-s.kick:
-			urgent = urgentInterval
+		case <-s.wakeRepair:
+			urgentInterval = minUrgentInterval
 		case <-s.ctx.Done():
 			return
 		}
-		if s.round(next) {
-			timer.Reset(urgent)
-			urgent = min(2*urgent, s.options.RepairInterval)
+		if s.repairRound(roundNumber) {
+			timer.Reset(urgentInterval)
+			urgentInterval = min(2*urgentInterval, s.options.RepairInterval)
 			continue
 		}
 		timer.Reset(s.options.RepairInterval)
-		urgent = urgentInterval
+		urgentInterval = minUrgentInterval
 	}
 }
 
-// duty is what a round has to do.
-type duty struct {
+// roundInput is what a round has to do.
+type roundInput struct {
 	view      storewire.View
 	self      int
 	complete  bool
@@ -62,14 +62,14 @@
 	retiring  bool
 }
 
-// round does one round of repair with the store whose turn it is, and says whether the next one is urgent.
-func (s *Store) round(turn int) (urgent bool) {
-	ctx, cancel := context.WithTimeout(s.ctx, roundLimit)
+// repairRound does one round of repair with the store whose turn it is, and says whether the next one is urgent.
+func (s *Store) repairRound(roundNumber int) (urgent bool) {
+	ctx, cancel := context.WithTimeout(s.ctx, roundTimeout)
 	defer cancel()
-	var d duty
+	var round roundInput
 	err := s.do(ctx, func(t *table) bool {
-		t.tidy()
-		d = duty{
+		t.expireAndReclaim()
+		round = roundInput{
 			view:      t.meta.View,
 			self:      t.self,
 			complete:  t.meta.Complete,
@@ -78,56 +78,56 @@
 		}
 		return true // settlements get to the disk at last
 	})
-	if err != nil || d.self < 0 {
+	if err != nil || round.self < 0 {
 		return false
 	}
 	switch {
-	case !d.complete || d.unsettled:
-		return !s.catchUp(ctx, d)
-	case d.retiring:
-		return !s.empty(ctx, d)
+	case !round.complete || round.unsettled:
+		return !s.catchUp(ctx, round)
+	case round.retiring:
+		return !s.handOff(ctx, round)
 	}
-	if peer, ok := d.peer(turn); ok {
-		s.compare(ctx, d, peer)
+	if peer, ok := round.peer(roundNumber); ok {
+		s.compareWith(ctx, round, peer)
 	}
 	return false
 }
 
 // peer gives the member whose turn it is.
-func (d *duty) peer(turn int) (int, bool) {
+func (d *roundInput) peer(roundNumber int) (int, bool) {
 	others := len(d.view.Members) - 1
 	if others < 1 {
 		return 0, false
 	}
-	return (d.self + 1 + turn%others) % len(d.view.Members), true
+	return (d.self + 1 + roundNumber%others) % len(d.view.Members), true
 }
 
-func (d *duty) header(member int) storewire.Header {
+func (d *roundInput) header(member int) storewire.Header {
 	return storewire.Header{Epoch: d.view.Epoch, Store: d.view.Members[member].ID}
 }
 
-// heed takes from a reply what it says of the view, and tells whether the rest of the answer counts.
-func (s *Store) heed(r storewire.Reply) bool {
-	if r.View.Epoch > 0 {
-		s.adopt(r.View)
+// acceptReply takes from a reply what it says of the view, and tells whether the rest of the answer counts.
+func (s *Store) acceptReply(reply storewire.Reply) bool {
+	if reply.View.Epoch > 0 {
+		s.applyView(reply.View)
 	}
-	return r.Standing == storewire.Served
+	return reply.Standing == storewire.Served
 }
 
-// compare finds out where a member differs, and pushes what it lacks.
-func (s *Store) compare(ctx context.Context, d duty, member int) {
-	var q storewire.CompareRequest
-	var mine, programs []uint64
+// compareWith finds out where a member differs, and pushes what it lacks.
+func (s *Store) compareWith(ctx context.Context, round roundInput, member int) {
+	var request storewire.CompareRequest
+	var turnLeaves, programLeaves []uint64
 	current := false
 	err := s.do(ctx, func(t *table) bool {
-		if current = t.meta.View.Epoch == d.view.Epoch; !current {
+		if current = t.meta.View.Epoch == round.view.Epoch; !current {
 			return false
 		}
-		mine, programs = t.pairs[member].Leaves(), t.programTree.Leaves()
-		q = storewire.CompareRequest{
-			Header:   d.header(member),
+		turnLeaves, programLeaves = t.sharedTurnTrees[member].Leaves(), t.programTree.Leaves()
+		request = storewire.CompareRequest{
+			Header:   round.header(member),
 			Sender:   t.meta.ID,
-			Turns:    int64(t.pairs[member].Root()),
+			Turns:    int64(t.sharedTurnTrees[member].Root()),
 			Programs: int64(t.programTree.Root()),
 		}
 		return false
@@ -135,33 +135,33 @@
 	if err != nil || !current {
 		return
 	}
-	callContext, cancel := context.WithTimeout(ctx, peerLimit)
+	callCtx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	a, err := s.caller.Compare(callContext, d.view.Members[member].Address, q)
-	if err != nil || !s.heed(a.Reply) {
+	answer, err := s.caller.Compare(callCtx, round.view.Members[member].Address, request)
+	if err != nil || !s.acceptReply(answer.Reply) {
 		return
 	}
-	if len(a.Turns) > 0 {
-		s.pushTurns(ctx, d, member, s.keysIn(ctx, d, member, merkle.DifferingRanges(mine, unsigned(a.Turns))))
+	if len(answer.Turns) > 0 {
+		s.pushTurns(ctx, round, member, s.sharedKeysIn(ctx, round, member, merkle.DifferingRanges(turnLeaves, toUnsigned(answer.Turns))))
 	}
-	if len(a.Programs) > 0 {
-		s.pushPrograms(ctx, d, member, s.programsIn(ctx, merkle.DifferingRanges(programs, unsigned(a.Programs))))
+	if len(answer.Programs) > 0 {
+		s.pushPrograms(ctx, round, member, s.programsIn(ctx, merkle.DifferingRanges(programLeaves, toUnsigned(answer.Programs))))
 	}
-	s.pushStrays(ctx, d, member, settleTime)
+	s.pushMisplaced(ctx, round, member, minOfferAge)
 }
 
-// keysIn gives the turns of some ranges that belong at a member too.
-func (s *Store) keysIn(ctx context.Context, d duty, member int, ranges []int) []uint64 {
+// sharedKeysIn gives the turns of some ranges that belong at a member too.
+func (s *Store) sharedKeysIn(ctx context.Context, round roundInput, member int, ranges []int) []uint64 {
 	var keys []uint64
 	err := s.do(ctx, func(t *table) bool {
-		if t.meta.View.Epoch != d.view.Epoch {
+		if t.meta.View.Epoch != round.view.Epoch {
 			return false
 		}
-		for key, x := range t.turns {
-			if !slices.Contains(ranges, merkle.RangeOf(key)) || t.now()-x.arrived < settleTime {
+		for key, turn := range t.turns {
+			if !slices.Contains(ranges, merkle.RangeOf(key)) || t.now()-turn.receivedAt < minOfferAge {
 				continue
 			}
-			if places := t.placesOf(x); slices.Contains(places, member) && slices.Contains(places, t.self) {
+			if places := t.placesOf(turn); slices.Contains(places, member) && slices.Contains(places, t.self) {
 				keys = append(keys, key)
 			}
 		}
@@ -175,15 +175,15 @@
 
 // programsIn gives the programs of some ranges that have been idle for a while.
 func (s *Store) programsIn(ctx context.Context, ranges []int) []storewire.ProgramDigest {
-	var list []storewire.ProgramDigest
+	var programs []storewire.ProgramDigest
 	err := s.do(ctx, func(t *table) bool {
 		for name, p := range t.programs {
-			idle := t.now() - p.touched
-			if idle < settleTime || idle > programLife-programFade {
+			idle := t.now() - p.lastActivity
+			if idle < minOfferAge || idle > programRetention-programOfferMargin {
 				continue
 			}
 			if slices.Contains(ranges, merkle.RangeOf(placement.KeyOf(name))) {
-				list = append(list, storewire.ProgramDigest{Name: name, Digest: int64(p.ledger.Digest())})
+				programs = append(programs, storewire.ProgramDigest{Name: name, Digest: int64(p.ledger.Digest())})
 			}
 		}
 		return false
@@ -191,70 +191,70 @@
 	if err != nil {
 		return nil
 	}
-	return list
+	return programs
 }
 
 // pushTurns brings to a member the turns that it lacks, and says whether it holds all of them on its disk then.
-func (s *Store) pushTurns(ctx context.Context, d duty, member int, keys []uint64) bool {
-	for page := range slices.Chunk(keys, offerPage) {
-		var packed []byte
+func (s *Store) pushTurns(ctx context.Context, round roundInput, member int, keys []uint64) bool {
+	for page := range slices.Chunk(keys, maxOfferKeys) {
+		var packedKeys []byte
 		for _, key := range page {
-			packed = storewire.AppendKey(packed, key)
+			packedKeys = storewire.AppendKey(packedKeys, key)
 		}
-		a, ok := s.offer(ctx, d, member, storewire.OfferRequest{Turns: packed})
+		answer, ok := s.callOffer(ctx, round, member, storewire.OfferRequest{Turns: packedKeys})
 		if !ok {
 			return false
 		}
-		wanted := make([]uint64, 0, len(a.Turns))
-		for _, at := range a.Turns {
-			if at >= 0 && at < len(page) {
-				wanted = append(wanted, page[at])
+		missing := make([]uint64, 0, len(answer.Turns))
+		for _, i := range answer.Turns {
+			if i >= 0 && i < len(page) {
+				missing = append(missing, page[i])
 			}
 		}
-		if !s.pushKeys(ctx, d, member, wanted) {
+		if !s.sendTurns(ctx, round, member, missing) {
 			return false
 		}
 	}
 	return true
 }
 
-// pushKeys brings turns to a member, in messages of bounded size.
-func (s *Store) pushKeys(ctx context.Context, d duty, member int, keys []uint64) bool {
+// sendTurns brings turns to a member, in messages of bounded size.
+func (s *Store) sendTurns(ctx context.Context, round roundInput, member int, keys []uint64) bool {
 	for len(keys) > 0 {
-		var found []located
-		looked := 0
+		var locations []turnLocation
+		processed := 0
 		err := s.do(ctx, func(t *table) bool {
-			found, looked = t.locate(keys)
+			locations, processed = t.locateTurns(keys)
 			return false
 		})
 		if err != nil {
 			return false
 		}
-		parcels, err := s.parcels(found)
+		parcels, err := s.readParcels(locations)
 		if err != nil {
 			return false // a record was moved meanwhile, or the disk fails: the next round tries anew
 		}
-		if !s.push(ctx, d, member, storewire.PushRequest{Parcels: parcels}) {
+		if !s.callPush(ctx, round, member, storewire.PushRequest{Parcels: parcels}) {
 			return false
 		}
-		keys = keys[looked:]
+		keys = keys[processed:]
 	}
 	return true
 }
 
 // pushPrograms brings to a member the programs of which it knows something else, and says whether it knows all that
 // was known here when the list was made.
-func (s *Store) pushPrograms(ctx context.Context, d duty, member int, list []storewire.ProgramDigest) bool {
-	for page := range slices.Chunk(list, offerPrograms) {
-		a, ok := s.offer(ctx, d, member, storewire.OfferRequest{Programs: page})
+func (s *Store) pushPrograms(ctx context.Context, round roundInput, member int, programs []storewire.ProgramDigest) bool {
+	for page := range slices.Chunk(programs, maxOfferPrograms) {
+		answer, ok := s.callOffer(ctx, round, member, storewire.OfferRequest{Programs: page})
 		if !ok {
 			return false
 		}
-		for _, at := range a.Programs {
-			if at < 0 || at >= len(page) {
+		for _, i := range answer.Programs {
+			if i < 0 || i >= len(page) {
 				continue
 			}
-			if !s.pushProgram(ctx, d, member, page[at].Name) {
+			if !s.sendProgram(ctx, round, member, page[i].Name) {
 				return false
 			}
 		}
@@ -262,65 +262,65 @@
 	return true
 }
 
-func (s *Store) pushProgram(ctx context.Context, d duty, member int, name string) bool {
+func (s *Store) sendProgram(ctx context.Context, round roundInput, member int, name string) bool {
 	var programs []storewire.Program
 	err := s.do(ctx, func(t *table) bool {
 		if p := t.programs[name]; p != nil {
-			programs = append(programs, t.wire(p))
+			programs = append(programs, t.toWire(p))
 		}
 		return false
 	})
-	return err == nil && s.push(ctx, d, member, storewire.PushRequest{Programs: programs})
+	return err == nil && s.callPush(ctx, round, member, storewire.PushRequest{Programs: programs})
 }
 
-func (s *Store) offer(ctx context.Context, d duty, member int, q storewire.OfferRequest) (storewire.OfferAnswer, bool) {
-	ctx, cancel := context.WithTimeout(ctx, peerLimit)
+func (s *Store) callOffer(ctx context.Context, round roundInput, member int, request storewire.OfferRequest) (storewire.OfferAnswer, bool) {
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	q.Header = d.header(member)
-	a, err := s.caller.Offer(ctx, d.view.Members[member].Address, q)
-	return a, err == nil && s.heed(a.Reply)
+	request.Header = round.header(member)
+	answer, err := s.caller.Offer(ctx, round.view.Members[member].Address, request)
+	return answer, err == nil && s.acceptReply(answer.Reply)
 }
 
-func (s *Store) push(ctx context.Context, d duty, member int, q storewire.PushRequest) bool {
-	if len(q.Parcels) == 0 && len(q.Programs) == 0 {
+func (s *Store) callPush(ctx context.Context, round roundInput, member int, request storewire.PushRequest) bool {
+	if len(request.Parcels) == 0 && len(request.Programs) == 0 {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(ctx, peerLimit)
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	q.Header = d.header(member)
-	a, err := s.caller.Push(ctx, d.view.Members[member].Address, q)
-	return err == nil && s.heed(a.Reply)
+	request.Header = round.header(member)
+	answer, err := s.caller.Push(ctx, round.view.Members[member].Address, request)
+	return err == nil && s.acceptReply(answer.Reply)
 }
 
-// pushStrays brings to a member the turns that belong at it and not here, and notes that it has them.
-func (s *Store) pushStrays(ctx context.Context, d duty, member int, age time.Duration) {
+// pushMisplaced brings to a member the turns that belong at it and not here, and notes that it has them.
+func (s *Store) pushMisplaced(ctx context.Context, round roundInput, member int, minAge time.Duration) {
 	var keys []uint64
 	err := s.do(ctx, func(t *table) bool {
-		if t.meta.View.Epoch != d.view.Epoch {
+		if t.meta.View.Epoch != round.view.Epoch {
 			return false
 		}
-		for key, x := range t.strays {
-			rank := slices.Index(t.placesOf(x), member)
-			if rank >= 0 && x.confirmed&rankBit(rank) == 0 && t.now()-x.arrived >= age {
+		for key, turn := range t.misplacedTurns {
+			rank := slices.Index(t.placesOf(turn), member)
+			if rank >= 0 && turn.confirmedRanks&rankBit(rank) == 0 && t.now()-turn.receivedAt >= minAge {
 				keys = append(keys, key)
 			}
 		}
 		return false
 	})
-	if err != nil || len(keys) == 0 || !s.pushTurns(ctx, d, member, keys) {
+	if err != nil || len(keys) == 0 || !s.pushTurns(ctx, round, member, keys) {
 		return
 	}
 	_ = s.do(ctx, func(t *table) bool { // an error means that they are brought once more
-		if t.meta.View.Epoch != d.view.Epoch {
+		if t.meta.View.Epoch != round.view.Epoch {
 			return false
 		}
 		for _, key := range keys {
-			x := t.strays[key]
-			if x == nil {
+			turn := t.misplacedTurns[key]
+			if turn == nil {
 				continue
 			}
-			if rank := slices.Index(t.placesOf(x), member); rank >= 0 {
-				x.confirmed |= rankBit(rank)
+			if rank := slices.Index(t.placesOf(turn), member); rank >= 0 {
+				turn.confirmedRanks |= rankBit(rank)
 			}
 		}
 		return false
--- a/internal/tier/store/repair_test.go
+++ b/internal/tier/store/repair_test.go
@@ -20,11 +20,11 @@
 
 	It("is incomplete until it has compared with all others", func() {
 		client := c.client("a")
-		ids := chain(client, "talk", 20)
+		ids := commitChain(client, "talk", 20)
 		Expect(client.Reserve(ctx, reservation("1"))).To(Equal(storeclient.Granted))
 		held := c.nodes[0].store.TurnCount()
 		c.nodes[0].wipe()
-		c.spread()
+		c.publishView()
 		Expect(reserveAt(c, c.nodes[0], "x", true).Reply.Complete).To(BeFalse())
 		c.nodes[1].down.Store(true)
 		Expect(c.nodes[0].store.RepairRound(0)).To(BeTrue(), "it goes on at once")
@@ -38,9 +38,9 @@
 	})
 
 	It("begins anew after a restart in the middle, and stays complete after one at the end", func() {
-		chain(c.client("a"), "talk", 5)
+		commitChain(c.client("a"), "talk", 5)
 		c.nodes[0].wipe()
-		c.spread()
+		c.publishView()
 		c.nodes[0].restart(memfs.Power, rand.New(rand.NewPCG(3, 1)))
 		Expect(c.nodes[0].store.Complete()).To(BeFalse())
 		c.nodes[0].store.RepairRound(0)
@@ -52,21 +52,21 @@
 
 	It("takes writes meanwhile", func() {
 		c.nodes[0].wipe()
-		c.spread()
-		ids := chain(c.client("a"), "talk", 3)
+		c.publishView()
+		ids := commitChain(c.client("a"), "talk", 3)
 		Expect(c.nodes[0].store.TurnCount()).To(Equal(3))
 		c.expectFound(ids)
 	})
 
 	It("has the others tell what they hold once, though one can't be reached", func() {
-		chain(c.client("a"), "talk", 5)
+		commitChain(c.client("a"), "talk", 5)
 		c.nodes[0].wipe()
-		c.spread()
+		c.publishView()
 		c.nodes[2].down.Store(true)
 		for range 5 {
 			c.nodes[0].store.RepairRound(0)
 		}
-		Expect(c.counted("list")).To(Equal(1+5), "one of the one that answers, five of the one that does not")
+		Expect(c.callCount("list")).To(Equal(1+5), "one of the one that answers, five of the one that does not")
 		Expect(c.nodes[0].store.Complete()).To(BeFalse())
 		c.nodes[2].down.Store(false)
 		c.nodes[0].store.RepairRound(0)
@@ -75,14 +75,14 @@
 
 	It("fetches from another holder where one fails", func() {
 		c = newCluster(2, "a", "b", "c", "d", "e")
-		ids := chain(c.client("a"), "talk", 4)
+		ids := commitChain(c.client("a"), "talk", 4)
 		c.nodes[0].wipe()
-		c.spread()
+		c.publishView()
 		failed := ""
-		c.failing(func(method, address string) error {
+		c.setFault(func(method, address string) error {
 			if method == "fetch" && (failed == "" || failed == address) {
 				failed = address
-				return errCut
+				return errUnreachable
 			}
 			return nil
 		})
@@ -96,24 +96,24 @@
 
 	It("brings many turns back", func() {
 		client := c.client("a")
-		for at := range 60 {
-			t := turnOf(fmt.Sprint("big", at), "", "")
+		for i := range 60 {
+			t := turnOf(fmt.Sprint("big", i), "", "")
 			t.Input = []byte(strings.Repeat("x", 50<<10))
 			Expect(client.Commit(ctx, t)).To(Succeed())
 		}
 		c.nodes[0].wipe()
-		c.spread()
+		c.publishView()
 		Expect(c.nodes[0].store.RepairRound(0)).To(BeFalse())
 		Expect(c.nodes[0].store.TurnCount()).To(Equal(60))
 	})
 
 	It("does not come back knowing less than another one after it needs", func() {
 		// A turn is at two stores; the disks of both are lost, one after the other.
-		for at := range 3 {
-			ids := chain(c.client("a"), fmt.Sprint("talk", at), 3)
+		for i := range 3 {
+			ids := commitChain(c.client("a"), fmt.Sprint("talk", i), 3)
 			for _, n := range c.nodes {
 				n.wipe()
-				c.spread()
+				c.publishView()
 				Expect(n.store.RepairRound(0)).To(BeFalse())
 				Expect(n.store.Complete()).To(BeTrue())
 				c.expectFound(ids)
@@ -125,12 +125,12 @@
 		// Written while the first store was down, the turn is at the other two; one of them loses its disk before the
 		// first has got the turn.
 		c.nodes[0].down.Store(true)
-		ids := chain(c.client("a"), "talk", 1)
+		ids := commitChain(c.client("a"), "talk", 1)
 		c.nodes[0].down.Store(false)
-		for _, at := range []int{1, 2} {
-			c.nodes[at].wipe()
-			c.spread()
-			Expect(c.nodes[at].store.RepairRound(0)).To(BeFalse())
+		for _, i := range []int{1, 2} {
+			c.nodes[i].wipe()
+			c.publishView()
+			Expect(c.nodes[i].store.RepairRound(0)).To(BeFalse())
 			Expect(c.lookUp(ids[0])).To(Equal(storeclient.Found))
 		}
 	})
@@ -141,26 +141,26 @@
 	BeforeEach(func() { c = newCluster(1, "a", "b", "c") })
 
 	It("is one message where nothing differs", func() {
-		chain(c.client("a"), "talk", 10)
-		c.pass(5 * time.Second)
-		c.rounds(4)
-		Expect(c.counted("compare")).To(Equal(12))
-		Expect(c.counted("offer")).To(BeZero())
-		Expect(c.counted("push")).To(BeZero())
+		commitChain(c.client("a"), "talk", 10)
+		c.advanceClock(5 * time.Second)
+		c.repairRounds(4)
+		Expect(c.callCount("compare")).To(Equal(12))
+		Expect(c.callCount("offer")).To(BeZero())
+		Expect(c.callCount("push")).To(BeZero())
 	})
 
 	It("brings a turn to its places", func() {
 		c.nodes[0].down.Store(true)
-		chain(c.client("a"), "talk", 10)
+		commitChain(c.client("a"), "talk", 10)
 		c.nodes[0].down.Store(false)
 		Expect(c.nodes[0].store.TurnCount()).To(BeZero())
-		c.pass(5 * time.Second)
-		c.rounds(3)
+		c.advanceClock(5 * time.Second)
+		c.repairRounds(3)
 		Expect(c.nodes[0].store.TurnCount()).To(Equal(10))
-		c.rounds(3)
-		before := c.counted("offer")
-		c.rounds(3)
-		Expect(c.counted("offer")).To(Equal(before), "what is at its places is not offered again")
+		c.repairRounds(3)
+		before := c.callCount("offer")
+		c.repairRounds(3)
+		Expect(c.callCount("offer")).To(Equal(before), "what is at its places is not offered again")
 	})
 
 	It("tells of reservations and settlements that a store has missed", func() {
@@ -168,8 +168,8 @@
 		Expect(c.client("a").Reserve(ctx, reservation("1"))).To(Equal(storeclient.Granted))
 		c.nodes[0].down.Store(false)
 		settleAt(c, c.nodes[1], "1", 4)
-		c.pass(5 * time.Second)
-		c.rounds(4)
+		c.advanceClock(5 * time.Second)
+		c.repairRounds(4)
 		for _, n := range c.nodes {
 			answer := reserveAt(c, n, "other", true)
 			Expect(answer.Settled).To(Equal(int64(4)))
@@ -178,19 +178,19 @@
 
 	It("moves turns when a store joins", func() {
 		chains := map[string][]string{}
-		for at := range 20 {
-			name := fmt.Sprint("talk", at)
-			chains[name] = chain(c.client("a"), name, 2)
+		for i := range 20 {
+			name := fmt.Sprint("talk", i)
+			chains[name] = commitChain(c.client("a"), name, 2)
 		}
 		n := c.add("store-3", "d")
 		n.start(false)
-		c.join(n)
-		c.spread()
+		c.joinView(n)
+		c.publishView()
 		Expect(n.store.Complete()).To(BeFalse())
 		n.store.RepairRound(0)
 		Expect(n.store.Complete()).To(BeTrue())
-		c.pass(5 * time.Second)
-		c.rounds(4)
+		c.advanceClock(5 * time.Second)
+		c.repairRounds(4)
 		Expect(n.store.TurnCount()).To(BeNumerically(">", 0))
 		for _, ids := range chains {
 			c.expectFound(ids)
@@ -202,15 +202,15 @@
 	It("makes its turns unsure, not missing, until the others have compared", func() {
 		c := newCluster(1, "a", "b", "c", "d")
 		var ids []string
-		for at := range 20 {
-			ids = append(ids, chain(c.client("a"), fmt.Sprint("talk", at), 1)[0])
+		for i := range 20 {
+			ids = append(ids, commitChain(c.client("a"), fmt.Sprint("talk", i), 1)[0])
 		}
 		// The clients' own store has one copy of each turn; it goes for good.
-		gone := c.nodes[0]
-		gone.down.Store(true)
-		c.remove(gone.name)
+		removed := c.nodes[0]
+		removed.down.Store(true)
+		c.remove(removed.name)
 		c.nodes = c.nodes[1:]
-		c.spread()
+		c.publishView()
 		for _, id := range ids {
 			Expect(c.lookUp(id)).To(Equal(storeclient.Found))
 		}
@@ -231,12 +231,12 @@
 	It("is not one that had been emptied", func() {
 		c := newCluster(1, "a", "b", "c", "d")
 		c.retire("store-3")
-		c.spread()
-		c.rounds(1)
+		c.publishView()
+		c.repairRounds(1)
 		c.nodes[3].down.Store(true)
 		c.remove("store-3")
 		c.nodes = c.nodes[:3]
-		c.spread()
+		c.publishView()
 		Expect(c.lookUp("unheard")).To(Equal(storeclient.Missing))
 		Expect(reserveAt(c, c.nodes[0], "x", true).Reply.Complete).To(BeTrue())
 	})
@@ -244,15 +244,15 @@
 	It("is one that comes back with another disk as if it were new", func() {
 		c := newCluster(1, "a", "b", "c", "d")
 		n := c.nodes[0]
-		chain(c.client("a"), "talk", 5)
+		commitChain(c.client("a"), "talk", 5)
 		c.remove(n.name)
 		n.wipe() // not in the view, and so in nobody's place
-		c.spread()
+		c.publishView()
 		Expect(c.view.Members[3].Replaced).To(BeFalse())
 		Expect(c.lookUp("talk-4")).NotTo(Equal(storeclient.Missing))
 		Expect(reserveAt(c, c.nodes[1], "x", true).Reply.Complete).To(BeFalse())
 		n.store.RepairRound(0)
-		c.rounds(1)
+		c.repairRounds(1)
 		c.expectFound([]string{"talk-0", "talk-1", "talk-2", "talk-3", "talk-4"})
 		Expect(c.lookUp("unheard")).To(Equal(storeclient.Missing))
 	})
@@ -260,7 +260,7 @@
 	It("is not one whose successor took its place", func() {
 		c := newCluster(1, "a", "b", "c")
 		c.nodes[2].wipe()
-		c.spread()
+		c.publishView()
 		Expect(c.lookUp("unheard")).To(Equal(storeclient.Missing))
 	})
 })
@@ -268,24 +268,24 @@
 var _ = Describe("views that follow each other", func() {
 	It("lose nothing while machines are replaced one by one", func() {
 		c := newCluster(1, "a", "b", "c")
-		ids := chain(c.client("a"), "talk", 5)
+		ids := commitChain(c.client("a"), "talk", 5)
 		Expect(c.client("a").Reserve(ctx, reservation("1"))).To(Equal(storeclient.Granted))
-		for at := range 3 {
+		for i := range 3 {
 			c.retire(c.nodes[0].name)
-			n := c.add(fmt.Sprint("next-", at), c.nodes[0].zone)
+			n := c.add(fmt.Sprint("next-", i), c.nodes[0].zone)
 			n.start(false)
-			c.join(n)
-			c.spread()
+			c.joinView(n)
+			c.publishView()
 			n.store.RepairRound(0)
 			Expect(n.store.Complete()).To(BeTrue())
 			old := c.nodes[0]
 			Expect(old.store.RepairRound(0)).To(BeFalse())
-			Expect(old.retired.Load()).To(BeNumerically(">", 0))
+			Expect(old.retiredCalls.Load()).To(BeNumerically(">", 0))
 			old.down.Store(true)
 			c.remove(old.name)
 			c.nodes = c.nodes[1:]
-			c.spread()
-			c.rounds(2)
+			c.publishView()
+			c.repairRounds(2)
 			c.expectFound(ids)
 			Expect(reserveAt(c, n, "other", true).Entries).NotTo(BeEmpty())
 		}
@@ -296,8 +296,8 @@
 		c := newCluster(1, "a", "b", "c")
 		client := c.client("a")
 		old := c.view
-		c.change(func(m []controlstate.StoreMember) []controlstate.StoreMember { return m })
-		c.spread()
+		c.changeView(func(m []controlstate.StoreMember) []controlstate.StoreMember { return m })
+		c.publishView()
 		client.SetView(old)
 		Expect(client.Commit(ctx, turnOf("x", "", ""))).To(Succeed())
 		Expect(c.lookUp("x")).To(Equal(storeclient.Found))
--- a/internal/tier/store/retire_test.go
+++ b/internal/tier/store/retire_test.go
@@ -12,30 +12,30 @@
 	BeforeEach(func() { c = newCluster(1, "a", "b", "c", "d") })
 
 	// emptied retires the first store.
-	emptied := func() *node {
+	retireFirst := func() *node {
 		n := c.nodes[0]
 		c.retire(n.name)
-		c.spread()
+		c.publishView()
 		return n
 	}
 
 	It("is emptied before it says so", func() {
 		client := c.client("a")
-		ids := chain(client, "talk", 10)
+		ids := commitChain(client, "talk", 10)
 		Expect(client.Reserve(ctx, reservation("1"))).To(Equal(storeclient.Granted))
-		n := emptied()
+		n := retireFirst()
 		Expect(n.store.RepairRound(0)).To(BeFalse())
-		Expect(n.retired.Load()).To(Equal(int32(1)))
+		Expect(n.retiredCalls.Load()).To(Equal(int32(1)))
 		c.remove(n.name)
 		n.down.Store(true)
-		c.spread()
+		c.publishView()
 		for _, other := range c.nodes[1:] {
 			other.wipe()
-			c.spread()
+			c.publishView()
 			Expect(other.store.RepairRound(0)).To(BeFalse())
 			history, verdict := c.client("b").History(ctx, ids[9])
 			Expect(verdict).To(Equal(storeclient.Found))
-			Expect(string(history.Body)).To(Equal(textOf(ids)))
+			Expect(string(history.Body)).To(Equal(bodyOf(ids)))
 			Expect(reserveAt(c, other, "other", true).Entries).NotTo(BeEmpty())
 		}
 	})
@@ -43,31 +43,31 @@
 	DescribeTable("is not emptied while what it holds is not safe elsewhere",
 		func(prepare func(method, address string) error) {
 			client := c.client("a")
-			chain(client, "talk", 10)
+			commitChain(client, "talk", 10)
 			Expect(client.Reserve(ctx, reservation("1"))).To(Equal(storeclient.Granted))
-			n := emptied()
-			c.failing(prepare)
+			n := retireFirst()
+			c.setFault(prepare)
 			Expect(n.store.RepairRound(0)).To(BeTrue())
-			Expect(n.retired.Load()).To(BeZero())
-			c.failing(nil)
+			Expect(n.retiredCalls.Load()).To(BeZero())
+			c.setFault(nil)
 			Expect(n.store.RepairRound(1)).To(BeFalse())
-			Expect(n.retired.Load()).To(Equal(int32(1)))
+			Expect(n.retiredCalls.Load()).To(Equal(int32(1)))
 		},
 		Entry("a store is cut off", func(method, address string) error {
 			if address == "store-2:1" {
-				return errCut
+				return errUnreachable
 			}
 			return nil
 		}),
 		Entry("turns can't be pushed", func(method, _ string) error {
 			if method == "push" {
-				return errCut
+				return errUnreachable
 			}
 			return nil
 		}),
 		Entry("nothing can be offered", func(method, _ string) error {
 			if method == "offer" {
-				return errCut
+				return errUnreachable
 			}
 			return nil
 		}),
@@ -76,26 +76,26 @@
 	It("is not emptied while one of the others does not know of a reservation", func() {
 		n := c.nodes[0]
 		Expect(reserveAt(c, n, "1", false).Kept).To(BeTrue())
-		emptied()
-		c.failing(func(method, address string) error {
+		retireFirst()
+		c.setFault(func(method, address string) error {
 			if method == "push" && address == "store-3:1" {
-				return errCut
+				return errUnreachable
 			}
 			return nil
 		})
 		Expect(n.store.RepairRound(0)).To(BeTrue())
-		Expect(n.retired.Load()).To(BeZero())
-		c.failing(nil)
+		Expect(n.retiredCalls.Load()).To(BeZero())
+		c.setFault(nil)
 		Expect(n.store.RepairRound(1)).To(BeFalse())
-		Expect(n.retired.Load()).To(Equal(int32(1)))
+		Expect(n.retiredCalls.Load()).To(Equal(int32(1)))
 		for _, other := range c.nodes[1:] {
 			Expect(reserveAt(c, other, "other", true).Entries).NotTo(BeEmpty())
 		}
 	})
 
 	It("takes nothing new, and still serves reads", func() {
-		ids := chain(c.client("a"), "talk", 3)
-		n := emptied()
+		ids := commitChain(c.client("a"), "talk", 3)
+		n := retireFirst()
 		for _, other := range c.nodes[1:] {
 			if other.store.TurnCount() > 0 {
 				other.down.Store(true)
@@ -103,22 +103,22 @@
 		}
 		c.expectFound(ids)
 		before := n.store.TurnCount()
-		chain(c.client("a"), "later", 3)
+		commitChain(c.client("a"), "later", 3)
 		Expect(n.store.TurnCount()).To(Equal(before))
 	})
 
 	It("is not emptied while its own disk lacks what it should hold", func() {
-		chain(c.client("a"), "talk", 3)
-		n := emptied()
+		commitChain(c.client("a"), "talk", 3)
+		n := retireFirst()
 		n.wipe()
 		c.retire(n.name)
-		c.spread()
+		c.publishView()
 		c.nodes[1].down.Store(true)
 		n.store.RepairRound(0)
-		Expect(n.retired.Load()).To(BeZero())
+		Expect(n.retiredCalls.Load()).To(BeZero())
 		c.nodes[1].down.Store(false)
 		n.store.RepairRound(1)
 		n.store.RepairRound(2)
-		Expect(n.retired.Load()).To(Equal(int32(1)))
+		Expect(n.retiredCalls.Load()).To(Equal(int32(1)))
 	})
 })
--- a/internal/tier/store/status.go
+++ b/internal/tier/store/status.go
@@ -34,10 +34,10 @@
 	status := Status{
 		Complete: t.meta.Complete, Retiring: t.retiring(), Member: t.self >= 0,
 		Epoch: t.meta.View.Epoch, Members: len(t.meta.View.Members),
-		Turns: len(t.turns), Programs: len(t.programs), Entries: t.entries,
-		RingBytes: t.segmentBytes * segments, FreeBytes: t.segmentBytes * int64(t.journal.FreeSegments()),
+		Turns: len(t.turns), Programs: len(t.programs), Entries: t.entryCount,
+		RingBytes: t.segmentBytes * segmentCount, FreeBytes: t.segmentBytes * int64(t.journal.FreeSegments()),
 	}
-	for _, bytes := range t.live {
+	for _, bytes := range t.liveTurnBytes {
 		status.TurnBytes += bytes
 	}
 	return status
--- a/internal/tier/store/status_test.go
+++ b/internal/tier/store/status_test.go
@@ -17,7 +17,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(empty).To(And(HaveField("Complete", true), HaveField("Member", true), HaveField("Epoch", int64(1)),
 			HaveField("Members", 1), HaveField("Turns", 0), HaveField("TurnBytes", int64(0)), HaveField("Retiring", false)))
-		conversation(c, n)
+		commitConversation(c, n)
 		full, err := n.store.Status(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(full).To(And(HaveField("Turns", 3), HaveField("Programs", 1), HaveField("Entries", 2)))
@@ -29,7 +29,7 @@
 	It("tells of a fresh disk that it is not complete, and of one that is being emptied", func() {
 		c := newCluster(0, "a", "b")
 		c.retire("store-1")
-		c.spread()
+		c.publishView()
 		retiring, err := c.nodes[1].store.Status(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(retiring.Retiring).To(BeTrue())
--- a/internal/tier/store/store.go
+++ b/internal/tier/store/store.go
@@ -33,19 +33,19 @@
 )
 
 const (
-	// diskShare is the part of the disk that the ring of files may take.
-	diskShare = 0.8
-	// segments of the ring: so many that a segment kept free costs little.
-	segments = 16
-	// leastSegment holds the longest turns on all but the smallest disks, mostSegment keeps a reclaim short.
-	leastSegment = 1 << 20
-	mostSegment  = 16 << 20
-	// defaultDisk is taken where no limit is told.
-	defaultDisk = 256 << 20
-	// queueLength bounds the commands that wait for the owner of the table; callers wait beyond it.
-	queueLength = 256
-	// drainMost bounds the commands that are worked through before a sync for them begins.
-	drainMost = 64
+	// ringDiskShare is the part of the disk that the ring of files may take.
+	ringDiskShare = 0.8
+	// segmentCount of the ring: so many that a segment kept free costs little.
+	segmentCount = 16
+	// minSegmentBytes holds the longest turns on all but the smallest disks, mostSegment keeps a reclaim short.
+	minSegmentBytes = 1 << 20
+	maxSegmentBytes = 16 << 20
+	// defaultDiskBytes is taken where no limit is told.
+	defaultDiskBytes = 256 << 20
+	// commandQueueLength bounds the commands that wait for the owner of the table; callers wait beyond it.
+	commandQueueLength = 256
+	// maxDrainedCommands bounds the commands that are worked through before a sync for them begins.
+	maxDrainedCommands = 64
 	// defaultRepairInterval lies between two comparisons with another store.
 	defaultRepairInterval = 500 * time.Millisecond
 )
@@ -73,71 +73,71 @@
 
 // Store is an open store. It implements storewire.Server.
 type Store struct {
-	options  Options
-	now      func() time.Duration
-	journal  *journal.Journal
-	id       string
-	caller   storewire.Caller
-	commands chan *command
-	kick     chan struct{} // wakes the repair
-	reported retiredReport // belongs to the repair
-	taken    inventories   // likewise
+	options         Options
+	now             func() time.Duration
+	journal         *journal.Journal
+	id              string
+	caller          storewire.Caller
+	commands        chan *command
+	wakeRepair      chan struct{} // wakes the repair
+	lastRetiredCall retiredCall   // belongs to the repair
+	inventories     inventorySet  // likewise
 
-	ctx  context.Context
-	stop context.CancelFunc
-	done sync.WaitGroup
+	ctx     context.Context
+	stop    context.CancelFunc
+	running sync.WaitGroup
 }
 
 var _ storewire.Server = (*Store)(nil)
 
 // command is a piece of work for the owner of the table.
 type command struct {
-	run  func(*table) (durable bool) // durable: it is done only once all that was appended is on the disk
-	done chan struct{}
-	err  error // of the disk; set before done is closed
+	run     func(*table) (durable bool) // durable: it is done only once all that was appended is on the disk
+	done    chan struct{}
+	syncErr error // of the disk; set before done is closed
 }
 
-// syncing is a sync for a group of commands.
-type syncing struct {
-	group   []*command
-	through uint64 // appended records that it covers
-	err     error
+// syncBatch is a sync for a group of commands.
+type syncBatch struct {
+	commands   []*command
+	lastRecord uint64 // appended records that it covers
+	err        error
 }
 
 // Start opens the store of a folder. Errors: those of the disk.
-func Start(o Options) (*Store, error) {
-	if o.DiskBytes == 0 {
-		o.DiskBytes = defaultDisk
+func Start(options Options) (*Store, error) {
+	if options.DiskBytes == 0 {
+		options.DiskBytes = defaultDiskBytes
 	}
-	if o.RepairInterval == 0 {
-		o.RepairInterval = defaultRepairInterval
+	if options.RepairInterval == 0 {
+		options.RepairInterval = defaultRepairInterval
 	}
-	if o.Now == nil {
+	if options.Now == nil {
 		start := time.Now()
-		o.Now = func() time.Duration { return time.Since(start) }
+		options.Now = func() time.Duration { return time.Since(start) }
 	}
-	t, err := openTable(o)
+	t, err := openTable(options)
 	if err != nil {
 		return nil, err
 	}
 	s := &Store{
-		options:  o,
-		now:      o.Now,
-		journal:  t.journal,
-		id:       t.meta.ID,
-		caller:   o.Caller,
-		commands: make(chan *command, queueLength),
-		kick:     make(chan struct{}, 1),
+		options:    options,
+		now:        options.Now,
+		journal:    t.journal,
+		id:         t.meta.ID,
+		caller:     options.Caller,
+		commands:   make(chan *command, commandQueueLength),
+		wakeRepair: make(chan struct{}, 1),
 	}
 	s.ctx, s.stop = context.WithCancel(context.Background())
-	syncs := make(chan *syncing, 1)
-	synced := make(chan *syncing, 1)
-	s.done.Add(2)
-	go s.own(t, syncs, synced)
-	go s.sync(syncs, synced)
-	if o.RepairInterval > 0 {
-		s.done.Add(1)
-		go s.repair()
+	syncs := make(chan *syncBatch, 1)
+	synced := make(chan *syncBatch, 1)
+	s.running.Add(2)
+	go s.runCommands(t, syncs, synced)
+	go s.syncJournal(syncs, synced)
+	if options.RepairInterval > 0 {
+		s.running.Add(1)
+		go s.runRepair()
 	}
 	return s, nil
 }
@@ -146,22 +146,22 @@
 func (s *Store) ID() string { return s.id }
 
 // SetView tells of the stores; a view older than the one in use is ignored.
-func (s *Store) SetView(stores controlstate.StoreView) { s.adopt(storewire.ViewOf(stores)) }
+func (s *Store) SetView(stores controlstate.StoreView) { s.applyView(storewire.ViewOf(stores)) }
 
-func (s *Store) adopt(v storewire.View) {
-	if v.Epoch == 0 {
+func (s *Store) applyView(view storewire.View) {
+	if view.Epoch == 0 {
 		return
 	}
 	changed := false
 	err := s.do(s.ctx, func(t *table) bool {
-		changed = t.setView(v)
+		changed = t.setView(view)
 		return false
 	})
 	if err != nil || !changed {
 		return
 	}
 	select {
-	case s.kick <- struct{}{}:
+	case s.wakeRepair <- struct{}{}:
 	default:
 	}
 }
@@ -179,7 +179,7 @@
 // Close ends the store. What was not acknowledged may be lost.
 func (s *Store) Close() error {
 	s.stop()
-	s.done.Wait()
+	s.running.Wait()
 	return s.journal.Close()
 }
 
@@ -196,7 +196,7 @@
 	}
 	select {
 	case <-c.done:
-		return c.err
+		return c.syncErr
 	case <-ctx.Done():
 		return eris.Wrap(ctx.Err(), "store")
 	case <-s.ctx.Done():
@@ -204,17 +204,17 @@
 	}
 }
 
-// own works through the commands. Those that come while a sync runs share the next one.
-func (s *Store) own(t *table, syncs chan<- *syncing, synced <-chan *syncing) {
-	defer s.done.Done()
+// runCommands works through the commands. Those that come while a sync runs share the next one.
+func (s *Store) runCommands(t *table, syncs chan<- *syncBatch, synced <-chan *syncBatch) {
+	defer s.running.Done()
 	defer close(syncs)
 	for {
 		select {
 		case c := <-s.commands:
-			s.serve(t, c)
-			s.drain(t)
-		case ended := <-synced:
-			t.syncEnded(ended)
+			s.execute(t, c)
+			s.drainCommands(t)
+		case finished := <-synced:
+			t.syncEnded(finished)
 		case <-s.ctx.Done():
 			return
 		}
@@ -224,38 +224,38 @@
 	}
 }
 
-func (s *Store) drain(t *table) {
-	for range drainMost {
+func (s *Store) drainCommands(t *table) {
+	for range maxDrainedCommands {
 		select {
 		case c := <-s.commands:
-			s.serve(t, c)
+			s.execute(t, c)
 		default:
 			return
 		}
 	}
 }
 
-func (s *Store) serve(t *table, c *command) {
-	if c.run(t) && t.unsynced() {
-		t.waiting = append(t.waiting, c)
+func (s *Store) execute(t *table, c *command) {
+	if c.run(t) && t.hasUnsynced() {
+		t.waitingForSync = append(t.waitingForSync, c)
 	} else {
 		close(c.done)
 	}
-	if epoch := t.newer; epoch != 0 {
-		t.newer = 0
+	if epoch := t.newerEpoch; epoch != 0 {
+		t.newerEpoch = 0
 		if s.options.OnNewerView != nil {
 			go s.options.OnNewerView(epoch)
 		}
 	}
 }
 
-// sync brings the journal to the disk, one group of commands after the other.
-func (s *Store) sync(syncs <-chan *syncing, synced chan<- *syncing) {
-	defer s.done.Done()
+// syncJournal brings the journal to the disk, one group of commands after the other.
+func (s *Store) syncJournal(syncs <-chan *syncBatch, synced chan<- *syncBatch) {
+	defer s.running.Done()
 	for next := range syncs {
 		next.err = s.journal.Sync()
-		for _, c := range next.group {
-			c.err = next.err
+		for _, c := range next.commands {
+			c.syncErr = next.err
 			close(c.done)
 		}
 		select {
--- a/internal/tier/store/turns.go
+++ b/internal/tier/store/turns.go
@@ -14,29 +14,29 @@
 	// retentionSlack is added to the retention of a turn: time for the turn that continues it to end and to be kept,
 	// and for clocks that start anew.
 	retentionSlack = 30 * time.Second
-	// mostTurns bounds the index, about 30 MB.
-	mostTurns = 120_000
-	// endedKept is for how long a turn that expired here is not taken from another store again.
-	endedKept = 2 * time.Minute
-	// mostEnded bounds the memory for those.
-	mostEnded = 100_000
+	// maxTurns bounds the index, about 30 MB.
+	maxTurns = 120_000
+	// tombstoneRetention is for how long a turn that expired here is not taken from another store again.
+	tombstoneRetention = 2 * time.Minute
+	// maxTombstones bounds the memory for those.
+	maxTombstones = 100_000
 )
 
-// turn is the index's part of a record.
-type turn struct {
-	id, previous string
-	key, root    uint64
-	home         string
-	position     journal.Position
-	arrived      time.Duration
-	expires      time.Duration
-	confirmed    uint8 // bits by rank of its places, of one that doesn't belong here: it is on the disk there
+// heldTurn is the index's part of a record.
+type heldTurn struct {
+	id, previous   string
+	key, rootKey   uint64
+	homeZone       string
+	position       journal.Position
+	receivedAt     time.Duration
+	expiresAt      time.Duration
+	confirmedRanks uint8 // bits by rank of its places, of one that doesn't belong here: it is on the disk there
 }
 
 // expiry is when a turn is to be looked at. It may have been extended since.
 type expiry struct {
 	at   time.Duration
-	turn *turn
+	turn *heldTurn
 }
 
 // expiryQueue is a heap, the earliest first.
@@ -56,107 +56,107 @@
 	return last
 }
 
-// retentionOf is for how long a turn is kept that has just ended.
-func retentionOf(h storewire.TurnHead) time.Duration {
-	return time.Duration(h.RetentionMillis)*time.Millisecond + retentionSlack
+// initialTTL is for how long a turn is kept that has just ended.
+func initialTTL(head storewire.TurnHead) time.Duration {
+	return time.Duration(head.RetentionMillis)*time.Millisecond + retentionSlack
 }
 
 // addTurn takes a record into the index. One that is there only gets another position or a longer life.
-func (t *table) addTurn(h storewire.TurnHead, position journal.Position, life time.Duration) *turn {
-	key := placement.KeyOf(h.ID)
+func (t *table) addTurn(head storewire.TurnHead, position journal.Position, ttl time.Duration) *heldTurn {
+	key := placement.KeyOf(head.ID)
 	now := t.now()
 	if known := t.turns[key]; known != nil {
-		t.moveTurn(known, position)
-		t.extend(known, now+life)
+		t.setTurnPosition(known, position)
+		t.extendExpiry(known, now+ttl)
 		return known
 	}
-	x := &turn{
-		id:       h.ID,
-		previous: h.Previous,
-		key:      key,
-		root:     placement.KeyOf(h.Root),
-		home:     h.Home,
-		position: position,
-		arrived:  now,
-		expires:  max(now+life, t.orphans[key]),
-	}
-	delete(t.orphans, key)
-	t.turns[key] = x
-	t.live[position.Segment] += int64(position.Length)
-	heap.Push(&t.expiries, expiry{at: x.expires, turn: x})
-	t.extendBefore(x)
-	t.place(x)
-	return x
+	turn := &heldTurn{
+		id:         head.ID,
+		previous:   head.Previous,
+		key:        key,
+		rootKey:    placement.KeyOf(head.Root),
+		homeZone:   head.Home,
+		position:   position,
+		receivedAt: now,
+		expiresAt:  max(now+ttl, t.missingPredecessors[key]),
+	}
+	delete(t.missingPredecessors, key)
+	t.turns[key] = turn
+	t.liveTurnBytes[position.Segment] += int64(position.Length)
+	heap.Push(&t.expiries, expiry{at: turn.expiresAt, turn: turn})
+	t.extendPredecessors(turn)
+	t.indexPlacement(turn)
+	return turn
 }
 
-// moveTurn notes that the record is elsewhere in the journal now.
-func (t *table) moveTurn(x *turn, position journal.Position) {
-	t.release(x.position)
-	x.position = position
-	t.live[position.Segment] += int64(position.Length)
+// setTurnPosition notes that the record is elsewhere in the journal now.
+func (t *table) setTurnPosition(turn *heldTurn, position journal.Position) {
+	t.subtractLiveBytes(turn.position)
+	turn.position = position
+	t.liveTurnBytes[position.Segment] += int64(position.Length)
 }
 
-func (t *table) release(p journal.Position) {
-	t.live[p.Segment] -= int64(p.Length)
-	if t.live[p.Segment] <= 0 {
-		delete(t.live, p.Segment)
+func (t *table) subtractLiveBytes(position journal.Position) {
+	t.liveTurnBytes[position.Segment] -= int64(position.Length)
+	if t.liveTurnBytes[position.Segment] <= 0 {
+		delete(t.liveTurnBytes, position.Segment)
 	}
 }
 
-// extend makes a turn and all before it live at least so long.
-func (t *table) extend(x *turn, until time.Duration) {
-	if x.expires >= until {
+// extendExpiry makes a turn and all before it live at least so long.
+func (t *table) extendExpiry(turn *heldTurn, until time.Duration) {
+	if turn.expiresAt >= until {
 		return
 	}
-	x.expires = until // the queue finds out when the old time comes
-	t.extendBefore(x)
+	turn.expiresAt = until // the queue finds out when the old time comes
+	t.extendPredecessors(turn)
 }
 
-// extendBefore makes all turns before one live as long as it does.
-func (t *table) extendBefore(x *turn) {
-	for x.previous != "" {
-		key := placement.KeyOf(x.previous)
-		before := t.turns[key]
-		if before == nil {
-			t.orphans[key] = max(t.orphans[key], x.expires)
+// extendPredecessors makes all turns before one live as long as it does.
+func (t *table) extendPredecessors(turn *heldTurn) {
+	for turn.previous != "" {
+		key := placement.KeyOf(turn.previous)
+		predecessor := t.turns[key]
+		if predecessor == nil {
+			t.missingPredecessors[key] = max(t.missingPredecessors[key], turn.expiresAt)
 			return
 		}
-		if before.expires >= x.expires {
+		if predecessor.expiresAt >= turn.expiresAt {
 			return
 		}
-		before.expires = x.expires
-		x = before
+		predecessor.expiresAt = turn.expiresAt
+		turn = predecessor
 	}
 }
 
-// place enters a turn where the comparison with other stores finds it.
-func (t *table) place(x *turn) {
+// indexPlacement enters a turn where the comparison with other stores finds it.
+func (t *table) indexPlacement(turn *heldTurn) {
 	if t.self < 0 {
 		return
 	}
-	places := t.placesOf(x)
+	places := t.placesOf(turn)
 	if !slices.Contains(places, t.self) {
-		t.strays[x.key] = x
+		t.misplacedTurns[turn.key] = turn
 		return
 	}
 	for _, member := range places {
 		if member != t.self {
-			t.pairs[member].Add(x.key, 0)
+			t.sharedTurnTrees[member].Add(turn.key, 0)
 		}
 	}
 }
 
-func (t *table) unplace(x *turn) {
+func (t *table) unindexPlacement(turn *heldTurn) {
 	if t.self < 0 {
 		return
 	}
-	if _, stray := t.strays[x.key]; stray {
-		delete(t.strays, x.key)
+	if _, misplaced := t.misplacedTurns[turn.key]; misplaced {
+		delete(t.misplacedTurns, turn.key)
 		return
 	}
-	for _, member := range t.placesOf(x) {
+	for _, member := range t.placesOf(turn) {
 		if member != t.self {
-			t.pairs[member].Remove(x.key, 0)
+			t.sharedTurnTrees[member].Remove(turn.key, 0)
 		}
 	}
 }
@@ -165,53 +165,53 @@
 func (t *table) expireTurns() {
 	now := t.now()
 	for len(t.expiries) > 0 && t.expiries[0].at <= now {
-		x := heap.Pop(&t.expiries).(expiry).turn
-		if x.expires > now {
-			heap.Push(&t.expiries, expiry{at: x.expires, turn: x})
+		turn := heap.Pop(&t.expiries).(expiry).turn
+		if turn.expiresAt > now {
+			heap.Push(&t.expiries, expiry{at: turn.expiresAt, turn: turn})
 			continue
 		}
-		t.removeTurn(x)
-		if len(t.ended) < mostEnded {
-			t.ended[x.key] = now + endedKept
+		t.removeTurn(turn)
+		if len(t.tombstones) < maxTombstones {
+			t.tombstones[turn.key] = now + tombstoneRetention
 		}
 	}
-	for key, until := range t.ended {
+	for key, until := range t.tombstones {
 		if until <= now {
-			delete(t.ended, key)
+			delete(t.tombstones, key)
 		}
 	}
-	for key, until := range t.orphans {
+	for key, until := range t.missingPredecessors {
 		if until <= now {
-			delete(t.orphans, key)
+			delete(t.missingPredecessors, key)
 		}
 	}
 }
 
-func (t *table) removeTurn(x *turn) {
-	t.unplace(x)
-	t.release(x.position)
-	delete(t.turns, x.key)
+func (t *table) removeTurn(turn *heldTurn) {
+	t.unindexPlacement(turn)
+	t.subtractLiveBytes(turn.position)
+	delete(t.turns, turn.key)
 }
 
-// holds says whether a turn of that key need not be brought here.
-func (t *table) holds(key uint64) bool {
-	_, ended := t.ended[key]
+// heldOrExpired says whether a turn of that key need not be brought here.
+func (t *table) heldOrExpired(key uint64) bool {
+	_, ended := t.tombstones[key]
 	return ended || t.turns[key] != nil
 }
 
-// keepTurn appends a record, whole with its kind, unless it is there. It gives false where there is no room.
-func (t *table) keepTurn(record []byte, h storewire.TurnHead, life time.Duration) bool {
-	if known := t.turns[placement.KeyOf(h.ID)]; known != nil {
-		t.extend(known, t.now()+life)
+// appendTurn appends a record, whole with its kind, unless it is there. It gives false where there is no room.
+func (t *table) appendTurn(record []byte, head storewire.TurnHead, ttl time.Duration) bool {
+	if known := t.turns[placement.KeyOf(head.ID)]; known != nil {
+		t.extendExpiry(known, t.now()+ttl)
 		return true
 	}
-	if len(t.turns) >= mostTurns {
+	if len(t.turns) >= maxTurns {
 		return false
 	}
-	position, ok := t.append(record, turnRoom)
+	position, ok := t.append(record, minFreeForTurn)
 	if !ok {
 		return false
 	}
-	t.addTurn(h, position, life)
+	t.addTurn(head, position, ttl)
 	return true
 }
--- a/internal/tier/store/turns_test.go
+++ b/internal/tier/store/turns_test.go
@@ -25,20 +25,20 @@
 	BeforeEach(func() { c = newCluster(1, "a", "b", "c") })
 
 	It("are found whole by any client", func() {
-		ids := chain(c.client("a"), "talk", 5)
+		ids := commitChain(c.client("a"), "talk", 5)
 		c.expectFound(ids)
 		c.expectFound(ids[:3])
 	})
 
 	It("are at as many stores as may be lost and one more, one of them in the client's zone", func() {
-		chain(c.client("b"), "talk", 4)
+		commitChain(c.client("b"), "talk", 4)
 		Expect(c.nodes[1].store.TurnCount()).To(Equal(4))
 		Expect(c.nodes[0].store.TurnCount() + c.nodes[2].store.TurnCount()).To(Equal(4))
 	})
 
 	It("may be continued by several", func() {
 		client := c.client("a")
-		ids := chain(client, "talk", 3)
+		ids := commitChain(client, "talk", 3)
 		for _, fork := range []string{"x", "y"} {
 			Expect(client.Commit(ctx, turnOf(fork, ids[0], ids[2]))).To(Succeed())
 		}
@@ -48,24 +48,24 @@
 
 	It("are read from the cache by the client that carried them", func() {
 		client := c.client("a")
-		ids := chain(client, "talk", 3)
-		before := c.counted("history")
+		ids := commitChain(client, "talk", 3)
+		before := c.callCount("history")
 		history, verdict := client.History(ctx, ids[2])
 		Expect(verdict).To(Equal(storeclient.Found))
-		Expect(string(history.Body)).To(Equal(textOf(ids)))
-		Expect(c.counted("history")).To(Equal(before))
+		Expect(string(history.Body)).To(Equal(bodyOf(ids)))
+		Expect(c.callCount("history")).To(Equal(before))
 	})
 
 	It("are read from the client's zone where they are there", func() {
-		ids := chain(c.client("a"), "talk", 3)
-		before := c.counted("history")
+		ids := commitChain(c.client("a"), "talk", 3)
+		before := c.callCount("history")
 		c.expectFound(ids)
-		Expect(c.counted("history") - before).To(Equal(1))
+		Expect(c.callCount("history") - before).To(Equal(1))
 	})
 
 	It("may be committed again", func() {
 		client := c.client("a")
-		ids := chain(client, "talk", 1)
+		ids := commitChain(client, "talk", 1)
 		Expect(client.Commit(ctx, turnOf(ids[0], "", ""))).To(Succeed())
 		Expect(c.nodes[0].store.TurnCount()).To(Equal(1))
 	})
@@ -74,10 +74,10 @@
 		client := c.client("a")
 		var ids []string
 		previous := ""
-		for at := range 9 {
-			down := c.nodes[at%3]
+		for i := range 9 {
+			down := c.nodes[i%3]
 			down.down.Store(true)
-			id := fmt.Sprint("spread-", at)
+			id := fmt.Sprint("spread-", i)
 			Expect(client.Commit(ctx, turnOf(id, "spread-0", previous))).To(Succeed())
 			down.down.Store(false)
 			ids = append(ids, id)
@@ -99,15 +99,15 @@
 
 	It("go to the next store in order where one fails", func() {
 		client := c.client("a")
-		c.failing(func(method, address string) error {
+		c.setFault(func(method, address string) error {
 			if method == "commit" && address == c.nodes[0].address {
 				return context.DeadlineExceeded
 			}
 			return nil
 		})
-		ids := chain(client, "talk", 1)
+		ids := commitChain(client, "talk", 1)
 		Expect(c.nodes[1].store.TurnCount() + c.nodes[2].store.TurnCount()).To(Equal(2))
-		c.failing(nil)
+		c.setFault(nil)
 		c.expectFound(ids)
 	})
 
@@ -121,7 +121,7 @@
 		c := newCluster(1, "a", "b", "c")
 		id := "unheard"
 		if known {
-			id = chain(c.client("a"), "talk", 2)[1]
+			id = commitChain(c.client("a"), "talk", 2)[1]
 		}
 		prepare(c)
 		Expect(c.lookUp(id)).To(Equal(want))
@@ -129,16 +129,16 @@
 	Entry("unknown to all", func(*cluster) {}, false, storeclient.Missing),
 	Entry("unknown to all that are up, one is down", down(1), false, storeclient.Missing),
 	Entry("unknown to the only one that is up", down(1, 2), false, storeclient.Unsure),
-	Entry("unknown, one is incomplete", wiped(1), false, storeclient.Missing),
-	Entry("unknown, one is incomplete and one down", func(c *cluster) { wiped(1)(c); down(2)(c) }, false, storeclient.Unsure),
+	Entry("unknown, one is incomplete", lostDisk(1), false, storeclient.Missing),
+	Entry("unknown, one is incomplete and one down", func(c *cluster) { lostDisk(1)(c); down(2)(c) }, false, storeclient.Unsure),
 	Entry("unknown, none is up", down(0, 1, 2), false, storeclient.Unsure),
 	Entry("known", func(*cluster) {}, true, storeclient.Found),
 	Entry("known, the client's own store is down", down(0), true, storeclient.Found),
-	Entry("known, the client's own store lost its disk", wiped(0), true, storeclient.Found),
+	Entry("known, the client's own store lost its disk", lostDisk(0), true, storeclient.Found),
 	Entry("known, only one that may not hold it is up", func(c *cluster) {
-		for at, n := range c.nodes {
+		for i, n := range c.nodes {
 			if n.store.TurnCount() > 0 {
-				down(at)(c)
+				down(i)(c)
 			}
 		}
 	}, true, storeclient.Unsure),
@@ -147,17 +147,17 @@
 // down takes stores down.
 func down(nodes ...int) func(*cluster) {
 	return func(c *cluster) {
-		for _, at := range nodes {
-			c.nodes[at].down.Store(true)
+		for _, i := range nodes {
+			c.nodes[i].down.Store(true)
 		}
 	}
 }
 
-// wiped has a store lose its disk and does not let it catch up.
-func wiped(at int) func(*cluster) {
+// lostDisk has a store lose its disk and does not let it catch up.
+func lostDisk(i int) func(*cluster) {
 	return func(c *cluster) {
-		c.nodes[at].wipe()
-		c.spread()
+		c.nodes[i].wipe()
+		c.publishView()
 	}
 }
 
@@ -173,7 +173,7 @@
 var _ = Describe("what was acknowledged", func() {
 	It("is there after a restart of all", func() {
 		c := newCluster(1, "a", "b", "c")
-		ids := chain(c.client("a"), "talk", 5)
+		ids := commitChain(c.client("a"), "talk", 5)
 		for _, n := range c.nodes {
 			id := n.store.ID()
 			n.restart(memfs.Process, nil)
@@ -185,16 +185,16 @@
 
 	It("is there after a loss of power, whatever else that loses", func() {
 		for seed := range uint64(12) {
-			chance := rand.New(rand.NewPCG(seed, 1))
+			rng := rand.New(rand.NewPCG(seed, 1))
 			c := newCluster(1, "a", "b", "c")
 			client := c.client("a")
 			var all [][]string
 			for round := range 4 {
-				all = append(all, chain(client, fmt.Sprint("talk", round), 3))
+				all = append(all, commitChain(client, fmt.Sprint("talk", round), 3))
 				Expect(client.Reserve(ctx, storeclient.Reservation{Program: "p", Turn: fmt.Sprint("t", round), Budget: 100, Most: 30})).
 					To(Equal(storeclient.Granted))
 				for _, n := range c.nodes {
-					n.restart(memfs.Power, chance)
+					n.restart(memfs.Power, rng)
 				}
 			}
 			for _, ids := range all {
@@ -212,11 +212,11 @@
 		keep.Retention = time.Hour
 		Expect(client.Commit(ctx, keep)).To(Succeed())
 		big := strings.Repeat("x", 100<<10)
-		for at := range 400 {
-			t := turnOf(fmt.Sprint("big", at), "", "")
+		for i := range 400 {
+			t := turnOf(fmt.Sprint("big", i), "", "")
 			t.Input = []byte(big)
 			Expect(client.Commit(ctx, t)).To(Succeed())
-			c.pass(time.Second)
+			c.advanceClock(time.Second)
 			c.nodes[0].store.RepairRound(0)
 		}
 		Expect(c.nodes[0].disk.Used()).To(BeNumerically("<=", 16<<20))
@@ -232,15 +232,15 @@
 		c := newCluster(1, "a", "b", "c")
 		small := c.nodes[0]
 		for _, n := range c.nodes[1:] {
-			n.bytes = 64 << 20
+			n.diskBytes = 64 << 20
 			n.wipe()
 		}
-		c.spread()
-		c.rounds(2)
+		c.publishView()
+		c.repairRounds(2)
 		client := c.client("a")
 		var ids []string
-		for at := range 300 {
-			t := turnOf(fmt.Sprint("big", at), "", "")
+		for i := range 300 {
+			t := turnOf(fmt.Sprint("big", i), "", "")
 			t.Input = []byte(strings.Repeat("x", 100<<10))
 			Expect(client.Commit(ctx, t)).To(Succeed())
 			ids = append(ids, t.ID)
@@ -259,7 +259,7 @@
 	It("blocks no reads, and has writes refused", func() {
 		c := newCluster(1, "a", "b", "c")
 		client := c.client("a")
-		ids := chain(client, "talk", 2)
+		ids := commitChain(client, "talk", 2)
 		n := c.nodes[0]
 		entered := make(chan struct{}, 1)
 		release := make(chan struct{})
@@ -274,10 +274,10 @@
 			return memfs.Verdict{}
 		}
 		header := storewire.Header{Epoch: int64(c.view.Epoch), Store: n.store.ID()}
-		stuck := make(chan storewire.Acknowledgement, 1)
+		stalled := make(chan storewire.Acknowledgement, 1)
 		go func() {
 			answer, _ := n.store.Commit(ctx, storewire.CommitRequest{Header: header, Turn: storewire.Turn{ID: "x", Root: "x"}})
-			stuck <- answer
+			stalled <- answer
 		}()
 		<-entered
 		answer, err := n.store.History(ctx, storewire.HistoryRequest{Header: header, Turn: ids[1]})
@@ -285,13 +285,13 @@
 		Expect(answer.Known).To(BeTrue())
 		Expect(reserveAt(c, n, "t", true).Reply.Standing).To(Equal(storewire.Served)) // a second round
 		settleAt(c, n, "t", 1)
-		c.pass(time.Second)
+		c.advanceClock(time.Second)
 		refused, err := n.store.Commit(ctx, storewire.CommitRequest{Header: header, Turn: storewire.Turn{ID: "y", Root: "y"}})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(refused.Reply.Standing).To(Equal(storewire.Busy))
 		Expect(client.Commit(ctx, turnOf("next", ids[0], ids[1]))).To(Succeed())
 		close(release)
-		Expect((<-stuck).Reply.Standing).To(Equal(storewire.Served))
+		Expect((<-stalled).Reply.Standing).To(Equal(storewire.Served))
 	})
 })
 
@@ -299,18 +299,18 @@
 	It("keeps a turn for its time and a little longer, and its chain as long as any of it", func() {
 		c := newCluster(1, "a", "b", "c")
 		client := c.client("a")
-		ids := chain(client, "talk", 2)
-		other := chain(client, "other", 1)
-		c.pass(65 * time.Second)
-		c.rounds(2)
+		ids := commitChain(client, "talk", 2)
+		other := commitChain(client, "other", 1)
+		c.advanceClock(65 * time.Second)
+		c.repairRounds(2)
 		c.expectFound(other)
 		Expect(client.Commit(ctx, turnOf("talk-2", ids[0], ids[1]))).To(Succeed())
-		c.pass(64 * time.Second)
-		c.rounds(2)
+		c.advanceClock(64 * time.Second)
+		c.repairRounds(2)
 		c.expectFound([]string{"talk-0", "talk-1", "talk-2"})
 		Expect(c.lookUp(other[0])).To(Equal(storeclient.Missing))
-		c.pass(64 * time.Second)
-		c.rounds(2)
+		c.advanceClock(64 * time.Second)
+		c.repairRounds(2)
 		Expect(c.lookUp("talk-2")).To(Equal(storeclient.Missing))
 		for _, n := range c.nodes {
 			Expect(n.store.TurnCount()).To(BeZero())
@@ -319,11 +319,11 @@
 
 	It("counts anew after a restart, and does not bring back what expired elsewhere", func() {
 		c := newCluster(1, "a", "b", "c")
-		chain(c.client("a"), "talk", 2)
-		c.pass(60 * time.Second)
+		commitChain(c.client("a"), "talk", 2)
+		c.advanceClock(60 * time.Second)
 		c.nodes[0].restart(memfs.Process, nil)
-		c.pass(60 * time.Second)
-		c.rounds(4)
+		c.advanceClock(60 * time.Second)
+		c.repairRounds(4)
 		Expect(c.nodes[0].store.TurnCount()).To(Equal(2))
 		Expect(c.nodes[1].store.TurnCount() + c.nodes[2].store.TurnCount()).To(BeZero())
 	})
@@ -335,7 +335,7 @@
 		defer calls.Close()
 		view := controlstate.StoreView{Epoch: 1, Tolerance: 1}
 		var stores []*store.Store
-		for at := range 3 {
+		for i := range 3 {
 			s, err := store.Start(store.Options{Files: memfs.New(), Dir: "data", Bootstrap: true, Caller: storewire.NewCaller(calls)})
 			Expect(err).NotTo(HaveOccurred())
 			defer s.Close()
@@ -344,7 +344,7 @@
 			server, err := transport.Listen("127.0.0.1:0", mux)
 			Expect(err).NotTo(HaveOccurred())
 			defer server.Close()
-			name := fmt.Sprint("store-", at)
+			name := fmt.Sprint("store-", i)
 			view.Members = append(view.Members, controlstate.StoreMember{ID: s.ID(), Node: name, Zone: name, Address: server.Address()})
 			stores = append(stores, s)
 		}
@@ -354,14 +354,14 @@
 		client := storeclient.New(storeclient.Options{Caller: storewire.NewCaller(calls), Zone: "store-0"})
 		defer client.Close()
 		client.SetView(view)
-		ids := chain(client, "talk", 3)
+		ids := commitChain(client, "talk", 3)
 		Expect(client.Reserve(ctx, storeclient.Reservation{Program: "p", Turn: "t", Budget: 5, Most: 5})).To(Equal(storeclient.Granted))
 		other := storeclient.New(storeclient.Options{Caller: storewire.NewCaller(calls), Zone: "store-1"})
 		defer other.Close()
 		other.SetView(view)
 		history, verdict := other.History(ctx, ids[2])
 		Expect(verdict).To(Equal(storeclient.Found))
-		Expect(string(history.Body)).To(Equal(textOf(ids)))
+		Expect(string(history.Body)).To(Equal(bodyOf(ids)))
 		_, verdict = other.History(ctx, "unheard")
 		Expect(verdict).To(Equal(storeclient.Missing))
 		Expect(other.Reserve(ctx, storeclient.Reservation{Program: "p", Turn: "u", Budget: 5, Most: 5})).To(Equal(storeclient.Undecided))
@@ -370,6 +370,6 @@
 		Eventually(func() storeclient.Verdict {
 			tries++
 			return other.Reserve(ctx, storeclient.Reservation{Program: "p", Turn: fmt.Sprint("v", tries), Budget: 5, Most: 5})
-		}, patience).Should(Equal(storeclient.Spent))
+		}, eventuallyTimeout).Should(Equal(storeclient.Spent))
 	})
 })
--- a/internal/tier/storeplane/plane.go
+++ b/internal/tier/storeplane/plane.go
@@ -37,26 +37,26 @@
 
 // Plane is a running store plane.
 type Plane struct {
-	base    *planes.Base
-	store   *store.Store
-	stopped context.Context
-	stop    context.CancelFunc
-	member  atomic.Bool // the newest view known names this disk
-	turn    atomic.Uint64
-	seeds   atomic.Pointer[[]string]
+	base         *planes.Base
+	store        *store.Store
+	ctx          context.Context
+	stop         context.CancelFunc
+	inView       atomic.Bool // the newest view known names this disk
+	controlCalls atomic.Uint64
+	seeds        atomic.Pointer[[]string]
 }
 
 // Start opens the store's disk, joins the others and serves.
 func Start(node *settings.Node, logger log.Interface) (*Plane, error) {
-	stopped, stop := context.WithCancel(context.Background())
-	p := &Plane{base: planes.NewBase(node, settings.Store, logger), stopped: stopped, stop: stop}
+	ctx, stop := context.WithCancel(context.Background())
+	p := &Plane{base: planes.NewBase(node, settings.Store, logger), ctx: ctx, stop: stop}
 	seeds := node.SeedInternalAddresses()
 	p.seeds.Store(&seeds)
 	if err := p.open(); err != nil {
 		p.close()
 		return nil, err
 	}
-	p.base.Cluster.Watch(cluster.StoresKey, p.takeView)
+	p.base.Cluster.Watch(cluster.StoresKey, p.applyView)
 	go p.keepRegistered()
 	return p, nil
 }
@@ -80,17 +80,17 @@
 	return p.base.Serve(p.addStatus)
 }
 
-func (p *Plane) takeView(entry cluster.Entry) {
+func (p *Plane) applyView(entry cluster.Entry) {
 	view, err := storewire.ReadViewEntry(entry)
 	if err != nil {
 		p.base.Log.WithError(err).Error("store view cannot be read")
 		return
 	}
-	p.member.Store(names(view, p.store.ID()))
+	p.inView.Store(viewContains(view, p.store.ID()))
 	p.store.SetView(view)
 }
 
-func names(view controlstate.StoreView, id string) bool {
+func viewContains(view controlstate.StoreView, id string) bool {
 	for _, m := range view.Members {
 		if m.ID == id {
 			return true
@@ -104,12 +104,12 @@
 	ticker := time.NewTicker(registerInterval)
 	defer ticker.Stop()
 	for {
-		if !p.member.Load() && !p.register() {
+		if !p.inView.Load() && !p.register() {
 			return
 		}
 		select {
 		case <-ticker.C:
-		case <-p.stopped.Done():
+		case <-p.ctx.Done():
 			return
 		}
 	}
@@ -117,7 +117,7 @@
 
 // register asks a control node once; false: this disk was emptied and taken away, and stays out.
 func (p *Plane) register() bool {
-	answer, err := p.callControl(storewire.RegisterStore)
+	answer, err := p.callControlPlane(storewire.RegisterStore)
 	switch {
 	case err != nil:
 		p.base.Log.WithError(err).Debug("not registered yet")
@@ -132,7 +132,7 @@
 
 // reportRetired tells the control state that nothing is left here that is not elsewhere.
 func (p *Plane) reportRetired() {
-	answer, err := p.callControl(storewire.StoreRetired)
+	answer, err := p.callControlPlane(storewire.StoreRetired)
 	if err != nil {
 		p.base.Log.WithError(err).Warn("the end of the retirement is not told yet")
 		return
@@ -140,18 +140,18 @@
 	p.base.Log.WithField("status", answer.Status).Info("retirement completed")
 }
 
-func (p *Plane) callControl(method transport.Method) (storewire.StoreNewsAnswer, error) {
-	ctx, cancel := context.WithTimeout(p.stopped, controlTimeout)
+func (p *Plane) callControlPlane(method transport.Method) (storewire.StoreNewsAnswer, error) {
+	ctx, cancel := context.WithTimeout(p.ctx, controlTimeout)
 	defer cancel()
 	news := storewire.StoreNews{
 		ID: p.store.ID(), Node: p.base.Settings.Name, Zone: p.base.Settings.Zone,
 		Address: p.base.Address, Bootstrap: p.base.Settings.Bootstrap,
 	}
-	return storewire.TellControlPlane(ctx, p.base.Client, p.nextControl(), method, news)
+	return storewire.TellControlPlane(ctx, p.base.Client, p.nextControlAddress(), method, news)
 }
 
-// nextControl gives the address of a control node, another one each time: the live ones, or else the seeds.
-func (p *Plane) nextControl() string {
+// nextControlAddress gives the address of a control node, another one each time: the live ones, or else the seeds.
+func (p *Plane) nextControlAddress() string {
 	var addresses []string
 	for _, n := range p.base.Cluster.Nodes() {
 		if n.Role == cluster.Control && n.State == cluster.Alive {
@@ -164,7 +164,7 @@
 	if len(addresses) == 0 {
 		return ""
 	}
-	return addresses[p.turn.Add(1)%uint64(len(addresses))]
+	return addresses[p.controlCalls.Add(1)%uint64(len(addresses))]
 }
 
 // SetSeeds tells where other machines' control planes are.
--- a/internal/tier/storeplane/status.go
+++ b/internal/tier/storeplane/status.go
@@ -8,14 +8,14 @@
 
 // addStatus adds what an operator is told of this plane.
 func (p *Plane) addStatus(ctx context.Context, status *nodestatus.Status) error {
-	now, err := p.store.Status(ctx)
+	current, err := p.store.Status(ctx)
 	if err != nil {
 		return err
 	}
 	status.Store = &nodestatus.Store{
-		ID: p.store.ID(), Complete: now.Complete, Retiring: now.Retiring, Member: now.Member, Epoch: now.Epoch,
-		Members: now.Members, Turns: now.Turns, TurnBytes: now.TurnBytes, Programs: now.Programs, Entries: now.Entries,
-		RingBytes: now.RingBytes, FreeBytes: now.FreeBytes,
+		ID: p.store.ID(), Complete: current.Complete, Retiring: current.Retiring, Member: current.Member, Epoch: current.Epoch,
+		Members: current.Members, Turns: current.Turns, TurnBytes: current.TurnBytes, Programs: current.Programs, Entries: current.Entries,
+		RingBytes: current.RingBytes, FreeBytes: current.FreeBytes,
 	}
 	return nil
 }
