--- a/internal/tier/store/catchup.go
+++ b/internal/tier/store/catchup.go
@@ -8,25 +8,25 @@
 	"emberquay/internal/tier/storewire"
 )
 
-// maxPendingReceivedBytes bounds what is taken in ahead of the disk, bytes.
+// maxPendingReceivedBytes bounds the received records that wait for a sync.
 const maxPendingReceivedBytes = 2 << 20
 
-// inventory is what another store holds, as far as it has not been taken in.
+// inventory lists the turns that another store holds.
 type inventory struct {
 	member int
 	turns  []storewire.Listed
 }
 
-// inventorySet are those taken under one view, by member. They are kept until enough have come: a store that can't be
-// reached must not have the others tell all they hold again and again. They belong to the repair.
+// inventorySet holds the inventories received under one view, by member. They are kept until enough have arrived, so
+// that one unreachable store does not make the others send theirs again and again. Only the repair goroutine uses it.
 type inventorySet struct {
 	epoch    int64
 	received map[int]*inventory
-	failed   map[int]bool // holders that did not send what they hold: others are asked first
+	failed   map[int]bool // holders whose last fetch failed: others are asked first
 }
 
-// catchUp compares with the other members until it lacks nothing, and says whether it does. A store that was added
-// lacks nothing that a quorum would miss, as the quorums grew with it: it has nothing to wait for.
+// catchUp copies missing data from the other members and reports whether this store is complete now. A store that was
+// added, not replaced, is complete at once: the quorums grew with it, so none relies on data that it lacks.
 func (s *Store) catchUp(ctx context.Context, round roundInput) bool {
 	if !round.complete && !round.unsettled && !round.view.Members[round.self].Replaced {
 		return s.markComplete(ctx)
@@ -38,7 +38,7 @@
 	s.inventories = inventorySet{}
 	settled := false
 	err := s.do(ctx, func(t *table) bool {
-		// A machine that was removed meanwhile may have held what is missing now.
+		// A store that was removed meanwhile may have held data that is now missing here.
 		if t.meta.View.Epoch != round.view.Epoch && holderRemoved(round.view, t.meta.View) {
 			return false
 		}
@@ -50,7 +50,7 @@
 	return err == nil && settled
 }
 
-// markComplete notes that this store's "unknown" counts.
+// markComplete records that this store is complete: its "unknown" counts from now on.
 func (s *Store) markComplete(ctx context.Context) bool {
 	kept := false
 	err := s.do(ctx, func(t *table) bool {
@@ -62,8 +62,8 @@
 	return err == nil && kept
 }
 
-// collectInventories asks all others, that have not answered under this view, at once. Those that don't answer whole, or
-// are not complete themselves, are left out.
+// collectInventories asks all other members that have not yet answered under this view, in parallel. It leaves out
+// those that answer only in part or are not complete themselves.
 func (s *Store) collectInventories(ctx context.Context, round roundInput) {
 	if s.inventories.epoch != round.view.Epoch {
 		s.inventories = inventorySet{epoch: round.view.Epoch, received: map[int]*inventory{}, failed: map[int]bool{}}
@@ -109,13 +109,14 @@
 	}
 }
 
-func (s *Store) callList(ctx context.Context, round roundInput, member int, request storewire.ListRequest) (storewire.ListAnswer, error) {
+func (s *Store) callList(ctx context.Context, round roundInput, member int,
+	request storewire.ListRequest) (storewire.ListAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	return s.caller.List(ctx, round.view.Members[member].Address, request)
 }
 
-// fetchPrograms takes in all that another store knows of budgets.
+// fetchPrograms copies the budgets of all programs from another store.
 func (s *Store) fetchPrograms(ctx context.Context, round roundInput, member int) bool {
 	request := storewire.ProgramsRequest{Header: round.header(member)}
 	for {
@@ -136,8 +137,8 @@
 	}
 }
 
-// storeReceived keeps what came. It waits for the disk only where much is waiting for it: the record that says that this store
-// is complete gets there after all of it.
+// storeReceived stores received records. It waits for a sync only if many bytes are pending: the record that marks this
+// store complete reaches the disk after all of them.
 func (s *Store) storeReceived(ctx context.Context, records *received) bool {
 	stored := false
 	err := s.do(ctx, func(t *table) bool {
@@ -147,14 +148,14 @@
 	return err == nil && stored
 }
 
-// wantedTurn is a turn that is to be brought here.
+// wantedTurn is a turn to be copied here.
 type wantedTurn struct {
 	holders    []int
 	placedHere bool
 }
 
-// fetchMissing brings the turns that belong here, and those that too few of the others hold: this store may have been one
-// of theirs before it lost its disk.
+// fetchMissing copies the turns that belong here, and those that too few of the others hold: this store may have been
+// one of their holders before it lost its disk.
 func (s *Store) fetchMissing(ctx context.Context, round roundInput) bool {
 	missing, ok := s.missingTurns(ctx, round, s.inventories.received)
 	if !ok {
@@ -162,7 +163,7 @@
 	}
 	keysByHolder := map[int][]uint64{}
 	for key, wanted := range missing {
-		// The holder with the least to send, so that they send side by side.
+		// The holder with the fewest keys assigned, so that the holders send in parallel.
 		holder := slices.MinFunc(wanted.holders, func(a, b int) int {
 			if s.inventories.failed[a] != s.inventories.failed[b] {
 				return failedLast(s.inventories.failed[a])
@@ -188,7 +189,7 @@
 	return allFetched
 }
 
-// failedLast puts true behind false.
+// failedLast orders, of two holders of which one failed, the failed one last.
 func failedLast(failed bool) int {
 	if failed {
 		return 1
@@ -196,8 +197,9 @@
 	return -1
 }
 
-// missingTurns works out what is to be brought.
-func (s *Store) missingTurns(ctx context.Context, round roundInput, inventories map[int]*inventory) (map[uint64]*wantedTurn, bool) {
+// missingTurns returns the turns to be copied here, by key.
+func (s *Store) missingTurns(ctx context.Context, round roundInput,
+	inventories map[int]*inventory) (map[uint64]*wantedTurn, bool) {
 	missing := map[uint64]*wantedTurn{}
 	for _, inv := range inventories {
 		for _, listed := range inv.turns {
@@ -222,7 +224,7 @@
 	return missing, err == nil
 }
 
-// fetchFrom brings turns from one holder.
+// fetchFrom copies turns from one holder.
 func (s *Store) fetchFrom(ctx context.Context, round roundInput, member int, keys []uint64) bool {
 	for len(keys) > 0 {
 		page := keys[:min(len(keys), maxOfferKeys)]
--- a/internal/tier/store/inspect.go
+++ b/internal/tier/store/inspect.go
@@ -10,26 +10,26 @@
 	"emberquay/internal/vfs"
 )
 
-// MaxListedPrograms bounds the programs that an inspection lists; all are counted.
+// MaxListedPrograms bounds the programs that an inspection lists; it counts all.
 const MaxListedPrograms = 50
 
 // Errors of Inspect.
 var (
-	// ErrNoRecords: the ring holds no record, nor anything that is damaged.
+	// ErrNoRecords reports a ring without any record or damage.
 	ErrNoRecords = eris.New("nothing is kept in it yet")
-	// ErrNotStore: the records are not those of a store.
+	// ErrNotStore reports a ring whose records are all of unknown kinds.
 	ErrNotStore = eris.New("its records are not those of a store")
 )
 
-// Inspection is what the disk of a store holds, as a start would find it. Records bear no time, so their age
-// is told by their order.
+// Inspection describes the contents of a store's disk, as Start would find them. Records carry no time, so only their
+// order tells their age.
 type Inspection struct {
 	Ring *journal.Inspection `json:"ring"`
 
 	ID        string      `json:"id"`
 	Complete  bool        `json:"complete"`
-	Unsettled bool        `json:"unsettled"` // a store was removed since, what it held may not be here
-	Fence     int64       `json:"fence"`     // epoch of the newest view by which a request was served
+	Unsettled bool        `json:"unsettled"` // a store was removed since, and data that it held may be missing here
+	Fence     int64       `json:"fence"`     // newest epoch of a served request or an applied view; older requests are rejected
 	View      ViewSummary `json:"view"`
 
 	Records []KindSummary `json:"records"` // by kind
@@ -37,18 +37,18 @@
 
 	Programs ProgramsSummary `json:"programs"`
 
-	// Findings are those of the ring and of the records in it.
+	// Findings lists damage to the ring and to the records in it.
 	Findings journal.Findings `json:"findings"`
 }
 
-// ViewSummary is the newest view of the stores that the disk knows.
+// ViewSummary is the newest store view on the disk.
 type ViewSummary struct {
 	Epoch     int64           `json:"epoch"` // 0: none
 	Tolerance int             `json:"tolerance"`
 	Members   []MemberSummary `json:"members"`
 }
 
-// MemberSummary is a store of that view.
+// MemberSummary describes a store of the view.
 type MemberSummary struct {
 	ID       string `json:"id"`
 	Node     string `json:"node"`
@@ -66,59 +66,58 @@
 	return summary
 }
 
-// KindSummary counts the records of a kind, those included that newer ones replace.
+// KindSummary counts the records of a kind, including those that newer ones supersede.
 type KindSummary struct {
 	Kind    string `json:"kind"`
 	Records int    `json:"records"`
 	Bytes   int64  `json:"bytes"`
 }
 
-// TurnLocation is where a turn stands.
+// TurnLocation is the place of a turn's record on the disk.
 type TurnLocation struct {
 	ID     string `json:"id"`
 	File   string `json:"file"`
 	Offset int64  `json:"offset"`
 }
 
-// MissingTurn is a turn that others continue and that is not on this disk: other stores hold it, or it has
-// expired.
+// MissingTurn is a turn that others continue and that is not on this disk: other stores hold it, or it has expired.
 type MissingTurn struct {
 	ID   string       `json:"id"`
 	Root string       `json:"root"` // of the conversation
-	Next TurnLocation `json:"next"` // the turn that names it
+	Next TurnLocation `json:"next"` // the turn that continues it
 }
 
-// TurnsSummary is what the disk holds of conversations.
+// TurnsSummary summarizes the turns on the disk.
 type TurnsSummary struct {
 	Count         int           `json:"count"`
 	Bytes         int64         `json:"bytes"`
 	Conversations int           `json:"conversations"`
-	Oldest        *TurnLocation `json:"oldest,omitempty"` // record
+	Oldest        *TurnLocation `json:"oldest,omitempty"` // by the order of the records
 	Newest        *TurnLocation `json:"newest,omitempty"`
 	Whole         int           `json:"whole"`   // turns that can be followed to their root on this disk
-	Partial       int           `json:"partial"` // turns of which a turn before is elsewhere
+	Partial       int           `json:"partial"` // turns with a predecessor that is not on this disk
 	MissingCount  int           `json:"missing_count"`
 	Missing       []MissingTurn `json:"missing"` // the first journal.MaxListedFindings of them
 }
 
-// ProgramSummary is what the disk knows of a program's budget.
+// ProgramSummary summarizes the budget of a program.
 type ProgramSummary struct {
 	Name             string `json:"name"`
-	OpenReservations int    `json:"open"`    // reservations
-	ReservedTokens   int64  `json:"most"`    // tokens that these may use
-	SettledTokens    int64  `json:"settled"` // tokens
+	OpenReservations int    `json:"open"`
+	ReservedTokens   int64  `json:"most"` // most tokens that the open reservations may use
+	SettledTokens    int64  `json:"settled"`
 }
 
-// ProgramsSummary is what the disk holds of budgets.
+// ProgramsSummary summarizes the budgets on the disk.
 type ProgramsSummary struct {
 	Count            int              `json:"count"`
 	WithOpen         int              `json:"with_open"` // programs with open reservations
-	OpenReservations int              `json:"open"`      // reservations of all programs
-	Listed           []ProgramSummary `json:"listed"`    // the MaxListedPrograms that may use most, then by name
+	OpenReservations int              `json:"open"`      // of all programs
+	Listed           []ProgramSummary `json:"listed"`    // the MaxListedPrograms with the most reserved tokens, then by name
 }
 
-// Inspect reads the disk of a store without writing anything. Errors: journal.ErrNoRing, ErrNoRecords,
-// ErrNotStore, or the disk's; all else that is wrong is in the findings.
+// Inspect reads the disk of a store without writing to it. Errors: journal.ErrNoRing, ErrNoRecords, ErrNotStore, or the
+// disk's; everything else that is wrong is in the findings.
 func Inspect(files vfs.FS, dir string) (*Inspection, error) {
 	r := newDiskReader()
 	ring, err := journal.Inspect(files, dir, r.addRecord)
--- a/internal/tier/store/inspect_read.go
+++ b/internal/tier/store/inspect_read.go
@@ -16,18 +16,18 @@
 	"emberquay/internal/tier/storewire"
 )
 
-// errNotCanonical: bytes that decode, but are not those that a store writes. The library takes a record that ends
-// too early for one whose last fields are empty.
+// errNotCanonical reports a record that decodes, but not to the bytes that a store would write. The Avro library
+// decodes a record that is cut short as one whose last fields are empty.
 var errNotCanonical = eris.New("the record is coded otherwise than a store does")
 
-// diskReader adds up the records of a disk.
+// diskReader collects what an inspection reports while it reads the records.
 type diskReader struct {
 	found    Inspection
 	records  int
-	unknown  int                     // records of no kind of a store
+	unknown  int                     // records of unknown kinds
 	kinds    map[string]*KindSummary // by name
 	turns    map[string]*inspectedTurn
-	order    []*inspectedTurn // as first found
+	order    []*inspectedTurn // in the order of their first records
 	programs map[string]*budget.Ledger
 }
 
@@ -42,29 +42,29 @@
 type inspectedTurn struct {
 	head     storewire.TurnHead
 	bytes    int64
-	checksum uint64       // of the record
-	location TurnLocation // of the newest record, and its position
+	checksum uint64       // of the first record
+	location TurnLocation // of the newest record, like position
 	position journal.Position
 	traced   traceResult
 }
 
-// olderThan says that a turn's record is the older one.
+// olderThan reports whether a turn's newest record is older than that of another turn.
 func (x *inspectedTurn) olderThan(other *inspectedTurn) bool {
 	return cmp.Or(cmp.Compare(x.position.Segment, other.position.Segment), cmp.Compare(x.position.Offset, other.position.Offset)) < 0
 }
 
-// traceResult says how far a turn was followed towards the root of its conversation.
+// traceResult is how far a turn's predecessors can be followed towards the root of its conversation.
 type traceResult int
 
 const (
 	untraced traceResult = iota
 	tracing
 	tracedToRoot
-	tracedPartly  // a turn before it is not on this disk
-	tracedInvalid // the turns before it make no conversation
+	tracedPartly  // a predecessor is not on this disk
+	tracedInvalid // its predecessors form a cycle or belong to another conversation
 )
 
-// addRecord takes one record.
+// addRecord counts and decodes one record.
 func (r *diskReader) addRecord(file string, position journal.Position, record []byte) {
 	r.records++
 	name, err := r.decodeRecord(file, position, record)
@@ -84,7 +84,7 @@
 	}
 }
 
-// decodeRecord reads one record whole and gives the name of its kind, or none.
+// decodeRecord decodes a record and returns the name of its kind, or "" if the kind is unknown.
 func (r *diskReader) decodeRecord(file string, position journal.Position, record []byte) (kind string, err error) {
 	switch body := record[1:]; record[0] {
 	case metaKind:
@@ -177,7 +177,7 @@
 	return kinds
 }
 
-// summarizeTurns counts the turns, in the order of their records, and follows each towards its root.
+// summarizeTurns counts the turns, in the order of their records, and traces each to its root.
 func (r *diskReader) summarizeTurns() {
 	summary := &r.found.Turns
 	roots := map[string]bool{}
@@ -207,7 +207,7 @@
 	summary.Conversations = len(roots)
 }
 
-// trace goes from a turn to those before it, and marks all that it passes.
+// trace follows a turn's predecessors and records the result for all turns that it visits.
 func (r *diskReader) trace(turn *inspectedTurn) traceResult {
 	if turn.traced != untraced {
 		return turn.traced
@@ -245,7 +245,7 @@
 	r.found.Findings.Add(journal.Finding{File: turn.location.File, Offset: turn.location.Offset, Problem: problem})
 }
 
-// summarizePrograms counts the programs and lists those whose open reservations may use most.
+// summarizePrograms counts the programs and lists those with the most reserved tokens.
 func (r *diskReader) summarizePrograms() {
 	summary := &r.found.Programs
 	for _, name := range slices.Sorted(maps.Keys(r.programs)) {
--- a/internal/tier/store/log.go
+++ b/internal/tier/store/log.go
@@ -13,31 +13,31 @@
 	"emberquay/internal/tier/transport"
 )
 
-// Kinds of records in the journal, their first byte; they must not change.
+// Kinds of journal records, stored as their first byte; the values must not change.
 const (
-	metaKind    = 'M' // a metaRecord; the last one counts
+	metaKind    = 'M' // a metaRecord; the newest one is valid
 	turnKind    = 'T' // a storewire.Turn
 	programKind = 'P' // a storewire.Program: entries to merge
 )
 
-// Segments that have to be free for a record to be taken; the last one is for reclaiming.
+// Free segments that appending a record requires. The last free segment is for reclaiming only.
 const (
 	minFreeForTurn        = 3
 	minFreeForReservation = 2
 	minFreeForReclaim     = 1
 )
 
-// storeIDBytes of a store's id: drawn alike never.
+// storeIDBytes is the length of a random store id: long enough that two stores never draw the same.
 const storeIDBytes = 8
 
-// meta is what the store knows of itself.
+// meta is the store's own state, stored as one record.
 type meta struct {
 	ID           string
-	Complete     bool  // it lacks nothing that it should hold
-	Unsettled    bool  // a machine was removed since, and what it held may not be here
-	Fence        int64 // epoch of the newest view by which a request was served
+	Complete     bool  // it holds all data that it should
+	Unsettled    bool  // a store was removed since, and data that it held may be missing here
+	Fence        int64 // newest epoch of a served request or an applied view; older requests are rejected
 	View         storewire.View
-	recordNumber uint64 // of the record
+	recordNumber uint64 // number of the record that holds this state
 }
 
 type metaRecord struct {
@@ -55,10 +55,10 @@
 var programCodec = transport.MustCodec[storewire.Program](`{"type":"record","name":"Program","fields":[
 	{"name":"name","type":"string"},{"name":"idle_millis","type":"long"},{"name":"entries","type":"bytes"}]}`)
 
-// ErrUnknownRecord: a record of the journal that this version does not understand.
+// ErrUnknownRecord reports a journal record of a kind that this version does not know.
 var ErrUnknownRecord = eris.New("store: unknown record")
 
-// openTable opens the journal and reads it.
+// openTable opens the journal and rebuilds the table from it.
 func openTable(options Options) (*table, error) {
 	segmentBytes := int64(float64(options.DiskBytes) * ringDiskShare / segmentCount)
 	segmentBytes = min(max(segmentBytes, minSegmentBytes), maxSegmentBytes)
@@ -80,7 +80,7 @@
 	return t, nil
 }
 
-// initializeTable begins anew under a new id: the disk is empty, or has lost what it had acknowledged.
+// initializeTable starts with no data and a new id, because the disk is empty or has lost acknowledged records.
 func initializeTable(options Options, opened *table) (*table, error) {
 	dataLost := opened.journal.Damaged()
 	if dataLost {
@@ -104,7 +104,7 @@
 	return t, nil
 }
 
-// replay takes in one record at the start.
+// replay applies one journal record at startup.
 func (t *table) replay(position journal.Position, record []byte) error {
 	switch body := record[1:]; record[0] {
 	case metaKind:
@@ -156,7 +156,7 @@
 	return nil
 }
 
-// append adds a record if so many segments are free, or can be made so.
+// append appends a record if at least minFree segments are free or can be reclaimed.
 func (t *table) append(record []byte, minFree int) (journal.Position, bool) {
 	for t.journal.FreeSegments() < minFree {
 		if minFree <= minFreeForReclaim || !t.reclaim() {
@@ -168,19 +168,20 @@
 	}
 	position, err := t.journal.Append(record)
 	if err != nil {
-		return journal.Position{}, false // too long, or full
+		return journal.Position{}, false // the record is too long, or the journal is full
 	}
 	t.appendedRecords++
 	return position, true
 }
 
-// appendMeta appends what the store knows of itself.
+// appendMeta appends the store's own state and makes it current. It returns false if there is no room.
 func (t *table) appendMeta(updated meta) bool {
 	view, err := storewire.EncodeView(updated.View)
 	if err != nil {
-		panic(err) // the schema does not fit the type
+		panic(err) // the schema does not match the type
 	}
-	body, err := metaCodec.Encode(metaRecord{ID: updated.ID, Complete: updated.Complete, Unsettled: updated.Unsettled, Fence: updated.Fence, View: view})
+	body, err := metaCodec.Encode(metaRecord{ID: updated.ID, Complete: updated.Complete, Unsettled: updated.Unsettled,
+		Fence: updated.Fence, View: view})
 	if err != nil {
 		panic(err)
 	}
@@ -192,7 +193,7 @@
 	return true
 }
 
-// appendProgram appends entries of a program.
+// appendProgram appends budget entries of a program. It returns false if there is no room.
 func (t *table) appendProgram(p *program, entries []budget.Entry, minFree int) bool {
 	body, err := programCodec.Encode(storewire.Program{Name: p.name, Entries: budget.EncodeEntries(nil, entries)})
 	if err != nil {
@@ -205,8 +206,8 @@
 	return ok
 }
 
-// reclaim frees the oldest segment: what of it is still needed is appended anew. It gives false where that would free
-// too little, or fails.
+// reclaim frees the oldest segment after appending its live records anew. It returns false if that would free too
+// little or fails.
 func (t *table) reclaim() bool {
 	oldest := t.journal.OldestSegment()
 	if oldest == t.journal.NewestSegment() || t.liveTurnBytes[oldest] > t.segmentBytes*3/4 {
@@ -229,7 +230,7 @@
 		}
 		record, err := t.journal.Read(turn.position, buffer)
 		if errors.Is(err, journal.ErrNotFound) {
-			t.removeTurn(turn) // the disk has lost it
+			t.removeTurn(turn) // the disk has lost the record
 			continue
 		}
 		if err != nil {
@@ -260,7 +261,7 @@
 	return true
 }
 
-// expireAndReclaim drops what is over and frees the segments that hold next to nothing any more.
+// expireAndReclaim removes expired turns and programs and reclaims the segments that hold few live bytes.
 func (t *table) expireAndReclaim() {
 	t.expireTurns()
 	t.expirePrograms()
--- a/internal/tier/store/programs.go
+++ b/internal/tier/store/programs.go
@@ -9,25 +9,25 @@
 )
 
 const (
-	// programRetention is for how long a program is remembered after it was last heard of: far longer than one pauses, and
-	// than any turn of it may be continued.
+	// programRetention is how long a program is kept after its last activity: far longer than a program pauses, or than
+	// any of its turns may be continued.
 	programRetention = 2 * time.Minute
-	// programOfferMargin: a program that will be forgotten so soon is not offered to others any more.
+	// programOfferMargin is the remaining time below which an idle program is not offered to other stores any more.
 	programOfferMargin = 10 * time.Second
-	// maxEntries bounds the reservations of all programs, about 20 MB.
+	// maxEntries bounds the budget entries of all programs to about 20 MB.
 	maxEntries = 300_000
-	// maxPrograms bounds their number likewise.
+	// maxPrograms bounds the number of programs, likewise to limit memory.
 	maxPrograms = 30_000
-	// maxNameBytes bounds the name of a program, bytes.
+	// maxNameBytes bounds the name of a program.
 	maxNameBytes = 512
 )
 
-// program is what is known of a program's budget.
+// program is the budget ledger of a program.
 type program struct {
 	name          string
 	ledger        budget.Ledger
 	lastActivity  time.Duration
-	oldestSegment uint64 // segment of the first record that is needed to read the ledger again
+	oldestSegment uint64 // segment of the oldest record that a replay of the ledger needs
 }
 
 func (t *table) findOrAddProgram(name string) *program {
@@ -40,10 +40,10 @@
 	return p
 }
 
-// touch notes that a program was heard of.
+// touch records activity of a program.
 func (t *table) touch(p *program, at time.Duration) { p.lastActivity = max(p.lastActivity, at) }
 
-// updateLedger runs a change of a ledger and keeps the digests right.
+// updateLedger changes a ledger and updates the program tree and the entry count.
 func (t *table) updateLedger(p *program, update func(*budget.Ledger)) {
 	key := placement.KeyOf(p.name)
 	entriesBefore := p.ledger.Len()
@@ -53,13 +53,13 @@
 	t.entryCount += p.ledger.Len() - entriesBefore
 }
 
-// limitReached says that no further program or reservation can be kept.
+// limitReached reports that no further reservation, or no further program, can be stored.
 func (t *table) limitReached(name string) bool {
 	return t.entryCount >= maxEntries || len(name) > maxNameBytes ||
 		t.programs[name] == nil && len(t.programs) >= maxPrograms
 }
 
-// reserve opens a reservation. It gives Crowded where it can't be kept.
+// reserve opens a reservation. It returns budget.LedgerFull if the reservation cannot be stored.
 func (t *table) reserve(p *program, turn budget.TurnKey, maxTokens int64) budget.Outcome {
 	outcome := p.ledger.CheckReserve(turn)
 	if outcome != budget.Opened {
@@ -73,7 +73,7 @@
 	return outcome
 }
 
-// mergeEntries takes in what another knows of a program. It gives false where that can't be kept.
+// mergeEntries merges budget entries into a program's ledger. It returns false if they cannot be stored.
 func (t *table) mergeEntries(p *program, entries []budget.Entry) bool {
 	changed := entries[:0:0]
 	for _, e := range entries {
@@ -95,7 +95,7 @@
 	return true
 }
 
-// expirePrograms forgets those that nothing was heard of for long.
+// expirePrograms removes programs without recent activity.
 func (t *table) expirePrograms() {
 	now := t.now()
 	for name, p := range t.programs {
@@ -108,7 +108,7 @@
 	}
 }
 
-// dropIfEmpty drops a program of which nothing could be kept.
+// dropIfEmpty removes a program for which no entry could be stored.
 func (t *table) dropIfEmpty(p *program) {
 	if p.ledger.Len() > 0 {
 		return
@@ -117,7 +117,7 @@
 	delete(t.programs, p.name)
 }
 
-// toWire gives a program as it is told to other stores.
+// toWire returns a program as it is sent to other stores.
 func (t *table) toWire(p *program) storewire.Program {
 	return storewire.Program{
 		Name:       p.name,
@@ -126,7 +126,7 @@
 	}
 }
 
-// mergeProgram takes in what another store told. It gives false where that can't be kept.
+// mergeProgram merges a program received from another store. It returns false if that cannot be stored.
 func (t *table) mergeProgram(message storewire.Program, entries []budget.Entry) bool {
 	idle := time.Duration(message.IdleMillis) * time.Millisecond
 	if idle >= programRetention {
--- a/internal/tier/store/repair.go
+++ b/internal/tier/store/repair.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	// minUrgentInterval lies between the first two rounds of a store that is incomplete or being emptied; it doubles up to
-	// the usual one, since what those wait for may be down for long.
+	// minUrgentInterval is the time between the first two rounds of an incomplete or retiring store. It doubles up to the
+	// usual interval, since the stores that it waits for may be down for long.
 	minUrgentInterval = 50 * time.Millisecond
 	// peerTimeout bounds a call to another store.
 	peerTimeout = time.Second
-	// roundTimeout bounds a whole round.
+	// roundTimeout bounds a repair round.
 	roundTimeout = 5 * time.Second
-	// minOfferAge is how old a turn has to be, and for how long a program has to be idle, before it is offered: what is
-	// on its way to the other store anyway is not brought twice.
+	// minOfferAge is the age of a turn, and the idle time of a program, from which on it is offered to another store: a
+	// record still in flight to that store is not sent twice.
 	minOfferAge = time.Second
-	// maxOfferKeys bounds the keys of one offer, 32 KB.
+	// maxOfferKeys bounds the turn keys of one offer to 32 KB.
 	maxOfferKeys = 4096
-	// maxOfferPrograms bounds its programs.
+	// maxOfferPrograms bounds the programs of one offer.
 	maxOfferPrograms = 512
-	// retiredCallInterval lies between two calls of Options.OnRetired.
+	// retiredCallInterval is the least time between two calls of Options.OnRetired.
 	retiredCallInterval = 2 * time.Second
 )
 
-// runRepair runs rounds until the store is closed.
+// runRepair runs repair rounds until the store is closed.
 func (s *Store) runRepair() {
 	defer s.running.Done()
 	timer := time.NewTimer(0)
@@ -53,7 +53,7 @@
 	}
 }
 
-// roundInput is what a round has to do.
+// roundInput is the state of the store at the start of a repair round.
 type roundInput struct {
 	view      storewire.View
 	self      int
@@ -62,7 +62,7 @@
 	retiring  bool
 }
 
-// repairRound does one round of repair with the store whose turn it is, and says whether the next one is urgent.
+// repairRound runs one repair round, with the members in rotation, and reports whether the next one is urgent.
 func (s *Store) repairRound(roundNumber int) (urgent bool) {
 	ctx, cancel := context.WithTimeout(s.ctx, roundTimeout)
 	defer cancel()
@@ -76,7 +76,7 @@
 			unsettled: t.meta.Unsettled,
 			retiring:  t.retiring(),
 		}
-		return true // settlements get to the disk at last
+		return true // syncs settlements, which Settle does not wait for
 	})
 	if err != nil || round.self < 0 {
 		return false
@@ -93,20 +93,20 @@
 	return false
 }
 
-// peer gives the member whose turn it is.
-func (d *roundInput) peer(roundNumber int) (int, bool) {
-	others := len(d.view.Members) - 1
+// peer returns the member to compare with in this round; the members take turns.
+func (r *roundInput) peer(roundNumber int) (int, bool) {
+	others := len(r.view.Members) - 1
 	if others < 1 {
 		return 0, false
 	}
-	return (d.self + 1 + roundNumber%others) % len(d.view.Members), true
+	return (r.self + 1 + roundNumber%others) % len(r.view.Members), true
 }
 
-func (d *roundInput) header(member int) storewire.Header {
-	return storewire.Header{Epoch: d.view.Epoch, Store: d.view.Members[member].ID}
+func (r *roundInput) header(member int) storewire.Header {
+	return storewire.Header{Epoch: r.view.Epoch, Store: r.view.Members[member].ID}
 }
 
-// acceptReply takes from a reply what it says of the view, and tells whether the rest of the answer counts.
+// acceptReply applies the view of a reply, if it has one, and reports whether the request was served.
 func (s *Store) acceptReply(reply storewire.Reply) bool {
 	if reply.View.Epoch > 0 {
 		s.applyView(reply.View)
@@ -114,7 +114,7 @@
 	return reply.Standing == storewire.Served
 }
 
-// compareWith finds out where a member differs, and pushes what it lacks.
+// compareWith compares digests with a member and pushes the records that it lacks.
 func (s *Store) compareWith(ctx context.Context, round roundInput, member int) {
 	var request storewire.CompareRequest
 	var turnLeaves, programLeaves []uint64
@@ -142,7 +142,8 @@
 		return
 	}
 	if len(answer.Turns) > 0 {
-		s.pushTurns(ctx, round, member, s.sharedKeysIn(ctx, round, member, merkle.DifferingRanges(turnLeaves, toUnsigned(answer.Turns))))
+		s.pushTurns(ctx, round, member,
+			s.sharedKeysIn(ctx, round, member, merkle.DifferingRanges(turnLeaves, toUnsigned(answer.Turns))))
 	}
 	if len(answer.Programs) > 0 {
 		s.pushPrograms(ctx, round, member, s.programsIn(ctx, merkle.DifferingRanges(programLeaves, toUnsigned(answer.Programs))))
@@ -150,7 +151,7 @@
 	s.pushMisplaced(ctx, round, member, minOfferAge)
 }
 
-// sharedKeysIn gives the turns of some ranges that belong at a member too.
+// sharedKeysIn returns the keys in some ranges of the turns that belong both here and at a member.
 func (s *Store) sharedKeysIn(ctx context.Context, round roundInput, member int, ranges []int) []uint64 {
 	var keys []uint64
 	err := s.do(ctx, func(t *table) bool {
@@ -173,7 +174,7 @@
 	return keys
 }
 
-// programsIn gives the programs of some ranges that have been idle for a while.
+// programsIn returns the programs in some ranges that have been idle for a while and do not expire soon.
 func (s *Store) programsIn(ctx context.Context, ranges []int) []storewire.ProgramDigest {
 	var programs []storewire.ProgramDigest
 	err := s.do(ctx, func(t *table) bool {
@@ -194,7 +195,8 @@
 	return programs
 }
 
-// pushTurns brings to a member the turns that it lacks, and says whether it holds all of them on its disk then.
+// pushTurns offers turns to a member, sends those that it lacks, and reports whether it now has all of them on its
+// disk.
 func (s *Store) pushTurns(ctx context.Context, round roundInput, member int, keys []uint64) bool {
 	for page := range slices.Chunk(keys, maxOfferKeys) {
 		var packedKeys []byte
@@ -218,7 +220,7 @@
 	return true
 }
 
-// sendTurns brings turns to a member, in messages of bounded size.
+// sendTurns sends turns to a member, in messages of bounded size.
 func (s *Store) sendTurns(ctx context.Context, round roundInput, member int, keys []uint64) bool {
 	for len(keys) > 0 {
 		var locations []turnLocation
@@ -232,7 +234,7 @@
 		}
 		parcels, err := s.readParcels(locations)
 		if err != nil {
-			return false // a record was moved meanwhile, or the disk fails: the next round tries anew
+			return false // a record was moved meanwhile or the disk failed: the next round retries
 		}
 		if !s.callPush(ctx, round, member, storewire.PushRequest{Parcels: parcels}) {
 			return false
@@ -242,8 +244,8 @@
 	return true
 }
 
-// pushPrograms brings to a member the programs of which it knows something else, and says whether it knows all that
-// was known here when the list was made.
+// pushPrograms sends to a member the programs of which its digest differs, and reports whether it now has all that was
+// known here when the list was made.
 func (s *Store) pushPrograms(ctx context.Context, round roundInput, member int, programs []storewire.ProgramDigest) bool {
 	for page := range slices.Chunk(programs, maxOfferPrograms) {
 		answer, ok := s.callOffer(ctx, round, member, storewire.OfferRequest{Programs: page})
@@ -273,7 +275,8 @@
 	return err == nil && s.callPush(ctx, round, member, storewire.PushRequest{Programs: programs})
 }
 
-func (s *Store) callOffer(ctx context.Context, round roundInput, member int, request storewire.OfferRequest) (storewire.OfferAnswer, bool) {
+func (s *Store) callOffer(ctx context.Context, round roundInput, member int,
+	request storewire.OfferRequest) (storewire.OfferAnswer, bool) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	request.Header = round.header(member)
@@ -292,7 +295,7 @@
 	return err == nil && s.acceptReply(answer.Reply)
 }
 
-// pushMisplaced brings to a member the turns that belong at it and not here, and notes that it has them.
+// pushMisplaced sends to a member the turns that belong there and not here, and records that it has them.
 func (s *Store) pushMisplaced(ctx context.Context, round roundInput, member int, minAge time.Duration) {
 	var keys []uint64
 	err := s.do(ctx, func(t *table) bool {
@@ -310,7 +313,7 @@
 	if err != nil || len(keys) == 0 || !s.pushTurns(ctx, round, member, keys) {
 		return
 	}
-	_ = s.do(ctx, func(t *table) bool { // an error means that they are brought once more
+	_ = s.do(ctx, func(t *table) bool { // after an error they are offered once more
 		if t.meta.View.Epoch != round.view.Epoch {
 			return false
 		}
@@ -327,5 +330,6 @@
 	})
 }
 
-// rankBit is 0 beyond the eighth place: such a turn is never confirmed everywhere.
+// rankBit returns the bit of a rank in heldTurn.confirmedRanks. It is 0 from the ninth rank on: a turn with so many
+// places is never confirmed everywhere.
 func rankBit(rank int) uint8 { return 1 << rank }
--- a/internal/tier/store/retire.go
+++ b/internal/tier/store/retire.go
@@ -7,8 +7,8 @@
 	"emberquay/internal/tier/storewire"
 )
 
-// handOff brings all that is held to the other stores, and says whether it all is on their disks. Reads are served
-// meanwhile; nothing new is placed here.
+// handOff copies all held data to the other stores, and reports whether all of it is on their disks. Meanwhile this
+// store serves reads, and no new data is placed here.
 func (s *Store) handOff(ctx context.Context, round roundInput) bool {
 	for member := range round.view.Members {
 		if member == round.self || round.view.Members[member].Retiring {
@@ -29,8 +29,8 @@
 	return true
 }
 
-// pushAllPrograms brings all programs to a member, once under a view: stores that are retiring take no reservations, so
-// none is added.
+// pushAllPrograms copies all programs to a member, once per view: retiring stores accept no reservations, so none is
+// added afterwards.
 func (s *Store) pushAllPrograms(ctx context.Context, round roundInput, member int) {
 	var programs []storewire.ProgramDigest
 	done := true
@@ -47,7 +47,7 @@
 	if err != nil || done || !s.pushPrograms(ctx, round, member, programs) {
 		return
 	}
-	_ = s.do(ctx, func(t *table) bool { // an error means that they are told once more
+	_ = s.do(ctx, func(t *table) bool { // after an error they are pushed once more
 		if t.meta.View.Epoch == round.view.Epoch {
 			t.hasAllPrograms[id] = true
 		}
@@ -55,8 +55,8 @@
 	})
 }
 
-// handedOff says whether all that is held is on the disks of others: each turn at as many as a new one, each program at
-// all that stay.
+// handedOff reports whether all held data is on the disks of others: each turn on as many as a new turn, each program
+// on all members that are not retiring.
 func (t *table) handedOff() bool {
 	view := &t.meta.View
 	if !t.retiring() || !t.meta.Complete || view.Active() < view.Copies() {
@@ -77,7 +77,7 @@
 	return true
 }
 
-// notifyRetired calls Options.OnRetired, from time to time.
+// notifyRetired calls Options.OnRetired, at most once per retiredCallInterval and view.
 func (s *Store) notifyRetired(epoch int64) {
 	now := s.now()
 	if s.lastRetiredCall.epoch == epoch && now-s.lastRetiredCall.at < retiredCallInterval {
@@ -89,7 +89,7 @@
 	}
 }
 
-// retiredCall is the last call of Options.OnRetired.
+// retiredCall records a call of Options.OnRetired.
 type retiredCall struct {
 	epoch int64
 	at    time.Duration
--- a/internal/tier/store/serve_client.go
+++ b/internal/tier/store/serve_client.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// maxAnswerBytes bounds the records of one answer or push, except that one is always sent.
+	// maxAnswerBytes bounds the records of one answer or push; the first record is always sent.
 	maxAnswerBytes = 512 << 10
-	// maxHistoryBytes bounds the turns of one answer likewise: a conversation is wanted whole.
+	// maxHistoryBytes likewise bounds a history answer. It is larger because a client wants the whole conversation.
 	maxHistoryBytes = 4 << 20
-	// maxReadAttempts: a record may be moved between the look-up and the reading.
+	// maxReadAttempts bounds the reads of records: one may be moved between its lookup and the read.
 	maxReadAttempts = 3
 )
 
-// busyReply is the reply where a command did not end well: it may have run or not. The command may still be writing its own
-// answer then.
+// busyReply is the reply if Store.do failed. The command may have run or not, and may still be writing to the answer,
+// which therefore must not be used.
 func busyReply() storewire.Reply { return storewire.Reply{Standing: storewire.Busy} }
 
-// Reserve keeps a reservation of a program's budget, and tells of the program's other turns.
+// Reserve stores a reservation of a program's budget and reports on the program's other turns.
 func (s *Store) Reserve(ctx context.Context, request storewire.ReserveRequest) (storewire.ReserveAnswer, error) {
 	var answer storewire.ReserveAnswer
 	var report budget.Report
@@ -45,12 +45,13 @@
 	if !t.checkHeader(request.Header, &answer.Reply) {
 		return false
 	}
-	// With a machine less a quorum may be made of stores that never heard of what it took part in.
+	// After a store was removed, a quorum may consist of stores that miss reservations which that store took part in.
 	answer.Reply.Complete = answer.Reply.Complete && !t.meta.Unsettled
 	key := budget.TurnKeyOf(request.Turn)
 	known := t.programs[request.Program]
 	if request.Recheck || known != nil && known.ledger.SettledTokens() >= request.Budget {
-		// Spent by what is settled: nothing is kept, or a program that loops would fill the table.
+		// A recheck, or a budget spent by settled turns. In the latter case nothing is stored either, since a program that
+		// retries in a loop would fill the table.
 		if known != nil {
 			*report = known.ledger.Report(key, request.Whole)
 			t.touch(known, t.now())
@@ -76,7 +77,8 @@
 	return true
 }
 
-// Settle closes reservations. The answer does not wait for the disk: an entry that is lost counts at its most.
+// Settle closes reservations. The answer does not wait for the disk: a reservation whose settlement is lost counts with
+// the most tokens that it may use.
 func (s *Store) Settle(ctx context.Context, request storewire.SettleRequest) (storewire.Acknowledgement, error) {
 	var answer storewire.Acknowledgement
 	err := s.do(ctx, func(t *table) bool { return t.serveSettle(&request, &answer) })
@@ -92,7 +94,7 @@
 	}
 	for _, settlement := range request.Settlements {
 		if t.limitReached(settlement.Program) && t.programs[settlement.Program] == nil {
-			continue // it is not known here, and counts nothing
+			continue // the program is unknown here, so it has no reservation to close
 		}
 		p := t.findOrAddProgram(settlement.Program)
 		t.touch(p, t.now())
@@ -105,7 +107,7 @@
 	return t.fenceUnsynced()
 }
 
-// Commit keeps a turn.
+// Commit stores a turn.
 func (s *Store) Commit(ctx context.Context, request storewire.CommitRequest) (storewire.Acknowledgement, error) {
 	body, err := storewire.EncodeTurn(request.Turn)
 	if err != nil {
@@ -138,7 +140,7 @@
 	return answer, nil
 }
 
-// History gives a turn and those before it, as far as they are here.
+// History returns a turn and its predecessors, as far as they are here.
 func (s *Store) History(ctx context.Context, request storewire.HistoryRequest) (storewire.HistoryAnswer, error) {
 	for range maxReadAttempts {
 		var answer storewire.HistoryAnswer
@@ -166,10 +168,10 @@
 			return storewire.HistoryAnswer{}, err
 		}
 	}
-	return storewire.HistoryAnswer{}, eris.Errorf("turn %s can't be read", request.Turn)
+	return storewire.HistoryAnswer{}, eris.Errorf("turn %s: record not found in any read attempt", request.Turn)
 }
 
-// chainPositions gives the positions of a turn and of those before it.
+// chainPositions returns the positions of a turn and of its predecessors.
 func (t *table) chainPositions(id string) []journal.Position {
 	var positions []journal.Position
 	bytes := 0
@@ -188,7 +190,7 @@
 	return positions
 }
 
-// readTurns gives the turns at positions.
+// readTurns reads the turns at some positions.
 func (s *Store) readTurns(positions []journal.Position) ([][]byte, error) {
 	turns := make([][]byte, 0, len(positions))
 	for _, position := range positions {
--- a/internal/tier/store/serve_peer.go
+++ b/internal/tier/store/serve_peer.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// listPageTurns bounds the turns of one list, about 70 KB.
+	// listPageTurns bounds the turns of one list answer to about 70 KB.
 	listPageTurns = 8192
-	// programsPageSize bounds the programs of one answer; their entries are bounded by answerBytes too.
+	// programsPageSize bounds the programs of one answer; maxAnswerBytes bounds their entries.
 	programsPageSize = 1024
 )
 
-// List gives the keys of all turns held here, page by page.
+// List returns the keys of all held turns, page by page.
 func (s *Store) List(ctx context.Context, request storewire.ListRequest) (storewire.ListAnswer, error) {
 	var answer storewire.ListAnswer
 	err := s.do(ctx, func(t *table) bool { return t.serveList(&request, &answer) })
@@ -50,13 +50,13 @@
 	return t.fenceUnsynced()
 }
 
-// turnLocation is a turn that is to be sent.
+// turnLocation is the position and the remaining retention of a turn to be sent.
 type turnLocation struct {
 	position  journal.Position
 	remaining time.Duration
 }
 
-// locateTurns finds turns by key, as many as a message has room for. It tells how many keys it dealt with.
+// locateTurns looks turns up by key, as many as fit into a message. It returns how many keys it processed.
 func (t *table) locateTurns(keys []uint64) (locations []turnLocation, processed int) {
 	bytes := 0
 	for _, key := range keys {
@@ -72,7 +72,7 @@
 	return locations, processed
 }
 
-// readParcels reads turns for another store.
+// readParcels reads turns to be sent to another store.
 func (s *Store) readParcels(locations []turnLocation) ([]storewire.Parcel, error) {
 	parcels := make([]storewire.Parcel, 0, len(locations))
 	for _, location := range locations {
@@ -85,7 +85,7 @@
 	return parcels, nil
 }
 
-// Fetch gives turns by key.
+// Fetch returns turns by key.
 func (s *Store) Fetch(ctx context.Context, request storewire.FetchRequest) (storewire.FetchAnswer, error) {
 	keys, err := storewire.Keys(request.Keys)
 	if err != nil {
@@ -112,7 +112,7 @@
 	return storewire.FetchAnswer{}, err
 }
 
-// Programs gives what is known of all programs, page by page.
+// Programs returns the budgets of all programs, page by page.
 func (s *Store) Programs(ctx context.Context, request storewire.ProgramsRequest) (storewire.ProgramsAnswer, error) {
 	var answer storewire.ProgramsAnswer
 	err := s.do(ctx, func(t *table) bool { return t.servePrograms(&request, &answer) })
@@ -146,7 +146,8 @@
 	return t.fenceUnsynced()
 }
 
-// Compare says where this store and the one that asks differ in what both should hold.
+// Compare returns the digests of this store if they differ from those of the store that asks, for the data that both
+// should hold.
 func (s *Store) Compare(ctx context.Context, request storewire.CompareRequest) (storewire.CompareAnswer, error) {
 	var answer storewire.CompareAnswer
 	err := s.do(ctx, func(t *table) bool { return t.serveCompare(&request, &answer) })
@@ -162,7 +163,7 @@
 	}
 	sender := t.meta.View.Find(request.Sender)
 	if request.Header.Epoch != t.meta.View.Epoch || sender < 0 {
-		return t.fenceUnsynced() // by another view other turns belong at both: a comparison would say nothing
+		return t.fenceUnsynced() // under another view other turns belong at both, so a comparison is meaningless
 	}
 	if t.sharedTurnTrees[sender].Root() != uint64(request.Turns) {
 		answer.Turns = toSigned(t.sharedTurnTrees[sender].Leaves())
@@ -173,7 +174,7 @@
 	return t.fenceUnsynced()
 }
 
-// toSigned and unsigned convert digests for avro, which has signed numbers only.
+// toSigned and toUnsigned convert digests for Avro, which has signed numbers only.
 func toSigned(values []uint64) []int64 {
 	converted := make([]int64, len(values))
 	for i, value := range values {
@@ -190,8 +191,7 @@
 	return converted
 }
 
-// Offer says which of the records that another store could push are lacking here. All others are on the disk when it
-// answers.
+// Offer returns which of the offered records are missing here. All others are on the disk when it answers.
 func (s *Store) Offer(ctx context.Context, request storewire.OfferRequest) (storewire.OfferAnswer, error) {
 	keys, err := storewire.Keys(request.Turns)
 	if err != nil {
@@ -220,7 +220,7 @@
 	return answer, nil
 }
 
-// Push takes in records of another store.
+// Push stores records from another store.
 func (s *Store) Push(ctx context.Context, request storewire.PushRequest) (storewire.Acknowledgement, error) {
 	records, err := decodeReceived(request.Parcels, request.Programs)
 	if err != nil {
@@ -243,14 +243,14 @@
 	return answer, nil
 }
 
-// received is what came from another store, read.
+// received holds decoded records from another store.
 type received struct {
 	turns    []receivedTurn
 	programs []receivedProgram
 }
 
 type receivedTurn struct {
-	record []byte // with its kind
+	record []byte // including its kind byte
 	head   storewire.TurnHead
 	ttl    time.Duration
 }
@@ -260,7 +260,7 @@
 	entries []budget.Entry
 }
 
-// decodeReceived checks what came. Errors: bytes that hold no such record.
+// decodeReceived decodes records from another store. Errors: a record is malformed.
 func decodeReceived(parcels []storewire.Parcel, programs []storewire.Program) (*received, error) {
 	records := &received{}
 	for _, p := range parcels {
@@ -282,14 +282,14 @@
 	return records, nil
 }
 
-// maxChainExtension bounds by how much turns that continue one may extend its life.
+// maxChainExtension bounds how far turns that continue a received turn may have extended its retention.
 const maxChainExtension = 24 * time.Hour
 
-// storeReceived keeps what came. It gives false where there is no room for all of it.
+// storeReceived stores received records. It returns false if there is no room for all of them.
 func (t *table) storeReceived(records *received) bool {
 	for _, turn := range records.turns {
 		if turn.ttl <= 0 || t.turns[placement.KeyOf(turn.head.ID)] == nil && t.heldOrExpired(placement.KeyOf(turn.head.ID)) {
-			continue // its time is over here
+			continue // it has expired
 		}
 		if !t.appendTurn(turn.record, turn.head, turn.ttl) {
 			return false
--- a/internal/tier/store/status.go
+++ b/internal/tier/store/status.go
@@ -2,22 +2,22 @@
 
 import "context"
 
-// Status is what a store is and holds at one instant.
+// Status is a snapshot of a store's state and contents.
 type Status struct {
 	Complete  bool
 	Retiring  bool
-	Member    bool  // of the view by which it works
-	Epoch     int64 // of that view; 0: none is known
-	Members   int   // of that view
+	Member    bool  // of the current view
+	Epoch     int64 // of the current view; 0: none is known
+	Members   int   // of the current view
 	Turns     int
-	TurnBytes int64 // of the turns' records on the disk
+	TurnBytes int64 // of the records of held turns
 	Programs  int
-	Entries   int   // reservations of all programs, settled ones too
-	RingBytes int64 // of all segments that the ring may have
-	FreeBytes int64 // of those that hold nothing
+	Entries   int   // reservations of all programs, settled ones included
+	RingBytes int64 // capacity of all segments of the ring
+	FreeBytes int64 // of the free segments
 }
 
-// Status looks at the store. Errors: the context's, or ErrClosed.
+// Status returns the store's status. Errors: the context's, or ErrClosed.
 func (s *Store) Status(ctx context.Context) (Status, error) {
 	var status Status
 	err := s.do(ctx, func(t *table) bool {
@@ -25,7 +25,7 @@
 		return false
 	})
 	if err != nil {
-		return Status{}, err // the command may still run
+		return Status{}, err // the command may still run and write to status
 	}
 	return status, nil
 }
--- a/internal/tier/store/store.go
+++ b/internal/tier/store/store.go
@@ -1,22 +1,23 @@
-// Package store keeps the turns of conversations and the budgets of programs on the disk of one machine, together with
-// the other stores of the view:
+// Package store stores conversation turns and program budgets on the disk of one machine. The stores of a view
+// replicate them among each other:
 //
 //	s, err := store.Start(store.Options{Files: vfs.OS{}, Dir: dir, DiskBytes: bytes, Bootstrap: bootstrap,
 //		Caller: storewire.NewCaller(calls), OnNewerView: askForView, OnRetired: reportRetired})
 //	storewire.Register(mux, s)
-//	s.SetView(view)  // controlstate.StoreView, at each change; the store registers itself under s.ID()
+//	s.SetView(view)  // controlstate.StoreView, at each change; s.ID() is this store's id in it
 //	defer s.Close()
 //
-// One goroutine owns the table of all that is known (type table) and works through a queue of commands; a second one
-// syncs the journal for all commands that wait for the disk; a third repairs. Texts of turns stay on the disk.
+// One goroutine owns the in-memory state (type table) and runs queued commands on it; a second one syncs the journal
+// for all commands that wait for the disk; a third one runs repair rounds. The texts of turns stay on the disk.
 //
 // Invariants:
-//   - Whatever was acknowledged is on the disk, and is served after a restart.
-//   - A store answers only requests that mean its disk, and none that chose it by a view older than one it has served
-//     before (the fence, kept on the disk): so what a store with a fresh disk learned from others can't become outdated
-//     by a request that was on its way.
-//   - A store with a fresh disk is incomplete until it has compared itself with View.CatchUp others. Of what was
-//     acknowledged before, one of them knows; a turn that too few of them hold is taken over, wherever it belongs.
+//   - Acknowledged data is on the disk and is served after a restart.
+//   - A store answers only requests addressed to its disk (by id), and rejects requests routed by a view older than one
+//     it has already served (the fence, stored on the disk). So a request in flight cannot make the data outdated that a
+//     store with a fresh disk has copied from others.
+//   - A store with a fresh disk is incomplete until it has compared itself with View.CatchUp other stores. At least one
+//     of them holds whatever was acknowledged before. A turn that too few of them hold is copied even if it belongs
+//     elsewhere.
 package store
 
 import (
@@ -33,45 +34,46 @@
 )
 
 const (
-	// ringDiskShare is the part of the disk that the ring of files may take.
+	// ringDiskShare is the fraction of the disk that the journal's ring of files may use.
 	ringDiskShare = 0.8
-	// segmentCount of the ring: so many that a segment kept free costs little.
+	// segmentCount is the number of segments of the ring: enough that a segment kept free costs little space.
 	segmentCount = 16
-	// minSegmentBytes holds the longest turns on all but the smallest disks, mostSegment keeps a reclaim short.
+	// minSegmentBytes fits the longest turns on all but the smallest disks; maxSegmentBytes keeps a reclaim short.
 	minSegmentBytes = 1 << 20
 	maxSegmentBytes = 16 << 20
-	// defaultDiskBytes is taken where no limit is told.
+	// defaultDiskBytes is used if Options.DiskBytes is 0.
 	defaultDiskBytes = 256 << 20
-	// commandQueueLength bounds the commands that wait for the owner of the table; callers wait beyond it.
+	// commandQueueLength bounds the queued commands; further callers block.
 	commandQueueLength = 256
-	// maxDrainedCommands bounds the commands that are worked through before a sync for them begins.
+	// maxDrainedCommands bounds the commands that run in a row before a sync for them starts.
 	maxDrainedCommands = 64
-	// defaultRepairInterval lies between two comparisons with another store.
+	// defaultRepairInterval is the time between two repair rounds.
 	defaultRepairInterval = 500 * time.Millisecond
 )
 
-// ErrClosed: the store has been closed.
+// ErrClosed reports a call of a closed store.
 var ErrClosed = eris.New("store: closed")
 
-// Options of a store.
+// Options configures a store.
 type Options struct {
 	Files     vfs.FS
 	Dir       string
-	DiskBytes int64 // of the disk; four fifths are used. 0: 256 MiB
-	Bootstrap bool  // the whole system starts for the first time: an empty disk lacks nothing
+	DiskBytes int64 // size of the disk, of which four fifths are used; 0: 256 MiB
+	Bootstrap bool  // the whole system starts for the first time, so an empty disk is complete
 	Caller    storewire.Caller
-	// OnNewerView is called when a caller works by a view newer than the store's, in a goroutine of its own. May be nil.
+	// OnNewerView is called in a goroutine of its own when a request carries a newer epoch than the store knows. May be
+	// nil.
 	OnNewerView func(epoch uint64)
-	// OnRetired is called once all that this store held is on the disks of the others, while the view says that it is
-	// retiring; it is called again from time to time until the view changes. May be nil.
+	// OnRetired is called once all data of this store is on the disks of others and the view says that it is retiring. It
+	// is called again at intervals until the view changes. May be nil.
 	OnRetired func()
-	// Now is a clock that never steps, from any zero. nil: the machine's.
+	// Now is a monotonic clock with an arbitrary zero. nil: the machine's.
 	Now func() time.Duration
-	// RepairInterval: 0: 500 ms; below 0: repair is never begun by itself (tests).
+	// RepairInterval is the time between two repair rounds. 0: 500 ms; negative: no rounds run by themselves (tests).
 	RepairInterval time.Duration
 }
 
-// Store is an open store. It implements storewire.Server.
+// Store is an open store that implements storewire.Server.
 type Store struct {
 	options         Options
 	now             func() time.Duration
@@ -79,9 +81,9 @@
 	id              string
 	caller          storewire.Caller
 	commands        chan *command
-	wakeRepair      chan struct{} // wakes the repair
-	lastRetiredCall retiredCall   // belongs to the repair
-	inventories     inventorySet  // likewise
+	wakeRepair      chan struct{} // starts a repair round at once
+	lastRetiredCall retiredCall   // used by the repair goroutine only
+	inventories     inventorySet  // used by the repair goroutine only
 
 	ctx     context.Context
 	stop    context.CancelFunc
@@ -90,21 +92,21 @@
 
 var _ storewire.Server = (*Store)(nil)
 
-// command is a piece of work for the owner of the table.
+// command is a function to run on the table, in the goroutine that owns it.
 type command struct {
-	run     func(*table) (durable bool) // durable: it is done only once all that was appended is on the disk
+	run     func(*table) (durable bool) // durable: done only once all records appended so far are on the disk
 	done    chan struct{}
-	syncErr error // of the disk; set before done is closed
+	syncErr error // set before done is closed
 }
 
-// syncBatch is a sync for a group of commands.
+// syncBatch is a sync of the journal for several commands.
 type syncBatch struct {
 	commands   []*command
-	lastRecord uint64 // appended records that it covers
+	lastRecord uint64 // number of the last record that it covers
 	err        error
 }
 
-// Start opens the store of a folder. Errors: those of the disk.
+// Start opens the store in a folder. Errors: those of the disk.
 func Start(options Options) (*Store, error) {
 	if options.DiskBytes == 0 {
 		options.DiskBytes = defaultDiskBytes
@@ -142,10 +144,10 @@
 	return s, nil
 }
 
-// ID was drawn when the disk was first used.
+// ID returns the random id that the store drew when its disk was first used.
 func (s *Store) ID() string { return s.id }
 
-// SetView tells of the stores; a view older than the one in use is ignored.
+// SetView sets the view of all stores; it ignores a view that is not newer than the current one.
 func (s *Store) SetView(stores controlstate.StoreView) { s.applyView(storewire.ViewOf(stores)) }
 
 func (s *Store) applyView(view storewire.View) {
@@ -166,7 +168,7 @@
 	}
 }
 
-// Complete says whether the store holds all that it should.
+// Complete reports whether the store holds all data that it should.
 func (s *Store) Complete() bool {
 	complete := false
 	err := s.do(s.ctx, func(t *table) bool {
@@ -176,15 +178,15 @@
 	return err == nil && complete
 }
 
-// Close ends the store. What was not acknowledged may be lost.
+// Close stops the store. Data that was not acknowledged may be lost.
 func (s *Store) Close() error {
 	s.stop()
 	s.running.Wait()
 	return s.journal.Close()
 }
 
-// do has the owner of the table run a command and waits for its end, on the disk if it is durable. Errors: the
-// context's, ErrClosed, or the disk's; after them the command may have run or not, or may run later.
+// do queues a command and waits until it has run and, if it is durable, is on the disk. Errors: the context's,
+// ErrClosed, or the disk's; after an error the command may have run or not, or may run later.
 func (s *Store) do(ctx context.Context, run func(*table) (durable bool)) error {
 	c := &command{run: run, done: make(chan struct{})}
 	select {
@@ -204,7 +206,7 @@
 	}
 }
 
-// runCommands works through the commands. Those that come while a sync runs share the next one.
+// runCommands runs the queued commands. Durable commands that run during a sync share the next one.
 func (s *Store) runCommands(t *table, syncs chan<- *syncBatch, synced <-chan *syncBatch) {
 	defer s.running.Done()
 	defer close(syncs)
@@ -218,7 +220,7 @@
 		case <-s.ctx.Done():
 			return
 		}
-		if next := t.nextSync(); next != nil {
+		if next := t.nextBatch(); next != nil {
 			syncs <- next
 		}
 	}
@@ -249,7 +251,7 @@
 	}
 }
 
-// syncJournal brings the journal to the disk, one group of commands after the other.
+// syncJournal syncs the journal, one batch of commands after the other.
 func (s *Store) syncJournal(syncs <-chan *syncBatch, synced chan<- *syncBatch) {
 	defer s.running.Done()
 	for next := range syncs {
--- a/internal/tier/store/table.go
+++ b/internal/tier/store/table.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// maxSyncDuration is how long a sync may run before further writes are refused, so that callers go to another store.
+	// maxSyncDuration is how long a sync may run before further writes are refused, so that callers use another store.
 	maxSyncDuration = 400 * time.Millisecond
-	// maxWaitingCommands and mostPending bound what waits for the disk.
+	// maxWaitingCommands and maxPendingBytes bound the commands and the bytes that wait for the disk.
 	maxWaitingCommands = 1024
 	maxPendingBytes    = 8 << 20
 )
 
-// table is all that the store knows. It belongs to the goroutine that runs Store.own.
+// table is the in-memory state of the store. Only the goroutine that runs Store.runCommands uses it.
 type table struct {
 	journal      *journal.Journal
 	segmentBytes int64
@@ -26,27 +26,27 @@
 
 	meta       meta
 	placement  *placement.Table
-	self       int    // place in the view; -1: not a member
-	newerEpoch uint64 // a view that a caller works by and that is not known here; 0: none
+	self       int    // index in the view's members; -1: not a member
+	newerEpoch uint64 // epoch of a request that is newer than the view here; 0: none
 
-	appendedRecords uint64 // records so far
-	durableRecords  uint64 // of them, those on the disk
+	appendedRecords uint64 // number of records appended so far
+	durableRecords  uint64 // number of those known to be on the disk
 	waitingForSync  []*command
 	syncRunning     bool
 	syncStarted     time.Duration
 
 	turns               map[uint64]*heldTurn // by key
 	expiries            expiryQueue
-	missingPredecessors map[uint64]time.Duration // keys of turns that others continue and that are not here -> until when those are kept
-	tombstones          map[uint64]time.Duration // keys of turns that expired here -> when that is forgotten
-	liveTurnBytes       map[uint64]int64         // bytes of turns by segment
-	sharedTurnTrees     []merkle.Tree            // by member: turns that belong at it and here
-	misplacedTurns      map[uint64]*heldTurn     // turns that don't belong here
+	missingPredecessors map[uint64]time.Duration // key of a turn that is not here -> expiry of the turns that continue it
+	tombstones          map[uint64]time.Duration // key of a turn that expired here -> when the tombstone is removed
+	liveTurnBytes       map[uint64]int64         // bytes of held turns by segment
+	sharedTurnTrees     []merkle.Tree            // by member: turns that belong both there and here
+	misplacedTurns      map[uint64]*heldTurn     // by key: turns that do not belong here
 
 	programs       map[string]*program
-	entryCount     int // of all programs
+	entryCount     int // reservations of all programs
 	programTree    merkle.Tree
-	hasAllPrograms map[string]bool // ids of members that know all programs, while retiring
+	hasAllPrograms map[string]bool // by store id, while retiring: the member has all programs
 
 	placesBuffer []int
 }
@@ -67,11 +67,11 @@
 	}
 }
 
-// hasUnsynced says whether anything that was appended may not be on the disk.
+// hasUnsynced reports whether some appended record may not be on the disk.
 func (t *table) hasUnsynced() bool { return t.appendedRecords > t.durableRecords }
 
-// nextSync gives the sync that is due, if none runs.
-func (t *table) nextSync() *syncBatch {
+// nextBatch starts a batch for the commands that wait, or returns nil if a sync runs or none is needed.
+func (t *table) nextBatch() *syncBatch {
 	if t.syncRunning || len(t.waitingForSync) == 0 {
 		return nil
 	}
@@ -89,7 +89,7 @@
 	}
 }
 
-// stalled says that the disk is so far behind that a write had better go elsewhere.
+// stalled reports that the disk is so far behind that a write should go to another store.
 func (t *table) stalled() bool {
 	if t.syncRunning && t.now()-t.syncStarted > maxSyncDuration {
 		return true
@@ -97,8 +97,9 @@
 	return len(t.waitingForSync) > maxWaitingCommands || t.journal.PendingBytes() > maxPendingBytes
 }
 
-// checkHeader checks the header of a request and begins the reply. Where it gives false the reply says all there is to say.
-// The command has to be durable in any case, so that the fence is on the disk before anything is answered behind it.
+// checkHeader checks the header of a request and fills in the reply. If it returns false, the reply is final. A command
+// that passes must be durable as long as fenceUnsynced, so that the fence is on the disk before any answer relies on
+// it.
 func (t *table) checkHeader(header storewire.Header, reply *storewire.Reply) bool {
 	reply.Complete = t.meta.Complete
 	if t.meta.View.Epoch > header.Epoch {
@@ -123,10 +124,10 @@
 	return true
 }
 
-// fenceUnsynced says whether the fence has still to be synced before an answer.
+// fenceUnsynced reports whether the fence has yet to be synced before an answer.
 func (t *table) fenceUnsynced() bool { return t.meta.recordNumber > t.durableRecords }
 
-// setView takes a newer view and says whether it was one.
+// setView stores and applies a view if it is newer, and reports whether it did.
 func (t *table) setView(view storewire.View) bool {
 	if view.Epoch <= t.meta.View.Epoch {
 		return false
@@ -142,9 +143,9 @@
 	return true
 }
 
-// holderRemoved says whether a store of the old view is gone from the new one with what it held, so that this may be at fewer
-// stores than before, and "unknown" of those that are left counts for less. One that was retiring went empty; one that
-// took a lost disk's place under the view's eyes catches up itself.
+// holderRemoved reports whether a store of the old view is missing from the new one together with the data that it
+// held. That data may then have fewer copies, and an "unknown" from the remaining stores proves less. A retiring store
+// does not count, as it left empty; nor does one whose node has a Replaced successor, which catches up by itself.
 func holderRemoved(old, view storewire.View) bool {
 	remains := func(m storewire.Member) bool {
 		return slices.ContainsFunc(view.Members, func(n storewire.Member) bool {
@@ -154,7 +155,7 @@
 	return slices.ContainsFunc(old.Members, func(m storewire.Member) bool { return !m.Retiring && !remains(m) })
 }
 
-// recomputePlacement works out what the view means for all that is held.
+// recomputePlacement rebuilds the placement of all held turns from the current view.
 func (t *table) recomputePlacement() {
 	view := &t.meta.View
 	members := make([]placement.Member, 0, len(view.Members))
@@ -172,10 +173,10 @@
 	}
 }
 
-// retiring says whether the store is being emptied.
+// retiring reports whether the view says that this store is retiring.
 func (t *table) retiring() bool { return t.self >= 0 && t.meta.View.Members[t.self].Retiring }
 
-// placesOf gives the places where a turn belongs; valid until the next call.
+// placesOf returns the member indexes where a turn belongs. The slice is valid until the next call.
 func (t *table) placesOf(turn *heldTurn) []int {
 	t.placesBuffer = t.placement.AppendOrder(turn.rootKey, turn.homeZone, t.placesBuffer[:0])
 	return t.placesBuffer[:min(len(t.placesBuffer), t.meta.View.Copies())]
--- a/internal/tier/store/turns.go
+++ b/internal/tier/store/turns.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// retentionSlack is added to the retention of a turn: time for the turn that continues it to end and to be kept,
-	// and for clocks that start anew.
+	// retentionSlack is added to the retention of a turn: it leaves time for the next turn to end and be stored, and
+	// allows for clocks that restart with the process.
 	retentionSlack = 30 * time.Second
-	// maxTurns bounds the index, about 30 MB.
+	// maxTurns bounds the index to about 30 MB.
 	maxTurns = 120_000
-	// tombstoneRetention is for how long a turn that expired here is not taken from another store again.
+	// tombstoneRetention is how long a turn that expired here is not accepted from another store again.
 	tombstoneRetention = 2 * time.Minute
-	// maxTombstones bounds the memory for those.
+	// maxTombstones bounds the memory for tombstones.
 	maxTombstones = 100_000
 )
 
-// heldTurn is the index's part of a record.
+// heldTurn is the index entry of a turn's record in the journal.
 type heldTurn struct {
 	id, previous   string
 	key, rootKey   uint64
@@ -30,38 +30,38 @@
 	position       journal.Position
 	receivedAt     time.Duration
 	expiresAt      time.Duration
-	confirmedRanks uint8 // bits by rank of its places, of one that doesn't belong here: it is on the disk there
+	confirmedRanks uint8 // of a misplaced turn, a bit per rank in its places: that store has it on its disk
 }
 
-// expiry is when a turn is to be looked at. It may have been extended since.
+// expiry is the time at which a turn is checked for expiry; the turn may have been extended since.
 type expiry struct {
 	at   time.Duration
 	turn *heldTurn
 }
 
-// expiryQueue is a heap, the earliest first.
+// expiryQueue is a heap of expiries, earliest first.
 type expiryQueue []expiry
 
 func (q expiryQueue) Len() int           { return len(q) }
 func (q expiryQueue) Less(i, j int) bool { return q[i].at < q[j].at }
 func (q expiryQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
 
-// Push adds an expiry, for package heap.
+// Push appends an expiry, for container/heap.
 func (q *expiryQueue) Push(x any) { *q = append(*q, x.(expiry)) }
 
-// Pop takes the last one, for package heap.
+// Pop removes the last expiry, for container/heap.
 func (q *expiryQueue) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
 	return last
 }
 
-// initialTTL is for how long a turn is kept that has just ended.
+// initialTTL returns how long a turn is kept after it has ended.
 func initialTTL(head storewire.TurnHead) time.Duration {
 	return time.Duration(head.RetentionMillis)*time.Millisecond + retentionSlack
 }
 
-// addTurn takes a record into the index. One that is there only gets another position or a longer life.
+// addTurn adds a turn to the index. If it is indexed already, addTurn sets its position and extends its expiry.
 func (t *table) addTurn(head storewire.TurnHead, position journal.Position, ttl time.Duration) *heldTurn {
 	key := placement.KeyOf(head.ID)
 	now := t.now()
@@ -89,7 +89,7 @@
 	return turn
 }
 
-// setTurnPosition notes that the record is elsewhere in the journal now.
+// setTurnPosition updates the index after a turn's record was written to another journal position.
 func (t *table) setTurnPosition(turn *heldTurn, position journal.Position) {
 	t.subtractLiveBytes(turn.position)
 	turn.position = position
@@ -103,16 +103,16 @@
 	}
 }
 
-// extendExpiry makes a turn and all before it live at least so long.
+// extendExpiry keeps a turn and all its predecessors at least until the given time.
 func (t *table) extendExpiry(turn *heldTurn, until time.Duration) {
 	if turn.expiresAt >= until {
 		return
 	}
-	turn.expiresAt = until // the queue finds out when the old time comes
+	turn.expiresAt = until // expireTurns requeues it when the old time comes
 	t.extendPredecessors(turn)
 }
 
-// extendPredecessors makes all turns before one live as long as it does.
+// extendPredecessors keeps all predecessors of a turn at least as long as the turn itself.
 func (t *table) extendPredecessors(turn *heldTurn) {
 	for turn.previous != "" {
 		key := placement.KeyOf(turn.previous)
@@ -129,7 +129,7 @@
 	}
 }
 
-// indexPlacement enters a turn where the comparison with other stores finds it.
+// indexPlacement adds a turn to the trees shared with the other members of its places, or to the misplaced turns.
 func (t *table) indexPlacement(turn *heldTurn) {
 	if t.self < 0 {
 		return
@@ -161,7 +161,7 @@
 	}
 }
 
-// expireTurns drops the turns whose time is over.
+// expireTurns removes expired turns and leaves tombstones for them.
 func (t *table) expireTurns() {
 	now := t.now()
 	for len(t.expiries) > 0 && t.expiries[0].at <= now {
@@ -193,13 +193,14 @@
 	delete(t.turns, turn.key)
 }
 
-// heldOrExpired says whether a turn of that key need not be brought here.
+// heldOrExpired reports whether the turn with this key is here, or has expired here; it need not be copied here then.
 func (t *table) heldOrExpired(key uint64) bool {
-	_, ended := t.tombstones[key]
-	return ended || t.turns[key] != nil
+	_, expired := t.tombstones[key]
+	return expired || t.turns[key] != nil
 }
 
-// appendTurn appends a record, whole with its kind, unless it is there. It gives false where there is no room.
+// appendTurn appends a turn's record, kind byte included. If the turn is held already it only extends its expiry. It
+// returns false if there is no room.
 func (t *table) appendTurn(record []byte, head storewire.TurnHead, ttl time.Duration) bool {
 	if known := t.turns[placement.KeyOf(head.ID)]; known != nil {
 		t.extendExpiry(known, t.now()+ttl)
--- a/internal/tier/storeplane/plane.go
+++ b/internal/tier/storeplane/plane.go
@@ -1,12 +1,12 @@
-// Package storeplane assembles the store of one machine: the store itself, the part that it takes in the
-// cluster, and its registration with the control plane.
+// Package storeplane assembles the store of one machine: the store itself, its cluster membership, and its registration
+// with the control plane.
 //
 //	plane, err := storeplane.Start(node, logger)
 //	...
 //	plane.Shutdown(ctx, signalled)
 //
-// The store's disk is a member of the store view, which the control state holds; a disk that is not in it
-// registers until it is. The view comes back through the cluster's table.
+// The store's disk is a member of the store view, which the control state holds. A disk that is not in the view
+// registers until it is. The view is distributed through the cluster's table.
 package storeplane
 
 import (
@@ -29,9 +29,9 @@
 )
 
 const (
-	// registerInterval is the time between two tries to get into the store view.
+	// registerInterval is the time between two attempts to register in the store view.
 	registerInterval = 300 * time.Millisecond
-	// controlTimeout bounds a call of a control node.
+	// controlTimeout bounds a call to a control node.
 	controlTimeout = 3 * time.Second
 )
 
@@ -41,12 +41,12 @@
 	store        *store.Store
 	ctx          context.Context
 	stop         context.CancelFunc
-	inView       atomic.Bool // the newest view known names this disk
+	inView       atomic.Bool // the newest known view contains this disk
 	controlCalls atomic.Uint64
 	seeds        atomic.Pointer[[]string]
 }
 
-// Start opens the store's disk, joins the others and serves.
+// Start opens the store's disk, joins the cluster and serves requests.
 func Start(node *settings.Node, logger log.Interface) (*Plane, error) {
 	ctx, stop := context.WithCancel(context.Background())
 	p := &Plane{base: planes.NewBase(node, settings.Store, logger), ctx: ctx, stop: stop}
@@ -99,7 +99,7 @@
 	return false
 }
 
-// keepRegistered has this disk taken into the store view whenever the newest view does not name it.
+// keepRegistered registers this disk whenever the newest store view does not contain it.
 func (p *Plane) keepRegistered() {
 	ticker := time.NewTicker(registerInterval)
 	defer ticker.Stop()
@@ -115,12 +115,13 @@
 	}
 }
 
-// register asks a control node once; false: this disk was emptied and taken away, and stays out.
+// register asks one control node to add this disk to the store view. It returns false if the disk is refused for good
+// (status 409), as one that was retired is.
 func (p *Plane) register() bool {
 	answer, err := p.callControlPlane(storewire.RegisterStore)
 	switch {
 	case err != nil:
-		p.base.Log.WithError(err).Debug("not registered yet")
+		p.base.Log.WithError(err).Debug("registration failed; will retry")
 	case answer.Status == http.StatusConflict:
 		p.base.Log.WithField("reason", answer.Reason).Warn("this disk stays out of the store view")
 		return false
@@ -130,11 +131,11 @@
 	return true
 }
 
-// reportRetired tells the control state that nothing is left here that is not elsewhere.
+// reportRetired tells a control node that all data of this disk is on other stores.
 func (p *Plane) reportRetired() {
 	answer, err := p.callControlPlane(storewire.StoreRetired)
 	if err != nil {
-		p.base.Log.WithError(err).Warn("the end of the retirement is not told yet")
+		p.base.Log.WithError(err).Warn("completed retirement not reported; will retry")
 		return
 	}
 	p.base.Log.WithField("status", answer.Status).Info("retirement completed")
@@ -150,7 +151,8 @@
 	return storewire.TellControlPlane(ctx, p.base.Client, p.nextControlAddress(), method, news)
 }
 
-// nextControlAddress gives the address of a control node, another one each time: the live ones, or else the seeds.
+// nextControlAddress returns the address of a control node, in rotation: of the live ones, or of the seeds if none is
+// live.
 func (p *Plane) nextControlAddress() string {
 	var addresses []string
 	for _, n := range p.base.Cluster.Nodes() {
@@ -167,13 +169,13 @@
 	return addresses[p.controlCalls.Add(1)%uint64(len(addresses))]
 }
 
-// SetSeeds tells where other machines' control planes are.
+// SetSeeds sets the addresses of other machines' control planes.
 func (p *Plane) SetSeeds(addresses []string) {
 	p.seeds.Store(&addresses)
 	p.base.Cluster.SetSeeds(addresses)
 }
 
-// Shutdown tells the others and ends. All that was acknowledged is on the disk.
+// Shutdown leaves the cluster and stops the plane. Acknowledged data is on the disk.
 func (p *Plane) Shutdown(ctx context.Context, _ time.Time) {
 	p.base.Leave(ctx)
 	p.close()
--- a/internal/tier/storeplane/status.go
+++ b/internal/tier/storeplane/status.go
@@ -6,7 +6,7 @@
 	"emberquay/internal/tier/nodestatus"
 )
 
-// addStatus adds what an operator is told of this plane.
+// addStatus adds the store's status to the node status for operators.
 func (p *Plane) addStatus(ctx context.Context, status *nodestatus.Status) error {
 	current, err := p.store.Status(ctx)
 	if err != nil {
@@ -14,8 +14,8 @@
 	}
 	status.Store = &nodestatus.Store{
 		ID: p.store.ID(), Complete: current.Complete, Retiring: current.Retiring, Member: current.Member, Epoch: current.Epoch,
-		Members: current.Members, Turns: current.Turns, TurnBytes: current.TurnBytes, Programs: current.Programs, Entries: current.Entries,
-		RingBytes: current.RingBytes, FreeBytes: current.FreeBytes,
+		Members: current.Members, Turns: current.Turns, TurnBytes: current.TurnBytes, Programs: current.Programs,
+		Entries: current.Entries, RingBytes: current.RingBytes, FreeBytes: current.FreeBytes,
 	}
 	return nil
 }
