--- a/internal/tier/controlstate/bench_test.go
+++ b/internal/tier/controlstate/bench_test.go
@@ -7,22 +7,23 @@
 	"emberquay/internal/tier/controlstate"
 )
 
-// BenchmarkSnapshot is what each commit costs at each member: the state is coded whole, and read whole by who spreads it.
+// BenchmarkSnapshot measures what each commit costs at each member: the whole state is encoded, and decoded again for
+// publication.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, changes := range []uint64{10, 1000, 8192} {
 		state := controlstate.New()
 		for version := uint64(1); version <= changes; version++ {
-			state.Apply(controlstate.EncodeCommand(replace(version-1, document(version, "s"))))
+			state.Apply(controlstate.EncodeCommand(replace(version-1, configurationBody(version, "s"))))
 		}
 		snapshot := state.Snapshot()
-		b.Run(fmt.Sprintf("taken/%d", changes), func(b *testing.B) {
+		b.Run(fmt.Sprintf("snapshot/%d", changes), func(b *testing.B) {
 			b.ReportAllocs()
 			b.SetBytes(int64(len(snapshot)))
 			for b.Loop() {
 				state.Snapshot()
 			}
 		})
-		b.Run(fmt.Sprintf("restored/%d", changes), func(b *testing.B) {
+		b.Run(fmt.Sprintf("restore/%d", changes), func(b *testing.B) {
 			b.ReportAllocs()
 			b.SetBytes(int64(len(snapshot)))
 			for b.Loop() {
--- a/internal/tier/controlstate/changes.go
+++ b/internal/tier/controlstate/changes.go
@@ -10,164 +10,168 @@
 )
 
 const (
-	// digestBytes is enough that no two changes of a deployment have the same digest by chance.
+	// digestBytes is large enough that the digests of two changes of a deployment do not collide.
 	digestBytes = 16
-	// changeBytes is the size of one coded change: its digest and its version, the most significant byte first.
+	// changeBytes is the size of one encoded change: its digest and its version in big-endian order.
 	changeBytes = digestBytes + 8
 )
 
-// digest tells changes apart by their kind, base and body.
+// digest identifies a change by its kind, base and body.
 type digest [digestBytes]byte
 
 func digestOf(c Command) digest {
 	h := sha256.New()
-	var head [16]byte
-	binary.BigEndian.PutUint64(head[:], uint64(c.Kind))
-	binary.BigEndian.PutUint64(head[8:], c.Base)
-	h.Write(head[:])
+	var header [16]byte
+	binary.BigEndian.PutUint64(header[:], uint64(c.Kind))
+	binary.BigEndian.PutUint64(header[8:], c.Base)
+	h.Write(header[:])
 	h.Write(c.Body)
 	return digest(h.Sum(nil)[:digestBytes])
 }
 
-// change is one that was asked for: its digest, and the version that it brought (accepted) or builds on (refused).
+// change is a requested change of the configuration: its digest, and the version that it led to (accepted) or builds on
+// (refused).
 type change struct {
 	id      digest
 	version uint64
 }
 
-// acceptedChanges are the newest changes that were taken, by rising versions, maxAccepted at most. Each builds on the version
-// of the one before it, the first of all on 0, so at most one was ever taken on a base.
+// acceptedChanges holds the newest accepted changes by ascending version, maxAccepted at most. Each change builds on the
+// version of the one before it, and the first ever on 0, so at most one was accepted on a base.
 type acceptedChanges struct {
-	order []change
+	changes []change
 }
 
-// standing is what is known of a change by its base.
-type standing int
+// acceptance says whether a change was accepted, as far as that is known.
+type acceptance int
 
 const (
-	notTaken  standing = iota // for certain: another one was taken on its base, or none
-	wasTaken                  // its version is known
-	forgotten                 // it builds on a version of which nothing is remembered any more
+	notAccepted       acceptance = iota // another change or none was accepted on its base
+	isAccepted                          // the version that it led to is known
+	acceptanceUnknown                   // the changes accepted on versions this old were dropped
 )
 
-// find says whether a change that builds on a base was taken.
-func (c *acceptedChanges) find(id digest, base uint64) (version uint64, s standing) {
-	if len(c.order) == 0 {
-		return 0, notTaken
+// find reports whether a change that builds on base was accepted, and the version that it led to.
+func (c *acceptedChanges) find(id digest, base uint64) (version uint64, result acceptance) {
+	if len(c.changes) == 0 {
+		return 0, notAccepted
 	}
-	if base < c.order[0].version {
+	if base < c.changes[0].version {
 		return c.findOldest(id, base)
 	}
-	at, found := slices.BinarySearchFunc(c.order, base, func(one change, base uint64) int { return cmp.Compare(one.version, base) })
-	next := at + 1 // the change that was taken on base
-	if !found || next == len(c.order) || c.order[next].id != id {
-		return 0, notTaken
+	index, found := slices.BinarySearchFunc(c.changes, base,
+		func(candidate change, base uint64) int { return cmp.Compare(candidate.version, base) })
+	next := index + 1 // the change that was accepted on base
+	if !found || next == len(c.changes) || c.changes[next].id != id {
+		return 0, notAccepted
 	}
-	return c.order[next].version, wasTaken
+	return c.changes[next].version, isAccepted
 }
 
-// findOldest looks for a change below all versions that are remembered: it may be the oldest that is, or one before.
-func (c *acceptedChanges) findOldest(id digest, base uint64) (version uint64, s standing) {
+// findOldest is find for a base below all kept versions: the change is either the oldest kept one or an older one.
+func (c *acceptedChanges) findOldest(id digest, base uint64) (version uint64, result acceptance) {
 	switch {
-	case c.order[0].id == id:
-		return c.order[0].version, wasTaken
-	case len(c.order) < formerMaxAccepted:
-		return 0, notTaken // none has been dropped
+	case c.changes[0].id == id:
+		return c.changes[0].version, isAccepted
+	case len(c.changes) < formerMaxAccepted:
+		return 0, notAccepted // no change was dropped
 	}
-	return 0, forgotten
+	return 0, acceptanceUnknown
 }
 
-// add keeps a change that was taken just now; the oldest gives way.
+// add appends a newly accepted change, and drops the oldest one if there are maxAccepted.
 func (c *acceptedChanges) add(id digest, version uint64) {
-	if len(c.order) == maxAccepted {
-		c.order = c.order[1:]
+	if len(c.changes) == maxAccepted {
+		c.changes = c.changes[1:]
 	}
-	c.order = append(c.order, change{id: id, version: version})
+	c.changes = append(c.changes, change{id: id, version: version})
 }
 
-// refusedChanges are changes that were refused because they build on a version that is not reached yet, in the order in which
-// they came, maxRefused at most. None is dropped before its version is passed: until then it could still come into force.
+// refusedChanges holds the changes that were refused because their base version is not reached yet, in order of arrival,
+// maxRefused at most. A change is dropped only once the version in force is above its base: until then a duplicate of it
+// could still come into force.
 type refusedChanges struct {
-	order []change
+	changes []change
 }
 
-func (c *refusedChanges) has(id digest) bool {
-	return slices.ContainsFunc(c.order, func(one change) bool { return one.id == id })
+func (c *refusedChanges) contains(id digest) bool {
+	return slices.ContainsFunc(c.changes, func(candidate change) bool { return candidate.id == id })
 }
 
-// add keeps a change; false: there is no room, so it must not be refused.
+// add records a refused change. It returns false if there is no room, in which case the change must not be refused.
 func (c *refusedChanges) add(id digest, base uint64) bool {
-	if len(c.order) >= maxRefused {
+	if len(c.changes) >= maxRefused {
 		return false
 	}
-	c.order = append(c.order, change{id: id, version: base})
+	c.changes = append(c.changes, change{id: id, version: base})
 	return true
 }
 
-// pass drops what builds on versions below the one now in force.
-func (c *refusedChanges) pass(version uint64) {
-	kept := make([]change, 0, len(c.order))
-	for _, one := range c.order {
-		if one.version >= version {
-			kept = append(kept, one)
+// dropBelow drops the changes whose base is below version, the one now in force.
+func (c *refusedChanges) dropBelow(version uint64) {
+	kept := make([]change, 0, len(c.changes))
+	for _, candidate := range c.changes {
+		if candidate.version >= version {
+			kept = append(kept, candidate)
 		}
 	}
-	c.order = kept
+	c.changes = kept
 }
 
-// encodeChanges gives all changes, one after the other.
+// encodeChanges concatenates the encoded changes.
 func encodeChanges(changes []change) []byte {
 	raw := make([]byte, 0, len(changes)*changeBytes)
-	for _, one := range changes {
-		raw = append(raw, one.id[:]...)
-		raw = binary.BigEndian.AppendUint64(raw, one.version)
+	for _, c := range changes {
+		raw = append(raw, c.id[:]...)
+		raw = binary.BigEndian.AppendUint64(raw, c.version)
 	}
 	return raw
 }
 
-func decodeChanges(raw []byte, most int) ([]change, error) {
-	if len(raw)%changeBytes != 0 || len(raw) > most*changeBytes {
-		return nil, eris.Errorf("%d bytes are not changes of %d each, %d at most", len(raw), changeBytes, most)
+func decodeChanges(raw []byte, maxCount int) ([]change, error) {
+	if len(raw)%changeBytes != 0 || len(raw) > maxCount*changeBytes {
+		return nil, eris.Errorf("%d bytes are not a list of changes of %d bytes each, %d at most", len(raw), changeBytes, maxCount)
 	}
 	changes := make([]change, 0, len(raw)/changeBytes)
-	for at := 0; at < len(raw); at += changeBytes {
+	for offset := 0; offset < len(raw); offset += changeBytes {
 		changes = append(changes, change{
-			id:      digest(raw[at : at+digestBytes]),
-			version: binary.BigEndian.Uint64(raw[at+digestBytes:]),
+			id:      digest(raw[offset : offset+digestBytes]),
+			version: binary.BigEndian.Uint64(raw[offset+digestBytes:]),
 		})
 	}
 	return changes, nil
 }
 
-// decodeAccepted reads changes whose versions have to rise up to the one in force.
+// decodeAccepted decodes accepted changes. Their versions have to be strictly ascending and end at the one in force.
 func decodeAccepted(raw []byte, inForce uint64) (acceptedChanges, error) {
 	changes, err := decodeChanges(raw, maxAccepted)
 	if err != nil {
 		return acceptedChanges{}, err
 	}
-	for at, one := range changes {
-		if at > 0 && one.version <= changes[at-1].version {
-			return acceptedChanges{}, eris.Errorf("version %d stands behind %d", one.version, changes[at-1].version)
+	for i, c := range changes {
+		if i > 0 && c.version <= changes[i-1].version {
+			return acceptedChanges{}, eris.Errorf("version %d follows version %d", c.version, changes[i-1].version)
 		}
 	}
 	if len(changes) > 0 && changes[len(changes)-1].version != inForce {
-		return acceptedChanges{}, eris.Errorf("the newest brought version %d, and %d is in force", changes[len(changes)-1].version, inForce)
+		return acceptedChanges{}, eris.Errorf("newest change has version %d, but version %d is in force",
+			changes[len(changes)-1].version, inForce)
 	}
-	return acceptedChanges{order: changes}, nil
+	return acceptedChanges{changes: changes}, nil
 }
 
-// decodeRefused reads changes of which each stands there once.
+// decodeRefused decodes refused changes, and rejects duplicates.
 func decodeRefused(raw []byte) (refusedChanges, error) {
 	changes, err := decodeChanges(raw, maxRefused)
 	if err != nil {
 		return refusedChanges{}, err
 	}
 	seen := make(map[digest]bool, len(changes))
-	for at, one := range changes {
-		if seen[one.id] {
-			return refusedChanges{}, eris.Errorf("the change at byte %d stands there twice", at*changeBytes)
+	for i, c := range changes {
+		if seen[c.id] {
+			return refusedChanges{}, eris.Errorf("duplicate change at byte %d", i*changeBytes)
 		}
-		seen[one.id] = true
+		seen[c.id] = true
 	}
-	return refusedChanges{order: changes}, nil
+	return refusedChanges{changes: changes}, nil
 }
--- a/internal/tier/controlstate/command.go
+++ b/internal/tier/controlstate/command.go
@@ -7,7 +7,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Kind says what a command asks for. The numbers stand in what replicas keep and must not change.
+// Kind identifies the operation of a command. Its values are stored by replicas and must not change.
 type Kind int32
 
 // The kinds of command, and the fields that each of them reads.
@@ -20,7 +20,7 @@
 	RemoveStore          Kind = 6 // StoreID
 )
 
-// String names a kind.
+// String returns the name of the kind.
 func (k Kind) String() string {
 	switch k {
 	case ReplaceConfiguration:
@@ -39,42 +39,43 @@
 	return "command " + strconv.Itoa(int(k))
 }
 
-// Command is one change that is asked for.
+// Command is a request to change the control state.
 type Command struct {
 	Kind Kind
 
-	// Base is the version that a change of the configuration builds on, 0 for the first; of RetireStore the epoch of the
-	// store view when the order came in.
+	// Base is the version that a change of the configuration builds on, 0 for the first one. For RetireStore it is the
+	// epoch of the store view at which the request was received.
 	Base    uint64
-	HasBase bool   // the caller named one
+	HasBase bool   // the caller specified a base
 	Body    []byte // as the operator sent it
 
-	Store     StoreMember // its Retiring, Replaced and Joined are not read
-	Bootstrap bool        // the store starts with the whole system, so that nothing can have been kept before
-	Tolerance int         // machines that may be lost at once; the first command that registers a store counts
+	Store     StoreMember // Retiring, Replaced and JoinEpoch are ignored
+	Bootstrap bool        // the store is started with a new system, so no data can have been stored before
+	Tolerance int         // machines that may be lost at once; set by the first command that registers a store
 
 	Node            string
 	DeadlineSeconds float64
 	StoreID         string
 }
 
-// The statuses of a Result: those of HTTP, since the caller hands them on.
+// The statuses of a Result are HTTP status codes, since callers pass them on.
 const (
 	StatusOK                 = 200
 	StatusBadRequest         = 400
 	StatusNotFound           = 404
 	StatusConflict           = 409
 	StatusPreconditionFailed = 412
-	// StatusUnknown is no refusal: whether the command was carried out before is not known, or it can't be refused for good.
+	// StatusUnknown is not a refusal: either it is not known whether the command was executed before, or a refusal could
+	// not be recorded so that it lasts.
 	StatusUnknown = 503
 )
 
-// Result is what became of a command.
+// Result is the outcome of a command.
 type Result struct {
 	Status  int    // one of the statuses above
-	Message string // the reason of a refusal
-	// Version is, of commands on the configuration that are accepted, the version that they brought; of those that are
-	// refused, the one in force; of commands on stores, the epoch of the view after them.
+	Message string // the reason for a refusal
+	// Version is the new version for an accepted change of the configuration, the version in force for a refused one,
+	// and the epoch of the store view after the command for commands on stores.
 	Version uint64
 }
 
@@ -91,7 +92,8 @@
 	{"name":"tolerance","type":"int"},
 	{"name":"deadline_seconds","type":"double"}]}`)
 
-// commandRecord is a command as it is coded. A command has either a store or a node and a store's ID.
+// commandRecord is the stored form of a Command. store_id and node hold either Store.ID and Store.Node (RegisterStore) or
+// StoreID and Node (all others).
 type commandRecord struct {
 	Kind            int32   `avro:"kind"`
 	Base            int64   `avro:"base"`
@@ -117,7 +119,7 @@
 	Version int64  `avro:"version"`
 }
 
-// EncodeCommand codes a command for Apply.
+// EncodeCommand encodes a command for Apply.
 func EncodeCommand(c Command) []byte {
 	record := commandRecord{
 		Kind:            int32(c.Kind),
@@ -139,7 +141,7 @@
 	return mustMarshal(commandSchema, record)
 }
 
-// DecodeCommand reads what EncodeCommand wrote.
+// DecodeCommand decodes a command that EncodeCommand encoded.
 func DecodeCommand(raw []byte) (Command, error) {
 	var record commandRecord
 	if err := unmarshal(commandSchema, raw, &record); err != nil {
@@ -167,7 +169,7 @@
 	return mustMarshal(resultSchema, resultRecord{int32(r.Status), r.Message, int64(r.Version)})
 }
 
-// DecodeResult reads what Apply gave.
+// DecodeResult decodes a result that Apply returned.
 func DecodeResult(raw []byte) (Result, error) {
 	var record resultRecord
 	if err := unmarshal(resultSchema, raw, &record); err != nil {
--- a/internal/tier/controlstate/configuration.go
+++ b/internal/tier/controlstate/configuration.go
@@ -8,34 +8,35 @@
 	"emberquay/internal/tier/routing"
 )
 
-// configure takes a change of the configuration or refuses it. A wrong base is told before an invalid body.
-func (s *State) configure(c Command) (Result, bool) {
+// changeConfiguration accepts or refuses a change of the configuration. A base mismatch takes precedence over an invalid
+// body.
+func (s *State) changeConfiguration(c Command) (Result, bool) {
 	if !c.HasBase {
 		return s.refuse(StatusBadRequest, "the version that the change builds on is not named"), false
 	}
 	id := digestOf(c)
-	switch version, known := s.accepted.find(id, c.Base); known {
-	case wasTaken:
+	switch version, result := s.accepted.find(id, c.Base); result {
+	case isAccepted:
 		return Result{Status: StatusOK, Version: version}, false
-	case forgotten:
+	case acceptanceUnknown:
 		reason := fmt.Sprintf("version %d is in force; what was taken on version %d is not remembered any more", s.version, c.Base)
 		return s.refuse(StatusUnknown, reason), false
 	}
-	if s.refused.has(id) {
+	if s.refused.contains(id) {
 		return s.refuse(StatusPreconditionFailed, "this change was refused before"), false
 	}
 	switch {
 	case c.Base < s.version:
-		return s.refuseBase(c), false
+		return s.refuseBaseMismatch(c), false
 	case c.Base > s.version:
-		return s.refuseEarly(c, id)
+		return s.refuseUnreachedBase(c, id)
 	}
 	if len(c.Body) > MaxConfigurationBytes {
-		return s.refuse(StatusBadRequest, tooLarge(c.Body)), false
+		return s.refuse(StatusBadRequest, tooLargeMessage(c.Body)), false
 	}
-	next, err := s.next(c)
+	next, err := s.nextConfiguration(c)
 	if err == nil && len(next.Body) > MaxConfigurationBytes {
-		err = eris.New(tooLarge(next.Body))
+		err = eris.New(tooLargeMessage(next.Body))
 	}
 	if err != nil {
 		return s.refuse(StatusBadRequest, err.Error()), false
@@ -46,29 +47,30 @@
 	}
 	s.version, s.body = next.Version, next.Body
 	s.accepted.add(id, next.Version)
-	s.refused.pass(next.Version)
+	s.refused.dropBelow(next.Version)
 	return Result{Status: StatusOK, Version: next.Version}, true
 }
 
-func tooLarge(body []byte) string {
+func tooLargeMessage(body []byte) string {
 	return fmt.Sprintf("the configuration has %d bytes, %d at most", len(body), MaxConfigurationBytes)
 }
 
-func (s *State) refuseBase(c Command) Result {
+func (s *State) refuseBaseMismatch(c Command) Result {
 	return s.refuse(StatusPreconditionFailed, fmt.Sprintf("version %d is in force, not %d", s.version, c.Base))
 }
 
-// refuseEarly refuses a change that builds on a version which is not reached yet. The state has to remember it.
-func (s *State) refuseEarly(c Command, id digest) (Result, bool) {
+// refuseUnreachedBase refuses a change whose base version is not reached yet, and records the refusal. Without room for the
+// record it returns StatusUnknown, see State.refused.
+func (s *State) refuseUnreachedBase(c Command, id digest) (Result, bool) {
 	if !s.refused.add(id, c.Base) {
 		reason := fmt.Sprintf("version %d is in force, and too many changes wait for later ones", s.version)
 		return s.refuse(StatusUnknown, reason), false
 	}
-	return s.refuseBase(c), true
+	return s.refuseBaseMismatch(c), true
 }
 
-// next gives the configuration that a change leads to.
-func (s *State) next(c Command) (*routing.Snapshot, error) {
+// nextConfiguration returns the configuration that results from a change.
+func (s *State) nextConfiguration(c Command) (*routing.Snapshot, error) {
 	if c.Kind == ReplaceConfiguration {
 		return routing.Parse(c.Body)
 	}
--- a/internal/tier/controlstate/controlstate_test.go
+++ b/internal/tier/controlstate/controlstate_test.go
@@ -14,7 +14,7 @@
 	RunSpecs(t, "Control state")
 }
 
-// apply carries a command out and gives what came of it.
+// apply applies a command and returns its decoded result.
 func apply(state *controlstate.State, command controlstate.Command) (controlstate.Result, bool) {
 	GinkgoHelper()
 	raw, changed := state.Apply(controlstate.EncodeCommand(command))
@@ -23,8 +23,8 @@
 	return result, changed
 }
 
-// restored is a state that has gone through a snapshot.
-func restored(state *controlstate.State) *controlstate.State {
+// restoreCopy returns a copy of a state that was restored from its snapshot.
+func restoreCopy(state *controlstate.State) *controlstate.State {
 	GinkgoHelper()
 	other := controlstate.New()
 	Expect(other.Restore(state.Snapshot())).To(Succeed())
@@ -32,7 +32,7 @@
 }
 
 var _ = Describe("a state", func() {
-	It("is the same after a snapshot", func() {
+	It("is unchanged after a snapshot and a restore", func() {
 		state := controlstate.New()
 		result, changed := apply(state, controlstate.Command{
 			Kind: controlstate.RegisterStore, Tolerance: 1, Bootstrap: true,
@@ -40,7 +40,7 @@
 		})
 		Expect(result).To(Equal(controlstate.Result{Status: controlstate.StatusOK, Version: 1}))
 		Expect(changed).To(BeTrue())
-		other := restored(state)
+		other := restoreCopy(state)
 		Expect(other.Stores()).To(Equal(state.Stores()))
 		Expect(other.Snapshot()).To(Equal(state.Snapshot()))
 	})
--- a/internal/tier/controlstate/record.go
+++ b/internal/tier/controlstate/record.go
@@ -11,25 +11,25 @@
 	"emberquay/internal/tier/routing"
 )
 
-// records codes all that this package keeps and exchanges.
-var records = avro.Config{
+// avroAPI encodes and decodes all records of this package, with bounds on the sizes that it decodes.
+var avroAPI = avro.Config{
 	MaxByteSliceSize:  routing.MaxBodyBytes + 1<<20, // a configuration, or all digests
 	MaxSliceAllocSize: maxMembers + maxRetirements,  // elements of one list
 }.Freeze()
 
-// mustMarshal codes a record of this package. It fails only where a schema and its type disagree.
+// mustMarshal encodes a record of this package. It panics only if a schema and its Go type do not match.
 func mustMarshal(schema avro.Schema, record any) []byte {
-	raw, err := records.Marshal(schema, record)
+	raw, err := avroAPI.Marshal(schema, record)
 	if err != nil {
 		panic(fmt.Sprintf("controlstate: %T does not fit its schema: %v", record, err))
 	}
 	return raw
 }
 
-// unmarshal reads one record that takes up all of the bytes. The library's own Unmarshal takes a record that ends too
-// early for one whose last fields are zero, and does not look behind its end.
+// unmarshal decodes one record that fills all of raw. The library's own Unmarshal decodes a truncated record as one whose
+// last fields are zero, and ignores trailing bytes.
 func unmarshal(schema avro.Schema, raw []byte, record any) error {
-	reader := avro.NewReader(nil, 0, avro.WithReaderConfig(records)).Reset(raw)
+	reader := avro.NewReader(nil, 0, avro.WithReaderConfig(avroAPI)).Reset(raw)
 	reader.ReadVal(schema, record)
 	if reader.Error != nil {
 		return reader.Error
--- a/internal/tier/controlstate/snapshot.go
+++ b/internal/tier/controlstate/snapshot.go
@@ -11,10 +11,10 @@
 	"emberquay/internal/tier/routing"
 )
 
-// A snapshot is a byte that tells its form, the xxHash64 of the record behind it, and the record.
+// A snapshot is a header, which consists of a format byte and the xxHash64 checksum of the record, and the record.
 const (
-	snapshotForm = 1
-	snapshotHead = 1 + 8
+	snapshotFormat      = 1
+	snapshotHeaderBytes = 1 + 8
 )
 
 var snapshotSchema = avro.MustParse(`{"type":"record","name":"snapshot","fields":[
@@ -66,13 +66,13 @@
 	Completed       bool    `avro:"completed"`
 }
 
-// Snapshot codes the whole state. Equal states give equal bytes.
+// Snapshot encodes the whole state. Equal states give equal bytes.
 func (s *State) Snapshot() []byte {
 	record := snapshotRecord{
 		Version:     int64(s.version),
 		Body:        s.body,
-		Accepted:    encodeChanges(s.accepted.order),
-		Refused:     encodeChanges(s.refused.order),
+		Accepted:    encodeChanges(s.accepted.changes),
+		Refused:     encodeChanges(s.refused.changes),
 		Epoch:       int64(s.stores.Epoch),
 		Tolerance:   int32(s.stores.Tolerance),
 		Members:     make([]memberRecord, 0, len(s.stores.Members)),
@@ -85,34 +85,34 @@
 	for _, r := range s.retirements {
 		record.Retirements = append(record.Retirements, retirementRecord(r))
 	}
-	return seal(mustMarshal(snapshotSchema, record))
+	return addHeader(mustMarshal(snapshotSchema, record))
 }
 
-// seal puts the head before a coded record.
-func seal(record []byte) []byte {
-	raw := make([]byte, 0, snapshotHead+len(record))
-	raw = append(raw, snapshotForm)
+// addHeader prepends the header to an encoded record.
+func addHeader(record []byte) []byte {
+	raw := make([]byte, 0, snapshotHeaderBytes+len(record))
+	raw = append(raw, snapshotFormat)
 	raw = binary.BigEndian.AppendUint64(raw, xxhash.Sum64(record))
 	return append(raw, record...)
 }
 
-// open checks the head and gives the coded record.
-func open(raw []byte) ([]byte, error) {
-	if len(raw) < snapshotHead {
-		return nil, eris.Errorf("head: %d bytes, %d at least", len(raw), snapshotHead)
+// verifyHeader checks the format and the checksum, and returns the encoded record.
+func verifyHeader(raw []byte) ([]byte, error) {
+	if len(raw) < snapshotHeaderBytes {
+		return nil, eris.Errorf("header: %d bytes, need at least %d", len(raw), snapshotHeaderBytes)
 	}
-	if raw[0] != snapshotForm {
-		return nil, eris.Errorf("head: form %d is not known, %d is", raw[0], snapshotForm)
+	if raw[0] != snapshotFormat {
+		return nil, eris.Errorf("header: unknown format %d, want %d", raw[0], snapshotFormat)
 	}
-	record := raw[snapshotHead:]
+	record := raw[snapshotHeaderBytes:]
 	if want, got := binary.BigEndian.Uint64(raw[1:]), xxhash.Sum64(record); want != got {
-		return nil, eris.Errorf("head: the checksum of the %d bytes behind it is %x, not %x", len(record), got, want)
+		return nil, eris.Errorf("header: checksum of the %d record bytes is %x, want %x", len(record), got, want)
 	}
 	return record, nil
 }
 
-// Restore takes over a state that Snapshot coded. Where it cannot be read or breaks an invariant the error says where,
-// and the state stays what it was.
+// Restore replaces the state by one that Snapshot encoded. If the snapshot cannot be decoded or violates an invariant, the
+// error names the place and the state is unchanged.
 func (s *State) Restore(snapshot []byte) error {
 	restored, err := decodeSnapshot(snapshot)
 	if err != nil {
@@ -123,7 +123,7 @@
 }
 
 func decodeSnapshot(snapshot []byte) (*State, error) {
-	raw, err := open(snapshot)
+	raw, err := verifyHeader(snapshot)
 	if err != nil {
 		return nil, err
 	}
@@ -131,15 +131,15 @@
 	if err := unmarshal(snapshotSchema, raw, &record); err != nil {
 		return nil, err
 	}
-	// Coding again finds forms that this package never writes, as a list whose count is negative.
-	if again := mustMarshal(snapshotSchema, record); !bytes.Equal(again, raw) {
-		return nil, eris.Errorf("the record of %d bytes is coded otherwise, in %d", len(raw), len(again))
+	// Encoding the record again detects encodings that this package never writes, such as a negative list count.
+	if reencoded := mustMarshal(snapshotSchema, record); !bytes.Equal(reencoded, raw) {
+		return nil, eris.Errorf("record of %d bytes is not in canonical encoding, which has %d bytes", len(raw), len(reencoded))
 	}
-	return record.state()
+	return record.toState()
 }
 
-// state checks the invariants and gives the state.
-func (r *snapshotRecord) state() (*State, error) {
+// toState checks the invariants and returns the state.
+func (r *snapshotRecord) toState() (*State, error) {
 	s := &State{version: uint64(r.Version)}
 	if err := r.checkConfiguration(); err != nil {
 		return nil, err
@@ -169,7 +169,7 @@
 		return eris.Wrap(err, "body")
 	}
 	if configuration.Version != uint64(r.Version) {
-		return eris.Errorf("body: it has version %d, not %d", configuration.Version, r.Version)
+		return eris.Errorf("body: version is %d, want %d", configuration.Version, r.Version)
 	}
 	return nil
 }
@@ -181,10 +181,10 @@
 	s.stores = StoreView{Epoch: uint64(r.Epoch), Tolerance: int(r.Tolerance)}
 	for i, m := range r.Members {
 		if m.ID == "" || m.Node == "" || m.Address == "" || m.Joined < 1 || m.Joined > r.Epoch {
-			return eris.Errorf("members[%d]: %+v makes no sense in epoch %d", i, m, r.Epoch)
+			return eris.Errorf("members[%d]: %+v is invalid in epoch %d", i, m, r.Epoch)
 		}
-		if s.memberOf(m.ID) >= 0 || s.memberAt(m.Node) >= 0 {
-			return eris.Errorf("members[%d]: store %q on node %q stands there twice", i, m.ID, m.Node)
+		if s.memberIndexByID(m.ID) >= 0 || s.memberIndexByNode(m.Node) >= 0 {
+			return eris.Errorf("members[%d]: duplicate store %q or node %q", i, m.ID, m.Node)
 		}
 		s.stores.Members = append(s.stores.Members, StoreMember{ID: m.ID, Node: m.Node, Zone: m.Zone, Address: m.Address,
 			Retiring: m.Retiring, Replaced: m.Replaced, JoinEpoch: uint64(m.Joined)})
@@ -196,11 +196,11 @@
 	if len(r.Retirements) > maxRetirements {
 		return eris.Errorf("retirements: %d, %d at most", len(r.Retirements), maxRetirements)
 	}
-	for i, one := range r.Retirements {
-		if one.Node == "" || s.retirementOf(one.Node) >= 0 {
-			return eris.Errorf("retirements[%d]: node %q is empty or stands there twice", i, one.Node)
+	for i, retirement := range r.Retirements {
+		if retirement.Node == "" || s.retirementIndex(retirement.Node) >= 0 {
+			return eris.Errorf("retirements[%d]: node %q is empty or a duplicate", i, retirement.Node)
 		}
-		s.retirements = append(s.retirements, Retirement(one))
+		s.retirements = append(s.retirements, Retirement(retirement))
 	}
 	return nil
 }
--- a/internal/tier/controlstate/snapshot_test.go
+++ b/internal/tier/controlstate/snapshot_test.go
@@ -11,97 +11,97 @@
 	"emberquay/internal/tier/controlstate"
 )
 
-// rich gives a state in which everything is used.
-func rich() *controlstate.State {
+// fullState returns a state in which every field is used.
+func fullState() *controlstate.State {
 	GinkgoHelper()
-	state := withStores(4)
-	taken(state, replace(0, document(3, "s")))
-	taken(state, modify(3, `{"version":5,"upsert":{"services":[{"name":"t"}]}}`))
-	apply(state, replace(9, document(12, "early")))
-	taken(state, retire("node-2"))
-	taken(state, completed("node-2", "id-2"))
-	taken(state, retire("node-3"))
+	state := stateWithStores(4)
+	expectAccepted(state, replace(0, configurationBody(3, "s")))
+	expectAccepted(state, modify(3, `{"version":5,"upsert":{"services":[{"name":"t"}]}}`))
+	apply(state, replace(9, configurationBody(12, "early")))
+	expectAccepted(state, retire("node-2"))
+	expectAccepted(state, completed("node-2", "id-2"))
+	expectAccepted(state, retire("node-3"))
 	return state
 }
 
-// sealed gives a snapshot whose checksum fits a record.
-func sealed(record []byte) []byte {
+// withHeader returns a snapshot of a record, with a valid checksum.
+func withHeader(record []byte) []byte {
 	raw := binary.BigEndian.AppendUint64([]byte{1}, xxhash.Sum64(record))
 	return append(raw, record...)
 }
 
-// head is the part of a snapshot before its record.
-const head = 9
+// headerBytes is the size of a snapshot's header.
+const headerBytes = 9
 
 var _ = Describe("a snapshot", func() {
 	It("is the same for the same commands", func() {
-		Expect(rich().Snapshot()).To(Equal(rich().Snapshot()))
+		Expect(fullState().Snapshot()).To(Equal(fullState().Snapshot()))
 	})
 
-	It("gives a state that goes on alike", func() {
-		one, two := rich(), restored(rich())
-		Expect(two.Snapshot()).To(Equal(one.Snapshot()))
+	It("restores a state that behaves like the original", func() {
+		original, restored := fullState(), restoreCopy(fullState())
+		Expect(restored.Snapshot()).To(Equal(original.Snapshot()))
 		for _, command := range []controlstate.Command{
-			replace(0, document(3, "s")), replace(5, document(9, "u")), register(store(2)), register(store(5)), retire("node-3"),
-			remove("id-1"), completed("node-3", "id-3"), replace(9, document(12, "early")),
+			replace(0, configurationBody(3, "s")), replace(5, configurationBody(9, "u")), register(store(2)), register(store(5)), retire("node-3"),
+			remove("id-1"), completed("node-3", "id-3"), replace(9, configurationBody(12, "early")),
 		} {
-			left, leftChanged := apply(one, command)
-			right, rightChanged := apply(two, command)
-			Expect(right).To(Equal(left))
-			Expect(rightChanged).To(Equal(leftChanged))
-			Expect(two.Snapshot()).To(Equal(one.Snapshot()))
+			originalResult, originalChanged := apply(original, command)
+			restoredResult, restoredChanged := apply(restored, command)
+			Expect(restoredResult).To(Equal(originalResult))
+			Expect(restoredChanged).To(Equal(originalChanged))
+			Expect(restored.Snapshot()).To(Equal(original.Snapshot()))
 		}
 	})
 
-	It("is not changed by what comes after it", func() {
-		state := rich()
+	It("is not modified by later commands", func() {
+		state := fullState()
 		snapshot := state.Snapshot()
 		before := append([]byte(nil), snapshot...)
-		taken(state, replace(5, document(9, "u")))
-		taken(state, register(store(5)))
-		taken(state, remove("id-4"))
+		expectAccepted(state, replace(5, configurationBody(9, "u")))
+		expectAccepted(state, register(store(5)))
+		expectAccepted(state, remove("id-4"))
 		Expect(snapshot).To(Equal(before))
 	})
 
-	DescribeTable("that is damaged is refused, says where, and leaves the state as it was",
+	DescribeTable("that is damaged is rejected with an error that names the place, and leaves the state unchanged",
 		func(damage func([]byte) []byte, want string) {
-			state := rich()
+			state := fullState()
 			before := state.Snapshot()
-			err := state.Restore(damage(rich().Snapshot()))
+			err := state.Restore(damage(fullState().Snapshot()))
 			Expect(err).To(MatchError(ContainSubstring("snapshot of the control state: ")))
 			Expect(err).To(MatchError(ContainSubstring(want)))
 			Expect(state.Snapshot()).To(Equal(before))
 		},
-		Entry("empty", func([]byte) []byte { return nil }, "head: 0 bytes, 9 at least"),
-		Entry("no record", func(raw []byte) []byte { return raw[:head] }, "head: the checksum of the 0 bytes"),
-		Entry("another form", func(raw []byte) []byte { raw[0] = 9; return raw }, "head: form 9 is not known, 1 is"),
-		Entry("a bit of the checksum", func(raw []byte) []byte { raw[4] ^= 1; return raw }, "head: the checksum"),
-		Entry("a bit of the record", func(raw []byte) []byte { raw[len(raw)-1] ^= 1; return raw }, "head: the checksum"),
-		Entry("cut short", func(raw []byte) []byte { return raw[:len(raw)-1] }, "head: the checksum"),
-		Entry("cut short, with a checksum", func(raw []byte) []byte { return sealed(raw[head:40]) }, "Body: unexpected EOF"),
-		Entry("bytes behind it, with a checksum", func(raw []byte) []byte { return sealed(append(raw[head:], 0)) }, "go on behind the record's end"),
-		Entry("a list with less than no members", func([]byte) []byte {
-			record := controlstate.New().Snapshot()[head:]
+		Entry("empty", func([]byte) []byte { return nil }, "header: 0 bytes, need at least 9"),
+		Entry("no record", func(raw []byte) []byte { return raw[:headerBytes] }, "header: checksum of the 0 record bytes"),
+		Entry("an unknown format", func(raw []byte) []byte { raw[0] = 9; return raw }, "header: unknown format 9, want 1"),
+		Entry("a bit of the checksum", func(raw []byte) []byte { raw[4] ^= 1; return raw }, "header: checksum"),
+		Entry("a bit of the record", func(raw []byte) []byte { raw[len(raw)-1] ^= 1; return raw }, "header: checksum"),
+		Entry("truncated", func(raw []byte) []byte { return raw[:len(raw)-1] }, "header: checksum"),
+		Entry("truncated, with a valid checksum", func(raw []byte) []byte { return withHeader(raw[headerBytes:40]) }, "Body: unexpected EOF"),
+		Entry("trailing bytes, with a valid checksum", func(raw []byte) []byte { return withHeader(append(raw[headerBytes:], 0)) }, "go on behind the record's end"),
+		Entry("a list with a negative count", func([]byte) []byte {
+			record := controlstate.New().Snapshot()[headerBytes:]
 			upToLists := record[:len(record)-2]
 			least := []byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 1} // -1<<63
-			return sealed(append(append(upToLists, least...), 0, 0, 0))
-		}, "coded otherwise"),
-		Entry("a list of very many members", func([]byte) []byte {
-			record := controlstate.New().Snapshot()[head:]
-			return sealed(append(record[:len(record)-2], 0xfe, 0xff, 0xff, 0xff, 0xff, 0x1f, 0, 0))
+			return withHeader(append(append(upToLists, least...), 0, 0, 0))
+		}, "not in canonical encoding"),
+		Entry("a list with a very large count", func([]byte) []byte {
+			record := controlstate.New().Snapshot()[headerBytes:]
+			return withHeader(append(record[:len(record)-2], 0xfe, 0xff, 0xff, 0xff, 0xff, 0x1f, 0, 0))
 		}, "Members: avro: decode array: size is greater"),
-		Entry("another version than its body, with a checksum", func(raw []byte) []byte { raw[head] += 2; return sealed(raw[head:]) }, "body: it has version 5, not 6"),
+		Entry("a version that differs from its body's, with a valid checksum", func(raw []byte) []byte { raw[headerBytes] += 2; return withHeader(raw[headerBytes:]) }, "body: version is 5, want 6"),
 	)
 
-	It("that ends at any other place is refused", func() {
-		record := rich().Snapshot()[head:]
+	It("whose record is truncated at any place is rejected", func() {
+		record := fullState().Snapshot()[headerBytes:]
 		for end := range len(record) {
-			Expect(controlstate.New().Restore(sealed(record[:end]))).NotTo(Succeed(), "%d of %d bytes", end, len(record))
+			Expect(controlstate.New().Restore(withHeader(record[:end]))).NotTo(Succeed(), "%d of %d bytes", end, len(record))
 		}
 	})
 
-	It("with any bit flipped is refused", func() {
-		snapshot := rich().Snapshot()
+	It("with any bit flipped is rejected", func() {
+		snapshot := fullState().Snapshot()
 		random := rand.New(rand.NewPCG(1, 2))
 		for range 500 {
 			raw := append([]byte(nil), snapshot...)
@@ -111,25 +111,25 @@
 	})
 })
 
-var _ = DescribeTable("a command that cannot be read is refused and changes nothing",
+var _ = DescribeTable("a command that cannot be decoded is refused and changes nothing",
 	func(raw []byte) {
-		state := rich()
+		state := fullState()
 		before := state.Snapshot()
-		answer, changed := state.Apply(raw)
-		result, err := controlstate.DecodeResult(answer)
+		encoded, changed := state.Apply(raw)
+		result, err := controlstate.DecodeResult(encoded)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(result.Status).To(Equal(controlstate.StatusBadRequest))
 		Expect(changed).To(BeFalse())
 		Expect(state.Snapshot()).To(Equal(before))
 	},
 	Entry("empty", []byte{}),
-	Entry("cut short", controlstate.EncodeCommand(replace(5, document(9, "s")))[:40]),
-	Entry("bytes behind its end", append(controlstate.EncodeCommand(replace(5, document(9, "s"))), 0)),
-	Entry("noise", []byte("\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff")),
+	Entry("truncated", controlstate.EncodeCommand(replace(5, configurationBody(9, "s")))[:40]),
+	Entry("trailing bytes", append(controlstate.EncodeCommand(replace(5, configurationBody(9, "s"))), 0)),
+	Entry("random bytes", []byte("\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff")),
 )
 
 var _ = Describe("a command", func() {
-	DescribeTable("is the same after coding",
+	DescribeTable("is unchanged after encoding and decoding",
 		func(command controlstate.Command) {
 			decoded, err := controlstate.DecodeCommand(controlstate.EncodeCommand(command))
 			Expect(err).NotTo(HaveOccurred())
@@ -151,12 +151,12 @@
 		Entry("remove", remove("id-1")),
 	)
 
-	It("is named in words", func() {
+	It("has a kind with a name", func() {
 		Expect(controlstate.RetireStore.String()).To(Equal("RetireStore"))
 	})
 })
 
-var _ = Describe("a result that cannot be read", func() {
+var _ = Describe("a result that cannot be decoded", func() {
 	It("is an error", func() {
 		_, err := controlstate.DecodeResult([]byte{1})
 		Expect(err).To(MatchError(ContainSubstring("result: ")))
--- a/internal/tier/controlstate/state.go
+++ b/internal/tier/controlstate/state.go
@@ -1,5 +1,5 @@
-// Package controlstate is the state that the control planes replicate: the operator's configuration, the changes that
-// were taken, the view of the stores, and the store machines that were retired.
+// Package controlstate implements the state machine that the control planes replicate: the operator's configuration, the
+// accepted and refused changes of it, the store view, and the retirements of store machines.
 //
 //	state := controlstate.New()
 //	raw, changed := state.Apply(controlstate.EncodeCommand(controlstate.Command{
@@ -8,59 +8,64 @@
 //	result, err := controlstate.DecodeResult(raw)
 //
 // A State is deterministic: the same commands in the same order give the same results and the same snapshot on every
-// replica. It does no I/O and reads no clock; whoever owns it calls it from one goroutine at a time.
+// replica. It does no I/O, reads no clock and is not safe for concurrent use.
 //
-// Invariants: the version of the configuration and the epoch of the view only rise; at most one change is ever taken on a
-// base; a change that was taken is acknowledged again as long as it is among the last maxAccepted, and gets no clear answer
-// (StatusUnknown) after that, but is never refused; a change that was refused never comes into force.
+// Invariants:
+//   - The configuration version and the epoch of the store view only increase.
+//   - At most one change is ever accepted on a base version.
+//   - A repeated change that was accepted is acknowledged again while it is among the last maxAccepted, and gets
+//     StatusUnknown after that, but is never refused.
+//   - A change that was refused never comes into force.
 package controlstate
 
 const (
-	// MaxConfigurationBytes bounds a configuration that is taken, and a change of it by items. A replica's journal has to
-	// hold four states of this size at a time (a vote and a view with one each, and a checkpoint of both) in half of its
-	// room, and a message between replicas one of them: what is larger is refused when the order comes.
+	// MaxConfigurationBytes is the maximum size of a configuration and of the body of a ModifyConfiguration command. Half
+	// of a replica's journal has to hold four states of this size at a time (one each in a vote and in a view, and a
+	// checkpoint of both), and a message between replicas has to hold one. Anything larger is refused on arrival.
 	MaxConfigurationBytes = 4 << 20
-	// maxAccepted bounds the changes that are known to have been taken: three days of changes, though the operator repeats
-	// one for seconds only. What is older is neither acknowledged nor refused.
+	// maxAccepted is the maximum number of accepted changes that are kept: three days of changes, though the operator
+	// retries a change for seconds only. Older changes are neither acknowledged nor refused.
 	maxAccepted = 8192
-	// formerMaxAccepted is how many earlier releases kept: a state of theirs with as many may have dropped some.
+	// formerMaxAccepted is the maxAccepted of earlier releases: a state that they wrote with this many accepted changes
+	// may have dropped older ones.
 	formerMaxAccepted = 4096
-	// maxRefused bounds the refused changes that are kept, see State.refused. Where there are as many, a further one gets no
-	// clear answer.
+	// maxRefused is the maximum number of refused changes that are kept, see State.refused. While that many are kept, a
+	// further one gets StatusUnknown.
 	maxRefused = 1024
-	// maxMembers bounds the view of the stores.
+	// maxMembers is the maximum number of members of the store view.
 	maxMembers = 1024
-	// maxRetirements bounds the retired machines that are known. The oldest that are completed are forgotten first.
+	// maxRetirements is the maximum number of retirements that are kept. The oldest completed ones are dropped first.
 	maxRetirements = 1024
 )
 
-// State is the replicated state.
+// State is the replicated control state.
 type State struct {
 	version uint64 // of the configuration; 0 where there is none yet
 	body    []byte
 
 	accepted acceptedChanges
-	// refused are changes that built on a version above the current one. Once that version is reached they would be
-	// taken if they came again, as a call that was long on its way may; but their caller was told that they are not.
+	// refused holds the refused changes whose base version is above the current one. A delayed duplicate of such a change
+	// would be accepted once its base is reached, although its caller was told that it was refused.
 	refused refusedChanges
 
 	stores      StoreView
 	retirements []Retirement
 }
 
-// New gives the state before the first command.
+// New returns the state before the first command.
 func New() *State { return &State{} }
 
-// Configuration gives the configuration in force. The body must not be changed. Version 0 says that there is none yet.
+// Configuration returns the configuration in force; version 0 means that there is none yet. The caller must not modify
+// the body.
 func (s *State) Configuration() (version uint64, body []byte) { return s.version, s.body }
 
-// ChangeCounts counts the changes that are known to have been taken, and the refused ones that are kept.
+// ChangeCounts returns the number of accepted and of refused changes that are kept.
 func (s *State) ChangeCounts() (accepted, refused int) {
-	return len(s.accepted.order), len(s.refused.order)
+	return len(s.accepted.changes), len(s.refused.changes)
 }
 
-// Apply carries out a command and gives its coded Result. changed says that the state is another one than before; a
-// refusal may change it too. What cannot be decoded is refused.
+// Apply executes an encoded command and returns its encoded Result. changed reports whether the state differs from the
+// one before; a refusal may change it too. A command that cannot be decoded is refused with StatusBadRequest.
 func (s *State) Apply(command []byte) (result []byte, changed bool) {
 	c, err := DecodeCommand(command)
 	if err != nil {
@@ -73,15 +78,15 @@
 func (s *State) apply(c Command) (Result, bool) {
 	switch c.Kind {
 	case ReplaceConfiguration, ModifyConfiguration:
-		return s.configure(c)
+		return s.changeConfiguration(c)
 	case RegisterStore:
-		return s.register(c)
+		return s.registerStore(c)
 	case RetireStore:
-		return s.retire(c)
+		return s.retireStore(c)
 	case RetireCompleted:
-		return s.complete(c)
+		return s.completeRetirement(c)
 	case RemoveStore:
-		return s.remove(c)
+		return s.removeStore(c)
 	}
 	return s.refuse(StatusBadRequest, c.Kind.String()+" is not known"), false
 }
--- a/internal/tier/controlstate/stores.go
+++ b/internal/tier/controlstate/stores.go
@@ -5,36 +5,36 @@
 	"slices"
 )
 
-// StoreView says which stores there are. It belongs to whoever asked for it.
+// StoreView lists the members of the store cluster.
 type StoreView struct {
-	Epoch     uint64 // rises with every change; 0 while no store has registered
+	Epoch     uint64 // incremented with every change; 0 while no store has registered
 	Tolerance int    // machines that may be lost at once
 	Members   []StoreMember
 }
 
-// StoreMember is a store.
+// StoreMember is a store of a StoreView.
 type StoreMember struct {
-	ID       string // drawn when its disk is first used
-	Node     string // its machine; no two members have the same one
+	ID       string // random, assigned when its disk is first used
+	Node     string // its machine, unique in the view
 	Zone     string
 	Address  string // for internal calls
-	Retiring bool   // it is being emptied and takes nothing new
+	Retiring bool   // its data is being moved to other stores, and it accepts no new data
 
-	Replaced  bool   // it took the place of a store of the same node, whose disk is lost: it may lack what that one held
-	JoinEpoch uint64 // epoch of the view that it came in with: what was written in earlier ones it may lack
+	Replaced  bool   // it replaced a store of the same node whose disk is lost, and may lack the data of that one
+	JoinEpoch uint64 // the epoch at which it joined; it may lack data written in earlier ones
 }
 
-// RetirementState says how far the retirement of a machine is.
+// RetirementState is the progress of a machine's retirement.
 type RetirementState int
 
 // The states of a retirement.
 const (
-	RetirementUnknown   RetirementState = iota // nobody asked for it
-	RetirementRunning                          // the store is being emptied
-	RetirementCompleted                        // nothing is on the machine that is not elsewhere
+	RetirementUnknown   RetirementState = iota // not requested
+	RetirementRunning                          // the store's data is being moved to other stores
+	RetirementCompleted                        // all data of the machine is on other stores
 )
 
-// String gives the state as the operator's API has it.
+// String returns the state as the operator API spells it.
 func (r RetirementState) String() string {
 	switch r {
 	case RetirementRunning:
@@ -45,75 +45,75 @@
 	return "unknown"
 }
 
-// Retirement is a machine that the operator asked to empty.
+// Retirement is an operator's request to move all data off a store machine.
 type Retirement struct {
 	Node            string
-	StoreID         string // the last store on it
+	StoreID         string // the current store of the machine, or the last one
 	DeadlineSeconds float64
 	Completed       bool
 }
 
-// Stores gives a copy of the view.
+// Stores returns a copy of the store view.
 func (s *State) Stores() StoreView {
 	view := s.stores
 	view.Members = slices.Clone(view.Members)
 	return view
 }
 
-// Retirement says how far the retirement of a machine is.
+// Retirement returns the progress of a machine's retirement.
 func (s *State) Retirement(node string) RetirementState {
-	at := s.retirementOf(node)
+	index := s.retirementIndex(node)
 	switch {
-	case at < 0:
+	case index < 0:
 		return RetirementUnknown
-	case s.retirements[at].Completed:
+	case s.retirements[index].Completed:
 		return RetirementCompleted
 	}
 	return RetirementRunning
 }
 
-// Retirements gives a copy of all that are known, the oldest first.
+// Retirements returns a copy of the retirements that are kept, oldest first.
 func (s *State) Retirements() []Retirement { return slices.Clone(s.retirements) }
 
-// register takes a store into the view, or what is new of one that is in it.
-func (s *State) register(c Command) (Result, bool) {
+// registerStore adds a store to the view, or updates the zone and address of a member.
+func (s *State) registerStore(c Command) (Result, bool) {
 	store := StoreMember{ID: c.Store.ID, Node: c.Store.Node, Zone: c.Store.Zone, Address: c.Store.Address}
 	if store.ID == "" || store.Node == "" || store.Address == "" || c.Tolerance < 0 {
 		return s.storeResult(StatusBadRequest, "a store needs an ID, a node, an address and a tolerance"), false
 	}
-	if s.retired(store.ID) {
+	if s.isRetired(store.ID) {
 		return s.storeResult(StatusConflict, fmt.Sprintf("store %s was retired", store.ID)), false
 	}
-	at := s.memberAt(store.Node)
-	if other := s.memberOf(store.ID); other >= 0 && other != at {
+	index := s.memberIndexByNode(store.Node)
+	if other := s.memberIndexByID(store.ID); other >= 0 && other != index {
 		reason := fmt.Sprintf("store %s is on node %s", store.ID, s.stores.Members[other].Node)
 		return s.storeResult(StatusConflict, reason), false
 	}
-	if at < 0 && len(s.stores.Members) == maxMembers {
+	if index < 0 && len(s.stores.Members) == maxMembers {
 		return s.storeResult(StatusConflict, fmt.Sprintf("there are %d stores, the most there may be", maxMembers)), false
 	}
-	if at >= 0 && s.stores.Members[at].ID == store.ID {
-		return s.update(at, store)
+	if index >= 0 && s.stores.Members[index].ID == store.ID {
+		return s.updateMember(index, store)
 	}
 	if s.stores.Epoch == 0 {
 		s.stores.Tolerance = c.Tolerance
 	}
 	s.stores.Epoch++
-	store.Replaced = at >= 0 && !c.Bootstrap
+	store.Replaced = index >= 0 && !c.Bootstrap
 	store.JoinEpoch = s.stores.Epoch
 	store.Retiring = s.Retirement(store.Node) == RetirementRunning
-	if at >= 0 {
-		s.stores.Members[at] = store // the disk of the member before is lost
+	if index >= 0 {
+		s.stores.Members[index] = store // the disk of the previous member is lost
 	} else {
 		s.stores.Members = append(s.stores.Members, store)
 	}
-	s.carryRetirement(store)
+	s.transferRetirement(store)
 	return s.storeResult(StatusOK, ""), true
 }
 
-// update takes another address or zone of a member.
-func (s *State) update(at int, store StoreMember) (Result, bool) {
-	member := &s.stores.Members[at]
+// updateMember sets the address and zone of a member.
+func (s *State) updateMember(index int, store StoreMember) (Result, bool) {
+	member := &s.stores.Members[index]
 	if member.Address == store.Address && member.Zone == store.Zone {
 		return s.storeResult(StatusOK, ""), false
 	}
@@ -122,51 +122,51 @@
 	return s.storeResult(StatusOK, ""), true
 }
 
-// carryRetirement: a machine that is being emptied and lost its disk still is, with its new store.
-func (s *State) carryRetirement(store StoreMember) {
-	if at := s.retirementOf(store.Node); at >= 0 && !s.retirements[at].Completed {
-		s.retirements[at].StoreID = store.ID
+// transferRetirement continues the running retirement of a machine that lost its disk, with the machine's new store.
+func (s *State) transferRetirement(store StoreMember) {
+	if index := s.retirementIndex(store.Node); index >= 0 && !s.retirements[index].Completed {
+		s.retirements[index].StoreID = store.ID
 	}
 }
 
-// retire begins to empty a machine. An order is carried out or refused only on the view that was there when it came in: a
-// refusal depends on the view alone, so a copy that was on its way when another was refused can't be carried out on a later
-// one. It gets no clear answer, and the operator sends it again.
-func (s *State) retire(c Command) (Result, bool) {
-	at := s.memberAt(c.Node)
+// retireStore starts the retirement of a machine. The command is executed or refused only on the view that was current when
+// the request was received. A refusal depends on the view alone, so a delayed duplicate of a refused command cannot be
+// executed on a later view: it gets StatusUnknown, and the operator sends the request again.
+func (s *State) retireStore(c Command) (Result, bool) {
+	index := s.memberIndexByNode(c.Node)
 	state := s.Retirement(c.Node)
-	if state == RetirementRunning || at < 0 && state == RetirementCompleted {
+	if state == RetirementRunning || index < 0 && state == RetirementCompleted {
 		return s.storeResult(StatusOK, ""), false
 	}
 	if c.HasBase && c.Base != s.stores.Epoch {
 		reason := fmt.Sprintf("the stores have changed since the order came in: epoch %d then, %d now", c.Base, s.stores.Epoch)
 		return s.storeResult(StatusUnknown, reason), false
 	}
-	if at < 0 {
+	if index < 0 {
 		return s.storeResult(StatusNotFound, fmt.Sprintf("there is no store on node %q", c.Node)), false
 	}
-	if s.staying() <= s.least() {
-		reason := fmt.Sprintf("%d stores would be left, %d are needed", s.staying()-1, s.least())
+	if s.activeStores() <= s.minActiveStores() {
+		reason := fmt.Sprintf("%d stores would be left, %d are needed", s.activeStores()-1, s.minActiveStores())
 		return s.storeResult(StatusConflict, reason), false
 	}
-	if !s.makeRoom() {
+	if !s.makeRetirementRoom() {
 		return s.storeResult(StatusConflict, "too many machines are being emptied"), false
 	}
-	member := &s.stores.Members[at]
+	member := &s.stores.Members[index]
 	member.Retiring = true
 	s.stores.Epoch++
-	s.forget(c.Node)
+	s.forgetRetirement(c.Node)
 	s.retirements = append(s.retirements, Retirement{Node: c.Node, StoreID: member.ID, DeadlineSeconds: c.DeadlineSeconds})
 	return s.storeResult(StatusOK, ""), true
 }
 
-// complete ends the retirement of a machine whose store has nothing left that is not elsewhere.
-func (s *State) complete(c Command) (Result, bool) {
-	at := s.retirementOf(c.Node)
-	if at < 0 {
+// completeRetirement ends the retirement of a machine: all data of its store is on other stores.
+func (s *State) completeRetirement(c Command) (Result, bool) {
+	index := s.retirementIndex(c.Node)
+	if index < 0 {
 		return s.storeResult(StatusNotFound, fmt.Sprintf("node %q is not being emptied", c.Node)), false
 	}
-	retirement := &s.retirements[at]
+	retirement := &s.retirements[index]
 	if retirement.StoreID != c.StoreID {
 		reason := fmt.Sprintf("store %s is on node %s, not %s", retirement.StoreID, c.Node, c.StoreID)
 		return s.storeResult(StatusConflict, reason), false
@@ -175,38 +175,38 @@
 		return s.storeResult(StatusOK, ""), false
 	}
 	retirement.Completed = true
-	s.drop(c.StoreID)
+	s.dropMember(c.StoreID)
 	return s.storeResult(StatusOK, ""), true
 }
 
-// remove takes a store that is lost for good out of the view. A retirement of its machine goes on: what it held is
-// elsewhere only once the others have repaired it, and they say so by RetireCompleted.
-func (s *State) remove(c Command) (Result, bool) {
-	at := s.memberOf(c.StoreID)
-	if at < 0 {
+// removeStore removes a permanently lost store from the view. A retirement of its machine continues: its data is on other
+// stores only once they have repaired it, which they report by RetireCompleted.
+func (s *State) removeStore(c Command) (Result, bool) {
+	index := s.memberIndexByID(c.StoreID)
+	if index < 0 {
 		return s.storeResult(StatusOK, ""), false
 	}
-	if !s.stores.Members[at].Retiring && s.staying() <= s.least() {
-		reason := fmt.Sprintf("%d stores would be left, %d are needed", s.staying()-1, s.least())
+	if !s.stores.Members[index].Retiring && s.activeStores() <= s.minActiveStores() {
+		reason := fmt.Sprintf("%d stores would be left, %d are needed", s.activeStores()-1, s.minActiveStores())
 		return s.storeResult(StatusConflict, reason), false
 	}
-	s.drop(c.StoreID)
+	s.dropMember(c.StoreID)
 	return s.storeResult(StatusOK, ""), true
 }
 
-// drop takes a member out, if it is in.
-func (s *State) drop(id string) {
-	if at := s.memberOf(id); at >= 0 {
-		s.stores.Members = slices.Delete(s.stores.Members, at, at+1)
+// dropMember removes a member from the view if it is there, and advances the epoch.
+func (s *State) dropMember(id string) {
+	if index := s.memberIndexByID(id); index >= 0 {
+		s.stores.Members = slices.Delete(s.stores.Members, index, index+1)
 	}
 	s.stores.Epoch++
 }
 
-// least is how many stores have to be there that are not retiring, so that what is kept survives the losses.
-func (s *State) least() int { return s.stores.Tolerance + 1 }
+// minActiveStores returns how many non-retiring stores are needed so that stored data survives the tolerated losses.
+func (s *State) minActiveStores() int { return s.stores.Tolerance + 1 }
 
-// staying counts the members that are not retiring.
-func (s *State) staying() int {
+// activeStores returns the number of members that are not retiring.
+func (s *State) activeStores() int {
 	count := 0
 	for _, member := range s.stores.Members {
 		if !member.Retiring {
@@ -216,40 +216,41 @@
 	return count
 }
 
-// makeRoom forgets the oldest retirement that is completed, where there are too many.
-func (s *State) makeRoom() bool {
+// makeRetirementRoom drops the oldest completed retirement if there are maxRetirements. It returns false if all of them
+// are still running.
+func (s *State) makeRetirementRoom() bool {
 	if len(s.retirements) < maxRetirements {
 		return true
 	}
-	at := slices.IndexFunc(s.retirements, func(r Retirement) bool { return r.Completed })
-	if at < 0 {
+	index := slices.IndexFunc(s.retirements, func(r Retirement) bool { return r.Completed })
+	if index < 0 {
 		return false
 	}
-	s.retirements = slices.Delete(s.retirements, at, at+1)
+	s.retirements = slices.Delete(s.retirements, index, index+1)
 	return true
 }
 
-// forget drops the retirement of a machine that was taken away and came back under the same name.
-func (s *State) forget(node string) {
+// forgetRetirement drops the former retirement of a machine that was removed and came back under the same name.
+func (s *State) forgetRetirement(node string) {
 	s.retirements = slices.DeleteFunc(s.retirements, func(r Retirement) bool { return r.Node == node })
 }
 
-// retired says whether a store was emptied, or is being emptied and was removed.
-func (s *State) retired(id string) bool {
+// isRetired reports whether the retirement of a store is completed, or is running and the store was removed.
+func (s *State) isRetired(id string) bool {
 	return slices.ContainsFunc(s.retirements, func(r Retirement) bool {
-		return r.StoreID == id && (r.Completed || s.memberOf(id) < 0)
+		return r.StoreID == id && (r.Completed || s.memberIndexByID(id) < 0)
 	})
 }
 
-func (s *State) memberOf(id string) int {
+func (s *State) memberIndexByID(id string) int {
 	return slices.IndexFunc(s.stores.Members, func(m StoreMember) bool { return m.ID == id })
 }
 
-func (s *State) memberAt(node string) int {
+func (s *State) memberIndexByNode(node string) int {
 	return slices.IndexFunc(s.stores.Members, func(m StoreMember) bool { return m.Node == node })
 }
 
-func (s *State) retirementOf(node string) int {
+func (s *State) retirementIndex(node string) int {
 	return slices.IndexFunc(s.retirements, func(r Retirement) bool { return r.Node == node })
 }
 
--- a/internal/tier/controlstate/stores_test.go
+++ b/internal/tier/controlstate/stores_test.go
@@ -9,7 +9,7 @@
 	"emberquay/internal/tier/controlstate"
 )
 
-// store gives the store of that number; each is on a machine of its own.
+// store returns the store with a number, on a machine of its own.
 func store(number int) controlstate.StoreMember {
 	return controlstate.StoreMember{
 		ID:      fmt.Sprintf("id-%d", number),
@@ -35,18 +35,18 @@
 	return controlstate.Command{Kind: controlstate.RemoveStore, StoreID: id}
 }
 
-// withStores gives a state with stores 1 to count, and a tolerance of one machine.
-func withStores(count int) *controlstate.State {
+// stateWithStores returns a state with the stores 1 to count and a tolerance of one machine.
+func stateWithStores(count int) *controlstate.State {
 	GinkgoHelper()
 	state := controlstate.New()
 	for number := 1; number <= count; number++ {
-		taken(state, register(store(number)))
+		expectAccepted(state, register(store(number)))
 	}
 	return state
 }
 
-// unchanged applies a command that must leave the state as it is.
-func unchanged(state *controlstate.State, command controlstate.Command, status int) {
+// expectUnchanged applies a command and expects a status and an unchanged state.
+func expectUnchanged(state *controlstate.State, command controlstate.Command, status int) {
 	GinkgoHelper()
 	before := state.Snapshot()
 	result, changed := apply(state, command)
@@ -56,90 +56,90 @@
 	Expect(result.Version).To(Equal(state.Stores().Epoch))
 }
 
-func ids(state *controlstate.State) []string {
-	var names []string
+func memberIDs(state *controlstate.State) []string {
+	var ids []string
 	for _, member := range state.Stores().Members {
-		names = append(names, member.ID)
+		ids = append(ids, member.ID)
 	}
-	return names
+	return ids
 }
 
-var _ = Describe("the view of the stores", func() {
+var _ = Describe("the store view", func() {
 	It("is empty at first", func() {
 		Expect(controlstate.New().Stores()).To(BeZero())
 	})
 
-	It("takes stores in, each in an epoch of its own", func() {
-		state := withStores(2)
-		one, two := store(1), store(2)
-		one.Replaced, one.JoinEpoch = false, 1
-		two.Replaced, two.JoinEpoch = false, 2
-		Expect(state.Stores()).To(Equal(controlstate.StoreView{Epoch: 2, Tolerance: 1, Members: []controlstate.StoreMember{one, two}}))
-		Expect(restored(state).Stores()).To(Equal(state.Stores()))
+	It("adds each store in an epoch of its own", func() {
+		state := stateWithStores(2)
+		first, second := store(1), store(2)
+		first.Replaced, first.JoinEpoch = false, 1
+		second.Replaced, second.JoinEpoch = false, 2
+		Expect(state.Stores()).To(Equal(controlstate.StoreView{Epoch: 2, Tolerance: 1, Members: []controlstate.StoreMember{first, second}}))
+		Expect(restoreCopy(state).Stores()).To(Equal(state.Stores()))
 	})
 
-	It("keeps the tolerance that it was told first", func() {
-		state := withStores(1)
+	It("keeps the tolerance of the first registration", func() {
+		state := stateWithStores(1)
 		command := register(store(2))
 		command.Tolerance = 2
-		taken(state, command)
+		expectAccepted(state, command)
 		Expect(state.Stores().Tolerance).To(Equal(1))
 	})
 
-	It("stays what it is where a store registers again", func() {
-		unchanged(withStores(2), register(store(1)), controlstate.StatusOK)
+	It("does not change if a store registers again", func() {
+		expectUnchanged(stateWithStores(2), register(store(1)), controlstate.StatusOK)
 	})
 
-	It("changes with the address or zone of a store, but not when it joined", func() {
-		state := withStores(2)
+	It("updates the address and zone of a store, but not its join epoch", func() {
+		state := stateWithStores(2)
 		moved := store(1)
 		moved.Address, moved.Zone = "10.0.0.9:7382", "b"
 		command := register(moved)
 		command.Bootstrap = false
-		taken(state, command)
+		expectAccepted(state, command)
 		moved.Replaced, moved.JoinEpoch = false, 1
 		Expect(state.Stores().Members[0]).To(Equal(moved))
 		Expect(state.Stores().Epoch).To(BeEquivalentTo(3))
 	})
 
-	It("replaces the store of a machine that lost its disk, in its place", func() {
-		state := withStores(2)
+	It("replaces the store of a machine that lost its disk in place", func() {
+		state := stateWithStores(2)
 		fresh := store(1)
 		fresh.ID = "id-fresh"
 		command := register(fresh)
 		command.Bootstrap = false
-		taken(state, command)
-		Expect(ids(state)).To(Equal([]string{"id-fresh", "id-2"}))
+		expectAccepted(state, command)
+		Expect(memberIDs(state)).To(Equal([]string{"id-fresh", "id-2"}))
 		Expect(state.Stores().Members[0].Replaced).To(BeTrue())
-		Expect(restored(state).Stores().Members[0].Replaced).To(BeTrue())
+		Expect(restoreCopy(state).Stores().Members[0].Replaced).To(BeTrue())
 		Expect(state.Stores().Members[0].JoinEpoch).To(BeEquivalentTo(3))
 	})
 
-	It("is not touched by those who hold a copy", func() {
-		state := withStores(2)
+	It("is not affected by changes to a copy", func() {
+		state := stateWithStores(2)
 		state.Stores().Members[0].ID = "other"
-		Expect(ids(state)).To(Equal([]string{"id-1", "id-2"}))
+		Expect(memberIDs(state)).To(Equal([]string{"id-1", "id-2"}))
 	})
 
-	It("takes a removed store back, as one that joined anew", func() {
-		state := withStores(3)
-		taken(state, remove("id-3"))
-		taken(state, register(store(3)))
+	It("adds a removed store again with a new join epoch", func() {
+		state := stateWithStores(3)
+		expectAccepted(state, remove("id-3"))
+		expectAccepted(state, register(store(3)))
 		Expect(state.Stores().Members[2].JoinEpoch).To(BeEquivalentTo(5))
 	})
 
-	It("is bounded", func() {
-		state := withStores(1024)
-		unchanged(state, register(store(1025)), controlstate.StatusConflict)
-		Expect(restored(state).Stores().Members).To(HaveLen(1024))
+	It("has a maximum size", func() {
+		state := stateWithStores(1024)
+		expectUnchanged(state, register(store(1025)), controlstate.StatusConflict)
+		Expect(restoreCopy(state).Stores().Members).To(HaveLen(1024))
 	})
 })
 
-var _ = DescribeTable("a store that makes no sense is refused",
+var _ = DescribeTable("an invalid store is refused",
 	func(alter func(*controlstate.Command), status int) {
 		command := register(store(3))
 		alter(&command)
-		unchanged(withStores(2), command, status)
+		expectUnchanged(stateWithStores(2), command, status)
 	},
 	Entry("no ID", func(c *controlstate.Command) { c.Store.ID = "" }, 400),
 	Entry("no node", func(c *controlstate.Command) { c.Store.Node = "" }, 400),
@@ -151,157 +151,157 @@
 	}, 409),
 )
 
-var _ = Describe("a machine that is to be emptied", func() {
-	It("stays in the view until it is empty", func() {
-		state := withStores(3)
-		taken(state, retire("node-2"))
+var _ = Describe("the retirement of a machine", func() {
+	It("keeps its store in the view until completed", func() {
+		state := stateWithStores(3)
+		expectAccepted(state, retire("node-2"))
 		Expect(state.Stores().Members[1].Retiring).To(BeTrue())
 		Expect(state.Stores().Epoch).To(BeEquivalentTo(4))
 		Expect(state.Retirement("node-2")).To(Equal(controlstate.RetirementRunning))
-		state = restored(state)
+		state = restoreCopy(state)
 		Expect(state.Retirements()).To(Equal([]controlstate.Retirement{{Node: "node-2", StoreID: "id-2", DeadlineSeconds: 10}}))
-		taken(state, completed("node-2", "id-2"))
-		Expect(ids(state)).To(Equal([]string{"id-1", "id-3"}))
+		expectAccepted(state, completed("node-2", "id-2"))
+		Expect(memberIDs(state)).To(Equal([]string{"id-1", "id-3"}))
 		Expect(state.Stores().Epoch).To(BeEquivalentTo(5))
-		Expect(restored(state).Retirement("node-2")).To(Equal(controlstate.RetirementCompleted))
+		Expect(restoreCopy(state).Retirement("node-2")).To(Equal(controlstate.RetirementCompleted))
 	})
 
-	It("is told its state in the operator's words", func() {
-		state := withStores(3)
+	It("reports its state as the operator API spells it", func() {
+		state := stateWithStores(3)
 		Expect(state.Retirement("node-2").String()).To(Equal("unknown"))
-		taken(state, retire("node-2"))
+		expectAccepted(state, retire("node-2"))
 		Expect(state.Retirement("node-2").String()).To(Equal("running"))
-		taken(state, completed("node-2", "id-2"))
+		expectAccepted(state, completed("node-2", "id-2"))
 		Expect(state.Retirement("node-2").String()).To(Equal("completed"))
 	})
 
-	It("may be asked for again, while it runs and after", func() {
-		state := withStores(3)
-		taken(state, retire("node-2"))
-		unchanged(state, retire("node-2"), controlstate.StatusOK)
-		taken(state, completed("node-2", "id-2"))
-		unchanged(state, retire("node-2"), controlstate.StatusOK)
-		unchanged(state, completed("node-2", "id-2"), controlstate.StatusOK)
+	It("can be requested again while it runs and afterwards", func() {
+		state := stateWithStores(3)
+		expectAccepted(state, retire("node-2"))
+		expectUnchanged(state, retire("node-2"), controlstate.StatusOK)
+		expectAccepted(state, completed("node-2", "id-2"))
+		expectUnchanged(state, retire("node-2"), controlstate.StatusOK)
+		expectUnchanged(state, completed("node-2", "id-2"), controlstate.StatusOK)
 	})
 
-	It("has to be known", func() {
-		unchanged(withStores(3), retire("node-9"), controlstate.StatusNotFound)
-		unchanged(controlstate.New(), retire("node-9"), controlstate.StatusNotFound)
+	It("requires a known machine", func() {
+		expectUnchanged(stateWithStores(3), retire("node-9"), controlstate.StatusNotFound)
+		expectUnchanged(controlstate.New(), retire("node-9"), controlstate.StatusNotFound)
 	})
 
-	It("is kept where too few would be left", func() {
-		unchanged(withStores(2), retire("node-1"), controlstate.StatusConflict)
-		state := withStores(4)
-		taken(state, retire("node-1"))
-		taken(state, retire("node-2"))
-		unchanged(state, retire("node-3"), controlstate.StatusConflict)
+	It("is refused if too few stores would be left", func() {
+		expectUnchanged(stateWithStores(2), retire("node-1"), controlstate.StatusConflict)
+		state := stateWithStores(4)
+		expectAccepted(state, retire("node-1"))
+		expectAccepted(state, retire("node-2"))
+		expectUnchanged(state, retire("node-3"), controlstate.StatusConflict)
 	})
 
-	It("is neither begun nor refused by a copy that came in before the stores changed", func() {
+	It("is neither started nor refused by a duplicate that was received before the stores changed", func() {
 		for name, c := range map[string]struct {
 			state   *controlstate.State
 			node    string
 			refusal int
 			change  func(*controlstate.State)
 		}{
-			"unknown, then there": {withStores(3), "node-4", controlstate.StatusNotFound, func(s *controlstate.State) { taken(s, register(store(4))) }},
-			"too few, then more":  {withStores(2), "node-1", controlstate.StatusConflict, func(s *controlstate.State) { taken(s, register(store(3))) }},
+			"unknown, then registered": {stateWithStores(3), "node-4", controlstate.StatusNotFound, func(s *controlstate.State) { expectAccepted(s, register(store(4))) }},
+			"too few, then more":       {stateWithStores(2), "node-1", controlstate.StatusConflict, func(s *controlstate.State) { expectAccepted(s, register(store(3))) }},
 		} {
 			order := retire(c.node)
 			order.Base, order.HasBase = c.state.Stores().Epoch, true
-			unchanged(c.state, order, c.refusal)
+			expectUnchanged(c.state, order, c.refusal)
 			c.change(c.state)
-			unchanged(c.state, order, controlstate.StatusUnknown) // the copy
+			expectUnchanged(c.state, order, controlstate.StatusUnknown) // the duplicate
 			order.Base = c.state.Stores().Epoch
-			taken(c.state, order)
-			unchanged(c.state, order, controlstate.StatusOK) // it comes again
+			expectAccepted(c.state, order)
+			expectUnchanged(c.state, order, controlstate.StatusOK) // repeated
 			Expect(c.state.Retirement(c.node)).To(Equal(controlstate.RetirementRunning), name)
 		}
 	})
 
-	It("is completed whatever the view was when that was told", func() {
-		state := withStores(3)
-		taken(state, retire("node-2"))
-		told := completed("node-2", "id-2")
-		told.Base, told.HasBase = state.Stores().Epoch-1, true
-		taken(state, told)
+	It("is completed whichever view the report is based on", func() {
+		state := stateWithStores(3)
+		expectAccepted(state, retire("node-2"))
+		report := completed("node-2", "id-2")
+		report.Base, report.HasBase = state.Stores().Epoch-1, true
+		expectAccepted(state, report)
 		Expect(state.Retirement("node-2")).To(Equal(controlstate.RetirementCompleted))
 	})
 
-	It("does not come back with the disk that was emptied", func() {
-		state := withStores(3)
-		taken(state, retire("node-2"))
-		unchanged(state, register(store(2)), controlstate.StatusOK)
-		taken(state, completed("node-2", "id-2"))
-		unchanged(restored(state), register(store(2)), controlstate.StatusConflict)
+	It("refuses a registration of the emptied disk", func() {
+		state := stateWithStores(3)
+		expectAccepted(state, retire("node-2"))
+		expectUnchanged(state, register(store(2)), controlstate.StatusOK)
+		expectAccepted(state, completed("node-2", "id-2"))
+		expectUnchanged(restoreCopy(state), register(store(2)), controlstate.StatusConflict)
 	})
 
-	It("may come back with another disk, and be emptied anew", func() {
-		state := withStores(3)
-		taken(state, retire("node-2"))
-		taken(state, completed("node-2", "id-2"))
+	It("can be repeated after the machine came back with another disk", func() {
+		state := stateWithStores(3)
+		expectAccepted(state, retire("node-2"))
+		expectAccepted(state, completed("node-2", "id-2"))
 		fresh := store(2)
 		fresh.ID = "id-fresh"
-		taken(state, register(fresh))
+		expectAccepted(state, register(fresh))
 		Expect(state.Stores().Members[2].Retiring).To(BeFalse())
-		taken(state, retire("node-2"))
+		expectAccepted(state, retire("node-2"))
 		Expect(state.Retirement("node-2")).To(Equal(controlstate.RetirementRunning))
-		taken(state, completed("node-2", "id-fresh"))
-		Expect(ids(state)).To(Equal([]string{"id-1", "id-3"}))
+		expectAccepted(state, completed("node-2", "id-fresh"))
+		Expect(memberIDs(state)).To(Equal([]string{"id-1", "id-3"}))
 	})
 
-	It("goes on being emptied where it loses its disk meanwhile", func() {
-		state := withStores(3)
-		taken(state, retire("node-2"))
+	It("continues with the new store if the machine loses its disk meanwhile", func() {
+		state := stateWithStores(3)
+		expectAccepted(state, retire("node-2"))
 		fresh := store(2)
 		fresh.ID = "id-fresh"
-		taken(state, register(fresh))
+		expectAccepted(state, register(fresh))
 		Expect(state.Stores().Members[1].Retiring).To(BeTrue())
-		unchanged(state, completed("node-2", "id-2"), controlstate.StatusConflict)
-		taken(state, completed("node-2", "id-fresh"))
+		expectUnchanged(state, completed("node-2", "id-2"), controlstate.StatusConflict)
+		expectAccepted(state, completed("node-2", "id-fresh"))
 	})
 
-	It("goes on being emptied where it is removed as dead meanwhile", func() {
-		state := withStores(3)
-		taken(state, retire("node-2"))
-		taken(state, remove("id-2"))
+	It("continues if the store is removed as dead meanwhile", func() {
+		state := stateWithStores(3)
+		expectAccepted(state, retire("node-2"))
+		expectAccepted(state, remove("id-2"))
 		Expect(state.Retirement("node-2")).To(Equal(controlstate.RetirementRunning))
-		unchanged(state, register(store(2)), controlstate.StatusConflict)
-		unchanged(state, retire("node-2"), controlstate.StatusOK)
-		taken(state, completed("node-2", "id-2"))
+		expectUnchanged(state, register(store(2)), controlstate.StatusConflict)
+		expectUnchanged(state, retire("node-2"), controlstate.StatusOK)
+		expectAccepted(state, completed("node-2", "id-2"))
 		Expect(state.Retirement("node-2")).To(Equal(controlstate.RetirementCompleted))
 	})
 
-	It("is not done before it was asked for", func() {
-		unchanged(withStores(3), completed("node-2", "id-2"), controlstate.StatusNotFound)
+	It("cannot be completed before it was requested", func() {
+		expectUnchanged(stateWithStores(3), completed("node-2", "id-2"), controlstate.StatusNotFound)
 	})
 
-	It("is known for long, but not for ever", func() {
-		state := withStores(3)
+	It("is kept up to a maximum number of retirements", func() {
+		state := stateWithStores(3)
 		for number := 4; number < 1100; number++ {
-			taken(state, register(store(number)))
-			taken(state, retire(store(number).Node))
-			taken(state, completed(store(number).Node, store(number).ID))
+			expectAccepted(state, register(store(number)))
+			expectAccepted(state, retire(store(number).Node))
+			expectAccepted(state, completed(store(number).Node, store(number).ID))
 		}
 		Expect(state.Retirements()).To(HaveLen(1024))
 		Expect(state.Retirement("node-4")).To(Equal(controlstate.RetirementUnknown))
-		Expect(restored(state).Retirement("node-1099")).To(Equal(controlstate.RetirementCompleted))
+		Expect(restoreCopy(state).Retirement("node-1099")).To(Equal(controlstate.RetirementCompleted))
 	})
 })
 
-var _ = Describe("a store that is lost for good", func() {
-	It("is taken out, once", func() {
-		state := withStores(3)
-		taken(state, remove("id-1"))
-		Expect(ids(state)).To(Equal([]string{"id-2", "id-3"}))
-		unchanged(state, remove("id-1"), controlstate.StatusOK)
+var _ = Describe("a permanently lost store", func() {
+	It("is removed once", func() {
+		state := stateWithStores(3)
+		expectAccepted(state, remove("id-1"))
+		Expect(memberIDs(state)).To(Equal([]string{"id-2", "id-3"}))
+		expectUnchanged(state, remove("id-1"), controlstate.StatusOK)
 	})
 
-	It("stays where too few would be left", func() {
-		unchanged(withStores(2), remove("id-1"), controlstate.StatusConflict)
-		state := withStores(3)
-		taken(state, retire("node-3"))
-		unchanged(state, remove("id-1"), controlstate.StatusConflict)
-		taken(state, remove("id-3"))
+	It("is kept if too few stores would be left", func() {
+		expectUnchanged(stateWithStores(2), remove("id-1"), controlstate.StatusConflict)
+		state := stateWithStores(3)
+		expectAccepted(state, retire("node-3"))
+		expectUnchanged(state, remove("id-1"), controlstate.StatusConflict)
+		expectAccepted(state, remove("id-3"))
 	})
 })
