--- a/internal/tier/controlplane/deadstores.go
+++ b/internal/tier/controlplane/deadstores.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// deadStoreInterval is the time between two looks for dead stores.
-	deadStoreInterval = 500 * time.Millisecond
-	// deadStoreAfter is how long a store must have been down before it is taken out of the view. A store that is
-	// only restarted is back before; one that was replaced on another machine blocks the quorums until then.
-	deadStoreAfter = 2 * time.Second
+	// deadStoreCheckInterval is the time between two checks for dead stores.
+	deadStoreCheckInterval = 500 * time.Millisecond
+	// deadStoreTimeout is how long a store must have been down before it is removed from the view. A store that is only
+	// restarted is back earlier; a store that was replaced on another machine blocks the quorums until then.
+	deadStoreTimeout = 2 * time.Second
 )
 
-// deadStores notes since when the stores of the view have been down. One goroutine owns it.
-type deadStores struct {
-	since map[string]time.Duration // by store id
+// deadStoreDetector tracks since when stores of the view have been down. It is not safe for concurrent use.
+type deadStoreDetector struct {
+	downSince map[string]time.Duration // by store ID
 }
 
-// find gives a store that has been down for long enough and that the others can do without: of two losses on
-// top of it, as many as are tolerated, a majority has to remain. One that is being emptied stays: what it holds
-// may be nowhere else.
-func (d *deadStores) find(now time.Duration, view controlstate.StoreView, down func(node string) bool) (controlstate.StoreMember, bool) {
-	since := make(map[string]time.Duration, len(d.since))
+// find returns a store that has been down for deadStoreTimeout, and whether it can be removed: the remaining active stores
+// must still have a majority after as many losses as are tolerated. A store that is being retired is never found, as its
+// data may not be on any other store.
+func (d *deadStoreDetector) find(now time.Duration, view controlstate.StoreView, down func(node string) bool) (controlstate.StoreMember, bool) {
+	downSince := make(map[string]time.Duration, len(d.downSince))
 	active, found := 0, controlstate.StoreMember{}
 	for _, m := range view.Members {
 		if !m.Retiring {
@@ -35,38 +35,38 @@
 		if !down(m.Node) {
 			continue
 		}
-		began, noted := d.since[m.ID]
-		if !noted {
-			began = now
+		start, known := d.downSince[m.ID]
+		if !known {
+			start = now
 		}
-		since[m.ID] = began
-		if !m.Retiring && now-began >= deadStoreAfter {
+		downSince[m.ID] = start
+		if !m.Retiring && now-start >= deadStoreTimeout {
 			found = m
 		}
 	}
-	d.since = since
+	d.downSince = downSince
 	return found, found.ID != "" && active-1 >= 2*view.Tolerance+1
 }
 
-// watchStores takes dead stores out of the view until the plane ends.
-func (p *Plane) watchStores(ctx context.Context) {
-	ticker := time.NewTicker(deadStoreInterval)
+// removeDeadStores proposes the removal of dead stores from the view until the plane stops.
+func (p *Plane) removeDeadStores(ctx context.Context) {
+	ticker := time.NewTicker(deadStoreCheckInterval)
 	defer ticker.Stop()
-	dead := &deadStores{}
+	detector := &deadStoreDetector{}
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			if member, found := dead.find(p.now(), p.storeView(), p.downStores()); found {
+			if member, found := detector.find(p.now(), p.storeView(), p.storeIsDown()); found {
 				p.removeStore(ctx, member)
 			}
 		}
 	}
 }
 
-// downStores says which machines' stores the cluster holds for down.
-func (p *Plane) downStores() func(node string) bool {
+// storeIsDown returns a function that reports whether the cluster considers a machine's store down or left.
+func (p *Plane) storeIsDown() func(node string) bool {
 	down := map[string]bool{}
 	for _, n := range p.base.Cluster.Nodes() {
 		if n.Role == cluster.Store && (n.State == cluster.Down || n.State == cluster.Left) {
@@ -76,7 +76,7 @@
 	return func(node string) bool { return down[node] }
 }
 
-// storeView gives the view that the cluster has of the stores; the zero view if there is none.
+// storeView returns the store view published in the cluster, or the zero view if there is none.
 func (p *Plane) storeView() controlstate.StoreView {
 	entry, known := p.base.Cluster.Get(cluster.StoresKey)
 	if !known {
@@ -90,13 +90,13 @@
 }
 
 func (p *Plane) removeStore(ctx context.Context, member controlstate.StoreMember) {
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	result, err := p.propose(ctx, controlstate.Command{Kind: controlstate.RemoveStore, StoreID: member.ID})
-	entry := p.base.Log.WithField("store", member.Node)
+	logEntry := p.base.Log.WithField("store", member.Node)
 	if err != nil {
-		entry.WithError(err).Warn("dead store not removed yet")
+		logEntry.WithError(err).Warn("cannot remove the dead store; trying again")
 		return
 	}
-	entry.WithField("status", result.Status).Info("dead store removed")
+	logEntry.WithField("status", result.Status).Info("dead store removed")
 }
--- a/internal/tier/controlplane/deadstores_test.go
+++ b/internal/tier/controlplane/deadstores_test.go
@@ -15,7 +15,7 @@
 	RunSpecs(t, "control plane")
 }
 
-func viewOf(tolerance int, nodes ...string) controlstate.StoreView {
+func newView(tolerance int, nodes ...string) controlstate.StoreView {
 	view := controlstate.StoreView{Epoch: 1, Tolerance: tolerance}
 	for _, node := range nodes {
 		view.Members = append(view.Members, controlstate.StoreMember{ID: "disk-" + node, Node: node})
@@ -23,43 +23,43 @@
 	return view
 }
 
-func only(dead string) func(string) bool { return func(node string) bool { return node == dead } }
+func downOnly(dead string) func(string) bool { return func(node string) bool { return node == dead } }
 
 var _ = Describe("a store that is down", func() {
-	DescribeTable("leaves the view only if enough stay for the tolerated losses and a majority",
+	DescribeTable("is removed only if the others keep a majority after the tolerated losses",
 		func(view controlstate.StoreView, leaves bool) {
-			dead := &deadStores{}
-			_, found := dead.find(0, view, only("d"))
+			detector := &deadStoreDetector{}
+			_, found := detector.find(0, view, downOnly("d"))
 			Expect(found).To(BeFalse())
-			_, found = dead.find(deadStoreAfter-time.Millisecond, view, only("d"))
+			_, found = detector.find(deadStoreTimeout-time.Millisecond, view, downOnly("d"))
 			Expect(found).To(BeFalse())
-			member, found := dead.find(deadStoreAfter, view, only("d"))
+			member, found := detector.find(deadStoreTimeout, view, downOnly("d"))
 			Expect(found).To(Equal(leaves))
 			if leaves {
 				Expect(member.Node).To(Equal("d"))
 			}
 		},
-		Entry("five, one may be lost", viewOf(1, "a", "b", "c", "d", "e"), true),
-		Entry("four, one may be lost", viewOf(1, "a", "b", "c", "d"), true),
-		Entry("three, one may be lost", viewOf(1, "a", "b", "d"), false),
-		Entry("five, two may be lost", viewOf(2, "a", "b", "c", "d", "e"), false),
-		Entry("six, two may be lost", viewOf(2, "a", "b", "c", "d", "e", "f"), true),
+		Entry("five, one may be lost", newView(1, "a", "b", "c", "d", "e"), true),
+		Entry("four, one may be lost", newView(1, "a", "b", "c", "d"), true),
+		Entry("three, one may be lost", newView(1, "a", "b", "d"), false),
+		Entry("five, two may be lost", newView(2, "a", "b", "c", "d", "e"), false),
+		Entry("six, two may be lost", newView(2, "a", "b", "c", "d", "e", "f"), true),
 	)
 
-	It("and comes back is counted anew the next time", func() {
-		dead, view := &deadStores{}, viewOf(1, "a", "b", "c", "d")
-		dead.find(0, view, only("d"))
-		dead.find(time.Second, view, only("none"))
-		dead.find(deadStoreAfter, view, only("d"))
-		_, found := dead.find(deadStoreAfter+time.Second, view, only("d"))
+	It("starts its timeout anew after it came back", func() {
+		detector, view := &deadStoreDetector{}, newView(1, "a", "b", "c", "d")
+		detector.find(0, view, downOnly("d"))
+		detector.find(time.Second, view, downOnly("none"))
+		detector.find(deadStoreTimeout, view, downOnly("d"))
+		_, found := detector.find(deadStoreTimeout+time.Second, view, downOnly("d"))
 		Expect(found).To(BeFalse())
 	})
 
-	It("while it is being emptied stays: what it holds may be nowhere else", func() {
-		dead, view := &deadStores{}, viewOf(1, "a", "b", "c", "d", "e")
+	It("is not removed while it is retiring: its data may not be on any other store", func() {
+		detector, view := &deadStoreDetector{}, newView(1, "a", "b", "c", "d", "e")
 		view.Members[3].Retiring = true
-		dead.find(0, view, only("d"))
-		_, found := dead.find(time.Minute, view, only("d"))
+		detector.find(0, view, downOnly("d"))
+		_, found := detector.find(time.Minute, view, downOnly("d"))
 		Expect(found).To(BeFalse())
 	})
 })
--- a/internal/tier/controlplane/inspect.go
+++ b/internal/tier/controlplane/inspect.go
@@ -15,122 +15,123 @@
 	"emberquay/internal/vfs"
 )
 
-// Inspection is what the folder of a control plane holds, as a start would find it.
+// Inspection describes the data in the directory of a control plane, as a start would read it.
 type Inspection struct {
 	Ring    *journal.Inspection  `json:"ring"`
 	Records replica.RecordCounts `json:"records"`
 
-	Member MemberSummary `json:"member"` // as which this disk votes
+	Member MemberSummary `json:"member"` // the member as which this disk votes
 	View   ViewSummary   `json:"view"`
-	// LastSequence is that of the last entry taken; those above Committed were not known to be committed yet.
+	// LastSequence is the sequence number of the last accepted entry. Entries above Committed were not known to be
+	// committed yet.
 	LastSequence int64        `json:"sequence"`
 	Committed    int64        `json:"committed"`
 	Vote         VoteSummary  `json:"vote"`
 	State        StateSummary `json:"state"` // as of Sequence
-	SavedEntries int          `json:"known"` // entries of the cluster's table that are kept over a stop
-	// Findings are those of the ring, of the records in it, of the state that they add up to and of the kept
+	SavedEntries int          `json:"known"` // number of cluster entries saved across restarts
+	// Findings lists the problems of the ring, of its records, of the state that results from them and of the saved
 	// entries.
 	Findings journal.Findings `json:"findings"`
 }
 
 // MemberSummary is a member of the control state.
 type MemberSummary struct {
-	ID      int64  `json:"id"` // 0: none was drawn yet
+	ID      int64  `json:"id"` // 0: not assigned yet
 	Name    string `json:"name"`
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
 }
 
-// ViewSummary is the newest view that the disk has adopted.
+// ViewSummary is the newest view installed on the disk.
 type ViewSummary struct {
 	Epoch   int64           `json:"epoch"` // 0: none
 	Members []MemberSummary `json:"members"`
-	Chain   []int64         `json:"chain"` // member ids, head first
+	Chain   []int64         `json:"chain"` // member IDs, head first
 }
 
-// BallotSummary is a ballot of the agreement on the view that is to follow.
+// BallotSummary is a ballot of the agreement on the next view.
 type BallotSummary struct {
 	Round    int64 `json:"round"` // 0: none
 	Proposer int64 `json:"proposer"`
 }
 
-// VoteSummary is what the disk promised and accepted on the view that is to follow.
+// VoteSummary is what the disk promised and accepted in the agreement on the next view.
 type VoteSummary struct {
-	Sealed        bool          `json:"sealed"` // the epoch takes no more writes here
+	Sealed        bool          `json:"sealed"` // the member accepts no more writes in its epoch
 	Promised      BallotSummary `json:"promised"`
 	Accepted      BallotSummary `json:"accepted"`
 	AcceptedEpoch int64         `json:"accepted_epoch"`
-	// AcceptedSequence is the end of the state with which the accepted view would begin.
+	// AcceptedSequence is the last sequence number of the state with which the accepted view would start.
 	AcceptedSequence int64 `json:"accepted_sequence"`
 }
 
-// StateSummary is the control state.
+// StateSummary summarizes the control state.
 type StateSummary struct {
 	ConfigurationVersion uint64 `json:"configuration_version"`
 	ConfigurationBytes   int    `json:"configuration_bytes"`
-	AcceptedChanges      int    `json:"accepted_changes"` // that would be acknowledged again
-	RefusedChanges       int    `json:"refused_changes"`  // that would be refused again
+	AcceptedChanges      int    `json:"accepted_changes"` // would be acknowledged if repeated
+	RefusedChanges       int    `json:"refused_changes"`  // would be refused if repeated
 	StoreEpoch           uint64 `json:"store_epoch"`
 	Stores               int    `json:"stores"`
 	Retirements          int    `json:"retirements"`
 }
 
-// Inspect reads the folder of a control plane without writing anything. Errors: journal.ErrNoRing,
-// replica.ErrNoRecords, replica.ErrNotReplica, or the disk's; all else that is wrong is in the findings.
+// Inspect reads the directory of a control plane without writing to it. It returns journal.ErrNoRing,
+// replica.ErrNoRecords, replica.ErrNotReplica or an error of the disk. All other problems are in the findings.
 func Inspect(files vfs.FS, dir string) (*Inspection, error) {
 	disk, err := replica.Inspect(files, dir)
 	if err != nil {
 		return nil, err
 	}
-	d := &disk.Durable
-	found := &Inspection{
-		Ring: disk.Ring, Records: disk.Records, Member: memberFound(d.Member), View: viewFound(d.View),
-		LastSequence: disk.LastSequence(), Committed: d.Committed, Vote: voteOf(d), Findings: disk.Findings,
+	durable := &disk.Durable
+	inspection := &Inspection{
+		Ring: disk.Ring, Records: disk.Records, Member: summarizeMember(durable.Member), View: summarizeView(durable.View),
+		LastSequence: disk.LastSequence(), Committed: durable.Committed, Vote: summarizeVote(durable), Findings: disk.Findings,
 	}
-	if err := found.readState(d); err != nil {
-		found.Findings.Add(journal.Finding{File: "ring-*", Problem: fmt.Sprint(err)})
+	if err := inspection.readState(durable); err != nil {
+		inspection.Findings.Add(journal.Finding{File: "ring-*", Problem: fmt.Sprint(err)})
 	}
-	return found, found.readKnown(snapshot.File{Files: files, Dir: dir})
+	return inspection, inspection.readSavedEntries(snapshot.File{Files: files, Dir: dir})
 }
 
-func voteOf(d *chain.DurableState) VoteSummary {
-	a := &d.Acceptor
+func summarizeVote(durable *chain.DurableState) VoteSummary {
+	acceptor := &durable.Acceptor
 	return VoteSummary{
-		Sealed:        a.Sealed(),
-		Promised:      BallotSummary{Round: a.Promised.Round, Proposer: int64(a.Promised.Proposer)},
-		Accepted:      BallotSummary{Round: a.Accepted.Round, Proposer: int64(a.Accepted.Proposer)},
-		AcceptedEpoch: a.Value.View.Epoch, AcceptedSequence: a.Value.State.Sequence,
+		Sealed:        acceptor.Sealed(),
+		Promised:      BallotSummary{Round: acceptor.Promised.Round, Proposer: int64(acceptor.Promised.Proposer)},
+		Accepted:      BallotSummary{Round: acceptor.Accepted.Round, Proposer: int64(acceptor.Accepted.Proposer)},
+		AcceptedEpoch: acceptor.Value.View.Epoch, AcceptedSequence: acceptor.Value.State.Sequence,
 	}
 }
 
-func memberFound(m view.Member) MemberSummary {
+func summarizeMember(m view.Member) MemberSummary {
 	return MemberSummary{ID: int64(m.ID), Name: m.Name, Address: m.Address, Zone: m.Zone}
 }
 
-func viewFound(v view.View) ViewSummary {
-	found := ViewSummary{Epoch: v.Epoch}
+func summarizeView(v view.View) ViewSummary {
+	summary := ViewSummary{Epoch: v.Epoch}
 	for _, m := range v.Members {
-		found.Members = append(found.Members, memberFound(m))
+		summary.Members = append(summary.Members, summarizeMember(m))
 	}
 	for _, id := range v.Chain {
-		found.Chain = append(found.Chain, int64(id))
+		summary.Chain = append(summary.Chain, int64(id))
 	}
-	return found
+	return summary
 }
 
-// readState works out the control state from the last whole one and the entries since.
-func (i *Inspection) readState(d *chain.DurableState) error {
-	if !d.State.Full {
-		return nil // no view was adopted yet
+// readState reconstructs the control state from the last snapshot and the entries after it.
+func (i *Inspection) readState(durable *chain.DurableState) error {
+	if !durable.State.Full {
+		return nil // no view was installed yet
 	}
-	if err := d.View.Validate(); err != nil {
+	if err := durable.View.Validate(); err != nil {
 		return err
 	}
 	state := controlstate.New()
-	if err := state.Restore(d.State.Snapshot); err != nil {
+	if err := state.Restore(durable.State.Snapshot); err != nil {
 		return err
 	}
-	for _, entry := range d.Entries {
+	for _, entry := range durable.Entries {
 		if _, err := controlstate.DecodeCommand(entry.Command); err != nil {
 			return eris.Wrapf(err, "entry %d", entry.Sequence)
 		}
@@ -147,8 +148,8 @@
 	return nil
 }
 
-// readKnown reads the entries of the cluster's table.
-func (i *Inspection) readKnown(file snapshot.File) error {
+// readSavedEntries counts the saved entries of the cluster's table.
+func (i *Inspection) readSavedEntries(file snapshot.File) error {
 	entries, err := file.Check()
 	if errors.Is(err, snapshot.ErrNotWhole) {
 		i.Findings.Add(journal.Finding{File: snapshot.Name, Problem: fmt.Sprint(err)})
--- a/internal/tier/controlplane/inspect_test.go
+++ b/internal/tier/controlplane/inspect_test.go
@@ -20,22 +20,22 @@
 )
 
 const (
-	aloneAddress  = "127.0.0.1:1" // nobody calls it: the replica is the only one
-	aloneFolder   = "control"
-	aloneDisk     = 6 << 20
-	configuration = `{"version":7,"services":[{"name":"s"}],"routes":[` +
+	inspectAddress   = "127.0.0.1:1" // never called: the replica is the only member
+	inspectDir       = "control"
+	inspectDiskBytes = 6 << 20
+	configuration    = `{"version":7,"services":[{"name":"s"}],"routes":[` +
 		`{"name":"r","authority":"a.example","path_prefix":"/a/","timeout_ms":900,"service":"s"}]}`
 )
 
-// diskOf is the disk of a control plane that has carried commands out, and ended.
-func diskOf(ctx SpecContext, commands ...controlstate.Command) *memfs.Mem {
+// writeControlDisk returns the disk of a control plane that executed commands and stopped.
+func writeControlDisk(ctx SpecContext, commands ...controlstate.Command) *memfs.Mem {
 	GinkgoHelper()
 	disk := memfs.New()
 	client := transport.NewClient()
 	defer client.Close()
 	r, err := replica.Open(replica.Options{
-		Name: "front-1", Address: aloneAddress, Zone: "a", Seeds: []string{aloneAddress}, Bootstrap: true, Voter: true,
-		Files: disk, Dir: aloneFolder, JournalBytes: aloneDisk,
+		Name: "front-1", Address: inspectAddress, Zone: "a", Seeds: []string{inspectAddress}, Bootstrap: true, Voter: true,
+		Files: disk, Dir: inspectDir, JournalBytes: inspectDiskBytes,
 		NewStateMachine: func() chain.StateMachine { return controlstate.New() },
 		Client:          client, Mux: transport.NewMux(), Log: &log.Logger{Handler: discard.Default},
 	})
@@ -49,24 +49,24 @@
 }
 
 var (
-	aConfiguration = controlstate.Command{
+	replaceCommand = controlstate.Command{
 		Kind: controlstate.ReplaceConfiguration, HasBase: true, Body: []byte(configuration),
 	}
-	aStore = controlstate.Command{
+	registerCommand = controlstate.Command{
 		Kind: controlstate.RegisterStore, Tolerance: 1, Bootstrap: true,
 		Store: controlstate.StoreMember{ID: "s-1", Node: "store-1", Zone: "a", Address: "127.0.0.1:2"},
 	}
 )
 
-var _ = Describe("the inspection of a control plane's folder", func() {
-	It("says what a start would find", func(ctx SpecContext) {
-		disk := diskOf(ctx, aConfiguration, aStore)
-		kept := snapshot.File{Files: disk, Dir: aloneFolder}
-		Expect(kept.Save([]cluster.Entry{{Key: "receiver/i-1", Value: []byte("one")}})).To(Succeed())
-		found, err := Inspect(disk, aloneFolder)
+var _ = Describe("the inspection of a control plane's directory", func() {
+	It("reports what a start would read", func(ctx SpecContext) {
+		disk := writeControlDisk(ctx, replaceCommand, registerCommand)
+		saved := snapshot.File{Files: disk, Dir: inspectDir}
+		Expect(saved.Save([]cluster.Entry{{Key: "receiver/i-1", Value: []byte("one")}})).To(Succeed())
+		found, err := Inspect(disk, inspectDir)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(found.Findings.Count).To(BeZero(), "%+v", found.Findings)
-		Expect(found.Member.Address).To(Equal(aloneAddress))
+		Expect(found.Member.Address).To(Equal(inspectAddress))
 		Expect(found.View.Epoch).To(Equal(int64(1)))
 		Expect(found.View.Chain).To(Equal([]int64{found.Member.ID}))
 		Expect(found.LastSequence).To(Equal(int64(2)))
@@ -76,12 +76,12 @@
 			AcceptedChanges: 1, StoreEpoch: 1, Stores: 1}))
 	}, NodeTimeout(time.Minute))
 
-	DescribeTable("finds what is not as it was written",
+	DescribeTable("finds damaged files",
 		func(ctx SpecContext, spoil func(*memfs.Mem), file string, problem string) {
-			disk := diskOf(ctx, aConfiguration, aStore)
-			Expect(snapshot.File{Files: disk, Dir: aloneFolder}.Save(nil)).To(Succeed())
+			disk := writeControlDisk(ctx, replaceCommand, registerCommand)
+			Expect(snapshot.File{Files: disk, Dir: inspectDir}.Save(nil)).To(Succeed())
 			spoil(disk)
-			found, err := Inspect(disk, aloneFolder)
+			found, err := Inspect(disk, inspectDir)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(found.Findings.Listed).NotTo(BeEmpty())
 			first := found.Findings.Listed[0]
@@ -92,21 +92,21 @@
 			"ring-0000", "no record can be read here", NodeTimeout(time.Minute)),
 		Entry("a header", func(m *memfs.Mem) { m.Data("control/ring-0000")[9] ^= 1 },
 			"ring-0000", "no whole header", NodeTimeout(time.Minute)),
-		Entry("the kept entries", func(m *memfs.Mem) { m.Data("control/known")[0] ^= 1 },
+		Entry("the saved entries", func(m *memfs.Mem) { m.Data("control/known")[0] ^= 1 },
 			"known", "not a whole list", NodeTimeout(time.Minute)),
-		Entry("the kept entries cut short", func(m *memfs.Mem) { m.Put("control/known", []byte("abc")) },
+		Entry("truncated saved entries", func(m *memfs.Mem) { m.Put("control/known", []byte("abc")) },
 			"known", "not a whole list", NodeTimeout(time.Minute)),
 	)
 
-	It("finds an entry that is no command", func(ctx SpecContext) {
-		disk := diskOf(ctx, aConfiguration)
-		options := journal.Options{Files: disk, Dir: aloneFolder, SegmentBytes: aloneDisk / 6, Segments: 6}
+	It("finds an entry that is not a command", func(ctx SpecContext) {
+		disk := writeControlDisk(ctx, replaceCommand)
+		options := journal.Options{Files: disk, Dir: inspectDir, SegmentBytes: inspectDiskBytes / 6, Segments: 6}
 		j, err := journal.Open(options, func(journal.Position, []byte) error { return nil })
 		Expect(err).NotTo(HaveOccurred())
 		_, err = j.Append([]byte("\x03\x02\x02\x04\x02\x02\x04ab")) // entry 2 of epoch 1
 		Expect(err).NotTo(HaveOccurred())
 		Expect(j.Sync()).To(Succeed())
-		found, err := Inspect(disk, aloneFolder)
+		found, err := Inspect(disk, inspectDir)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(found.LastSequence).To(Equal(int64(2)))
 		Expect(found.Findings.Listed).To(HaveLen(1))
--- a/internal/tier/controlplane/keep.go
+++ b/internal/tier/controlplane/keep.go
@@ -11,137 +11,140 @@
 	"emberquay/internal/vfs"
 )
 
-// keepInterval is the least time between two writings of what is kept, unless somebody waits for one.
-const keepInterval = 300 * time.Millisecond
+// saveInterval is the minimum time between two saves, unless a caller waits for one.
+const saveInterval = 300 * time.Millisecond
 
-// keepTimeout bounds the wait for the own disk, beside confirmTimeout within a receiver's patience of a second.
-const keepTimeout = 200 * time.Millisecond
+// saveTimeout bounds the wait for the local disk. The sum of saveTimeout and confirmTimeout is below the second after which a
+// receiver goes on to another node.
+const saveTimeout = 200 * time.Millisecond
 
-// keptPrefixes are the keys of the entries that are kept over a stop.
-var keptPrefixes = []string{cluster.ConfigurationKey, cluster.StoresKey, cluster.ReceiverPrefix}
+// savedPrefixes are the key prefixes of the cluster entries that are saved across restarts.
+var savedPrefixes = []string{cluster.ConfigurationKey, cluster.StoresKey, cluster.ReceiverPrefix}
 
-// errNotKept: the process ended first.
-var errNotKept = eris.New("ended before it was on the disk")
+// errNotSaved says that the saver stopped before the entry was saved.
+var errNotSaved = eris.New("stopped before the entry was saved")
 
-// keeper keeps entries of the cluster's table on the machine's disk. One goroutine owns it and its file.
-type keeper struct {
-	file    snapshot.File
-	entries func() []cluster.Entry // what is to be kept now
-	changed chan struct{}          // holds one while something has changed
-	waiting chan keepCommand
-	done    chan struct{} // closed when the owner has ended
+// entrySaver saves entries of the cluster's table on the machine's disk. The goroutine of run owns its file.
+type entrySaver struct {
+	file        snapshot.File
+	listEntries func() []cluster.Entry // returns the entries to save
+	changed     chan struct{}          // holds a token while there are unsaved changes
+	requests    chan saveRequest
+	done        chan struct{} // closed when run has returned
 
-	saved map[string]cluster.Stamp // what the file holds; the owner's
+	savedStamps map[string]cluster.Stamp // stamps of the saved entries by key; owned by run
 }
 
-// keepCommand asks for an entry, or a newer one of its key, to be on the disk.
-type keepCommand struct {
+// saveRequest asks that an entry, or a newer one with its key, is on the disk.
+type saveRequest struct {
 	key    string
 	stamp  cluster.Stamp
 	result chan error
 }
 
-func newKeeper(file snapshot.File, entries func() []cluster.Entry) *keeper {
-	return &keeper{file: file, entries: entries, changed: make(chan struct{}, 1), waiting: make(chan keepCommand), done: make(chan struct{})}
+func newEntrySaver(file snapshot.File, listEntries func() []cluster.Entry) *entrySaver {
+	return &entrySaver{file: file, listEntries: listEntries, changed: make(chan struct{}, 1),
+		requests: make(chan saveRequest), done: make(chan struct{})}
 }
 
-// note says that something has changed.
-func (k *keeper) note() {
+// markChanged notifies the saver of a change.
+func (s *entrySaver) markChanged() {
 	select {
-	case k.changed <- struct{}{}:
+	case s.changed <- struct{}{}:
 	default:
 	}
 }
 
-// keep returns nil once an entry that is in the table is on the disk. Errors: those of the disk, and of ctx.
-func (k *keeper) keep(ctx context.Context, key string, stamp cluster.Stamp) error {
-	command := keepCommand{key: key, stamp: stamp, result: make(chan error, 1)}
+// waitSaved waits until an entry of the table is on the disk. It returns the error of the disk or of ctx, or errNotSaved.
+func (s *entrySaver) waitSaved(ctx context.Context, key string, stamp cluster.Stamp) error {
+	request := saveRequest{key: key, stamp: stamp, result: make(chan error, 1)}
 	select {
-	case k.waiting <- command:
+	case s.requests <- request:
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-k.done:
-		return errNotKept
+	case <-s.done:
+		return errNotSaved
 	}
 	select {
-	case err := <-command.result:
+	case err := <-request.result:
 		return err
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// run writes what has changed, at once where somebody waits for it, until ctx ends. failed is told of what the disk refuses.
-func (k *keeper) run(ctx context.Context, failed func(error)) {
-	defer close(k.done)
-	pause := time.NewTimer(0)
-	defer pause.Stop()
+// run saves changes until ctx ends, at once if a caller waits for them. It passes the errors of the disk to onError.
+func (s *entrySaver) run(ctx context.Context, onError func(error)) {
+	defer close(s.done)
+	timer := time.NewTimer(0)
+	defer timer.Stop()
 	for {
 		select {
-		case command := <-k.waiting:
-			command.result <- k.has(command, failed)
+		case request := <-s.requests:
+			request.result <- s.ensureSaved(request, onError)
 			continue
-		case <-pause.C:
+		case <-timer.C:
 		case <-ctx.Done():
 			return
 		}
 		select {
-		case command := <-k.waiting:
-			command.result <- k.has(command, failed)
-			pause.Reset(0)
-		case <-k.changed:
-			_ = k.save(failed)
-			pause.Reset(keepInterval)
+		case request := <-s.requests:
+			request.result <- s.ensureSaved(request, onError)
+			timer.Reset(0)
+		case <-s.changed:
+			_ = s.save(onError)
+			timer.Reset(saveInterval)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// has writes what is there unless the file has what is asked for.
-func (k *keeper) has(command keepCommand, failed func(error)) error {
-	if stamp, some := k.saved[command.key]; some && !command.stamp.After(stamp) {
+// ensureSaved saves all entries unless the file has the requested one already.
+func (s *entrySaver) ensureSaved(request saveRequest, onError func(error)) error {
+	if stamp, found := s.savedStamps[request.key]; found && !request.stamp.After(stamp) {
 		return nil
 	}
-	return k.save(failed)
+	return s.save(onError)
 }
 
-func (k *keeper) save(failed func(error)) error {
-	entries := k.entries()
-	if err := k.file.Save(entries); err != nil {
-		failed(err)
+func (s *entrySaver) save(onError func(error)) error {
+	entries := s.listEntries()
+	if err := s.file.Save(entries); err != nil {
+		onError(err)
 		return err
 	}
-	k.saved = make(map[string]cluster.Stamp, len(entries))
+	s.savedStamps = make(map[string]cluster.Stamp, len(entries))
 	for _, e := range entries {
-		k.saved[e.Key] = e.Stamp
+		s.savedStamps[e.Key] = e.Stamp
 	}
 	return nil
 }
 
-// kept gives the entries to keep.
-func (p *Plane) kept() []cluster.Entry {
+// entriesToSave returns the entries of the cluster's table that are saved.
+func (p *Plane) entriesToSave() []cluster.Entry {
 	var entries []cluster.Entry
-	for _, prefix := range keptPrefixes {
+	for _, prefix := range savedPrefixes {
 		entries = append(entries, p.base.Cluster.List(prefix)...)
 	}
 	return entries
 }
 
-func (p *Plane) keptFile() snapshot.File {
+func (p *Plane) entryFile() snapshot.File {
 	return snapshot.File{Files: vfs.OS{}, Dir: p.base.Settings.DataDir}
 }
 
-// recall puts what the last run knew into the cluster's table. If all of the tier was down, nobody else knows the
-// receivers before each has sent a heartbeat, nor the configuration and the stores before the chain has committed its
-// newest entry once more. What was kept had been committed; newer entries of others win by their stamps.
-func (p *Plane) recall() {
+// loadSavedEntries publishes the entries that the previous process saved. If the whole tier was down, no other node knows
+// the receivers before each has sent a heartbeat, nor the configuration and the stores before the chain has committed its
+// newest entry again. The saved entries of the control state had been committed, and newer entries of other nodes win by
+// their stamps.
+func (p *Plane) loadSavedEntries() {
 	if !p.base.Settings.HasDisk() {
 		return
 	}
-	entries, err := p.keptFile().Load()
+	entries, err := p.entryFile().Load()
 	if err != nil {
-		p.base.Log.WithError(err).Warn("what the last run kept cannot be read")
+		p.base.Log.WithError(err).Warn("cannot read the entries saved by the previous process")
 		return
 	}
 	for _, e := range entries {
@@ -149,30 +152,30 @@
 	}
 }
 
-// keepKnown writes what recall reads whenever it has changed, and before this node says of an entry that it has it, until
-// the plane ends.
-func (p *Plane) keepKnown(ctx context.Context) {
+// startEntrySaver saves the entries for loadSavedEntries whenever they change, and before this node confirms that it has an
+// entry, until the plane stops.
+func (p *Plane) startEntrySaver(ctx context.Context) {
 	if !p.base.Settings.HasDisk() {
 		return
 	}
-	p.keeper = newKeeper(p.keptFile(), p.kept)
-	for _, prefix := range keptPrefixes {
-		p.base.Cluster.Watch(prefix, func(cluster.Entry) { p.keeper.note() })
+	p.saver = newEntrySaver(p.entryFile(), p.entriesToSave)
+	for _, prefix := range savedPrefixes {
+		p.base.Cluster.Watch(prefix, func(cluster.Entry) { p.saver.markChanged() })
 	}
-	p.base.Cluster.SetPersistFunc(p.keeper.keep)
-	go p.keeper.run(ctx, func(err error) { p.base.Log.WithError(err).Warn("what is known is not kept") })
+	p.base.Cluster.SetPersistFunc(p.saver.waitSaved)
+	go p.saver.run(ctx, func(err error) { p.base.Log.WithError(err).Warn("cannot save the cluster entries") })
 }
 
-// keptHere returns nil once this node's newest entry of a key is as safe as the machine can make it.
-func (p *Plane) keptHere(ctx context.Context, key string) error {
-	if p.keeper == nil {
+// waitSavedLocally waits until this node's newest entry of a key is on its disk. Without a disk it returns nil at once.
+func (p *Plane) waitSavedLocally(ctx context.Context, key string) error {
+	if p.saver == nil {
 		return nil
 	}
 	entry, known := p.base.Cluster.Get(key)
 	if !known {
 		return errUnconfirmed
 	}
-	ctx, cancel := context.WithTimeout(ctx, keepTimeout)
+	ctx, cancel := context.WithTimeout(ctx, saveTimeout)
 	defer cancel()
-	return p.keeper.keep(ctx, key, entry.Stamp)
+	return p.saver.waitSaved(ctx, key, entry.Stamp)
 }
--- a/internal/tier/controlplane/plane.go
+++ b/internal/tier/controlplane/plane.go
@@ -1,12 +1,12 @@
-// Package controlplane assembles the control plane of one machine: its replica of the control state, the
-// operator's and the receivers' API, and the part it takes in the cluster.
+// Package controlplane runs the control plane of one machine: its replica of the control state, the HTTP API for the
+// operator and the receivers, and its membership of the cluster.
 //
 //	plane, err := controlplane.Start(node, logger)
 //	...
 //	plane.Shutdown(ctx, signalled)
 //
-// It owns the table of the receivers whose heartbeats come here; the control state is owned by the replica, what
-// is spread by the cluster.
+// A Plane owns the table of the receivers that send their heartbeats to this machine. The control state is owned by the
+// replica, and the published entries by the cluster.
 package controlplane
 
 import (
@@ -32,13 +32,13 @@
 )
 
 const (
-	// commandBound is how many commands may wait for the owner of the receivers.
-	commandBound = 256
-	// headerTimeout bounds the head of a call: callers are machines, not people.
-	headerTimeout = 5 * time.Second
-	idleTimeout   = 60 * time.Second
-	maxHeaderSize = 16 << 10
-	// replicaDiskShare is the part of the disk that the replica's journal may take.
+	// commandQueueSize is the number of commands that may be queued for the goroutine that owns the receiver table.
+	commandQueueSize = 256
+	// headerTimeout bounds the reading of a request's header. It is short because all clients are programs.
+	headerTimeout  = 5 * time.Second
+	idleTimeout    = 60 * time.Second
+	maxHeaderBytes = 16 << 10
+	// replicaDiskShare is the fraction of the disk that the replica's journal may use.
 	replicaDiskShare = 0.6
 )
 
@@ -47,36 +47,36 @@
 	base    *planes.Base
 	replica *replica.Replica
 	server  *http.Server
-	keeper  *keeper // nil without a disk
+	saver   *entrySaver // nil without a disk
 
-	receiverCommands chan func(*registration.Table)
-	done             chan struct{}
-	stop             context.CancelFunc
+	receiverQueue chan func(*registration.Table)
+	closed        chan struct{}
+	stop          context.CancelFunc
 
-	mutex sync.Mutex
-	ended bool // guarded by mutex
+	mutex    sync.Mutex
+	stopping bool // guarded by mutex
 }
 
-// Start opens the replica on the machine's disk, joins the others and serves.
+// Start opens the replica on the machine's disk, joins the cluster and serves.
 func Start(node *settings.Node, logger log.Interface) (*Plane, error) {
 	ctx, stop := context.WithCancel(context.Background())
 	p := &Plane{
 		base: planes.NewBase(node, settings.ControlPlane, logger), stop: stop,
-		receiverCommands: make(chan func(*registration.Table), commandBound),
-		done:             make(chan struct{}),
+		receiverQueue: make(chan func(*registration.Table), commandQueueSize),
+		closed:        make(chan struct{}),
 	}
-	if err := p.open(ctx); err != nil {
+	if err := p.startInternal(ctx); err != nil {
 		p.close()
 		return nil, err
 	}
-	go p.ownReceivers(ctx)
-	go p.watchStores(ctx)
-	go p.watchVoters(ctx)
-	return p, p.listen()
+	go p.runReceivers(ctx)
+	go p.removeDeadStores(ctx)
+	go p.monitorVoters(ctx)
+	return p, p.startAPI()
 }
 
-// open starts what other nodes call.
-func (p *Plane) open(ctx context.Context) error {
+// startInternal joins the cluster, opens the replica and serves the internal calls of other nodes.
+func (p *Plane) startInternal(ctx context.Context) error {
 	if err := p.base.Join(); err != nil {
 		return err
 	}
@@ -84,40 +84,40 @@
 	if p.replica, err = p.openReplica(); err != nil {
 		return err
 	}
-	p.recall()
-	p.keepKnown(ctx)
-	p.registerStores(p.base.Mux)
+	p.loadSavedEntries()
+	p.startEntrySaver(ctx)
+	p.registerStoreHandlers(p.base.Mux)
 	return p.base.Serve(p.addStatus)
 }
 
-// listen serves the operator and the receivers.
-func (p *Plane) listen() error {
+// startAPI serves the HTTP API for the operator and the receivers.
+func (p *Plane) startAPI() error {
 	listener, err := net.Listen("tcp4", p.base.Settings.Listen.Control)
 	if err != nil {
 		p.close()
 		return eris.Wrapf(err, "listen.control")
 	}
 	mux := http.NewServeMux()
-	p.registerOperator(mux)
-	p.registerReceivers(mux)
-	p.server = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderSize}
+	p.registerOperatorHandlers(mux)
+	p.registerReceiverHandlers(mux)
+	p.server = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 	go func() {
 		if err := p.server.Serve(listener); err != http.ErrServerClosed {
-			p.base.Log.WithError(err).Error("the control listener ended")
+			p.base.Log.WithError(err).Error("control API server failed")
 		}
 	}()
 	return nil
 }
 
-// openReplica takes up the control state that the disk holds. Only machines that count vote: any number of the
-// others may be gone at once. Where none of the core has a disk, what its members hold is lost with their processes.
+// openReplica opens the replica with the control state on the disk. Only machines that count for the quorum vote, as any
+// number of the others may be lost at once. Without a disk a member's state is lost with its process.
 func (p *Plane) openReplica() (*replica.Replica, error) {
 	node := p.base.Settings
 	options := replica.Options{
 		Name: node.Name, Address: p.base.Address, Zone: node.Zone,
 		Seeds: node.SeedInternalAddresses(), Bootstrap: node.Bootstrap, Voter: node.CountsForQuorum,
 		NewStateMachine: func() chain.StateMachine { return controlstate.New() },
-		OnCommit:        p.committed, Client: p.base.Client, Mux: p.base.Mux, Log: p.base.Log,
+		OnCommit:        p.publishCommitted, Client: p.base.Client, Mux: p.base.Mux, Log: p.base.Log,
 	}
 	if node.HasDisk() {
 		options.Files, options.Dir = vfs.OS{}, node.DataDir
@@ -126,11 +126,12 @@
 	return replica.Open(options)
 }
 
-// committed spreads a newly committed control state. Every member does; the same entry twice is one.
-func (p *Plane) committed(_, _ uint64, snapshot []byte) {
+// publishCommitted publishes a newly committed control state to the cluster. Every member does so; publishing an entry
+// twice has no further effect.
+func (p *Plane) publishCommitted(_, _ uint64, snapshot []byte) {
 	state := controlstate.New()
 	if err := state.Restore(snapshot); err != nil {
-		p.base.Log.WithError(err).Error("committed state cannot be read")
+		p.base.Log.WithError(err).Error("cannot decode the committed control state")
 		return
 	}
 	if version, body := state.Configuration(); version > 0 {
@@ -145,7 +146,7 @@
 	}
 	value, err := records.ConfigurationCodec.Encode(records.ConfigurationRecord{Version: version, Body: body})
 	if err != nil {
-		p.base.Log.WithError(err).Error("configuration not spread")
+		p.base.Log.WithError(err).Error("cannot encode the configuration; not published")
 		return
 	}
 	p.base.Cluster.Publish(cluster.Entry{Key: cluster.ConfigurationKey, Value: value, Stamp: cluster.Stamp{Epoch: version, Sequence: 1}})
@@ -157,57 +158,58 @@
 	}
 	entry, err := storewire.ViewEntry(view)
 	if err != nil {
-		p.base.Log.WithError(err).Error("store view not spread")
+		p.base.Log.WithError(err).Error("cannot encode the store view; not published")
 		return
 	}
 	p.base.Cluster.Publish(entry)
 }
 
-// heartbeatTarget is where receivers are asked to send their next heartbeats; empty while the plane ends.
+// heartbeatTarget returns the address to which receivers are asked to send their next heartbeats; empty during shutdown.
 func (p *Plane) heartbeatTarget() string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.ended {
+	if p.stopping {
 		return ""
 	}
 	return p.base.Settings.Listen.Control
 }
 
-// now is the plane's monotonic clock.
+// now returns the time of the plane's monotonic clock.
 func (p *Plane) now() time.Duration { return p.base.Uptime() }
 
-// Shutdown tells the others, answers what has been asked, and ends. It returns when all is done or ctx ends.
+// Shutdown leaves the chain and the cluster, completes the pending requests and stops. It returns when all is done or ctx
+// ends.
 func (p *Plane) Shutdown(ctx context.Context, _ time.Time) {
 	p.mutex.Lock()
-	p.ended = true
+	p.stopping = true
 	p.mutex.Unlock()
-	p.resign(ctx)
+	p.leaveChain(ctx)
 	if err := p.server.Shutdown(ctx); err != nil {
-		p.base.Log.WithError(err).Warn("calls were cut off by the stop")
+		p.base.Log.WithError(err).Warn("shutdown interrupted pending requests")
 	}
 	p.base.Leave(ctx)
 	p.close()
 }
 
-// resignTimeout bounds the wait until the others go on without this member.
-const resignTimeout = time.Second
+// leaveTimeout bounds the wait until the other members continue without this one.
+const leaveTimeout = time.Second
 
-func (p *Plane) resign(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, resignTimeout)
+func (p *Plane) leaveChain(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
 	p.replica.LeaveChain(ctx)
 }
 
 func (p *Plane) close() {
 	p.stop()
-	close(p.done)
+	close(p.closed)
 	if p.replica != nil {
 		_ = p.replica.Close()
 	}
 	p.base.Close()
 }
 
-// SetSeeds tells where other machines' control planes are.
+// SetSeeds sets the addresses of the other machines' control planes.
 func (p *Plane) SetSeeds(addresses []string) {
 	p.base.Cluster.SetSeeds(addresses)
 	p.replica.SetSeeds(addresses)
--- a/internal/tier/controlplane/receivers.go
+++ b/internal/tier/controlplane/receivers.go
@@ -14,62 +14,63 @@
 )
 
 const (
-	// maxHeartbeatBytes bounds a heartbeat: the protocol's own bound, with room.
+	// maxHeartbeatBytes is the maximum size of a heartbeat, above the limit of the protocol.
 	maxHeartbeatBytes = 64 << 10
-	// confirmTimeout bounds the wait for others to confirm that a receiver ends. Its receiver goes on to
+	// confirmTimeout bounds the wait for other nodes to confirm that a receiver drains or leaves. The receiver goes on to
 	// another node after a second without an acknowledgement.
 	confirmTimeout = 600 * time.Millisecond
-	// watchInterval is the time between two looks for silent receivers.
-	watchInterval = 500 * time.Millisecond
+	// silenceCheckInterval is the time between two checks for silent receivers.
+	silenceCheckInterval = 500 * time.Millisecond
 )
 
-// heartbeatBody is a heartbeat on the wire.
+// heartbeatBody is the JSON body of a heartbeat request.
 type heartbeatBody struct {
-	Service         string         `json:"service"`
-	Address         string         `json:"address"`
-	Zone            string         `json:"zone"`
-	Version         string         `json:"version"`
-	Slots           int            `json:"slots"`
-	State           string         `json:"state"`
-	ColdRemainingMS float64        `json:"cold_remaining_ms"`
-	Stage           string         `json:"stage"`
-	Models          []modelOfABeat `json:"models"`
-	Sequence        uint64         `json:"sequence"`
-}
-
-type modelOfABeat struct {
+	Service         string           `json:"service"`
+	Address         string           `json:"address"`
+	Zone            string           `json:"zone"`
+	Version         string           `json:"version"`
+	Slots           int              `json:"slots"`
+	State           string           `json:"state"`
+	ColdRemainingMS float64          `json:"cold_remaining_ms"`
+	Stage           string           `json:"stage"`
+	Models          []heartbeatModel `json:"models"`
+	Sequence        uint64           `json:"sequence"`
+}
+
+type heartbeatModel struct {
 	Name string `json:"name"`
 }
 
 const stateDraining = "draining"
 
-// heartbeatAnswer names the address of the next heartbeats: while they stay here only changes are spread.
+// heartbeatAnswer names the address for the next heartbeats. While a receiver stays with one node, only its changes are
+// published.
 type heartbeatAnswer struct {
 	Target string `json:"heartbeat_target,omitempty"`
 }
 
-// errUnconfirmed: the news that a receiver ends may be lost with this node and few others.
+// errUnconfirmed says that the end of a receiver may be lost with this node and a minority of the others.
 var errUnconfirmed = errors.New("no majority of the control nodes has confirmed the news")
 
-func (p *Plane) registerReceivers(mux *http.ServeMux) {
-	mux.HandleFunc("POST /api/Instances.Heartbeat/{id}", p.heartbeat)
-	mux.HandleFunc("POST /api/Instances.Leave/{id}", p.leave)
+func (p *Plane) registerReceiverHandlers(mux *http.ServeMux) {
+	mux.HandleFunc("POST /api/Instances.Heartbeat/{id}", p.handleHeartbeat)
+	mux.HandleFunc("POST /api/Instances.Leave/{id}", p.handleLeave)
 }
 
-func (p *Plane) heartbeat(w http.ResponseWriter, r *http.Request) {
+func (p *Plane) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
 	var body heartbeatBody
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxHeartbeatBytes)).Decode(&body); err != nil {
-		refuse(w, http.StatusBadRequest, "the heartbeat is not JSON: "+err.Error())
+		writeError(w, http.StatusBadRequest, "the heartbeat is not JSON: "+err.Error())
 		return
 	}
 	id := r.PathValue("id")
-	change := p.withReceivers(func(now time.Duration, table *registration.Table) registration.Change {
-		return table.Heartbeat(now, id, body.typed(), p.receiver(id))
+	change := p.updateReceivers(func(now time.Duration, table *registration.Table) registration.Change {
+		return table.Heartbeat(now, id, body.toHeartbeat(), p.receiverRecord(id))
 	})
-	p.spreadAndAnswer(w, r, change, heartbeatAnswer{Target: p.heartbeatTarget()})
+	p.publishAndAnswer(w, r, change, heartbeatAnswer{Target: p.heartbeatTarget()})
 }
 
-func (b heartbeatBody) typed() registration.Heartbeat {
+func (b heartbeatBody) toHeartbeat() registration.Heartbeat {
 	models := make([]string, 0, len(b.Models))
 	for _, m := range b.Models {
 		models = append(models, m.Name)
@@ -81,30 +82,30 @@
 	}
 }
 
-func (p *Plane) leave(w http.ResponseWriter, r *http.Request) {
+func (p *Plane) handleLeave(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
-	change := p.withReceivers(func(_ time.Duration, table *registration.Table) registration.Change {
-		return table.Leave(id, p.receiver(id))
+	change := p.updateReceivers(func(_ time.Duration, table *registration.Table) registration.Change {
+		return table.Leave(id, p.receiverRecord(id))
 	})
-	p.spreadAndAnswer(w, r, change, struct{}{})
+	p.publishAndAnswer(w, r, change, struct{}{})
 }
 
-// spreadAndAnswer spreads a change and acknowledges it. That a receiver ends is acknowledged only once a majority of
-// the control nodes know it: from then on no request may reach it for longer than the drain bound, whatever becomes of
-// this node, and a proxy compares what it knows with a majority before it serves.
-func (p *Plane) spreadAndAnswer(w http.ResponseWriter, r *http.Request, change registration.Change, body any) {
-	if err := p.spread(r.Context(), change); err != nil {
-		refuse(w, http.StatusServiceUnavailable, err.Error())
+// publishAndAnswer publishes a change and acknowledges it. The end of a receiver is acknowledged only once a majority of the
+// control nodes know it. From then on no request may reach the receiver for longer than the drain bound, whether or not this
+// node fails, as a proxy compares its entries with those of a majority before it serves.
+func (p *Plane) publishAndAnswer(w http.ResponseWriter, r *http.Request, change registration.Change, body any) {
+	if err := p.publishChange(r.Context(), change); err != nil {
+		writeError(w, http.StatusServiceUnavailable, err.Error())
 		return
 	}
-	answer(w, body)
+	writeJSON(w, body)
 }
 
-func (p *Plane) spread(ctx context.Context, change registration.Change) error {
+func (p *Plane) publishChange(ctx context.Context, change registration.Change) error {
 	if !change.News && !change.Ends {
 		return nil
 	}
-	entry, err := p.entryOf(change)
+	entry, err := p.changeEntry(change)
 	if err != nil {
 		return err
 	}
@@ -112,11 +113,11 @@
 		p.base.Cluster.Publish(entry)
 		return nil
 	}
-	return p.confirm(ctx, change.Record, entry)
+	return p.confirmByMajority(ctx, change.Record, entry)
 }
 
-// entryOf is what is to be spread of a change: news, or what the cluster has already.
-func (p *Plane) entryOf(change registration.Change) (cluster.Entry, error) {
+// changeEntry returns the entry to publish for a change: a new one, or the one that the cluster already has.
+func (p *Plane) changeEntry(change registration.Change) (cluster.Entry, error) {
 	key := cluster.ReceiverPrefix + change.Record.ID
 	if !change.News {
 		known, ok := p.base.Cluster.Get(key)
@@ -129,12 +130,12 @@
 	return cluster.Entry{Key: key, Value: value, Stamp: change.Stamp}, err
 }
 
-// confirm brings the news that a receiver ends to the others, and says whether a majority of the voters have it, on disk
-// where they have one: all machines may lose power at the next moment, and the receiver may not say it again.
-func (p *Plane) confirm(ctx context.Context, record records.ReceiverRecord, entry cluster.Entry) error {
-	confirmed := p.tellOthers(ctx, entry)
+// confirmByMajority publishes the end of a receiver and returns nil if a majority of the voters have it, on disk if they
+// have one: all machines may lose power at the next moment, and the receiver may not report its end again.
+func (p *Plane) confirmByMajority(ctx context.Context, record records.ReceiverRecord, entry cluster.Entry) error {
+	confirmed := p.publishToOthers(ctx, entry)
 	var holders []string
-	if p.keptHere(ctx, entry.Key) == nil {
+	if p.waitSavedLocally(ctx, entry.Key) == nil {
 		holders = append(holders, p.base.Address)
 	}
 	for _, n := range confirmed {
@@ -142,26 +143,26 @@
 			holders = append(holders, n.Address)
 		}
 	}
-	if !registration.Majority(p.voters(), holders) {
+	if !registration.Majority(p.voterAddresses(), holders) {
 		return errUnconfirmed
 	}
-	p.withReceivers(func(_ time.Duration, table *registration.Table) registration.Change {
+	p.updateReceivers(func(_ time.Duration, table *registration.Table) registration.Change {
 		table.Confirmed(record)
 		return registration.Change{}
 	})
 	return nil
 }
 
-// tellOthers brings an entry to the others and gives those that have confirmed it in time.
-func (p *Plane) tellOthers(ctx context.Context, entry cluster.Entry) []cluster.Node {
+// publishToOthers publishes an entry and returns the other nodes that confirmed it in time.
+func (p *Plane) publishToOthers(ctx context.Context, entry cluster.Entry) []cluster.Node {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	confirmed, _ := p.base.Cluster.PublishConfirmed(ctx, entry, cluster.Control, cluster.Proxy)
 	return confirmed
 }
 
-// voters are the addresses of the control nodes that vote, as this one knows them.
-func (p *Plane) voters() []string {
+// voterAddresses returns the addresses of the voting control nodes that this node knows.
+func (p *Plane) voterAddresses() []string {
 	var addresses []string
 	for _, m := range p.replica.Members() {
 		addresses = append(addresses, m.Address)
@@ -169,8 +170,8 @@
 	return addresses
 }
 
-// receiver gives what the cluster knows of a receiver.
-func (p *Plane) receiver(id string) *records.ReceiverRecord {
+// receiverRecord returns the cluster's record of a receiver, or nil if there is none.
+func (p *Plane) receiverRecord(id string) *records.ReceiverRecord {
 	entry, known := p.base.Cluster.Get(cluster.ReceiverPrefix + id)
 	if !known {
 		return nil
@@ -182,8 +183,8 @@
 	return &record
 }
 
-// receivers gives all known receivers.
-func (p *Plane) receivers() []records.ReceiverRecord {
+// receiverRecords returns the cluster's records of all receivers.
+func (p *Plane) receiverRecords() []records.ReceiverRecord {
 	entries := p.base.Cluster.List(cluster.ReceiverPrefix)
 	list := make([]records.ReceiverRecord, 0, len(entries))
 	for _, e := range entries {
@@ -194,51 +195,51 @@
 	return list
 }
 
-// ownReceivers owns the table of receivers: it works through the commands that come, and looks for silent
-// receivers, until the plane ends.
-func (p *Plane) ownReceivers(ctx context.Context) {
+// runReceivers owns the table of receivers: it executes the queued commands and checks for silent receivers until the plane
+// stops.
+func (p *Plane) runReceivers(ctx context.Context) {
 	table := registration.New(p.base.Settings.Name, p.base.Settings.HeartbeatInterval)
-	ticker := time.NewTicker(watchInterval)
+	ticker := time.NewTicker(silenceCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case command := <-p.receiverCommands:
+		case command := <-p.receiverQueue:
 			command(table)
 		case <-ticker.C:
-			p.tickReceivers(ctx, table)
+			p.checkSilentReceivers(ctx, table)
 		}
 	}
 }
 
-func (p *Plane) tickReceivers(ctx context.Context, table *registration.Table) {
-	living := map[string]bool{}
+func (p *Plane) checkSilentReceivers(ctx context.Context, table *registration.Table) {
+	aliveOwners := map[string]bool{}
 	for _, n := range p.base.Cluster.Nodes() {
 		if n.Role == cluster.Control && (n.State == cluster.Alive || n.State == cluster.Suspect) {
-			living[n.Name] = true
+			aliveOwners[n.Name] = true
 		}
 	}
-	changes := table.Tick(p.now(), p.receivers(), func(owner string) bool { return living[owner] })
+	changes := table.Tick(p.now(), p.receiverRecords(), func(owner string) bool { return aliveOwners[owner] })
 	for _, change := range changes {
 		p.base.Log.WithField("receiver", change.Record.ID).WithField("state", change.Record.State.String()).Info("receiver silent")
-		_ = p.spread(ctx, change)
+		_ = p.publishChange(ctx, change)
 	}
 }
 
-// withReceivers runs a step on the table of receivers, on its owner. A plane that ends changes nothing.
-func (p *Plane) withReceivers(step func(time.Duration, *registration.Table) registration.Change) registration.Change {
+// updateReceivers runs an update of the receiver table on the goroutine that owns it. During shutdown it changes nothing.
+func (p *Plane) updateReceivers(update func(time.Duration, *registration.Table) registration.Change) registration.Change {
 	result := make(chan registration.Change, 1)
-	command := func(table *registration.Table) { result <- step(p.now(), table) }
+	command := func(table *registration.Table) { result <- update(p.now(), table) }
 	select {
-	case p.receiverCommands <- command:
-	case <-p.done:
+	case p.receiverQueue <- command:
+	case <-p.closed:
 		return registration.Change{}
 	}
 	select {
 	case change := <-result:
 		return change
-	case <-p.done:
+	case <-p.closed:
 		return registration.Change{}
 	}
 }
--- a/internal/tier/controlplane/status.go
+++ b/internal/tier/controlplane/status.go
@@ -7,21 +7,21 @@
 	"emberquay/internal/tier/nodestatus"
 )
 
-// addStatus adds what an operator is told of this plane.
+// addStatus adds the status of this control plane to the node's status.
 func (p *Plane) addStatus(_ context.Context, status *nodestatus.Status) error {
 	replica := p.replica.Status()
 	stores, _ := p.base.Cluster.Get(cluster.StoresKey)
-	control := &nodestatus.Control{
+	controlStatus := &nodestatus.Control{
 		ID: int64(replica.Self.ID), Member: replica.IsMember, Epoch: replica.View.Epoch,
 		StoreEpoch: int64(stores.Stamp.Epoch),
 	}
 	for _, m := range replica.View.Members {
 		member := nodestatus.Member{ID: int64(m.ID), Name: m.Name, Address: m.Address, Zone: m.Zone}
-		control.Members = append(control.Members, member)
+		controlStatus.Members = append(controlStatus.Members, member)
 	}
 	for _, id := range replica.View.Chain {
-		control.Chain = append(control.Chain, int64(id))
+		controlStatus.Chain = append(controlStatus.Chain, int64(id))
 	}
-	status.Control = control
+	status.Control = controlStatus
 	return nil
 }
--- a/internal/tier/controlplane/stores.go
+++ b/internal/tier/controlplane/stores.go
@@ -10,35 +10,35 @@
 	"emberquay/internal/tier/transport"
 )
 
-func (p *Plane) registerStores(mux *transport.Mux) {
-	storewire.HandleStoreNews(mux, storewire.RegisterStore, p.registerStore)
-	storewire.HandleStoreNews(mux, storewire.StoreRetired, p.storeRetired)
+func (p *Plane) registerStoreHandlers(mux *transport.Mux) {
+	storewire.HandleStoreNews(mux, storewire.RegisterStore, p.handleRegisterStore)
+	storewire.HandleStoreNews(mux, storewire.StoreRetired, p.handleStoreRetired)
 }
 
-// registerStore has a disk taken into the store view.
-func (p *Plane) registerStore(ctx context.Context, n storewire.StoreNews) (storewire.StoreNewsAnswer, error) {
-	return p.storeOrder(ctx, controlstate.Command{
+// handleRegisterStore proposes to add a store to the store view.
+func (p *Plane) handleRegisterStore(ctx context.Context, notice storewire.StoreNews) (storewire.StoreNewsAnswer, error) {
+	return p.proposeStoreCommand(ctx, controlstate.Command{
 		Kind:      controlstate.RegisterStore,
-		Store:     controlstate.StoreMember{ID: n.ID, Node: n.Node, Zone: n.Zone, Address: n.Address},
-		Bootstrap: n.Bootstrap,
+		Store:     controlstate.StoreMember{ID: notice.ID, Node: notice.Node, Zone: notice.Zone, Address: notice.Address},
+		Bootstrap: notice.Bootstrap,
 		Tolerance: p.base.Settings.Tolerance.Machines,
 	})
 }
 
-// storeRetired notes that nothing is left on a store's disk that is not elsewhere.
-func (p *Plane) storeRetired(ctx context.Context, n storewire.StoreNews) (storewire.StoreNewsAnswer, error) {
-	return p.storeOrder(ctx, controlstate.Command{Kind: controlstate.RetireCompleted, Node: n.Node, StoreID: n.ID})
+// handleStoreRetired proposes to complete the retirement of a store: all of its data is on other stores.
+func (p *Plane) handleStoreRetired(ctx context.Context, notice storewire.StoreNews) (storewire.StoreNewsAnswer, error) {
+	return p.proposeStoreCommand(ctx, controlstate.Command{Kind: controlstate.RetireCompleted, Node: notice.Node, StoreID: notice.ID})
 }
 
-func (p *Plane) storeOrder(ctx context.Context, c controlstate.Command) (storewire.StoreNewsAnswer, error) {
-	result, err := p.propose(ctx, c)
+func (p *Plane) proposeStoreCommand(ctx context.Context, command controlstate.Command) (storewire.StoreNewsAnswer, error) {
+	result, err := p.propose(ctx, command)
 	if err != nil {
 		return storewire.StoreNewsAnswer{}, err
 	}
 	return storewire.StoreNewsAnswer{Status: result.Status, Reason: result.Message}, nil
 }
 
-// propose hands a command to the chain and reads its result. An error leaves its fate open.
+// propose submits a command to the chain and returns its result. After an error the outcome of the command is unknown.
 func (p *Plane) propose(ctx context.Context, command controlstate.Command) (controlstate.Result, error) {
 	reply, err := p.replica.Propose(ctx, controlstate.EncodeCommand(command))
 	if err != nil {
--- a/internal/tier/controlplane/voters.go
+++ b/internal/tier/controlplane/voters.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// voterInterval is the time between two looks at how many control nodes vote.
-const voterInterval = 5 * time.Second
+// voterCheckInterval is the time between two checks of the number of voting control nodes.
+const voterCheckInterval = 5 * time.Second
 
-// votersNeeded is how many have to vote so that a majority is left when as many machines as tolerated are lost at once,
-// with their disks.
-func votersNeeded(tolerance int) int { return 2*tolerance + 1 }
+// requiredVoters returns how many voters are needed so that a majority remains when as many machines as tolerated are lost
+// at once, with their disks.
+func requiredVoters(tolerance int) int { return 2*tolerance + 1 }
 
-// watchVoters says in the log when fewer vote than the tolerance asks for: a deployment that starts too few control nodes
-// works well until the day on which they are lost.
-func (p *Plane) watchVoters(ctx context.Context) {
-	ticker := time.NewTicker(voterInterval)
+// monitorVoters logs a warning while there are fewer voters than the tolerance requires: a deployment with too few control
+// nodes works without any other sign until machines are lost.
+func (p *Plane) monitorVoters(ctx context.Context) {
+	ticker := time.NewTicker(voterCheckInterval)
 	defer ticker.Stop()
-	said := 0 // voters at the last line; 0: enough
+	warnedVoters := 0 // number of voters in the last warning; 0: enough voters
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			said = p.sayVoters(said)
+			warnedVoters = p.warnMissingVoters(warnedVoters)
 		}
 	}
 }
 
-func (p *Plane) sayVoters(said int) int {
-	voters, needed := len(p.replica.Members()), votersNeeded(p.base.Settings.Tolerance.Machines)
+func (p *Plane) warnMissingVoters(warnedVoters int) int {
+	voters, needed := len(p.replica.Members()), requiredVoters(p.base.Settings.Tolerance.Machines)
 	if voters == 0 || voters >= needed {
 		return 0
 	}
-	if voters != said {
+	if voters != warnedVoters {
 		p.base.Log.WithField("voters", voters).WithField("needed", needed).
-			Warn("too few control nodes vote: the control state does not bear the losses that fault_tolerance names")
+			Warn("too few voting control nodes: the control state cannot survive the losses that fault_tolerance allows")
 	}
 	return voters
 }
