--- a/cmd/emberquay/disk_test.go
+++ b/cmd/emberquay/disk_test.go
@@ -36,7 +36,7 @@
 	view := controlstate.StoreView{Epoch: 3, Members: []controlstate.StoreMember{
 		{ID: s.ID(), Node: "store-1", Zone: "a", Address: "127.0.0.1:1"}}}
 	s.SetView(view)
-	header := storewire.Header{Epoch: 3, Store: s.ID()}
+	header := storewire.Header{Epoch: 3, StoreID: s.ID()}
 	for _, turn := range []storewire.Turn{
 		{ID: "t-0", Root: "t-0", Input: []byte("a question")},
 		{ID: "t-1", Root: "t-0", Previous: "t-0"},
@@ -44,13 +44,13 @@
 	} {
 		answer, err := s.Commit(ctx, storewire.CommitRequest{Header: header, Turn: turn})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.Reply.Standing).To(Equal(storewire.Served))
+		Expect(answer.Reply.Status).To(Equal(storewire.Served))
 	}
 	reserved, err := s.Reserve(ctx, storewire.ReserveRequest{
-		Header: header, Program: "p", Turn: "t-2", Budget: 10, Most: 6,
+		Header: header, Program: "p", Turn: "t-2", BudgetTokens: 10, MaxTokens: 6,
 	})
 	Expect(err).NotTo(HaveOccurred())
-	Expect(reserved.Kept).To(BeTrue())
+	Expect(reserved.Stored).To(BeTrue())
 	Expect(s.Close()).To(Succeed())
 	return dir
 }
--- a/internal/lab/sim/commit.go
+++ b/internal/lab/sim/commit.go
@@ -58,7 +58,7 @@
 	if w.one(shortOnes) {
 		life = w.between(leastRetention, mostRetention)
 	}
-	record := storewire.Turn{ID: turn, Root: turn, Home: e.life.host.zone, RetentionMillis: life.Milliseconds(), Input: []byte(turn)}
+	record := storewire.Turn{ID: turn, Root: turn, HomeZone: e.life.host.zone, RetentionMillis: life.Milliseconds(), Input: []byte(turn)}
 	confirmed := map[string]bool{}
 	began, until := w.now, w.now+commitLimit
 	done := false
@@ -73,7 +73,7 @@
 			if want > 0 && !w.has(commitHoldsOn) {
 				want += hedges(w.now - began)
 			}
-			for _, at := range placesOf(view).AppendOrder(placement.KeyOf(record.Root), record.Home, nil) {
+			for _, at := range placesOf(view).AppendOrder(placement.KeyOf(record.Root), record.HomeZone, nil) {
 				m := view.Members[at]
 				if want <= 0 || confirmed[m.ID] {
 					continue
@@ -140,7 +140,7 @@
 		}
 	}
 	unknown := map[string]bool{}
-	enough := view.Unknown()
+	enough := view.NotFoundQuorum()
 	if w.has(missingTooSoon) {
 		enough = 1
 	}
--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -249,7 +249,7 @@
 	}
 	stores := state.Stores()
 	if stores.Epoch > 0 && r.older(core.StoresKey, stores.Epoch) {
-		if entry, err := storewire.ViewEntry(stores); err == nil {
+		if entry, err := storewire.EncodeViewEntry(stores); err == nil {
 			r.life.core.Publish(w.clock(), entry)
 		}
 	}
--- a/internal/lab/sim/edge.go
+++ b/internal/lab/sim/edge.go
@@ -30,7 +30,7 @@
 	case entry.Key == core.ConfigurationKey:
 		e.configure(entry)
 	case entry.Key == core.StoresKey:
-		if view, err := storewire.ReadViewEntry(entry); err == nil {
+		if view, err := storewire.DecodeViewEntry(entry); err == nil {
 			e.adopt(storewire.ViewOf(view))
 		}
 	case strings.HasPrefix(entry.Key, core.ReceiverPrefix):
@@ -89,10 +89,10 @@
 }
 
 // usable says whether there are stores enough to keep anything.
-func (e *edge) usable() bool { return e.view.Epoch > 0 && e.view.Active() >= e.view.Copies() }
+func (e *edge) usable() bool { return e.view.Epoch > 0 && e.view.ActiveCount() >= e.view.Copies() }
 
 func (e *edge) header(m storewire.Member) storewire.Header {
-	return storewire.Header{Epoch: e.view.Epoch, Store: m.ID}
+	return storewire.Header{Epoch: e.view.Epoch, StoreID: m.ID}
 }
 
 // heed takes from a reply what it says of the view, and tells whether the rest counts.
@@ -100,5 +100,5 @@
 	if r.View.Epoch > 0 {
 		e.adopt(r.View)
 	}
-	return r.Standing == storewire.Served
+	return r.Status == storewire.Served
 }
--- a/internal/lab/sim/repair.go
+++ b/internal/lab/sim/repair.go
@@ -58,7 +58,7 @@
 		if m.ID == t.id {
 			continue
 		}
-		header := storewire.Header{Epoch: view.Epoch, Store: m.ID}
+		header := storewire.Header{Epoch: view.Epoch, StoreID: m.ID}
 		exchange(t.life.host.world, t.life, m.Address, func(l *life, reply func(parcel)) {
 			if l.table == nil {
 				return
@@ -72,7 +72,7 @@
 			}
 			t.takeParcel(p)
 			told++
-			if told == view.CatchUp() {
+			if told == view.CatchUpQuorum() {
 				t.write(storeRecord{complete: true})
 				t.sync(func() {})
 			}
@@ -113,7 +113,7 @@
 // deliver brings a parcel to a member and says once it is on its disk.
 func (t *storeTable) deliver(m storewire.Member, p parcel, done func()) {
 	epoch := t.view.Epoch
-	p.header = storewire.Header{Epoch: epoch, Store: m.ID}
+	p.header = storewire.Header{Epoch: epoch, StoreID: m.ID}
 	exchange(t.life.host.world, t.life, m.Address, func(l *life, reply func(bool)) {
 		if l.table == nil {
 			return
@@ -140,7 +140,7 @@
 		return
 	}
 	m := pick(w, others)
-	at, header, digest := t.view.Find(m.ID), storewire.Header{Epoch: t.view.Epoch, Store: m.ID}, uint64(0)
+	at, header, digest := t.view.IndexOf(m.ID), storewire.Header{Epoch: t.view.Epoch, StoreID: m.ID}, uint64(0)
 	digest = t.digest(at)
 	exchange(w, t.life, m.Address, func(l *life, reply func(bool)) {
 		if l.table == nil {
@@ -188,7 +188,7 @@
 
 // emptied says whether all that is held is on the disks of others.
 func (t *storeTable) emptied() bool {
-	if t.view.Active() < t.view.Copies() {
+	if t.view.ActiveCount() < t.view.Copies() {
 		return false
 	}
 	for _, m := range t.view.Members {
--- a/internal/lab/sim/reserve.go
+++ b/internal/lab/sim/reserve.go
@@ -109,7 +109,7 @@
 	if r.over || r.round != round || e.life.host.world.now >= r.until {
 		return
 	}
-	q := storewire.ReserveRequest{Header: e.header(m), Program: r.program.name, Turn: r.turn, Budget: r.program.budget, Most: r.program.most,
+	q := storewire.ReserveRequest{Header: e.header(m), Program: r.program.name, Turn: r.turn, BudgetTokens: r.program.budget, MaxTokens: r.program.most,
 		Recheck: round > 0, Whole: whole}
 	epoch := r.view.Epoch
 	exchange(e.life.host.world, e.life, m.Address, func(l *life, reply func(storewire.ReserveAnswer)) {
@@ -137,8 +137,8 @@
 	if !served || err != nil || !a.Reply.Complete {
 		return
 	}
-	report := budget.Report{TurnClosed: a.Closed, SettledTokens: a.Settled, Digest: uint64(a.Digest), Whole: a.Whole, Entries: entries}
-	if r.round == 0 && !a.Kept && !report.TurnClosed && report.SettledTokens < r.program.budget {
+	report := budget.Report{TurnClosed: a.TurnClosed, SettledTokens: a.SettledTokens, Digest: uint64(a.Digest), Whole: a.Whole, Entries: entries}
+	if r.round == 0 && !a.Stored && !report.TurnClosed && report.SettledTokens < r.program.budget {
 		return
 	}
 	wasQuorate := r.attempt.HasQuorum()
@@ -197,7 +197,7 @@
 	w := e.life.host.world
 	until := w.now + settleLimit
 	for _, m := range e.view.Members {
-		e.settleAt(m, storewire.Settlement{Program: program, Turn: int64(budget.TurnKeyOf(turn)), Used: used}, until)
+		e.settleAt(m, storewire.Settlement{Program: program, TurnKey: int64(budget.TurnKeyOf(turn)), UsedTokens: used}, until)
 	}
 }
 
@@ -214,8 +214,8 @@
 		}
 	}, func(r storewire.Reply) { known = e.heed(r) || known })
 	e.life.later(settleRetry, func() {
-		if !known && e.view.Find(m.ID) >= 0 {
-			e.settleAt(e.view.Members[e.view.Find(m.ID)], s, until)
+		if !known && e.view.IndexOf(m.ID) >= 0 {
+			e.settleAt(e.view.Members[e.view.IndexOf(m.ID)], s, until)
 		}
 	})
 }
--- a/internal/lab/sim/run.go
+++ b/internal/lab/sim/run.go
@@ -243,7 +243,7 @@
 func (w *world) repaired() {
 	for _, h := range w.of(storeRole) {
 		t := h.life.table
-		self := t.view.Find(t.id)
+		self := t.view.IndexOf(t.id)
 		for _, kept := range w.turns {
 			if w.now >= kept.at+kept.retention()-repairSpan || !slices.Contains(t.places(kept.record), self) {
 				continue
@@ -260,7 +260,7 @@
 func (w *world) state() string {
 	said := ""
 	for _, h := range w.of(storeRole) {
-		if h.life == nil || !h.life.table.complete || h.life.table.view.Find(h.life.table.id) < 0 {
+		if h.life == nil || !h.life.table.complete || h.life.table.view.IndexOf(h.life.table.id) < 0 {
 			said += h.name + " "
 		}
 	}
--- a/internal/lab/sim/store.go
+++ b/internal/lab/sim/store.go
@@ -190,7 +190,7 @@
 	if e.Key != core.StoresKey {
 		return
 	}
-	if stores, err := storewire.ReadViewEntry(e); err == nil {
+	if stores, err := storewire.DecodeViewEntry(e); err == nil {
 		t.adopt(storewire.ViewOf(stores))
 	}
 }
@@ -206,7 +206,7 @@
 }
 
 func (t *storeTable) self() (storewire.Member, bool) {
-	at := t.view.Find(t.id)
+	at := t.view.IndexOf(t.id)
 	if at < 0 {
 		return storewire.Member{}, false
 	}
@@ -238,12 +238,12 @@
 func (t *storeTable) admit(h storewire.Header) (storewire.Reply, bool) {
 	r := storewire.Reply{Complete: t.complete || t.life.host.world.has(incompleteCounts)}
 	switch {
-	case h.Store != t.id:
-		r.Standing = storewire.Foreign
+	case h.StoreID != t.id:
+		r.Status = storewire.WrongStore
 	case h.Epoch < t.view.Epoch:
-		r.Standing, r.View = storewire.Stale, t.view
+		r.Status, r.View = storewire.StaleView, t.view
 	case h.Epoch > t.view.Epoch:
-		r.Standing = storewire.Busy // until the view has come here
+		r.Status = storewire.Busy // until the view has come here
 	default:
 		return r, true
 	}
@@ -265,7 +265,7 @@
 	if !q.Recheck {
 		switch t.ledger(q.Program).CheckReserve(key) {
 		case budget.Opened:
-			t.write(storeRecord{program: q.Program, entry: budget.Entry{Turn: key, Tokens: q.Most, Open: true}})
+			t.write(storeRecord{program: q.Program, entry: budget.Entry{Turn: key, Tokens: q.MaxTokens, Open: true}})
 			kept = true
 		case budget.AlreadyOpen:
 			kept = true
@@ -275,7 +275,7 @@
 	report := t.ledger(q.Program).Report(key, q.Whole)
 	slices.SortFunc(report.Entries, func(a, b budget.Entry) int { return cmp.Compare(a.Turn, b.Turn) })
 	answer := func() {
-		reply(storewire.ReserveAnswer{Reply: r, Kept: kept, Closed: report.TurnClosed, Settled: report.SettledTokens, Digest: int64(report.Digest),
+		reply(storewire.ReserveAnswer{Reply: r, Stored: kept, TurnClosed: report.TurnClosed, SettledTokens: report.SettledTokens, Digest: int64(report.Digest),
 			Whole: report.Whole, Entries: budget.EncodeEntries(nil, report.Entries)})
 	}
 	if q.Recheck {
@@ -297,7 +297,7 @@
 		return
 	}
 	for _, s := range q.Settlements {
-		t.write(storeRecord{program: s.Program, entry: budget.Entry{Turn: budget.TurnKey(s.Turn), Tokens: s.Used}})
+		t.write(storeRecord{program: s.Program, entry: budget.Entry{Turn: budget.TurnKey(s.TurnKey), Tokens: s.UsedTokens}})
 	}
 	// As in internal/tier/store the answer does not wait for the disk: what is lost counts at its most.
 	t.fenced(func() { reply(r) })
@@ -311,7 +311,7 @@
 		return
 	}
 	if t.stalled() {
-		r.Standing = storewire.Busy
+		r.Status = storewire.Busy
 		reply(r)
 		return
 	}
@@ -370,7 +370,7 @@
 	if known, ok := t.placed[x.ID]; ok {
 		return known
 	}
-	order := placesOf(t.view).AppendOrder(placement.KeyOf(x.Root), x.Home, nil)
+	order := placesOf(t.view).AppendOrder(placement.KeyOf(x.Root), x.HomeZone, nil)
 	order = order[:min(len(order), t.view.Copies())]
 	t.placed[x.ID] = order
 	return order
--- a/internal/tier/controlplane/deadstores.go
+++ b/internal/tier/controlplane/deadstores.go
@@ -82,7 +82,7 @@
 	if !known {
 		return controlstate.StoreView{}
 	}
-	view, err := storewire.ReadViewEntry(entry)
+	view, err := storewire.DecodeViewEntry(entry)
 	if err != nil {
 		return controlstate.StoreView{}
 	}
--- a/internal/tier/controlplane/plane.go
+++ b/internal/tier/controlplane/plane.go
@@ -156,7 +156,7 @@
 	if known, ok := p.base.Cluster.Get(cluster.StoresKey); view.Epoch == 0 || ok && known.Stamp.Epoch >= view.Epoch {
 		return
 	}
-	entry, err := storewire.ViewEntry(view)
+	entry, err := storewire.EncodeViewEntry(view)
 	if err != nil {
 		p.base.Log.WithError(err).Error("cannot encode the store view; not published")
 		return
--- a/internal/tier/controlplane/stores.go
+++ b/internal/tier/controlplane/stores.go
@@ -11,12 +11,12 @@
 )
 
 func (p *Plane) registerStoreHandlers(mux *transport.Mux) {
-	storewire.HandleStoreNews(mux, storewire.RegisterStore, p.handleRegisterStore)
-	storewire.HandleStoreNews(mux, storewire.StoreRetired, p.handleStoreRetired)
+	storewire.HandleStoreNotifications(mux, storewire.RegisterStore, p.handleRegisterStore)
+	storewire.HandleStoreNotifications(mux, storewire.StoreRetired, p.handleStoreRetired)
 }
 
 // handleRegisterStore proposes to add a store to the store view.
-func (p *Plane) handleRegisterStore(ctx context.Context, notice storewire.StoreNews) (storewire.StoreNewsAnswer, error) {
+func (p *Plane) handleRegisterStore(ctx context.Context, notice storewire.StoreNotification) (storewire.StoreNotificationAnswer, error) {
 	return p.proposeStoreCommand(ctx, controlstate.Command{
 		Kind:      controlstate.RegisterStore,
 		Store:     controlstate.StoreMember{ID: notice.ID, Node: notice.Node, Zone: notice.Zone, Address: notice.Address},
@@ -26,16 +26,16 @@
 }
 
 // handleStoreRetired proposes to complete the retirement of a store: all of its data is on other stores.
-func (p *Plane) handleStoreRetired(ctx context.Context, notice storewire.StoreNews) (storewire.StoreNewsAnswer, error) {
+func (p *Plane) handleStoreRetired(ctx context.Context, notice storewire.StoreNotification) (storewire.StoreNotificationAnswer, error) {
 	return p.proposeStoreCommand(ctx, controlstate.Command{Kind: controlstate.RetireCompleted, Node: notice.Node, StoreID: notice.ID})
 }
 
-func (p *Plane) proposeStoreCommand(ctx context.Context, command controlstate.Command) (storewire.StoreNewsAnswer, error) {
+func (p *Plane) proposeStoreCommand(ctx context.Context, command controlstate.Command) (storewire.StoreNotificationAnswer, error) {
 	result, err := p.propose(ctx, command)
 	if err != nil {
-		return storewire.StoreNewsAnswer{}, err
+		return storewire.StoreNotificationAnswer{}, err
 	}
-	return storewire.StoreNewsAnswer{Status: result.Status, Reason: result.Message}, nil
+	return storewire.StoreNotificationAnswer{Status: result.Status, Reason: result.Message}, nil
 }
 
 // propose submits a command to the chain and returns its result. After an error the outcome of the command is unknown.
--- a/internal/tier/dataplane/plane.go
+++ b/internal/tier/dataplane/plane.go
@@ -135,7 +135,7 @@
 }
 
 func (p *Plane) takeStores(entry cluster.Entry) {
-	view, err := storewire.ReadViewEntry(entry)
+	view, err := storewire.DecodeViewEntry(entry)
 	if err != nil {
 		p.base.Log.WithError(err).Error("store view cannot be read")
 		return
--- a/internal/tier/proxy/turn.go
+++ b/internal/tier/proxy/turn.go
@@ -115,7 +115,7 @@
 	switch {
 	case found == storeclient.Missing:
 		return http.StatusNotFound
-	case granted == storeclient.Spent:
+	case granted == storeclient.Exhausted:
 		return http.StatusPaymentRequired
 	case found != storeclient.Found || granted != storeclient.Granted:
 		return http.StatusServiceUnavailable
@@ -128,7 +128,7 @@
 }
 
 func (t *turn) reserve(ctx context.Context) storeclient.Verdict {
-	return t.store.Reserve(ctx, storeclient.Reservation{Program: t.program, Turn: t.id, Budget: t.budget, Most: t.maxOutputTokens})
+	return t.store.Reserve(ctx, storeclient.Reservation{Program: t.program, Turn: t.id, BudgetTokens: t.budget, MaxTokens: t.maxOutputTokens})
 }
 
 // prependHistory sets the history to be sent in front of the new input. It returns 503 if the memory budget is used up.
--- a/internal/tier/proxy/turn_test.go
+++ b/internal/tier/proxy/turn_test.go
@@ -43,7 +43,7 @@
 		Expect(turn).To(Equal(storeclient.Turn{
 			ID: "9c41", Root: "9c41", Program: "3fa81c", Input: []byte("new"), Output: []byte("to\n do\n"), Tokens: 6,
 		}))
-		Expect(p.store.reserved).To(Equal([]storeclient.Reservation{{Program: "3fa81c", Turn: "9c41", Budget: 1080, Most: 135}}))
+		Expect(p.store.reserved).To(Equal([]storeclient.Reservation{{Program: "3fa81c", Turn: "9c41", BudgetTokens: 1080, MaxTokens: 135}}))
 		Expect(<-p.store.settled).To(Equal(settlement{program: "3fa81c", turn: "9c41", used: 6}))
 	})
 
@@ -131,11 +131,11 @@
 			}
 			Expect(p.store.settled).NotTo(Receive())
 		},
-		Entry("the budget is spent", storeclient.Spent, storeclient.Found, 402, false),
+		Entry("the budget is spent", storeclient.Exhausted, storeclient.Found, 402, false),
 		Entry("the budget is undecided", storeclient.Undecided, storeclient.Found, 503, false),
 		Entry("the previous turn does not exist", storeclient.Granted, storeclient.Missing, 404, true),
-		Entry("the previous turn is uncertain", storeclient.Granted, storeclient.Unsure, 503, true),
-		Entry("both are undecided", storeclient.Undecided, storeclient.Unsure, 503, false),
+		Entry("the previous turn is uncertain", storeclient.Granted, storeclient.Unavailable, 503, true),
+		Entry("both are undecided", storeclient.Undecided, storeclient.Unavailable, 503, false),
 	)
 
 	DescribeTable("settles the tokens sent to its client",
--- a/internal/tier/store/bench_test.go
+++ b/internal/tier/store/bench_test.go
@@ -83,7 +83,7 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
-		r := storeclient.Reservation{Program: fmt.Sprint("program-", i/20), Turn: fmt.Sprint("turn-", i), Budget: 10000, Most: 100}
+		r := storeclient.Reservation{Program: fmt.Sprint("program-", i/20), Turn: fmt.Sprint("turn-", i), BudgetTokens: 10000, MaxTokens: 100}
 		if verdict := client.Reserve(ctx, r); verdict != storeclient.Granted {
 			b.Fatal(verdict)
 		}
--- a/internal/tier/store/budgets_test.go
+++ b/internal/tier/store/budgets_test.go
@@ -19,7 +19,7 @@
 
 // reservation of a budget of 10 that may take 6.
 func reservation(turn string) storeclient.Reservation {
-	return storeclient.Reservation{Program: "p", Turn: turn, Budget: 10, Most: 6}
+	return storeclient.Reservation{Program: "p", Turn: turn, BudgetTokens: 10, MaxTokens: 6}
 }
 
 // attempts reserves under ever new ids.
@@ -37,8 +37,8 @@
 func reserveAt(c *cluster, n *node, turn string, recheck bool) storewire.ReserveAnswer {
 	GinkgoHelper()
 	answer, err := n.store.Reserve(ctx, storewire.ReserveRequest{
-		Header:  storewire.Header{Epoch: int64(c.view.Epoch), Store: n.store.ID()},
-		Program: "p", Turn: turn, Budget: 10, Most: 6, Recheck: recheck,
+		Header:  storewire.Header{Epoch: int64(c.view.Epoch), StoreID: n.store.ID()},
+		Program: "p", Turn: turn, BudgetTokens: 10, MaxTokens: 6, Recheck: recheck,
 	})
 	Expect(err).NotTo(HaveOccurred())
 	return answer
@@ -48,11 +48,11 @@
 func settleAt(c *cluster, n *node, turn string, used int64) {
 	GinkgoHelper()
 	answer, err := n.store.Settle(ctx, storewire.SettleRequest{
-		Header:      storewire.Header{Epoch: int64(c.view.Epoch), Store: n.store.ID()},
-		Settlements: []storewire.Settlement{{Program: "p", Turn: int64(budget.TurnKeyOf(turn)), Used: used}},
+		Header:      storewire.Header{Epoch: int64(c.view.Epoch), StoreID: n.store.ID()},
+		Settlements: []storewire.Settlement{{Program: "p", TurnKey: int64(budget.TurnKeyOf(turn)), UsedTokens: used}},
 	})
 	Expect(err).NotTo(HaveOccurred())
-	Expect(answer.Reply.Standing).To(Equal(storewire.Served))
+	Expect(answer.Reply.Status).To(Equal(storewire.Served))
 }
 
 var _ = Describe("budgets", func() {
@@ -69,7 +69,7 @@
 		a := attempts{client: client}
 		Eventually(a.next, eventuallyTimeout).Should(Equal(storeclient.Granted), "5 of 10 are used")
 		client.Settle("p", fmt.Sprint("attempt-", a.count), 5)
-		Eventually(a.next, eventuallyTimeout).Should(Equal(storeclient.Spent))
+		Eventually(a.next, eventuallyTimeout).Should(Equal(storeclient.Exhausted))
 	})
 
 	It("count what a proxy that died had reserved", func() {
@@ -92,8 +92,8 @@
 		}
 		Expect(client.Reserve(ctx, reservation("1"))).To(Equal(storeclient.Undecided))
 		answer := reserveAt(c, c.nodes[0], "1", false)
-		Expect(answer.Kept).To(BeFalse())
-		Expect(answer.Closed).To(BeTrue())
+		Expect(answer.Stored).To(BeFalse())
+		Expect(answer.TurnClosed).To(BeTrue())
 	})
 
 	It("keep nothing of a turn that is refused", func() {
@@ -102,7 +102,7 @@
 		Expect(client.Reserve(ctx, reservation("2"))).To(Equal(storeclient.Granted))
 		Expect(client.Reserve(ctx, reservation("3"))).To(Equal(storeclient.Undecided))
 		for _, n := range c.nodes {
-			Eventually(func() bool { return reserveAt(c, n, "3", true).Closed }, eventuallyTimeout).Should(BeTrue())
+			Eventually(func() bool { return reserveAt(c, n, "3", true).TurnClosed }, eventuallyTimeout).Should(BeTrue())
 		}
 	})
 
@@ -111,9 +111,9 @@
 		Expect(client.Reserve(ctx, reservation("1"))).To(Equal(storeclient.Granted))
 		c.nodes[2].down.Store(true)
 		client.Settle("p", "1", 4)
-		Eventually(func() bool { return reserveAt(c, c.nodes[0], "1", true).Closed }, eventuallyTimeout).Should(BeTrue())
+		Eventually(func() bool { return reserveAt(c, c.nodes[0], "1", true).TurnClosed }, eventuallyTimeout).Should(BeTrue())
 		c.nodes[2].down.Store(false)
-		Eventually(func() bool { return reserveAt(c, c.nodes[2], "1", true).Closed }, eventuallyTimeout).Should(BeTrue())
+		Eventually(func() bool { return reserveAt(c, c.nodes[2], "1", true).TurnClosed }, eventuallyTimeout).Should(BeTrue())
 	})
 
 	It("are known after restarts of all", func() {
@@ -139,9 +139,9 @@
 		}
 		client := c.client("a")
 		reserveOne := func(turn string, tokens int64) storeclient.Verdict {
-			return client.Reserve(ctx, storeclient.Reservation{Program: "p", Turn: turn, Budget: tokens, Most: 1})
+			return client.Reserve(ctx, storeclient.Reservation{Program: "p", Turn: turn, BudgetTokens: tokens, MaxTokens: 1})
 		}
-		Expect(reserveOne("spent", many+2)).To(Equal(storeclient.Spent))
+		Expect(reserveOne("spent", many+2)).To(Equal(storeclient.Exhausted))
 		tries := 0
 		Eventually(func() storeclient.Verdict {
 			tries++
@@ -172,7 +172,7 @@
 			go func() {
 				defer racing.Done()
 				turn := fmt.Sprint("racer-", i)
-				r := storeclient.Reservation{Program: "race", Turn: turn, Budget: budgetTokens, Most: most}
+				r := storeclient.Reservation{Program: "race", Turn: turn, BudgetTokens: budgetTokens, MaxTokens: most}
 				if client.Reserve(ctx, r) == storeclient.Granted {
 					granted <- turn
 				}
@@ -187,41 +187,41 @@
 	It("refuses an older view, and gives the newer one", func() {
 		c := newCluster(1, "a", "b", "c")
 		client := c.client("a")
-		old := storewire.Header{Epoch: int64(c.view.Epoch), Store: c.nodes[0].store.ID()}
+		old := storewire.Header{Epoch: int64(c.view.Epoch), StoreID: c.nodes[0].store.ID()}
 		c.nodes[2].wipe()
 		c.publishView()
-		answer, err := c.nodes[0].store.Reserve(ctx, storewire.ReserveRequest{Header: old, Program: "p", Turn: "1", Budget: 10, Most: 6})
+		answer, err := c.nodes[0].store.Reserve(ctx, storewire.ReserveRequest{Header: old, Program: "p", Turn: "1", BudgetTokens: 10, MaxTokens: 6})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.Reply.Standing).To(Equal(storewire.Stale))
+		Expect(answer.Reply.Status).To(Equal(storewire.StaleView))
 		Expect(answer.Reply.View.Epoch).To(Equal(int64(c.view.Epoch)))
-		Expect(answer.Kept).To(BeFalse())
+		Expect(answer.Stored).To(BeFalse())
 		Expect(client.Reserve(ctx, reservation("1"))).To(Equal(storeclient.Granted), "the client takes the view over")
 	})
 
 	It("is kept over a loss of power", func() {
 		c := newCluster(1, "a", "b", "c")
 		n := c.nodes[0]
-		newer := storewire.Header{Epoch: int64(c.view.Epoch) + 5, Store: n.store.ID()}
+		newer := storewire.Header{Epoch: int64(c.view.Epoch) + 5, StoreID: n.store.ID()}
 		_, err := n.store.History(ctx, storewire.HistoryRequest{Header: newer, Turn: "x"})
 		Expect(err).NotTo(HaveOccurred())
 		Eventually(n.newerEpoch.Load, eventuallyTimeout).Should(Equal(uint64(newer.Epoch)), "the owner is asked for the view")
 		n.restart(memfs.Power, rand.New(rand.NewPCG(3, 1)))
-		older := storewire.Header{Epoch: newer.Epoch - 1, Store: n.store.ID()}
+		older := storewire.Header{Epoch: newer.Epoch - 1, StoreID: n.store.ID()}
 		answer, err := n.store.Commit(ctx, storewire.CommitRequest{Header: older, Turn: storewire.Turn{ID: "x", Root: "x"}})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.Reply.Standing).To(Equal(storewire.Stale))
+		Expect(answer.Reply.Status).To(Equal(storewire.StaleView))
 		same, err := n.store.Commit(ctx, storewire.CommitRequest{Header: newer, Turn: storewire.Turn{ID: "x", Root: "x"}})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(same.Reply.Standing).To(Equal(storewire.Served))
+		Expect(same.Reply.Status).To(Equal(storewire.Served))
 	})
 
 	It("serves nothing that was meant for another disk", func() {
 		c := newCluster(1, "a", "b", "c")
-		old := storewire.Header{Epoch: int64(c.view.Epoch), Store: c.nodes[0].store.ID()}
+		old := storewire.Header{Epoch: int64(c.view.Epoch), StoreID: c.nodes[0].store.ID()}
 		c.nodes[0].wipe()
 		answer, err := c.nodes[0].store.History(ctx, storewire.HistoryRequest{Header: old, Turn: "x"})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.Reply.Standing).To(Equal(storewire.Foreign))
+		Expect(answer.Reply.Status).To(Equal(storewire.WrongStore))
 	})
 })
 
@@ -257,7 +257,7 @@
 		c.nodes[0].store.SetView(old)
 		c.nodes[0].store.SetView(controlstate.StoreView{})
 		answer, err := c.nodes[0].store.History(ctx, storewire.HistoryRequest{
-			Header: storewire.Header{Epoch: 1, Store: c.nodes[0].store.ID()}, Turn: "x"})
+			Header: storewire.Header{Epoch: 1, StoreID: c.nodes[0].store.ID()}, Turn: "x"})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Reply.View.Epoch).To(Equal(int64(c.view.Epoch)))
 	})
--- a/internal/tier/store/catchup.go
+++ b/internal/tier/store/catchup.go
@@ -14,7 +14,7 @@
 // inventory lists the turns that another store holds.
 type inventory struct {
 	member int
-	turns  []storewire.Listed
+	turns  []storewire.ListedTurn
 }
 
 // inventorySet holds the inventories received under one view, by member. They are kept until enough have arrived, so
@@ -32,7 +32,7 @@
 		return s.markComplete(ctx)
 	}
 	s.collectInventories(ctx, round)
-	if len(s.inventories.received) < round.view.CatchUp() || !s.fetchMissing(ctx, round) {
+	if len(s.inventories.received) < round.view.CatchUpQuorum() || !s.fetchMissing(ctx, round) {
 		return false
 	}
 	s.inventories = inventorySet{}
@@ -91,13 +91,13 @@
 }
 
 func (s *Store) fetchInventory(ctx context.Context, round roundInput, inv *inventory) bool {
-	request := storewire.ListRequest{Header: round.header(inv.member), Sender: s.id, First: true}
+	request := storewire.ListRequest{Header: round.header(inv.member), Sender: s.id, FromStart: true}
 	for {
 		answer, err := s.callList(ctx, round, inv.member, request)
 		if err != nil || !s.acceptReply(answer.Reply) || !answer.Reply.Complete {
 			return false
 		}
-		page, err := storewire.ListedTurns(answer.Turns)
+		page, err := storewire.DecodeListedTurns(answer.Turns)
 		if err != nil || len(page) == 0 && answer.More {
 			return false
 		}
@@ -105,7 +105,7 @@
 		if !answer.More {
 			return true
 		}
-		request.First, request.After = false, int64(page[len(page)-1].Key)
+		request.FromStart, request.AfterKey = false, int64(page[len(page)-1].Key)
 	}
 }
 
@@ -133,7 +133,7 @@
 		if !answer.More {
 			return true
 		}
-		request.After = answer.Programs[len(answer.Programs)-1].Name
+		request.AfterName = answer.Programs[len(answer.Programs)-1].Name
 	}
 }
 
@@ -209,7 +209,7 @@
 				missing[listed.Key] = wanted
 			}
 			wanted.holders = append(wanted.holders, inv.member)
-			wanted.placedHere = wanted.placedHere || listed.Placed
+			wanted.placedHere = wanted.placedHere || listed.PlacedAtSender
 		}
 	}
 	copies := round.view.Copies()
@@ -236,14 +236,14 @@
 		answer, err := s.caller.Fetch(callCtx, round.view.Members[member].Address,
 			storewire.FetchRequest{Header: round.header(member), Keys: packedKeys})
 		cancel()
-		if err != nil || !s.acceptReply(answer.Reply) || answer.Looked < 1 || answer.Looked > len(page) {
+		if err != nil || !s.acceptReply(answer.Reply) || answer.ProcessedKeys < 1 || answer.ProcessedKeys > len(page) {
 			return false
 		}
-		records, err := decodeReceived(answer.Parcels, nil)
+		records, err := decodeReceived(answer.Turns, nil)
 		if err != nil || !s.storeReceived(ctx, records) {
 			return false
 		}
-		keys = keys[answer.Looked:]
+		keys = keys[answer.ProcessedKeys:]
 	}
 	return true
 }
--- a/internal/tier/store/crash_test.go
+++ b/internal/tier/store/crash_test.go
@@ -33,7 +33,7 @@
 }
 
 func (c *crashTest) header() storewire.Header {
-	return storewire.Header{Epoch: int64(c.cluster.view.Epoch), Store: c.node.store.ID()}
+	return storewire.Header{Epoch: int64(c.cluster.view.Epoch), StoreID: c.node.store.ID()}
 }
 
 func (c *crashTest) now() time.Duration { return time.Duration(c.cluster.clock.Load()) }
@@ -50,7 +50,7 @@
 	}
 	answer, err := c.node.store.Commit(ctx, storewire.CommitRequest{Header: c.header(), Turn: t})
 	Expect(err).NotTo(HaveOccurred())
-	if answer.Reply.Standing == storewire.Served {
+	if answer.Reply.Status == storewire.Served {
 		c.retainedUntil[t.ID] = c.now() + time.Duration(t.RetentionMillis)*time.Millisecond
 		c.inputBytes[t.ID] = len(t.Input)
 	}
@@ -59,9 +59,9 @@
 func (c *crashTest) reserve() {
 	c.sequence++
 	turn := fmt.Sprint("turn-", c.sequence)
-	answer, err := c.node.store.Reserve(ctx, storewire.ReserveRequest{Header: c.header(), Program: "p", Turn: turn, Budget: 1 << 40, Most: 5})
+	answer, err := c.node.store.Reserve(ctx, storewire.ReserveRequest{Header: c.header(), Program: "p", Turn: turn, BudgetTokens: 1 << 40, MaxTokens: 5})
 	Expect(err).NotTo(HaveOccurred())
-	if answer.Kept {
+	if answer.Stored {
 		c.reservedTokens[turn] = 5
 	}
 }
@@ -72,7 +72,7 @@
 			continue
 		}
 		_, err := c.node.store.Settle(ctx, storewire.SettleRequest{Header: c.header(),
-			Settlements: []storewire.Settlement{{Program: "p", Turn: int64(budget.TurnKeyOf(turn)), Used: 2}}})
+			Settlements: []storewire.Settlement{{Program: "p", TurnKey: int64(budget.TurnKeyOf(turn)), UsedTokens: 2}}})
 		Expect(err).NotTo(HaveOccurred())
 		c.settledTokens[turn] = 2
 		return
@@ -86,7 +86,7 @@
 			delete(c.retainedUntil, id)
 			continue
 		}
-		answer, err := c.node.store.History(ctx, storewire.HistoryRequest{Header: c.header(), Turn: id, Bodies: true})
+		answer, err := c.node.store.History(ctx, storewire.HistoryRequest{Header: c.header(), Turn: id, WithBodies: true})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Known).To(BeTrue(), id)
 		t, err := storewire.DecodeTurn(answer.Turns[0])
--- a/internal/tier/store/inspect_test.go
+++ b/internal/tier/store/inspect_test.go
@@ -16,12 +16,12 @@
 func commitAt(c *cluster, n *node, id, root, previous string) {
 	GinkgoHelper()
 	answer, err := n.store.Commit(ctx, storewire.CommitRequest{
-		Header: storewire.Header{Epoch: int64(c.view.Epoch), Store: n.store.ID()},
+		Header: storewire.Header{Epoch: int64(c.view.Epoch), StoreID: n.store.ID()},
 		Turn: storewire.Turn{ID: id, Root: root, Previous: previous, Program: "p", RetentionMillis: 60_000,
 			Input: []byte("in"), Output: []byte("out")},
 	})
 	Expect(err).NotTo(HaveOccurred())
-	Expect(answer.Reply.Standing).To(Equal(storewire.Served))
+	Expect(answer.Reply.Status).To(Equal(storewire.Served))
 }
 
 // diskAfter gives the disk of a store that has kept what the function had it keep, and has ended.
--- a/internal/tier/store/repair.go
+++ b/internal/tier/store/repair.go
@@ -103,7 +103,7 @@
 }
 
 func (r *roundInput) header(member int) storewire.Header {
-	return storewire.Header{Epoch: r.view.Epoch, Store: r.view.Members[member].ID}
+	return storewire.Header{Epoch: r.view.Epoch, StoreID: r.view.Members[member].ID}
 }
 
 // acceptReply applies the view of a reply, if it has one, and reports whether the request was served.
@@ -111,7 +111,7 @@
 	if reply.View.Epoch > 0 {
 		s.applyView(reply.View)
 	}
-	return reply.Standing == storewire.Served
+	return reply.Status == storewire.Served
 }
 
 // compareWith compares digests with a member and pushes the records that it lacks.
@@ -125,10 +125,10 @@
 		}
 		turnLeaves, programLeaves = t.sharedTurnTrees[member].Leaves(), t.programTree.Leaves()
 		request = storewire.CompareRequest{
-			Header:   round.header(member),
-			Sender:   t.meta.ID,
-			Turns:    int64(t.sharedTurnTrees[member].Root()),
-			Programs: int64(t.programTree.Root()),
+			Header:         round.header(member),
+			Sender:         t.meta.ID,
+			TurnsDigest:    int64(t.sharedTurnTrees[member].Root()),
+			ProgramsDigest: int64(t.programTree.Root()),
 		}
 		return false
 	})
@@ -141,12 +141,12 @@
 	if err != nil || !s.acceptReply(answer.Reply) {
 		return
 	}
-	if len(answer.Turns) > 0 {
+	if len(answer.TurnDigests) > 0 {
 		s.pushTurns(ctx, round, member,
-			s.sharedKeysIn(ctx, round, member, merkle.DifferingRanges(turnLeaves, toUnsigned(answer.Turns))))
+			s.sharedKeysIn(ctx, round, member, merkle.DifferingRanges(turnLeaves, toUnsigned(answer.TurnDigests))))
 	}
-	if len(answer.Programs) > 0 {
-		s.pushPrograms(ctx, round, member, s.programsIn(ctx, merkle.DifferingRanges(programLeaves, toUnsigned(answer.Programs))))
+	if len(answer.ProgramDigests) > 0 {
+		s.pushPrograms(ctx, round, member, s.programsIn(ctx, merkle.DifferingRanges(programLeaves, toUnsigned(answer.ProgramDigests))))
 	}
 	s.pushMisplaced(ctx, round, member, minOfferAge)
 }
@@ -203,12 +203,12 @@
 		for _, key := range page {
 			packedKeys = storewire.AppendKey(packedKeys, key)
 		}
-		answer, ok := s.callOffer(ctx, round, member, storewire.OfferRequest{Turns: packedKeys})
+		answer, ok := s.callOffer(ctx, round, member, storewire.OfferRequest{TurnKeys: packedKeys})
 		if !ok {
 			return false
 		}
-		missing := make([]uint64, 0, len(answer.Turns))
-		for _, i := range answer.Turns {
+		missing := make([]uint64, 0, len(answer.WantedTurns))
+		for _, i := range answer.WantedTurns {
 			if i >= 0 && i < len(page) {
 				missing = append(missing, page[i])
 			}
@@ -236,7 +236,7 @@
 		if err != nil {
 			return false // a record was moved meanwhile or the disk failed: the next round retries
 		}
-		if !s.callPush(ctx, round, member, storewire.PushRequest{Parcels: parcels}) {
+		if !s.callPush(ctx, round, member, storewire.PushRequest{Turns: parcels}) {
 			return false
 		}
 		keys = keys[processed:]
@@ -252,7 +252,7 @@
 		if !ok {
 			return false
 		}
-		for _, i := range answer.Programs {
+		for _, i := range answer.WantedPrograms {
 			if i < 0 || i >= len(page) {
 				continue
 			}
@@ -285,7 +285,7 @@
 }
 
 func (s *Store) callPush(ctx context.Context, round roundInput, member int, request storewire.PushRequest) bool {
-	if len(request.Parcels) == 0 && len(request.Programs) == 0 {
+	if len(request.Turns) == 0 && len(request.Programs) == 0 {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
--- a/internal/tier/store/repair_test.go
+++ b/internal/tier/store/repair_test.go
@@ -172,7 +172,7 @@
 		c.repairRounds(4)
 		for _, n := range c.nodes {
 			answer := reserveAt(c, n, "other", true)
-			Expect(answer.Settled).To(Equal(int64(4)))
+			Expect(answer.SettledTokens).To(Equal(int64(4)))
 		}
 	})
 
@@ -214,7 +214,7 @@
 		for _, id := range ids {
 			Expect(c.lookUp(id)).To(Equal(storeclient.Found))
 		}
-		Expect(c.lookUp("unheard")).To(Equal(storeclient.Unsure))
+		Expect(c.lookUp("unheard")).To(Equal(storeclient.Unavailable))
 		for _, n := range c.nodes {
 			Expect(n.store.RepairRound(0)).To(BeFalse())
 		}
--- a/internal/tier/store/retire.go
+++ b/internal/tier/store/retire.go
@@ -59,7 +59,7 @@
 // on all members that are not retiring.
 func (t *table) handedOff() bool {
 	view := &t.meta.View
-	if !t.retiring() || !t.meta.Complete || view.Active() < view.Copies() {
+	if !t.retiring() || !t.meta.Complete || view.ActiveCount() < view.Copies() {
 		return false
 	}
 	for _, m := range view.Members {
--- a/internal/tier/store/retire_test.go
+++ b/internal/tier/store/retire_test.go
@@ -75,7 +75,7 @@
 
 	It("is not emptied while one of the others does not know of a reservation", func() {
 		n := c.nodes[0]
-		Expect(reserveAt(c, n, "1", false).Kept).To(BeTrue())
+		Expect(reserveAt(c, n, "1", false).Stored).To(BeTrue())
 		retireFirst()
 		c.setFault(func(method, address string) error {
 			if method == "push" && address == "store-3:1" {
--- a/internal/tier/store/serve_client.go
+++ b/internal/tier/store/serve_client.go
@@ -23,7 +23,7 @@
 
 // busyReply is the reply if Store.do failed. The command may have run or not, and may still be writing to the answer,
 // which therefore must not be used.
-func busyReply() storewire.Reply { return storewire.Reply{Standing: storewire.Busy} }
+func busyReply() storewire.Reply { return storewire.Reply{Status: storewire.Busy} }
 
 // Reserve stores a reservation of a program's budget and reports on the program's other turns.
 func (s *Store) Reserve(ctx context.Context, request storewire.ReserveRequest) (storewire.ReserveAnswer, error) {
@@ -33,8 +33,8 @@
 	if err != nil {
 		return storewire.ReserveAnswer{Reply: busyReply()}, nil
 	}
-	answer.Closed = report.TurnClosed
-	answer.Settled = report.SettledTokens
+	answer.TurnClosed = report.TurnClosed
+	answer.SettledTokens = report.SettledTokens
 	answer.Digest = int64(report.Digest)
 	answer.Whole = report.Whole
 	answer.Entries = budget.EncodeEntries(make([]byte, 0, 10*len(report.Entries)), report.Entries)
@@ -49,7 +49,7 @@
 	answer.Reply.Complete = answer.Reply.Complete && !t.meta.Unsettled
 	key := budget.TurnKeyOf(request.Turn)
 	known := t.programs[request.Program]
-	if request.Recheck || known != nil && known.ledger.SettledTokens() >= request.Budget {
+	if request.Recheck || known != nil && known.ledger.SettledTokens() >= request.BudgetTokens {
 		// A recheck, or a budget spent by settled turns. In the latter case nothing is stored either, since a program that
 		// retries in a loop would fill the table.
 		if known != nil {
@@ -60,18 +60,18 @@
 		return t.fenceUnsynced()
 	}
 	if t.limitReached(request.Program) {
-		answer.Reply.Standing = storewire.Busy
+		answer.Reply.Status = storewire.Busy
 		return false
 	}
 	p := t.findOrAddProgram(request.Program)
 	t.touch(p, t.now())
-	switch t.reserve(p, key, request.Most) {
+	switch t.reserve(p, key, request.MaxTokens) {
 	case budget.LedgerFull:
 		t.dropIfEmpty(p)
-		answer.Reply.Standing = storewire.Busy
+		answer.Reply.Status = storewire.Busy
 		return false
 	case budget.Opened, budget.AlreadyOpen:
-		answer.Kept = true
+		answer.Stored = true
 	}
 	*report = p.ledger.Report(key, request.Whole)
 	return true
@@ -98,9 +98,9 @@
 		}
 		p := t.findOrAddProgram(settlement.Program)
 		t.touch(p, t.now())
-		entry := budget.Entry{Turn: budget.TurnKey(settlement.Turn), Tokens: max(0, settlement.Used)}
+		entry := budget.Entry{Turn: budget.TurnKey(settlement.TurnKey), Tokens: max(0, settlement.UsedTokens)}
 		if !t.mergeEntries(p, []budget.Entry{entry}) {
-			answer.Reply.Standing = storewire.Busy
+			answer.Reply.Status = storewire.Busy
 			return false
 		}
 	}
@@ -117,7 +117,7 @@
 	head := storewire.TurnHead{
 		ID:              request.Turn.ID,
 		Root:            request.Turn.Root,
-		Home:            request.Turn.Home,
+		HomeZone:        request.Turn.HomeZone,
 		Previous:        request.Turn.Previous,
 		Program:         request.Turn.Program,
 		Tokens:          request.Turn.Tokens,
@@ -129,7 +129,7 @@
 			return false
 		}
 		if t.stalled() || !t.appendTurn(record, head, initialTTL(head)) {
-			answer.Reply.Standing = storewire.Busy
+			answer.Reply.Status = storewire.Busy
 			return false
 		}
 		return true
@@ -157,7 +157,7 @@
 			return storewire.HistoryAnswer{Reply: busyReply()}, nil
 		}
 		answer.Known = len(positions) > 0
-		if !request.Bodies || !answer.Known {
+		if !request.WithBodies || !answer.Known {
 			return answer, nil
 		}
 		answer.Turns, err = s.readTurns(positions)
--- a/internal/tier/store/serve_peer.go
+++ b/internal/tier/store/serve_peer.go
@@ -34,10 +34,10 @@
 	if !t.checkHeader(request.Header, &answer.Reply) {
 		return false
 	}
-	sender := t.meta.View.Find(request.Sender)
+	sender := t.meta.View.IndexOf(request.Sender)
 	turns := make([]*heldTurn, 0, len(t.turns))
 	for key, turn := range t.turns {
-		if request.First || key > uint64(request.After) {
+		if request.FromStart || key > uint64(request.AfterKey) {
 			turns = append(turns, turn)
 		}
 	}
@@ -45,7 +45,7 @@
 	answer.More = len(turns) > listPageTurns
 	for _, turn := range turns[:min(len(turns), listPageTurns)] {
 		placed := sender < 0 || slices.Contains(t.placesOf(turn), sender)
-		answer.Turns = storewire.AppendListed(answer.Turns, storewire.Listed{Key: turn.key, Placed: placed})
+		answer.Turns = storewire.AppendListedTurn(answer.Turns, storewire.ListedTurn{Key: turn.key, PlacedAtSender: placed})
 	}
 	return t.fenceUnsynced()
 }
@@ -73,21 +73,21 @@
 }
 
 // readParcels reads turns to be sent to another store.
-func (s *Store) readParcels(locations []turnLocation) ([]storewire.Parcel, error) {
-	parcels := make([]storewire.Parcel, 0, len(locations))
+func (s *Store) readParcels(locations []turnLocation) ([]storewire.TurnCopy, error) {
+	parcels := make([]storewire.TurnCopy, 0, len(locations))
 	for _, location := range locations {
 		record, err := s.journal.Read(location.position, nil)
 		if err != nil {
 			return nil, err
 		}
-		parcels = append(parcels, storewire.Parcel{RemainingMillis: location.remaining.Milliseconds(), Turn: record[1:]})
+		parcels = append(parcels, storewire.TurnCopy{RemainingMillis: location.remaining.Milliseconds(), Turn: record[1:]})
 	}
 	return parcels, nil
 }
 
 // Fetch returns turns by key.
 func (s *Store) Fetch(ctx context.Context, request storewire.FetchRequest) (storewire.FetchAnswer, error) {
-	keys, err := storewire.Keys(request.Keys)
+	keys, err := storewire.DecodeKeys(request.Keys)
 	if err != nil {
 		return storewire.FetchAnswer{}, err
 	}
@@ -98,13 +98,13 @@
 			if !t.checkHeader(request.Header, &answer.Reply) {
 				return false
 			}
-			locations, answer.Looked = t.locateTurns(keys)
+			locations, answer.ProcessedKeys = t.locateTurns(keys)
 			return t.fenceUnsynced()
 		})
 		if err != nil {
 			return storewire.FetchAnswer{Reply: busyReply()}, nil
 		}
-		answer.Parcels, err = s.readParcels(locations)
+		answer.Turns, err = s.readParcels(locations)
 		if !errors.Is(err, journal.ErrNotFound) {
 			return answer, err
 		}
@@ -128,7 +128,7 @@
 	}
 	var names []string
 	for name := range t.programs {
-		if name > request.After {
+		if name > request.AfterName {
 			names = append(names, name)
 		}
 	}
@@ -161,15 +161,15 @@
 	if !t.checkHeader(request.Header, &answer.Reply) {
 		return false
 	}
-	sender := t.meta.View.Find(request.Sender)
+	sender := t.meta.View.IndexOf(request.Sender)
 	if request.Header.Epoch != t.meta.View.Epoch || sender < 0 {
 		return t.fenceUnsynced() // under another view other turns belong at both, so a comparison is meaningless
 	}
-	if t.sharedTurnTrees[sender].Root() != uint64(request.Turns) {
-		answer.Turns = toSigned(t.sharedTurnTrees[sender].Leaves())
+	if t.sharedTurnTrees[sender].Root() != uint64(request.TurnsDigest) {
+		answer.TurnDigests = toSigned(t.sharedTurnTrees[sender].Leaves())
 	}
-	if t.programTree.Root() != uint64(request.Programs) {
-		answer.Programs = toSigned(t.programTree.Leaves())
+	if t.programTree.Root() != uint64(request.ProgramsDigest) {
+		answer.ProgramDigests = toSigned(t.programTree.Leaves())
 	}
 	return t.fenceUnsynced()
 }
@@ -193,7 +193,7 @@
 
 // Offer returns which of the offered records are missing here. All others are on the disk when it answers.
 func (s *Store) Offer(ctx context.Context, request storewire.OfferRequest) (storewire.OfferAnswer, error) {
-	keys, err := storewire.Keys(request.Turns)
+	keys, err := storewire.DecodeKeys(request.TurnKeys)
 	if err != nil {
 		return storewire.OfferAnswer{}, err
 	}
@@ -204,12 +204,12 @@
 		}
 		for i, key := range keys {
 			if !t.heldOrExpired(key) {
-				answer.Turns = append(answer.Turns, i)
+				answer.WantedTurns = append(answer.WantedTurns, i)
 			}
 		}
 		for i, digest := range request.Programs {
 			if p := t.programs[digest.Name]; p == nil || p.ledger.Digest() != uint64(digest.Digest) {
-				answer.Programs = append(answer.Programs, i)
+				answer.WantedPrograms = append(answer.WantedPrograms, i)
 			}
 		}
 		return true
@@ -222,7 +222,7 @@
 
 // Push stores records from another store.
 func (s *Store) Push(ctx context.Context, request storewire.PushRequest) (storewire.Acknowledgement, error) {
-	records, err := decodeReceived(request.Parcels, request.Programs)
+	records, err := decodeReceived(request.Turns, request.Programs)
 	if err != nil {
 		return storewire.Acknowledgement{}, err
 	}
@@ -232,7 +232,7 @@
 			return false
 		}
 		if !t.storeReceived(records) {
-			answer.Reply.Standing = storewire.Busy
+			answer.Reply.Status = storewire.Busy
 			return false
 		}
 		return true
@@ -261,7 +261,7 @@
 }
 
 // decodeReceived decodes records from another store. Errors: a record is malformed.
-func decodeReceived(parcels []storewire.Parcel, programs []storewire.Program) (*received, error) {
+func decodeReceived(parcels []storewire.TurnCopy, programs []storewire.Program) (*received, error) {
 	records := &received{}
 	for _, p := range parcels {
 		head, err := storewire.DecodeTurnHead(p.Turn)
--- a/internal/tier/store/table.go
+++ b/internal/tier/store/table.go
@@ -106,17 +106,17 @@
 		reply.View = t.meta.View
 	}
 	switch {
-	case header.Store != t.meta.ID:
-		reply.Standing = storewire.Foreign
+	case header.StoreID != t.meta.ID:
+		reply.Status = storewire.WrongStore
 		return false
 	case header.Epoch < t.meta.Fence:
-		reply.Standing = storewire.Stale
+		reply.Status = storewire.StaleView
 		return false
 	case header.Epoch > t.meta.Fence:
 		meta := t.meta
 		meta.Fence = header.Epoch
 		if !t.appendMeta(meta) {
-			reply.Standing = storewire.Busy
+			reply.Status = storewire.Busy
 			return false
 		}
 		t.newerEpoch = uint64(header.Epoch)
@@ -163,7 +163,7 @@
 		members = append(members, placement.Member{Name: m.Node, Zone: m.Zone, Retiring: m.Retiring})
 	}
 	t.placement = placement.NewTable(members)
-	t.self = view.Find(t.meta.ID)
+	t.self = view.IndexOf(t.meta.ID)
 	t.sharedTurnTrees = make([]merkle.Tree, len(members))
 	clear(t.misplacedTurns)
 	clear(t.hasAllPrograms)
--- a/internal/tier/store/turns.go
+++ b/internal/tier/store/turns.go
@@ -75,7 +75,7 @@
 		previous:   head.Previous,
 		key:        key,
 		rootKey:    placement.KeyOf(head.Root),
-		homeZone:   head.Home,
+		homeZone:   head.HomeZone,
 		position:   position,
 		receivedAt: now,
 		expiresAt:  max(now+ttl, t.missingPredecessors[key]),
--- a/internal/tier/store/turns_test.go
+++ b/internal/tier/store/turns_test.go
@@ -128,10 +128,10 @@
 	},
 	Entry("unknown to all", func(*cluster) {}, false, storeclient.Missing),
 	Entry("unknown to all that are up, one is down", down(1), false, storeclient.Missing),
-	Entry("unknown to the only one that is up", down(1, 2), false, storeclient.Unsure),
+	Entry("unknown to the only one that is up", down(1, 2), false, storeclient.Unavailable),
 	Entry("unknown, one is incomplete", lostDisk(1), false, storeclient.Missing),
-	Entry("unknown, one is incomplete and one down", func(c *cluster) { lostDisk(1)(c); down(2)(c) }, false, storeclient.Unsure),
-	Entry("unknown, none is up", down(0, 1, 2), false, storeclient.Unsure),
+	Entry("unknown, one is incomplete and one down", func(c *cluster) { lostDisk(1)(c); down(2)(c) }, false, storeclient.Unavailable),
+	Entry("unknown, none is up", down(0, 1, 2), false, storeclient.Unavailable),
 	Entry("known", func(*cluster) {}, true, storeclient.Found),
 	Entry("known, the client's own store is down", down(0), true, storeclient.Found),
 	Entry("known, the client's own store lost its disk", lostDisk(0), true, storeclient.Found),
@@ -141,7 +141,7 @@
 				down(i)(c)
 			}
 		}
-	}, true, storeclient.Unsure),
+	}, true, storeclient.Unavailable),
 )
 
 // down takes stores down.
@@ -165,7 +165,7 @@
 	It("is unsure, never missing", func() {
 		c := newCluster(1, "a", "b", "c")
 		Expect(c.client("a").Commit(ctx, turnOf("late", "talk-0", "gone"))).To(Succeed())
-		Expect(c.lookUp("late")).To(Equal(storeclient.Unsure))
+		Expect(c.lookUp("late")).To(Equal(storeclient.Unavailable))
 		Expect(c.lookUp("gone")).To(Equal(storeclient.Missing))
 	})
 })
@@ -191,7 +191,7 @@
 			var all [][]string
 			for round := range 4 {
 				all = append(all, commitChain(client, fmt.Sprint("talk", round), 3))
-				Expect(client.Reserve(ctx, storeclient.Reservation{Program: "p", Turn: fmt.Sprint("t", round), Budget: 100, Most: 30})).
+				Expect(client.Reserve(ctx, storeclient.Reservation{Program: "p", Turn: fmt.Sprint("t", round), BudgetTokens: 100, MaxTokens: 30})).
 					To(Equal(storeclient.Granted))
 				for _, n := range c.nodes {
 					n.restart(memfs.Power, rng)
@@ -200,7 +200,7 @@
 			for _, ids := range all {
 				c.expectFound(ids)
 			}
-			verdict := client.Reserve(ctx, storeclient.Reservation{Program: "p", Turn: "last", Budget: 100, Most: 30})
+			verdict := client.Reserve(ctx, storeclient.Reservation{Program: "p", Turn: "last", BudgetTokens: 100, MaxTokens: 30})
 			Expect(verdict).To(Equal(storeclient.Undecided), "four of 30 are open")
 		}
 	})
@@ -248,9 +248,9 @@
 		Expect(small.store.TurnCount()).To(BeNumerically("<", 150))
 		Expect(c.nodes[1].store.TurnCount() + c.nodes[2].store.TurnCount()).To(BeNumerically(">", 450))
 		answer, err := small.store.Reserve(ctx, storewire.ReserveRequest{
-			Header: storewire.Header{Epoch: int64(c.view.Epoch), Store: small.store.ID()}, Program: "q", Turn: "t", Budget: 5, Most: 5})
+			Header: storewire.Header{Epoch: int64(c.view.Epoch), StoreID: small.store.ID()}, Program: "q", Turn: "t", BudgetTokens: 5, MaxTokens: 5})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.Kept).To(BeTrue())
+		Expect(answer.Stored).To(BeTrue())
 		Expect(c.lookUp(ids[299])).To(Equal(storeclient.Found))
 	})
 })
@@ -273,7 +273,7 @@
 			}
 			return memfs.Verdict{}
 		}
-		header := storewire.Header{Epoch: int64(c.view.Epoch), Store: n.store.ID()}
+		header := storewire.Header{Epoch: int64(c.view.Epoch), StoreID: n.store.ID()}
 		stalled := make(chan storewire.Acknowledgement, 1)
 		go func() {
 			answer, _ := n.store.Commit(ctx, storewire.CommitRequest{Header: header, Turn: storewire.Turn{ID: "x", Root: "x"}})
@@ -283,15 +283,15 @@
 		answer, err := n.store.History(ctx, storewire.HistoryRequest{Header: header, Turn: ids[1]})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Known).To(BeTrue())
-		Expect(reserveAt(c, n, "t", true).Reply.Standing).To(Equal(storewire.Served)) // a second round
+		Expect(reserveAt(c, n, "t", true).Reply.Status).To(Equal(storewire.Served)) // a second round
 		settleAt(c, n, "t", 1)
 		c.advanceClock(time.Second)
 		refused, err := n.store.Commit(ctx, storewire.CommitRequest{Header: header, Turn: storewire.Turn{ID: "y", Root: "y"}})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(refused.Reply.Standing).To(Equal(storewire.Busy))
+		Expect(refused.Reply.Status).To(Equal(storewire.Busy))
 		Expect(client.Commit(ctx, turnOf("next", ids[0], ids[1]))).To(Succeed())
 		close(release)
-		Expect((<-stalled).Reply.Standing).To(Equal(storewire.Served))
+		Expect((<-stalled).Reply.Status).To(Equal(storewire.Served))
 	})
 })
 
@@ -355,7 +355,7 @@
 		defer client.Close()
 		client.SetView(view)
 		ids := commitChain(client, "talk", 3)
-		Expect(client.Reserve(ctx, storeclient.Reservation{Program: "p", Turn: "t", Budget: 5, Most: 5})).To(Equal(storeclient.Granted))
+		Expect(client.Reserve(ctx, storeclient.Reservation{Program: "p", Turn: "t", BudgetTokens: 5, MaxTokens: 5})).To(Equal(storeclient.Granted))
 		other := storeclient.New(storeclient.Options{Caller: storewire.NewCaller(calls), Zone: "store-1"})
 		defer other.Close()
 		other.SetView(view)
@@ -364,12 +364,12 @@
 		Expect(string(history.Body)).To(Equal(bodyOf(ids)))
 		_, verdict = other.History(ctx, "unheard")
 		Expect(verdict).To(Equal(storeclient.Missing))
-		Expect(other.Reserve(ctx, storeclient.Reservation{Program: "p", Turn: "u", Budget: 5, Most: 5})).To(Equal(storeclient.Undecided))
+		Expect(other.Reserve(ctx, storeclient.Reservation{Program: "p", Turn: "u", BudgetTokens: 5, MaxTokens: 5})).To(Equal(storeclient.Undecided))
 		client.Settle("p", "t", 5)
 		tries := 0
 		Eventually(func() storeclient.Verdict {
 			tries++
-			return other.Reserve(ctx, storeclient.Reservation{Program: "p", Turn: fmt.Sprint("v", tries), Budget: 5, Most: 5})
-		}, eventuallyTimeout).Should(Equal(storeclient.Spent))
+			return other.Reserve(ctx, storeclient.Reservation{Program: "p", Turn: fmt.Sprint("v", tries), BudgetTokens: 5, MaxTokens: 5})
+		}, eventuallyTimeout).Should(Equal(storeclient.Exhausted))
 	})
 })
--- a/internal/tier/storeclient/api.go
+++ b/internal/tier/storeclient/api.go
@@ -24,8 +24,8 @@
 	_ Verdict = iota
 	// Granted: the turn may run; Settle has to follow it.
 	Granted
-	// Spent: what earlier turns have used reaches the budget; the turn must not run, and the reservation is gone.
-	Spent
+	// Exhausted: what earlier turns have used reaches the budget; the turn must not run, and the reservation is gone.
+	Exhausted
 	// Undecided: too few stores answered, or turns that still run decide. The turn must not run, and the reservation
 	// is gone; another one, under another id, may be granted soon.
 	Undecided
@@ -33,8 +33,8 @@
 	Found
 	// Missing: there is certainly no such turn.
 	Missing
-	// Unsure: the turn may exist, but can't be had now.
-	Unsure
+	// Unavailable: the turn may exist, but can't be had now.
+	Unavailable
 )
 
 // String names a verdict.
@@ -48,10 +48,10 @@
 
 // Reservation is the part of a program's budget that one turn may use at most.
 type Reservation struct {
-	Program string
-	Turn    string // unique: a turn that was settled or withdrawn is never granted again
-	Budget  int64  // tokens, of all turns of the program together
-	Most    int64  // tokens that this turn may generate
+	Program      string
+	Turn         string // unique: a turn that was settled or withdrawn is never granted again
+	BudgetTokens int64  // tokens, of all turns of the program together
+	MaxTokens    int64  // tokens that this turn may generate
 }
 
 // History is a conversation up to a turn.
--- a/internal/tier/storeclient/cache.go
+++ b/internal/tier/storeclient/cache.go
@@ -67,7 +67,7 @@
 		return "", "", false
 	}
 	t := element.Value.(storewire.Turn)
-	return t.Root, t.Home, true
+	return t.Root, t.HomeZone, true
 }
 
 // conversation gives the turns up to one, from the oldest. If they are not all there, it gives none and the id of the
--- a/internal/tier/storeclient/client.go
+++ b/internal/tier/storeclient/client.go
@@ -88,11 +88,11 @@
 	if r.View.Epoch > 0 {
 		c.adopt(r.View)
 	}
-	return r.Standing == storewire.Served
+	return r.Status == storewire.Served
 }
 
 // usable says whether there are stores enough to keep anything.
-func (s *snapshot) usable() bool { return s.view.Epoch > 0 && s.view.Active() >= s.view.Copies() }
+func (s *snapshot) usable() bool { return s.view.Epoch > 0 && s.view.ActiveCount() >= s.view.Copies() }
 
 // renewed waits for a newer view, and says whether it came before the context ended.
 func (s *snapshot) renewed(ctx context.Context) bool {
@@ -105,7 +105,7 @@
 }
 
 func (s *snapshot) header(member int) storewire.Header {
-	return storewire.Header{Epoch: s.view.Epoch, Store: s.view.Members[member].ID}
+	return storewire.Header{Epoch: s.view.Epoch, StoreID: s.view.Members[member].ID}
 }
 
 // active lists the members that are not retiring.
--- a/internal/tier/storeclient/client_test.go
+++ b/internal/tier/storeclient/client_test.go
@@ -25,7 +25,7 @@
 }
 
 func reservation(id string) storeclient.Reservation {
-	return storeclient.Reservation{Program: "p", Turn: id, Budget: 10, Most: 6}
+	return storeclient.Reservation{Program: "p", Turn: id, BudgetTokens: 10, MaxTokens: 6}
 }
 
 // took runs something and tells how long it took.
@@ -102,7 +102,7 @@
 		newer := storewire.ViewOf(view)
 		newer.Epoch = 5
 		newer.Members = newer.Members[1:]
-		f.with("s0", func(s *fakeStore) { s.standing, s.view = storewire.Stale, newer })
+		f.with("s0", func(s *fakeStore) { s.standing, s.view = storewire.StaleView, newer })
 		g.Expect(c.Commit(ctx, turn("a", "", ""))).To(Succeed())
 		f.with("s0", func(s *fakeStore) { g.Expect(s.turns).To(BeEmpty()) })
 	})
@@ -117,7 +117,7 @@
 		g.Expect(took(func() { g.Expect(c.Reserve(ctx, reservation("1"))).To(Equal(storeclient.Undecided)) })).
 			To(Equal(600 * time.Millisecond))
 		_, verdict := c.History(ctx, "a")
-		g.Expect(verdict).To(Equal(storeclient.Unsure))
+		g.Expect(verdict).To(Equal(storeclient.Unavailable))
 		go func() {
 			time.Sleep(100 * time.Millisecond)
 			c.SetView(view)
@@ -157,7 +157,7 @@
 		f.with("s2", func(s *fakeStore) { s.incomplete = true })
 		span := took(func() {
 			_, verdict := c.History(ctx, "a")
-			g.Expect(verdict).To(Equal(storeclient.Unsure))
+			g.Expect(verdict).To(Equal(storeclient.Unavailable))
 		})
 		g.Expect(span).To(Equal(time.Second))
 	})
--- a/internal/tier/storeclient/commit.go
+++ b/internal/tier/storeclient/commit.go
@@ -53,7 +53,7 @@
 	return storewire.Turn{
 		ID:              t.ID,
 		Root:            root,
-		Home:            home,
+		HomeZone:        home,
 		Previous:        t.Previous,
 		Program:         t.Program,
 		Tokens:          t.Tokens,
@@ -85,7 +85,7 @@
 func (c *Client) commitIn(ctx context.Context, view *snapshot, record storewire.Turn, confirmed map[string]bool) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	order := view.places.AppendOrder(placement.KeyOf(record.Root), record.Home, nil)
+	order := view.places.AppendOrder(placement.KeyOf(record.Root), record.HomeZone, nil)
 	w := &committing{
 		client:    c,
 		view:      view,
--- a/internal/tier/storeclient/fake_test.go
+++ b/internal/tier/storeclient/fake_test.go
@@ -18,7 +18,7 @@
 	hangs      bool // calls never end by themselves
 	fails      bool
 	incomplete bool
-	standing   storewire.Standing
+	standing   storewire.Status
 	view       storewire.View // told in each reply
 
 	turns   map[string]storewire.Turn
@@ -76,12 +76,12 @@
 	if s.fails {
 		return none, errGone
 	}
-	return run(s, storewire.Reply{Standing: s.standing, Complete: !s.incomplete, View: s.view}), nil
+	return run(s, storewire.Reply{Status: s.standing, Complete: !s.incomplete, View: s.view}), nil
 }
 
 func (f *fakeStores) Commit(ctx context.Context, address string, q storewire.CommitRequest) (storewire.Acknowledgement, error) {
 	return reach(ctx, f, address, func(s *fakeStore, r storewire.Reply) storewire.Acknowledgement {
-		if r.Standing == storewire.Served {
+		if r.Status == storewire.Served {
 			s.turns[q.Turn.ID] = q.Turn
 		}
 		return storewire.Acknowledgement{Reply: r}
@@ -97,7 +97,7 @@
 				break
 			}
 			a.Known = true
-			if q.Bodies {
+			if q.WithBodies {
 				record, err := storewire.EncodeTurn(t)
 				if err != nil {
 					panic(err)
@@ -114,11 +114,11 @@
 	return reach(ctx, f, address, func(s *fakeStore, r storewire.Reply) storewire.ReserveAnswer {
 		key := budget.TurnKeyOf(q.Turn)
 		a := storewire.ReserveAnswer{Reply: r}
-		if !q.Recheck && r.Standing == storewire.Served {
-			a.Kept = s.ledger.Reserve(key, q.Most) != budget.Closed
+		if !q.Recheck && r.Status == storewire.Served {
+			a.Stored = s.ledger.Reserve(key, q.MaxTokens) != budget.Closed
 		}
 		report := s.ledger.Report(key, q.Whole)
-		a.Closed, a.Settled, a.Digest, a.Whole = report.TurnClosed, report.SettledTokens, int64(report.Digest), report.Whole
+		a.TurnClosed, a.SettledTokens, a.Digest, a.Whole = report.TurnClosed, report.SettledTokens, int64(report.Digest), report.Whole
 		a.Entries = budget.EncodeEntries(nil, report.Entries)
 		return a
 	})
@@ -128,7 +128,7 @@
 	return reach(ctx, f, address, func(s *fakeStore, r storewire.Reply) storewire.Acknowledgement {
 		s.settles++
 		for _, settlement := range q.Settlements {
-			s.ledger.Merge(budget.Entry{Turn: budget.TurnKey(settlement.Turn), Tokens: settlement.Used})
+			s.ledger.Merge(budget.Entry{Turn: budget.TurnKey(settlement.TurnKey), Tokens: settlement.UsedTokens})
 		}
 		return storewire.Acknowledgement{Reply: r}
 	})
--- a/internal/tier/storeclient/history.go
+++ b/internal/tier/storeclient/history.go
@@ -38,7 +38,7 @@
 			}
 		}
 		if !view.renewed(ctx) {
-			return History{}, Unsure
+			return History{}, Unavailable
 		}
 	}
 }
@@ -68,7 +68,7 @@
 		found, verdict, decided := s.run(ctx)
 		if verdict != Found {
 			if len(backwards) > 0 {
-				verdict = Unsure // the turn itself is known: that it exists is certain
+				verdict = Unavailable // the turn itself is known: that it exists is certain
 			}
 			return nil, verdict, decided
 		}
@@ -76,7 +76,7 @@
 		wanted = backwards[len(backwards)-1].Previous
 	}
 	if wanted != "" {
-		return nil, Unsure, true
+		return nil, Unavailable, true
 	}
 	return c.join(nil, backwards), Found, true
 }
@@ -153,11 +153,11 @@
 			s.texts = false // the next holder may be quicker
 			s.askHolder(ctx)
 		case <-s.view.changed:
-			return nil, Unsure, false
+			return nil, Unavailable, false
 		case <-ctx.Done():
-			return nil, Unsure, true
+			return nil, Unavailable, true
 		}
-		if !s.known && len(s.unknown) >= s.view.view.Unknown() {
+		if !s.known && len(s.unknown) >= s.view.view.NotFoundQuorum() {
 			return nil, Missing, true
 		}
 	}
@@ -178,7 +178,7 @@
 
 func (s *search) ask(ctx context.Context, member int, bodies bool) {
 	address := s.view.view.Members[member].Address
-	request := storewire.HistoryRequest{Header: s.view.header(member), Turn: s.wanted, Bodies: bodies}
+	request := storewire.HistoryRequest{Header: s.view.header(member), Turn: s.wanted, WithBodies: bodies}
 	a, err := s.client.caller.History(ctx, address, request)
 	select {
 	case s.answers <- historyAnswer{member: member, bodies: bodies, answer: a, err: err}:
--- a/internal/tier/storeclient/reserve.go
+++ b/internal/tier/storeclient/reserve.go
@@ -70,9 +70,9 @@
 	w := &reserving{
 		client:  c,
 		view:    view,
-		request: storewire.ReserveRequest{Program: r.Program, Turn: r.Turn, Budget: r.Budget, Most: r.Most},
+		request: storewire.ReserveRequest{Program: r.Program, Turn: r.Turn, BudgetTokens: r.BudgetTokens, MaxTokens: r.MaxTokens},
 		members: members,
-		attempt: budget.NewAttempt(r.Budget, len(members), view.view.Quorum()),
+		attempt: budget.NewAttempt(r.BudgetTokens, len(members), view.view.Quorum()),
 		started: time.Now(),
 		answers: make(chan reserveAnswer, len(members)),
 	}
@@ -98,7 +98,7 @@
 		case budget.Granted:
 			return Granted, true
 		case budget.Exhausted:
-			return Spent, true
+			return Exhausted, true
 		case budget.Undecided:
 			return Undecided, true
 		}
@@ -178,15 +178,15 @@
 // counts says whether an answer may be reported: in the first round the store has to keep the reservation, unless it
 // says why the turn can't run anyway.
 func (w *reserving) counts(a storewire.ReserveAnswer, r budget.Report) bool {
-	return w.round > 0 || a.Kept || r.TurnClosed || r.SettledTokens >= w.request.Budget
+	return w.round > 0 || a.Stored || r.TurnClosed || r.SettledTokens >= w.request.BudgetTokens
 }
 
 // reportOf reads what a store knows.
 func reportOf(a storewire.ReserveAnswer) (budget.Report, bool) {
 	entries, err := budget.DecodeEntries(a.Entries)
 	return budget.Report{
-		TurnClosed:    a.Closed,
-		SettledTokens: a.Settled,
+		TurnClosed:    a.TurnClosed,
+		SettledTokens: a.SettledTokens,
 		Digest:        uint64(a.Digest),
 		Whole:         a.Whole,
 		Entries:       entries,
--- a/internal/tier/storeclient/settle.go
+++ b/internal/tier/storeclient/settle.go
@@ -29,7 +29,7 @@
 // Settle tells the stores what a turn has used: every token that its client was sent, or that it may have been sent. 0
 // withdraws the reservation. It returns at once; the stores know within some 10 ms, or once they can be reached.
 func (c *Client) Settle(program, turn string, used int64) {
-	c.settle.add(storewire.Settlement{Program: program, Turn: int64(budget.TurnKeyOf(turn)), Used: used})
+	c.settle.add(storewire.Settlement{Program: program, TurnKey: int64(budget.TurnKeyOf(turn)), UsedTokens: used})
 }
 
 // settler repeats settlements until all stores know them.
@@ -119,7 +119,7 @@
 	for len(box.waiting) > 0 && now.After(box.waiting[0].until) {
 		box.waiting = box.waiting[1:]
 	}
-	gone := view.view.Find(box.store) < 0
+	gone := view.view.IndexOf(box.store) < 0
 	if len(box.waiting) == 0 || gone {
 		box.sending = false
 		box.waiting = nil
@@ -137,7 +137,7 @@
 
 func (s *settler) send(store string, batch []storewire.Settlement) bool {
 	view := s.client.current.Load()
-	at := view.view.Find(store)
+	at := view.view.IndexOf(store)
 	if at < 0 {
 		return false
 	}
--- a/internal/tier/storeplane/plane.go
+++ b/internal/tier/storeplane/plane.go
@@ -81,7 +81,7 @@
 }
 
 func (p *Plane) applyView(entry cluster.Entry) {
-	view, err := storewire.ReadViewEntry(entry)
+	view, err := storewire.DecodeViewEntry(entry)
 	if err != nil {
 		p.base.Log.WithError(err).Error("store view cannot be read")
 		return
@@ -141,14 +141,14 @@
 	p.base.Log.WithField("status", answer.Status).Info("retirement completed")
 }
 
-func (p *Plane) callControlPlane(method transport.Method) (storewire.StoreNewsAnswer, error) {
+func (p *Plane) callControlPlane(method transport.Method) (storewire.StoreNotificationAnswer, error) {
 	ctx, cancel := context.WithTimeout(p.ctx, controlTimeout)
 	defer cancel()
-	news := storewire.StoreNews{
+	news := storewire.StoreNotification{
 		ID: p.store.ID(), Node: p.base.Settings.Name, Zone: p.base.Settings.Zone,
 		Address: p.base.Address, Bootstrap: p.base.Settings.Bootstrap,
 	}
-	return storewire.TellControlPlane(ctx, p.base.Client, p.nextControlAddress(), method, news)
+	return storewire.NotifyControlPlane(ctx, p.base.Client, p.nextControlAddress(), method, news)
 }
 
 // nextControlAddress returns the address of a control node, in rotation: of the live ones, or of the seeds if none is
--- a/internal/tier/storewire/entry_test.go
+++ b/internal/tier/storewire/entry_test.go
@@ -13,9 +13,9 @@
 		view := controlstate.StoreView{Epoch: 7, Tolerance: 1, Members: []controlstate.StoreMember{
 			{ID: "s1", Node: "store-a-1", Zone: "a", Address: "10.1.0.1:7382", Retiring: true}, {ID: "s2", Node: "store-b-1", Zone: "b", Address: "10.2.0.1:7382", Replaced: true},
 		}}
-		entry, err := storewire.ViewEntry(view)
+		entry, err := storewire.EncodeViewEntry(view)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(entry.Stamp.Epoch).To(BeEquivalentTo(7))
-		Expect(storewire.ReadViewEntry(entry)).To(Equal(view))
+		Expect(storewire.DecodeViewEntry(entry)).To(Equal(view))
 	})
 })
--- a/internal/tier/storewire/fuzz_test.go
+++ b/internal/tier/storewire/fuzz_test.go
@@ -20,7 +20,7 @@
 	}
 	f.Add(turn)
 	f.Add(view)
-	f.Add(storewire.AppendListed(nil, storewire.Listed{Key: 7, Placed: true}))
+	f.Add(storewire.AppendListedTurn(nil, storewire.ListedTurn{Key: 7, PlacedAtSender: true}))
 	f.Add(budget.EncodeEntries(nil, []budget.Entry{{Turn: 1, Tokens: 5, Open: true}, {Turn: 2, Tokens: 9}}))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if turn, err := storewire.DecodeTurn(data); err == nil {
@@ -35,10 +35,10 @@
 		}
 		_, _ = storewire.DecodeTurnHead(data)
 		if view, err := storewire.DecodeView(data); err == nil {
-			_ = view.Quorum() + view.CatchUp() + view.Unknown() + view.Copies()
+			_ = view.Quorum() + view.CatchUpQuorum() + view.NotFoundQuorum() + view.Copies()
 		}
-		_, _ = storewire.Keys(data)
-		_, _ = storewire.ListedTurns(data)
+		_, _ = storewire.DecodeKeys(data)
+		_, _ = storewire.DecodeListedTurns(data)
 		if entries, err := budget.DecodeEntries(data); err == nil {
 			same, err := budget.DecodeEntries(budget.EncodeEntries(nil, entries))
 			if err != nil || len(same) != len(entries) {
--- a/internal/tier/storewire/packed.go
+++ b/internal/tier/storewire/packed.go
@@ -6,18 +6,18 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrPacked: a list whose length does not fit its elements.
-var ErrPacked = eris.New("storewire: malformed list")
+// ErrMalformedList: a list whose length does not fit its elements.
+var ErrMalformedList = eris.New("storewire: malformed list")
 
 const keyBytes = 8
 
 // AppendKey packs the key of a turn.
 func AppendKey(to []byte, key uint64) []byte { return binary.BigEndian.AppendUint64(to, key) }
 
-// Keys unpacks keys. Error: ErrPacked.
-func Keys(data []byte) ([]uint64, error) {
+// DecodeKeys unpacks keys. Error: ErrPacked.
+func DecodeKeys(data []byte) ([]uint64, error) {
 	if len(data)%keyBytes != 0 {
-		return nil, ErrPacked
+		return nil, ErrMalformedList
 	}
 	keys := make([]uint64, 0, len(data)/keyBytes)
 	for at := 0; at < len(data); at += keyBytes {
@@ -26,31 +26,31 @@
 	return keys, nil
 }
 
-// Listed is a turn in a ListAnswer.
-type Listed struct {
-	Key    uint64
-	Placed bool // it belongs at the store that asked
+// ListedTurn is a turn in a ListAnswer.
+type ListedTurn struct {
+	Key            uint64
+	PlacedAtSender bool // it belongs at the store that asked
 }
 
 const listedBytes = keyBytes + 1
 
-// AppendListed packs one.
-func AppendListed(to []byte, l Listed) []byte {
+// AppendListedTurn packs one.
+func AppendListedTurn(to []byte, l ListedTurn) []byte {
 	to = binary.BigEndian.AppendUint64(to, l.Key)
-	if l.Placed {
+	if l.PlacedAtSender {
 		return append(to, 1)
 	}
 	return append(to, 0)
 }
 
-// ListedTurns unpacks a list. Error: ErrPacked.
-func ListedTurns(data []byte) ([]Listed, error) {
+// DecodeListedTurns unpacks a list. Error: ErrPacked.
+func DecodeListedTurns(data []byte) ([]ListedTurn, error) {
 	if len(data)%listedBytes != 0 {
-		return nil, ErrPacked
+		return nil, ErrMalformedList
 	}
-	list := make([]Listed, 0, len(data)/listedBytes)
+	list := make([]ListedTurn, 0, len(data)/listedBytes)
 	for at := 0; at < len(data); at += listedBytes {
-		list = append(list, Listed{Key: binary.BigEndian.Uint64(data[at:]), Placed: data[at+keyBytes] != 0})
+		list = append(list, ListedTurn{Key: binary.BigEndian.Uint64(data[at:]), PlacedAtSender: data[at+keyBytes] != 0})
 	}
 	return list, nil
 }
--- a/internal/tier/storewire/registration.go
+++ b/internal/tier/storewire/registration.go
@@ -14,8 +14,8 @@
 	StoreRetired  transport.Method = "control.store-retired"
 )
 
-// StoreNews is what a store tells of itself.
-type StoreNews struct {
+// StoreNotification is what a store tells of itself.
+type StoreNotification struct {
 	ID        string `avro:"id"` // of its disk
 	Node      string `avro:"node"`
 	Zone      string `avro:"zone"`
@@ -23,30 +23,30 @@
 	Bootstrap bool   `avro:"bootstrap"`
 }
 
-// StoreNewsAnswer is how the control state took it: an HTTP status.
-type StoreNewsAnswer struct {
+// StoreNotificationAnswer is how the control state took it: an HTTP status.
+type StoreNotificationAnswer struct {
 	Status int    `avro:"status"`
 	Reason string `avro:"reason"`
 }
 
 var (
-	storeNewsCodec = transport.MustCodec[StoreNews](`{"type":"record","name":"StoreNews","fields":[
+	storeNewsCodec = transport.MustCodec[StoreNotification](`{"type":"record","name":"StoreNews","fields":[
 		{"name":"id","type":"string"},
 		{"name":"node","type":"string"},
 		{"name":"zone","type":"string"},
 		{"name":"address","type":"string"},
 		{"name":"bootstrap","type":"boolean"}]}`)
-	storeNewsAnswerCodec = transport.MustCodec[StoreNewsAnswer](`{"type":"record","name":"StoreAnswer","fields":[
+	storeNewsAnswerCodec = transport.MustCodec[StoreNotificationAnswer](`{"type":"record","name":"StoreAnswer","fields":[
 		{"name":"status","type":"int"},
 		{"name":"reason","type":"string"}]}`)
 )
 
-// HandleStoreNews has a control plane answer one of the methods.
-func HandleStoreNews(mux *transport.Mux, method transport.Method, take func(context.Context, StoreNews) (StoreNewsAnswer, error)) {
+// HandleStoreNotifications has a control plane answer one of the methods.
+func HandleStoreNotifications(mux *transport.Mux, method transport.Method, take func(context.Context, StoreNotification) (StoreNotificationAnswer, error)) {
 	transport.Handle(mux, method, storeNewsCodec, storeNewsAnswerCodec, take)
 }
 
-// TellControlPlane tells one control plane. Errors: those of transport.Call.
-func TellControlPlane(ctx context.Context, c *transport.Client, address string, method transport.Method, n StoreNews) (StoreNewsAnswer, error) {
+// NotifyControlPlane tells one control plane. Errors: those of transport.Call.
+func NotifyControlPlane(ctx context.Context, c *transport.Client, address string, method transport.Method, n StoreNotification) (StoreNotificationAnswer, error) {
 	return transport.Call(ctx, c, address, method, storeNewsCodec, storeNewsAnswerCodec, n)
 }
--- a/internal/tier/storewire/view.go
+++ b/internal/tier/storewire/view.go
@@ -32,8 +32,8 @@
 	return view
 }
 
-// State gives the view back as the control state has it; when members joined is not told.
-func (v *View) State() controlstate.StoreView {
+// StoreView gives the view back as the control state has it; when members joined is not told.
+func (v *View) StoreView() controlstate.StoreView {
 	stores := controlstate.StoreView{Epoch: uint64(v.Epoch), Tolerance: v.Tolerance}
 	for _, m := range v.Members {
 		stores.Members = append(stores.Members, controlstate.StoreMember{ID: m.ID, Node: m.Node, Zone: m.Zone, Address: m.Address, Retiring: m.Retiring, Replaced: m.Replaced})
@@ -41,13 +41,13 @@
 	return stores
 }
 
-// Find gives the place of a member in Members, or -1.
-func (v *View) Find(id string) int {
+// IndexOf gives the place of a member in Members, or -1.
+func (v *View) IndexOf(id string) int {
 	return slices.IndexFunc(v.Members, func(m Member) bool { return m.ID == id })
 }
 
-// Active counts the members that are not retiring.
-func (v *View) Active() int {
+// ActiveCount counts the members that are not retiring.
+func (v *View) ActiveCount() int {
 	active := 0
 	for _, m := range v.Members {
 		if !m.Retiring {
@@ -60,20 +60,20 @@
 // Copies is how many stores have to hold a turn: one more than may be lost.
 func (v *View) Copies() int { return v.Tolerance + 1 }
 
-// Unknown is how many complete stores, retiring ones included, have to say that they don't know a turn for it not to
+// NotFoundQuorum is how many complete stores, retiring ones included, have to say that they don't know a turn for it not to
 // exist: any so many include one of those that hold it.
-func (v *View) Unknown() int { return max(1, len(v.Members)-v.Tolerance) }
+func (v *View) NotFoundQuorum() int { return max(1, len(v.Members)-v.Tolerance) }
 
 // Quorum is how many complete stores that are not retiring have to hold a reservation: any two such sets meet, and
 // Tolerance may be lost.
 func (v *View) Quorum() int {
-	active := v.Active()
+	active := v.ActiveCount()
 	return max(active-v.Tolerance, active/2+1)
 }
 
-// CatchUp is how many other complete members a store with a fresh disk has to compare with: one of them at least holds
+// CatchUpQuorum is how many other complete members a store with a fresh disk has to compare with: one of them at least holds
 // whatever had been acknowledged.
-func (v *View) CatchUp() int {
+func (v *View) CatchUpQuorum() int {
 	others := len(v.Members) - 1
 	strangers := max(v.Tolerance, len(v.Members)-v.Quorum()) // complete stores that may not hold it
 	return max(1, min(others, max(len(v.Members)-v.Tolerance, strangers+1)))
--- a/internal/tier/storewire/wire_test.go
+++ b/internal/tier/storewire/wire_test.go
@@ -15,7 +15,7 @@
 }
 
 var _ = Describe("a turn's record", func() {
-	turn := storewire.Turn{ID: "b", Root: "a", Home: "z", Previous: "a", Program: "p", Tokens: 3, RetentionMillis: 60000,
+	turn := storewire.Turn{ID: "b", Root: "a", HomeZone: "z", Previous: "a", Program: "p", Tokens: 3, RetentionMillis: 60000,
 		Input: []byte("in"), Output: []byte("out\n")}
 
 	It("comes back as it was", func() {
@@ -27,7 +27,7 @@
 	It("has a head that can be read by itself", func() {
 		data, err := storewire.EncodeTurn(turn)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(storewire.DecodeTurnHead(data)).To(Equal(storewire.TurnHead{ID: "b", Root: "a", Home: "z", Previous: "a",
+		Expect(storewire.DecodeTurnHead(data)).To(Equal(storewire.TurnHead{ID: "b", Root: "a", HomeZone: "z", Previous: "a",
 			Program: "p", Tokens: 3, RetentionMillis: 60000}))
 	})
 })
@@ -39,9 +39,9 @@
 			view.Members = append(view.Members, storewire.Member{Retiring: at < retiring})
 		}
 		Expect(view.Copies()).To(Equal(copies))
-		Expect(view.Unknown()).To(Equal(unknown))
+		Expect(view.NotFoundQuorum()).To(Equal(unknown))
 		Expect(view.Quorum()).To(Equal(quorum))
-		Expect(view.CatchUp()).To(Equal(catchUp))
+		Expect(view.CatchUpQuorum()).To(Equal(catchUp))
 	},
 	Entry("three, one may be lost", 3, 0, 1, 2, 2, 2, 2),
 	Entry("four, one may be lost", 4, 0, 1, 2, 3, 3, 3),
@@ -54,16 +54,16 @@
 
 var _ = Describe("packed lists", func() {
 	It("come back as they were", func() {
-		data := storewire.AppendListed(nil, storewire.Listed{Key: 7, Placed: true})
-		data = storewire.AppendListed(data, storewire.Listed{Key: 1 << 63})
-		Expect(storewire.ListedTurns(data)).To(Equal([]storewire.Listed{{Key: 7, Placed: true}, {Key: 1 << 63}}))
-		Expect(storewire.Keys(storewire.AppendKey(nil, 9))).To(Equal([]uint64{9}))
+		data := storewire.AppendListedTurn(nil, storewire.ListedTurn{Key: 7, PlacedAtSender: true})
+		data = storewire.AppendListedTurn(data, storewire.ListedTurn{Key: 1 << 63})
+		Expect(storewire.DecodeListedTurns(data)).To(Equal([]storewire.ListedTurn{{Key: 7, PlacedAtSender: true}, {Key: 1 << 63}}))
+		Expect(storewire.DecodeKeys(storewire.AppendKey(nil, 9))).To(Equal([]uint64{9}))
 	})
 
 	It("are refused when cut", func() {
-		_, err := storewire.ListedTurns([]byte{1, 2, 3})
-		Expect(err).To(MatchError(storewire.ErrPacked))
-		_, err = storewire.Keys([]byte{1, 2, 3})
-		Expect(err).To(MatchError(storewire.ErrPacked))
+		_, err := storewire.DecodeListedTurns([]byte{1, 2, 3})
+		Expect(err).To(MatchError(storewire.ErrMalformedList))
+		_, err = storewire.DecodeKeys([]byte{1, 2, 3})
+		Expect(err).To(MatchError(storewire.ErrMalformedList))
 	})
 })
