--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -60,7 +60,8 @@
 	compactAt = 60
 	// orderTimeout bounds an order at a control node, as in internal/tier/controlplane.
 	orderTimeout = 3 * time.Second
-	// diskPause and commandBound are as in internal/tier/replica: the rest after a write that failed, and how many messages wait.
+	// diskPause and commandBound are diskRetryDelay and commandQueueCapacity of internal/tier/replica: the rest after a write
+	// that failed, and how many messages wait.
 	diskPause    = 100 * time.Millisecond
 	commandBound = 256
 )
--- a/internal/tier/replica/disk.go
+++ b/internal/tier/replica/disk.go
@@ -7,33 +7,33 @@
 	"emberquay/internal/tier/journal"
 )
 
-// openJournal reads the disk. A disk that lost what it had synced counts as empty, since a vote may be among it: lost is
-// true, and the replica comes back as a new member.
-func (r *Replica) openJournal() (durable *chain.DurableState, lost bool, err error) {
+// openJournal recovers the durable state. A disk that lost synced records is treated as empty, since a vote may be among
+// them: dataLost is true, and the replica rejoins as a new member.
+func (r *Replica) openJournal() (durable *chain.DurableState, dataLost bool, err error) {
 	durable = &chain.DurableState{}
 	if r.options.Files == nil || !r.options.Voter {
 		return durable, false, nil
 	}
-	bytes := r.options.JournalBytes
-	if bytes == 0 {
-		bytes = defaultDiskBytes
+	journalBytes := r.options.JournalBytes
+	if journalBytes == 0 {
+		journalBytes = defaultJournalBytes
 	}
-	options := journal.Options{Files: r.options.Files, Dir: r.options.Dir, SegmentBytes: bytes / segments, Segments: segments}
-	var parts assembler
-	var broken error
+	options := journal.Options{Files: r.options.Files, Dir: r.options.Dir, SegmentBytes: journalBytes / journalSegments, Segments: journalSegments}
+	var fragments fragmentAssembler
+	var replayErr error
 	r.journal, err = journal.Open(options, func(_ journal.Position, b []byte) error {
-		if record, whole := parts.add(b); whole && broken == nil {
-			broken = apply(durable, record)
+		if record, complete := fragments.add(b); complete && replayErr == nil {
+			replayErr = applyRecord(durable, record)
 		}
 		return nil
 	})
 	if err != nil {
 		return nil, false, err
 	}
-	if broken == nil && !r.journal.Damaged() {
+	if replayErr == nil && !r.journal.Damaged() {
 		return durable, false, nil
 	}
-	r.log.WithError(broken).Error("replica: the disk lost what was synced; coming back as a new member")
+	r.log.WithError(replayErr).Error("replica: the disk lost synced records; rejoining as a new member")
 	if err := r.journal.Reset(); err != nil {
 		r.closeJournal()
 		return nil, false, err
@@ -41,7 +41,7 @@
 	return &chain.DurableState{}, true, nil
 }
 
-func apply(durable *chain.DurableState, b []byte) error {
+func applyRecord(durable *chain.DurableState, b []byte) error {
 	record, err := decodeRecord(b)
 	if err != nil {
 		return err
@@ -54,78 +54,78 @@
 		return
 	}
 	if err := r.journal.Close(); err != nil {
-		r.log.WithError(err).Warn("replica: closing the journal")
+		r.log.WithError(err).Warn("replica: error closing the journal")
 	}
 }
 
-// persist brings records to the disk. It tries until the disk takes them: going on without would break promises. It is
-// false if the replica ends before that.
+// persist appends records and syncs them. It retries failed syncs until the disk accepts the records, since continuing
+// without them would break promises given to other members. It returns false if the replica stops first.
 func (r *Replica) persist(records []chain.Record) bool {
 	if r.journal == nil {
 		return true
 	}
 	for _, record := range records {
-		if !r.append(record) {
+		if !r.appendRecord(record) {
 			return false
 		}
 	}
-	return r.makeRoom() && r.sync()
+	return r.compactJournal() && r.syncJournal()
 }
 
-// append adds a record in as many parts as the journal's bound on records demands.
-func (r *Replica) append(record chain.Record) bool {
+// appendRecord appends a record in as many fragments as the journal's record size limit requires.
+func (r *Replica) appendRecord(record chain.Record) bool {
 	b, err := encodeRecord(record)
 	if err != nil {
-		return r.fail(err)
+		return r.stopWithError(err)
 	}
-	most := r.journal.MaxRecordBytes() - 1
+	maxFragment := r.journal.MaxRecordBytes() - 1
 	for first := true; first || len(b) > 0; first = false {
-		n := min(most, len(b))
-		if _, err := r.journal.Append(part(b[:n], first, n == len(b))); err != nil {
-			return r.fail(err)
+		n := min(maxFragment, len(b))
+		if _, err := r.journal.Append(encodeFragment(b[:n], first, n == len(b))); err != nil {
+			return r.stopWithError(err)
 		}
 		b = b[n:]
 	}
 	return true
 }
 
-// makeRoom puts a checkpoint and gives older segments free before the last ones that are free are needed.
-func (r *Replica) makeRoom() bool {
-	if r.journal.FreeSegments() >= spareSegments {
+// compactJournal appends a checkpoint and reclaims the older segments when fewer than minFreeSegments are free.
+func (r *Replica) compactJournal() bool {
+	if r.journal.FreeSegments() >= minFreeSegments {
 		return true
 	}
-	from := r.journal.NewestSegment()
+	newest := r.journal.NewestSegment()
 	for _, record := range r.node.Checkpoint() {
-		if !r.append(record) {
+		if !r.appendRecord(record) {
 			return false
 		}
 	}
-	for r.journal.OldestSegment() < from {
+	for r.journal.OldestSegment() < newest {
 		if err := r.journal.Reclaim(r.journal.OldestSegment()); err != nil {
-			return r.fail(err)
+			return r.stopWithError(err)
 		}
 	}
 	return true
 }
 
-// sync waits for the disk, for as long as it takes.
-func (r *Replica) sync() bool {
+// syncJournal syncs the journal, retrying until it succeeds or the replica is closed.
+func (r *Replica) syncJournal() bool {
 	for {
 		err := r.journal.Sync()
 		if err == nil {
 			return true
 		}
-		r.log.WithError(err).Error("replica: the disk does not take what has to be kept")
+		r.log.WithError(err).Error("replica: cannot sync the journal; retrying")
 		select {
 		case <-r.closing:
 			return false
-		case <-time.After(diskPause):
+		case <-time.After(diskRetryDelay):
 		}
 	}
 }
 
-// fail ends a replica that can't keep what it has to.
-func (r *Replica) fail(err error) bool {
+// stopWithError stops a replica that cannot persist its state.
+func (r *Replica) stopWithError(err error) bool {
 	r.log.WithError(err).Error("replica: ended, its state can't be kept")
 	if r.closed.CompareAndSwap(false, true) {
 		close(r.closing)
--- a/internal/tier/replica/first_minute_test.go
+++ b/internal/tier/replica/first_minute_test.go
@@ -17,147 +17,147 @@
 )
 
 const (
-	// minute is how long the system's life is followed, and pace the step of its clock.
-	minute = time.Minute
-	pace   = 25 * time.Millisecond
+	// runDuration is the simulated time of a run, tickInterval the step of its clock.
+	runDuration  = time.Minute
+	tickInterval = 25 * time.Millisecond
 	// journalBytes is small, so that a run costs little.
 	journalBytes = 6 * 64 << 10
-	// variants of what a loss of power leaves of what was not synced.
-	powerVariants = 3
+	// powerLossVariants is the number of random outcomes of unsynced writes that are tried per power loss.
+	powerLossVariants = 3
 )
 
-// seedAddresses are the three first members.
+// seedAddresses are the addresses of the three initial members.
 var seedAddresses = []string{"a", "b", "c"}
 
-// machine is one replica on a disk that fails, without goroutines: the test is its clock and its network.
-type machine struct {
+// steppedReplica is a replica on a failing disk, without goroutines: the test provides its clock and network.
+type steppedReplica struct {
 	*Replica
 	disk *memfs.Mem
 }
 
-// cluster is the three machines and what was asked of them.
-type cluster struct {
-	now      time.Duration
-	machines map[string]*machine
-	waiting  []chain.Envelope
-	acked    map[int64]string // stores whose registration was acknowledged, by the call's number
-	asked    map[int64]string
-	calls    int // on all disks together
-	crashAt  int // the call at which power goes; negative: never
-	dark     bool
+// steppedCluster is the three replicas, their messages and the registrations proposed to them.
+type steppedCluster struct {
+	now          time.Duration
+	replicas     map[string]*steppedReplica
+	inFlight     []chain.Envelope
+	acknowledged map[int64]string // stores whose registration was acknowledged, by the call's number
+	proposed     map[int64]string
+	diskCalls    int // on all disks
+	crashAtCall  int // the disk call at which power is lost; negative: never
+	powerLost    bool
 }
 
-func newCluster(crashAt int) *cluster {
-	return &cluster{machines: map[string]*machine{}, acked: map[int64]string{}, asked: map[int64]string{}, crashAt: crashAt}
+func newSteppedCluster(crashAtCall int) *steppedCluster {
+	return &steppedCluster{replicas: map[string]*steppedReplica{}, acknowledged: map[int64]string{}, proposed: map[int64]string{}, crashAtCall: crashAtCall}
 }
 
-// hook counts the calls on all disks, and lets power go within one of them.
-func (c *cluster) hook(call memfs.Call) memfs.Verdict {
-	if c.dark = c.dark || c.calls == c.crashAt; c.dark {
+// hook counts the calls on all disks and cuts the power within one of them.
+func (c *steppedCluster) hook(call memfs.Call) memfs.Verdict {
+	if c.powerLost = c.powerLost || c.diskCalls == c.crashAtCall; c.powerLost {
 		return memfs.Verdict{Crash: true, Partly: call.Bytes / 2}
 	}
-	c.calls++
+	c.diskCalls++
 	return memfs.Verdict{}
 }
 
-// start opens a replica on a disk; false if power went meanwhile.
-func (c *cluster) start(address string, disk *memfs.Mem, bootstrap bool) bool {
+// startReplica starts a replica on a disk; it returns false if power was lost meanwhile.
+func (c *steppedCluster) startReplica(address string, disk *memfs.Mem, bootstrap bool) bool {
 	disk.Hook = c.hook
 	closing := make(chan struct{})
-	close(closing) // a disk that fails is not tried again: power is gone
+	close(closing) // no retries after a disk failure: power is lost
 	r := &Replica{
 		options: Options{Address: address, Voter: true, Files: disk, Dir: "d", JournalBytes: journalBytes},
-		log:     &log.Logger{Handler: discard.New()}, closing: closing, waiting: map[int64]chan chain.Reply{},
+		log:     &log.Logger{Handler: discard.New()}, closing: closing, pendingCalls: map[int64]chan chain.Reply{},
 	}
-	durable, lost, err := r.openJournal()
-	if c.dark {
+	durable, dataLost, err := r.openJournal()
+	if c.powerLost {
 		return false
 	}
 	Expect(err).NotTo(HaveOccurred())
-	settings := chain.Settings{Name: address, Address: address, Voter: true, Bootstrap: bootstrap && !lost,
+	settings := chain.Settings{Name: address, Address: address, Voter: true, Bootstrap: bootstrap && !dataLost,
 		Seeds: seedAddresses, Random: [2]uint64{uint64(c.now) + 1, uint64(address[0])}}
 	node, out, err := chain.New(settings, durable, controlstate.New(), c.now)
 	Expect(err).NotTo(HaveOccurred())
 	r.node = node
-	c.machines[address] = &machine{Replica: r, disk: disk}
-	c.carryOut(c.machines[address], out)
-	return !c.dark
+	c.replicas[address] = &steppedReplica{Replica: r, disk: disk}
+	c.handleOutput(c.replicas[address], out)
+	return !c.powerLost
 }
 
-// carryOut keeps the order of Replica.carryOut: what leaves is on the disk.
-func (c *cluster) carryOut(m *machine, out chain.Output) {
-	if c.dark || len(out.Persist) > 0 && !m.persist(out.Persist) {
+// handleOutput keeps the order of Replica.handleOutput: records are synced before anything is sent.
+func (c *steppedCluster) handleOutput(m *steppedReplica, out chain.Output) {
+	if c.powerLost || len(out.Persist) > 0 && !m.persist(out.Persist) {
 		return
 	}
-	c.waiting = append(c.waiting, out.Send...)
+	c.inFlight = append(c.inFlight, out.Send...)
 	for _, reply := range out.Replies {
-		if store, ours := c.asked[reply.Number]; ours && reply.Changed {
-			c.acked[reply.Number] = store
+		if store, known := c.proposed[reply.Number]; known && reply.Changed {
+			c.acknowledged[reply.Number] = store
 		}
 	}
 }
 
-// pass lets time go by, until power goes.
-func (c *cluster) pass(d time.Duration) {
-	for end := c.now + d; c.now < end && !c.dark; c.now += pace {
+// advance runs the clock and delivers messages until the time is over or power is lost.
+func (c *steppedCluster) advance(d time.Duration) {
+	for end := c.now + d; c.now < end && !c.powerLost; c.now += tickInterval {
 		for _, address := range seedAddresses {
-			if m := c.machines[address]; m != nil && m.node.Deadline() <= c.now {
-				c.carryOut(m, m.node.Tick(c.now))
+			if m := c.replicas[address]; m != nil && m.node.Deadline() <= c.now {
+				c.handleOutput(m, m.node.Tick(c.now))
 			}
 		}
-		for len(c.waiting) > 0 && !c.dark {
-			e := c.waiting[0]
-			c.waiting = c.waiting[1:]
-			if m := c.machines[e.To.Address]; m != nil {
-				c.carryOut(m, m.node.Step(c.now, e))
+		for len(c.inFlight) > 0 && !c.powerLost {
+			e := c.inFlight[0]
+			c.inFlight = c.inFlight[1:]
+			if m := c.replicas[e.To.Address]; m != nil {
+				c.handleOutput(m, m.node.Step(c.now, e))
 			}
 		}
 	}
 }
 
-// register has a store registered by the first machine.
-func (c *cluster) register(store string) {
-	m := c.machines[seedAddresses[0]]
-	if m == nil || c.dark {
+// register proposes the registration of a store at the first replica.
+func (c *steppedCluster) register(store string) {
+	m := c.replicas[seedAddresses[0]]
+	if m == nil || c.powerLost {
 		return
 	}
 	command := controlstate.Command{Kind: controlstate.RegisterStore, Bootstrap: true, Tolerance: 1,
 		Store: controlstate.StoreMember{ID: store, Node: store, Zone: "z", Address: "10.0.0.1:1"}}
 	number, out, ok := m.node.Propose(c.now, controlstate.EncodeCommand(command))
 	Expect(ok).To(BeTrue())
-	c.asked[number] = store
-	c.carryOut(m, out)
+	c.proposed[number] = store
+	c.handleOutput(m, out)
 }
 
-// live is the first minute of a system: three changes, the rest at rest.
-func (c *cluster) live() {
+// runFirstMinute runs the first minute of a system: three changes, then no load.
+func (c *steppedCluster) runFirstMinute() {
 	for _, address := range seedAddresses {
-		if !c.start(address, memfs.New(), true) {
+		if !c.startReplica(address, memfs.New(), true) {
 			return
 		}
-		c.pass(2 * pace)
+		c.advance(2 * tickInterval)
 	}
-	for at := range 3 {
-		c.pass(2 * time.Second)
-		c.register(fmt.Sprintf("s%d", at))
+	for i := range 3 {
+		c.advance(2 * time.Second)
+		c.register(fmt.Sprintf("s%d", i))
 	}
-	c.pass(minute - c.now)
+	c.advance(runDuration - c.now)
 }
 
-// after are the disks as a loss of power leaves them.
-func (c *cluster) after(variant int) map[string]*memfs.Mem {
+// disksAfterPowerLoss returns the disks as the power loss leaves them.
+func (c *steppedCluster) disksAfterPowerLoss(variant int) map[string]*memfs.Mem {
 	disks := map[string]*memfs.Mem{}
-	for at, address := range seedAddresses {
+	for i, address := range seedAddresses {
 		disks[address] = memfs.New()
-		if m := c.machines[address]; m != nil {
-			disks[address] = m.disk.After(memfs.Power, rand.New(rand.NewPCG(uint64(c.crashAt), uint64(3*variant+at))))
+		if m := c.replicas[address]; m != nil {
+			disks[address] = m.disk.After(memfs.Power, rand.New(rand.NewPCG(uint64(c.crashAtCall), uint64(3*variant+i))))
 		}
 	}
 	return disks
 }
 
-// names says whether a disk holds the identity of a first member at least. The disk is used up by that.
-func names(disk *memfs.Mem) bool {
+// hasFirstMember reports whether a disk holds the identity of an initial member. The disk cannot be used afterwards.
+func hasFirstMember(disk *memfs.Mem) bool {
 	r := &Replica{options: Options{Voter: true, Files: disk, Dir: "d", JournalBytes: journalBytes},
 		log: &log.Logger{Handler: discard.New()}}
 	durable, _, err := r.openJournal()
@@ -165,66 +165,67 @@
 	return durable.Member.ID == chain.FirstMemberID(durable.Member.Address) && durable.Member.Address != ""
 }
 
-// again starts all machines on what power left, and says whether a change is taken; what was acknowledged must be there.
-func again(disks map[string]*memfs.Mem, bootstrap bool, acked map[int64]string) bool {
-	c := newCluster(-1)
-	c.now = 2 * minute
+// restartAndPropose restarts all replicas on the disks and reports whether a new change is committed. All acknowledged
+// changes must be in the state.
+func restartAndPropose(disks map[string]*memfs.Mem, bootstrap bool, acknowledged map[int64]string) bool {
+	c := newSteppedCluster(-1)
+	c.now = 2 * runDuration
 	for _, address := range seedAddresses {
-		c.start(address, disks[address], bootstrap)
+		c.startReplica(address, disks[address], bootstrap)
 	}
-	c.pass(3 * time.Second)
+	c.advance(3 * time.Second)
 	c.register("last")
-	c.pass(3 * time.Second)
-	if len(c.acked) == 0 {
+	c.advance(3 * time.Second)
+	if len(c.acknowledged) == 0 {
 		return false
 	}
-	_, out, ok := c.machines["b"].node.Read(c.now)
+	_, out, ok := c.replicas["b"].node.Read(c.now)
 	Expect(ok).To(BeTrue())
-	c.carryOut(c.machines["b"], out)
-	c.pass(time.Second)
+	c.handleOutput(c.replicas["b"], out)
+	c.advance(time.Second)
 	state := controlstate.New()
-	Expect(state.Restore(c.machines["b"].node.Checkpoint()[1].(chain.ViewRecord).State.Snapshot)).To(Succeed())
+	Expect(state.Restore(c.replicas["b"].node.Checkpoint()[1].(chain.ViewRecord).State.Snapshot)).To(Succeed())
 	var stores []string
 	for _, m := range state.Stores().Members {
 		stores = append(stores, m.ID)
 	}
-	for _, store := range acked {
+	for _, store := range acknowledged {
 		Expect(stores).To(ContainElement(store))
 	}
 	return true
 }
 
-var _ = Describe("the first minute of a system's life", func() {
-	It("can lose power at each call on a disk: the system goes on by itself, with all that it had acknowledged", func() {
-		whole := newCluster(-1)
-		whole.live()
-		Expect(whole.acked).To(HaveLen(3))
-		blank := 0
-		for at := range whole.calls {
-			for variant := range powerVariants {
-				c := newCluster(at)
-				c.live()
-				looked := c.after(variant)
-				begun := slices.ContainsFunc(seedAddresses, func(address string) bool { return names(looked[address]) })
-				if !begun {
-					blank++
-					Expect(c.acked).To(BeEmpty())
+var _ = Describe("the first minute of a system", func() {
+	It("can lose power at each disk call: the system recovers on its own, with all acknowledged changes", func() {
+		uninterrupted := newSteppedCluster(-1)
+		uninterrupted.runFirstMinute()
+		Expect(uninterrupted.acknowledged).To(HaveLen(3))
+		emptyRuns := 0
+		for call := range uninterrupted.diskCalls {
+			for variant := range powerLossVariants {
+				c := newSteppedCluster(call)
+				c.runFirstMinute()
+				disks := c.disksAfterPowerLoss(variant)
+				started := slices.ContainsFunc(seedAddresses, func(address string) bool { return hasFirstMember(disks[address]) })
+				if !started {
+					emptyRuns++
+					Expect(c.acknowledged).To(BeEmpty())
 				}
-				// Disks that hold nothing are those of a first start still to be made.
-				Expect(again(c.after(variant), !begun, c.acked)).To(BeTrue(), "power lost at call %d, variant %d", at, variant)
+				// If no disk holds a member, the first start has not happened yet and is repeated.
+				Expect(restartAndPropose(c.disksAfterPowerLoss(variant), !started, c.acknowledged)).To(BeTrue(), "power lost at call %d, variant %d", call, variant)
 			}
 		}
-		AddReportEntry("points", ReportEntryVisibilityAlways, fmt.Sprintf("%d calls, %d variants each; no disk held anything at %d", whole.calls, powerVariants, blank))
+		AddReportEntry("points", ReportEntryVisibilityAlways, fmt.Sprintf("%d calls, %d variants each; all disks empty in %d", uninterrupted.diskCalls, powerLossVariants, emptyRuns))
 	})
-	It("can begin with any mixture of first starts that were interrupted anywhere, unless no disk holds anything", func() {
-		kinds := interruptedStarts()
+	It("can start from any combination of interrupted first starts; it bootstraps again only if no disk holds a member", func() {
+		starts := interruptedStarts()
 		runs := 0
-		for _, first := range kinds {
-			for _, second := range kinds {
-				for _, third := range kinds {
+		for _, first := range starts {
+			for _, second := range starts {
+				for _, third := range starts {
 					disks := map[string]*memfs.Mem{"a": first("a"), "b": second("b"), "c": third("c")}
-					begun := names(first("a")) || names(second("b")) || names(third("c"))
-					Expect(again(disks, !begun, nil)).To(BeTrue())
+					started := hasFirstMember(first("a")) || hasFirstMember(second("b")) || hasFirstMember(third("c"))
+					Expect(restartAndPropose(disks, !started, nil)).To(BeTrue())
 					runs++
 				}
 			}
@@ -233,17 +234,18 @@
 	})
 })
 
-// interruptedStarts makes the disks that a first member's start leaves which loses power at each of its calls.
+// interruptedStarts returns functions that make the disk of an initial member whose first start lost power, one function
+// for each disk call of a start.
 func interruptedStarts() []func(address string) *memfs.Mem {
-	whole := newCluster(-1)
-	whole.start("a", memfs.New(), true)
-	var all []func(string) *memfs.Mem
-	for at := range whole.calls + 1 {
-		all = append(all, func(address string) *memfs.Mem {
-			c, disk := newCluster(at), memfs.New()
-			c.start(address, disk, true)
-			return disk.After(memfs.Power, rand.New(rand.NewPCG(uint64(at), uint64(address[0]))))
+	uninterrupted := newSteppedCluster(-1)
+	uninterrupted.startReplica("a", memfs.New(), true)
+	var starts []func(string) *memfs.Mem
+	for call := range uninterrupted.diskCalls + 1 {
+		starts = append(starts, func(address string) *memfs.Mem {
+			c, disk := newSteppedCluster(call), memfs.New()
+			c.startReplica(address, disk, true)
+			return disk.After(memfs.Power, rand.New(rand.NewPCG(uint64(call), uint64(address[0]))))
 		})
 	}
-	return all
+	return starts
 }
--- a/internal/tier/replica/inspect.go
+++ b/internal/tier/replica/inspect.go
@@ -11,135 +11,135 @@
 	"emberquay/internal/vfs"
 )
 
-// Errors of Inspect.
+// Errors returned by Inspect.
 var (
-	// ErrNoRecords: the ring holds no record, nor anything that is damaged.
+	// ErrNoRecords means that the ring holds neither records nor damage.
 	ErrNoRecords = eris.New("nothing is kept in it yet")
-	// ErrNotReplica: the records are not those of a replica.
+	// ErrNotReplica means that the records were not written by a replica.
 	ErrNotReplica = eris.New("its records are not those of a control plane")
 )
 
-// Inspection is what the disk of a replica holds, as Open would take it up.
+// Inspection describes the contents of a replica's disk as Open would recover them.
 type Inspection struct {
 	Ring    *journal.Inspection
 	Records RecordCounts
-	Durable chain.DurableState // what the records add up to
-	// Findings are those of the ring and of the records in it. After some of them, Open takes the disk for
-	// empty, and the replica comes back as a new member.
+	Durable chain.DurableState // the state recovered from the records
+	// Findings are those of the ring and of the records in it. With some of them Open treats the disk as empty, and
+	// the replica rejoins as a new member.
 	Findings journal.Findings
 }
 
-// LastSequence is that of the last entry taken, committed or not.
+// LastSequence returns the sequence number of the last entry, committed or not.
 func (i *Inspection) LastSequence() int64 {
 	return i.Durable.State.Sequence + int64(len(i.Durable.Entries))
 }
 
-// RecordCounts counts the records by kind, those included that newer ones replace.
+// RecordCounts counts the records by kind, including those replaced by newer ones.
 type RecordCounts struct {
 	Identities int   `json:"identities"`
-	Views      int   `json:"adoptions"` // of views, and checkpoints
-	Entries    int   `json:"additions"` // entries taken
+	Views      int   `json:"adoptions"` // views installed, and checkpoints
+	Entries    int   `json:"additions"` // log entries
 	Votes      int   `json:"votes"`
-	Incomplete int   `json:"unfinished"` // parts are missing: reclaimed, or never written
-	Fragments  int   `json:"parts"`      // in the journal, of all records
-	Bytes      int64 `json:"bytes"`      // of all parts
+	Incomplete int   `json:"unfinished"` // records with missing fragments: reclaimed, or never written
+	Fragments  int   `json:"parts"`      // of all records
+	Bytes      int64 `json:"bytes"`      // of all fragments
 }
 
 // Inspect reads the disk of a replica without writing anything. Errors: journal.ErrNoRing, ErrNoRecords,
-// ErrNotReplica, or the disk's; all else that is wrong is in the findings.
+// ErrNotReplica, or the disk's; all other problems are listed in the findings.
 func Inspect(files vfs.FS, dir string) (*Inspection, error) {
-	r := &diskReader{}
-	ring, err := journal.Inspect(files, dir, r.take)
+	r := &recordReader{}
+	ring, err := journal.Inspect(files, dir, r.readFragment)
 	switch {
 	case err != nil:
 		return nil, err
-	case r.found.Records.Fragments > 0 && r.foreign == r.found.Records.Fragments:
+	case r.result.Records.Fragments > 0 && r.foreignFragments == r.result.Records.Fragments:
 		return nil, ErrNotReplica
-	case r.found.Records.Fragments == 0 && ring.Findings.Count == 0:
+	case r.result.Records.Fragments == 0 && ring.Findings.Count == 0:
 		return nil, ErrNoRecords
 	}
-	if r.parts.open {
-		r.found.Records.Incomplete++
+	if r.fragments.inRecord {
+		r.result.Records.Incomplete++
 	}
-	r.found.Ring = ring
+	r.result.Ring = ring
 	findings := journal.Findings{}
 	findings.Merge(ring.Findings)
-	findings.Merge(r.found.Findings)
-	r.found.Findings = findings
-	return &r.found, nil
+	findings.Merge(r.result.Findings)
+	r.result.Findings = findings
+	return &r.result, nil
 }
 
-// diskReader adds up the records of a disk.
-type diskReader struct {
-	found   Inspection
-	parts   assembler
-	first   journal.Finding // the place of the first part of the present record
-	foreign int             // parts that no replica writes
-	broken  bool            // a record could not follow those before it
+// recordReader reassembles the records of a disk and recovers the state from them.
+type recordReader struct {
+	result           Inspection
+	fragments        fragmentAssembler
+	recordStart      journal.Finding // location of the first fragment of the current record
+	foreignFragments int             // fragments with flags that no replica writes
+	applyFailed      bool            // a record did not follow from those before it
 }
 
-// take takes the next part of a record.
-func (r *diskReader) take(file string, p journal.Position, b []byte) {
-	r.found.Records.Fragments++
-	r.found.Records.Bytes += int64(len(b))
-	place := journal.Finding{File: file, Offset: int64(p.Offset)}
-	if b[0] > firstPart|lastPart {
-		r.foreign++
-		r.damage(place, eris.Errorf("a part of a record is marked %d", b[0]))
+// readFragment processes the next fragment.
+func (r *recordReader) readFragment(file string, p journal.Position, b []byte) {
+	r.result.Records.Fragments++
+	r.result.Records.Bytes += int64(len(b))
+	location := journal.Finding{File: file, Offset: int64(p.Offset)}
+	if b[0] > firstFragment|lastFragment {
+		r.foreignFragments++
+		r.addFinding(location, eris.Errorf("a fragment of a record has unknown flags %d", b[0]))
 		return
 	}
-	r.unfinished(b[0])
-	if b[0]&firstPart != 0 {
-		r.first = place
+	r.countIncomplete(b[0])
+	if b[0]&firstFragment != 0 {
+		r.recordStart = location
 	}
-	record, whole := r.parts.add(b)
-	if !whole {
+	record, complete := r.fragments.add(b)
+	if !complete {
 		return
 	}
 	if err := r.apply(record); err != nil {
-		r.damage(r.first, err)
+		r.addFinding(r.recordStart, err)
 	}
 }
 
-// unfinished counts the records that assembler drops, seen by the mark of the next part.
-func (r *diskReader) unfinished(mark byte) {
-	begins := mark&firstPart != 0
-	if begins == r.parts.open { // another one begins before the end, or a part has no beginning
-		if begins || mark&lastPart != 0 {
-			r.found.Records.Incomplete++
+// countIncomplete counts the records that fragmentAssembler drops, recognized by the flags of the next fragment.
+func (r *recordReader) countIncomplete(flags byte) {
+	first := flags&firstFragment != 0
+	if first == r.fragments.inRecord { // a record begins before the previous one ended, or a fragment has no beginning
+		if first || flags&lastFragment != 0 {
+			r.result.Records.Incomplete++
 		}
 	}
 }
 
-// apply decodes a record and adds it to what the disk holds.
-func (r *diskReader) apply(b []byte) error {
+// apply decodes a record and applies it to the durable state.
+func (r *recordReader) apply(b []byte) error {
 	record, err := decodeRecord(b)
 	if err != nil {
 		return err
 	}
-	// The library takes a record that ends too early for one whose last fields are empty.
-	if again, err := encodeRecord(record); err != nil || !bytes.Equal(again, b) {
-		return eris.New("the record is coded otherwise than a replica does")
+	// The Avro library decodes a truncated record as one whose last fields are empty.
+	if reencoded, err := encodeRecord(record); err != nil || !bytes.Equal(reencoded, b) {
+		return eris.New("the record is not in the canonical encoding of a replica")
 	}
 	switch record.(type) {
 	case chain.IdentityRecord:
-		r.found.Records.Identities++
+		r.result.Records.Identities++
 	case chain.ViewRecord:
-		r.found.Records.Views++
+		r.result.Records.Views++
 	case chain.EntryRecord:
-		r.found.Records.Entries++
+		r.result.Records.Entries++
 	case chain.VoteRecord:
-		r.found.Records.Votes++
+		r.result.Records.Votes++
 	}
-	if r.broken {
-		return nil // what follows cannot follow either
+	if r.applyFailed {
+		return nil // later records cannot be applied either
 	}
-	err = r.found.Durable.Apply(record)
-	r.broken = err != nil
+	err = r.result.Durable.Apply(record)
+	r.applyFailed = err != nil
 	return err
 }
 
-func (r *diskReader) damage(place journal.Finding, err error) {
-	place.Problem = fmt.Sprint(err)
-	r.found.Findings.Add(place)
+func (r *recordReader) addFinding(location journal.Finding, err error) {
+	location.Problem = fmt.Sprint(err)
+	r.result.Findings.Add(location)
 }
--- a/internal/tier/replica/large_test.go
+++ b/internal/tier/replica/large_test.go
@@ -17,34 +17,34 @@
 	. "github.com/onsi/gomega"
 )
 
-// controlMember is a replica of the real control state, on a disk of the size that small machines have.
-type controlMember struct {
+// controlReplica is a replica of the real control state, on a disk of the size that small machines have.
+type controlReplica struct {
 	process
-	told atomic.Uint64 // the newest configuration that it knows to be committed
+	committedVersion atomic.Uint64 // the newest configuration known to be committed
 }
 
-// smallDisk is the journal's part of a disk of 64 MB.
-const smallDisk = 64 << 20 * 6 / 10
+// smallDiskJournalBytes is the share of the journal in a disk of 64 MB.
+const smallDiskJournalBytes = 64 << 20 * 6 / 10
 
-func (m *controlMember) start(bootstrap bool) {
+func (m *controlReplica) start(bootstrap bool) {
 	GinkgoHelper()
 	m.open(replica.Options{
-		Bootstrap: bootstrap, JournalBytes: smallDisk,
+		Bootstrap: bootstrap, JournalBytes: smallDiskJournalBytes,
 		NewStateMachine: func() chain.StateMachine { return controlstate.New() },
 		OnCommit: func(_, _ uint64, snapshot []byte) {
 			state := controlstate.New()
 			if state.Restore(snapshot) == nil {
 				version, _ := state.Configuration()
-				m.told.Store(version)
+				m.committedVersion.Store(version)
 			}
 		},
 	})
 }
 
-func controlMembers(count int) []*controlMember {
-	var members []*controlMember
-	for _, p := range processes(count) {
-		m := &controlMember{process: p}
+func startControlReplicas(count int) []*controlReplica {
+	var members []*controlReplica
+	for _, p := range newProcesses(count) {
+		m := &controlReplica{process: p}
 		members = append(members, m)
 		m.start(true)
 		DeferCleanup(m.kill)
@@ -52,14 +52,14 @@
 	return members
 }
 
-// configuration is one of a version and a size in bytes.
+// configuration returns a configuration of a version and a size in bytes.
 func configuration(version uint64, size int) []byte {
 	body := fmt.Sprintf(`{"version":%d,"services":[{"name":"s"}],"routes":[]}`, version)
 	return []byte(body + strings.Repeat(" ", size-len(body)))
 }
 
-// change has a member replace the configuration of the version before, until it is acknowledged.
-func change(ctx context.Context, m *controlMember, version uint64, size int) {
+// replaceConfiguration replaces the previous version through a member, retrying until the change is acknowledged.
+func replaceConfiguration(ctx context.Context, m *controlReplica, version uint64, size int) {
 	GinkgoHelper()
 	command := controlstate.Command{Kind: controlstate.ReplaceConfiguration, Base: version - 1, HasBase: true, Body: configuration(version, size)}
 	for {
@@ -74,47 +74,49 @@
 	}
 }
 
-// A member that was out while the journals of the others were lapped comes back from its disk, with what a loss of power
-// left of it, or without one. It is caught up, and was not head before.
+// A member is stopped until the journals of the others have wrapped around. It rejoins with its disk, with a disk after a
+// power loss, or with an empty one. The others must bring it up to date, and it must not become head before that.
 var _ = Describe("a member that missed hundreds of changes", func() {
-	DescribeTable("catches up", func(ctx SpecContext, size, changes int, lose func(*memfs.Mem) *memfs.Mem) {
-		members := controlMembers(3)
-		out, others := members[0], members[1:] // the head
+	DescribeTable("catches up", func(ctx SpecContext, size, changes int, restartDisk func(*memfs.Mem) *memfs.Mem) {
+		members := startControlReplicas(3)
+		stopped, others := members[0], members[1:] // the head
 		version := uint64(0)
 		for range 3 {
 			version++
-			change(ctx, members[1], version, size)
+			replaceConfiguration(ctx, members[1], version, size)
 		}
-		out.kill()
+		stopped.kill()
 		for range changes {
 			version++
-			change(ctx, others[version%2], version, size)
+			replaceConfiguration(ctx, others[version%2], version, size)
 		}
-		out.disk = lose(out.disk)
-		out.told.Store(0)
-		out.start(false)
-		Eventually(ctx, out.told.Load).Should(Equal(version))
-		Eventually(ctx, func() int { return out.replica.View().ChainPosition(out.replica.Status().Self.ID) }).Should(BeNumerically(">", 0), "in the chain, behind")
+		stopped.disk = restartDisk(stopped.disk)
+		stopped.committedVersion.Store(0)
+		stopped.start(false)
+		Eventually(ctx, stopped.committedVersion.Load).Should(Equal(version))
+		Eventually(ctx, func() int { return stopped.replica.View().ChainPosition(stopped.replica.Status().Self.ID) }).Should(BeNumerically(">", 0), "in the chain, not as head")
 		for range 5 {
 			version++
-			change(ctx, out, version, size)
+			replaceConfiguration(ctx, stopped, version, size)
 		}
-		// And they can do without another one now.
+		// The chain works without another member now.
 		others[0].kill()
 		version++
-		change(ctx, out, version, size)
+		replaceConfiguration(ctx, stopped, version, size)
 	},
-		Entry("300 small ones, from its disk", NodeTimeout(time.Minute), 400, 300, asItWas),
-		Entry("5,000 small ones, from its disk", NodeTimeout(3*time.Minute), 200, 5000, asItWas),
-		Entry("300 small ones, with a torn end", NodeTimeout(time.Minute), 400, 300, torn),
-		Entry("300 small ones, with an empty disk", NodeTimeout(time.Minute), 400, 300, emptied),
-		Entry("of 4 MiB, the ring lapped, from its disk", NodeTimeout(time.Minute), controlstate.MaxConfigurationBytes, 25, asItWas),
-		Entry("of 4 MiB, the ring lapped, with an empty disk", NodeTimeout(time.Minute), controlstate.MaxConfigurationBytes, 25, emptied),
+		Entry("300 small ones, with its disk", NodeTimeout(time.Minute), 400, 300, afterKill),
+		Entry("5,000 small ones, with its disk", NodeTimeout(3*time.Minute), 200, 5000, afterKill),
+		Entry("300 small ones, with its disk after a power loss", NodeTimeout(time.Minute), 400, 300, afterPowerLoss),
+		Entry("300 small ones, with an empty disk", NodeTimeout(time.Minute), 400, 300, replaced),
+		Entry("of 4 MiB, the journal wrapped around, with its disk", NodeTimeout(time.Minute), controlstate.MaxConfigurationBytes, 25, afterKill),
+		Entry("of 4 MiB, the journal wrapped around, with an empty disk", NodeTimeout(time.Minute), controlstate.MaxConfigurationBytes, 25, replaced),
 	)
 })
 
-func asItWas(disk *memfs.Mem) *memfs.Mem { return disk.After(memfs.Process, nil) }
+func afterKill(disk *memfs.Mem) *memfs.Mem { return disk.After(memfs.Process, nil) }
 
-func torn(disk *memfs.Mem) *memfs.Mem { return disk.After(memfs.Power, rand.New(rand.NewPCG(5, 6))) }
+func afterPowerLoss(disk *memfs.Mem) *memfs.Mem {
+	return disk.After(memfs.Power, rand.New(rand.NewPCG(5, 6)))
+}
 
-func emptied(*memfs.Mem) *memfs.Mem { return memfs.New() }
+func replaced(*memfs.Mem) *memfs.Mem { return memfs.New() }
--- a/internal/tier/replica/loop.go
+++ b/internal/tier/replica/loop.go
@@ -11,86 +11,86 @@
 	"emberquay/coordination/chain"
 )
 
-// own is the goroutine that owns the node and the journal.
-func (r *Replica) own(first chain.Output) {
-	defer r.finish()
-	r.carryOut(first)
+// run is the main loop of the goroutine that owns the node and the journal.
+func (r *Replica) run(first chain.Output) {
+	defer r.shutDown()
+	r.handleOutput(first)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	due := r.now()
+	timerAt := r.now()
 	for {
 		select {
-		case do := <-r.commands:
-			do()
+		case command := <-r.commands:
+			command()
 		case <-timer.C:
-			due = never
-			r.carryOut(r.node.Tick(r.now()))
+			timerAt = noDeadline
+			r.handleOutput(r.node.Tick(r.now()))
 		case <-r.closing:
 			return
 		}
-		// The timer is set only where it would be late: messages come more often than anything is due.
-		if wanted := r.node.Deadline(); wanted < due {
-			due = wanted
-			timer.Reset(max(0, due-r.now()))
+		// The timer is reset only if it would fire too late: messages arrive far more often than deadlines.
+		if deadline := r.node.Deadline(); deadline < timerAt {
+			timerAt = deadline
+			timer.Reset(max(0, timerAt-r.now()))
 		}
 	}
 }
 
-// never is after any deadline.
-const never = time.Duration(1<<63 - 1)
+// noDeadline is later than any deadline.
+const noDeadline = time.Duration(1<<63 - 1)
 
-func (r *Replica) finish() {
+func (r *Replica) shutDown() {
 	r.closed.Store(true)
-	r.peers.close()
-	r.commits.close()
+	r.sender.close()
+	r.commitNotifier.close()
 	r.closeJournal()
-	close(r.ended)
+	close(r.stopped)
 }
 
-// receive takes a message off the network. One that finds the queue full is lost, as the network may lose it.
-func (r *Replica) receive(_ context.Context, w wire) {
-	envelope, err := w.open()
+// receive queues a message from the network. It drops the message if the queue is full: the protocol tolerates loss.
+func (r *Replica) receive(_ context.Context, w wireEnvelope) {
+	envelope, err := w.decode()
 	if err != nil {
-		r.log.WithError(err).Warn("replica: message not understood")
+		r.log.WithError(err).Warn("replica: cannot decode a received message")
 		return
 	}
 	select {
-	case r.commands <- func() { r.carryOut(r.node.Step(r.now(), envelope)) }:
+	case r.commands <- func() { r.handleOutput(r.node.Step(r.now(), envelope)) }:
 	default:
 	}
 }
 
-// carryOut does what the node asks for, in the order that it demands. Nothing leaves before the disk has it.
-func (r *Replica) carryOut(out chain.Output) {
+// handleOutput executes the output of the node in the required order: nothing is sent before the records are synced.
+func (r *Replica) handleOutput(out chain.Output) {
 	if len(out.Persist) > 0 && !r.persist(out.Persist) {
 		return
 	}
 	for _, c := range out.Committed {
-		r.commits.tell(c)
+		r.commitNotifier.notify(c)
 	}
 	for _, e := range out.Send {
-		r.post(e)
+		r.sendEnvelope(e)
 	}
 	for _, reply := range out.Replies {
-		if answer, ok := r.waiting[reply.Number]; ok {
-			delete(r.waiting, reply.Number)
-			answer <- reply
+		if replies, ok := r.pendingCalls[reply.Number]; ok {
+			delete(r.pendingCalls, reply.Number)
+			replies <- reply
 		}
 	}
-	r.publish()
+	r.publishStatus()
 }
 
-func (r *Replica) post(e chain.Envelope) {
-	w, err := seal(e)
+func (r *Replica) sendEnvelope(e chain.Envelope) {
+	w, err := encodeEnvelope(e)
 	if err != nil {
-		r.log.WithError(err).Error("replica: message not sent")
+		r.log.WithError(err).Error("replica: cannot encode a message to send")
 		return
 	}
-	r.peers.send(e.To.Address, w)
+	r.sender.send(e.To.Address, w)
 }
 
-// publish tells the status where it is another.
-func (r *Replica) publish() {
+// publishStatus stores and logs the status if it changed.
+func (r *Replica) publishStatus() {
 	old := r.status.Load()
 	self, v, member := r.node.Self(), r.node.View(), r.node.IsMember()
 	if old != nil && old.Self == self && old.View.Epoch == v.Epoch && old.IsMember == member {
@@ -101,11 +101,11 @@
 		WithField("member", member).Info("replica: view")
 }
 
-// randomSeed is for ids and delays; ids have to differ between all disks there ever are.
+// randomSeed seeds ids and delays. It must not repeat: ids must be unique among all disks ever used.
 func randomSeed() [2]uint64 {
 	var b [16]byte
 	if _, err := rand.Read(b[:]); err != nil {
-		panic(eris.Wrap(err, "replica: no random numbers"))
+		panic(eris.Wrap(err, "replica: reading random numbers"))
 	}
 	return [2]uint64{binary.LittleEndian.Uint64(b[:8]), binary.LittleEndian.Uint64(b[8:])}
 }
--- a/internal/tier/replica/notify.go
+++ b/internal/tier/replica/notify.go
@@ -4,34 +4,34 @@
 	"emberquay/coordination/chain"
 )
 
-// notifier tells of committed states in a goroutine of its own, so that whoever follows them can't hold the chain up. Only
-// the newest waits.
+// notifier passes committed states to a callback in a goroutine of its own, so that a slow callback cannot block the
+// chain. Only the newest state is queued.
 type notifier struct {
 	latest chan chain.CommittedState
 	done   chan struct{}
 }
 
-func newNotifier(f func(epoch, sequence uint64, snapshot []byte)) *notifier {
+func newNotifier(onCommit func(epoch, sequence uint64, snapshot []byte)) *notifier {
 	n := &notifier{latest: make(chan chain.CommittedState, 1), done: make(chan struct{})}
-	if f != nil {
-		go n.run(f)
+	if onCommit != nil {
+		go n.run(onCommit)
 	}
 	return n
 }
 
-func (n *notifier) run(f func(epoch, sequence uint64, snapshot []byte)) {
+func (n *notifier) run(onCommit func(epoch, sequence uint64, snapshot []byte)) {
 	for {
 		select {
 		case c := <-n.latest:
-			f(uint64(c.Epoch), uint64(c.Sequence), c.Snapshot)
+			onCommit(uint64(c.Epoch), uint64(c.Sequence), c.Snapshot)
 		case <-n.done:
 			return
 		}
 	}
 }
 
-// tell is called by the owner only.
-func (n *notifier) tell(c chain.CommittedState) {
+// notify queues a state in place of an older one. Only the owner goroutine may call it.
+func (n *notifier) notify(c chain.CommittedState) {
 	select {
 	case <-n.latest:
 	default:
--- a/internal/tier/replica/peers.go
+++ b/internal/tier/replica/peers.go
@@ -10,35 +10,35 @@
 )
 
 const (
-	// peerQueue is how many messages may wait for one peer; what is over it is lost, as the network may lose it.
-	peerQueue = 64
-	// maxPeers bounds the peers with a queue: members, nodes that join, nodes that forward calls.
-	maxPeers = 64
-	// sendTimeout bounds one message: an older one is of no use.
+	// peerQueueCapacity is the number of messages queued per peer; further ones are dropped, which the protocol tolerates.
+	peerQueueCapacity = 64
+	// maxPeerQueues limits the peers with a queue: members, joining nodes and forwarders.
+	maxPeerQueues = 64
+	// sendTimeout limits the sending of one message; an older message is of no use.
 	sendTimeout = time.Second
 )
 
-// peers send messages in the background, in their order for each peer. It belongs to the replica's owner.
-type peers struct {
+// peerSender sends messages in the background, in order for each peer. Only the owner goroutine may use it.
+type peerSender struct {
 	client *transport.Client
 	log    log.Interface
-	queues map[string]chan wire // by address
+	queues map[string]chan wireEnvelope // by address
 	ctx    context.Context
-	stop   context.CancelFunc
+	cancel context.CancelFunc
 }
 
-func newPeers(client *transport.Client, logger log.Interface) *peers {
-	ctx, stop := context.WithCancel(context.Background())
-	return &peers{client: client, log: logger, queues: map[string]chan wire{}, ctx: ctx, stop: stop}
+func newPeerSender(client *transport.Client, logger log.Interface) *peerSender {
+	ctx, cancel := context.WithCancel(context.Background())
+	return &peerSender{client: client, log: logger, queues: map[string]chan wireEnvelope{}, ctx: ctx, cancel: cancel}
 }
 
-func (p *peers) send(address string, w wire) {
+func (p *peerSender) send(address string, w wireEnvelope) {
 	queue := p.queues[address]
 	if queue == nil {
-		p.forgetOne()
-		queue = make(chan wire, peerQueue)
+		p.evictOne()
+		queue = make(chan wireEnvelope, peerQueueCapacity)
 		p.queues[address] = queue
-		go p.deliver(address, queue)
+		go p.sendQueued(address, queue)
 	}
 	select {
 	case queue <- w:
@@ -46,9 +46,9 @@
 	}
 }
 
-// forgetOne makes room for another peer; whichever it is comes back with its next message.
-func (p *peers) forgetOne() {
-	if len(p.queues) < maxPeers {
+// evictOne drops the queue of an arbitrary peer to make room for another; the next message to that peer starts it again.
+func (p *peerSender) evictOne() {
+	if len(p.queues) < maxPeerQueues {
 		return
 	}
 	for address, queue := range p.queues {
@@ -58,26 +58,26 @@
 	}
 }
 
-func (p *peers) deliver(address string, queue <-chan wire) {
+func (p *peerSender) sendQueued(address string, queue <-chan wireEnvelope) {
 	for {
 		select {
 		case w, open := <-queue:
 			if !open {
 				return
 			}
-			p.deliverOne(address, w)
+			p.sendOne(address, w)
 		case <-p.ctx.Done():
 			return
 		}
 	}
 }
 
-func (p *peers) deliverOne(address string, w wire) {
+func (p *peerSender) sendOne(address string, w wireEnvelope) {
 	ctx, cancel := context.WithTimeout(p.ctx, sendTimeout)
 	defer cancel()
-	if err := transport.Send(ctx, p.client, address, messageMethod, envelopes, w); err != nil {
-		p.log.WithError(err).WithField("peer", address).Debug("replica: message lost")
+	if err := transport.Send(ctx, p.client, address, messageMethod, envelopeCodec, w); err != nil {
+		p.log.WithError(err).WithField("peer", address).Debug("replica: sending a message failed")
 	}
 }
 
-func (p *peers) close() { p.stop() }
+func (p *peerSender) close() { p.cancel() }
--- a/internal/tier/replica/record.go
+++ b/internal/tier/replica/record.go
@@ -6,16 +6,16 @@
 	"emberquay/coordination/chain"
 )
 
-var records = variants[chain.Record]{
-	as[chain.Record](record[chain.IdentityRecord]("Identity", "Member", member, "Known", texts)),
-	as[chain.Record](record[chain.ViewRecord]("Adoption", "View", aView, "State", state, "Committed", long, "Last", entries)),
-	as[chain.Record](record[chain.EntryRecord]("Addition", "Epoch", long, "Entry", entry)),
-	as[chain.Record](record[chain.VoteRecord]("Vote", "Epoch", long, "Acceptor", acceptor)),
+var recordCodecs = typeCodecs[chain.Record]{
+	codecOf[chain.Record](newCodec[chain.IdentityRecord]("Identity", "Member", memberType, "Known", stringArrayType)),
+	codecOf[chain.Record](newCodec[chain.ViewRecord]("Adoption", "View", viewType, "State", stateType, "Committed", longType, "Last", entryArrayType)),
+	codecOf[chain.Record](newCodec[chain.EntryRecord]("Addition", "Epoch", longType, "Entry", entryType)),
+	codecOf[chain.Record](newCodec[chain.VoteRecord]("Vote", "Epoch", longType, "Acceptor", acceptorType)),
 }
 
-// encodeRecord puts the kind before the record's bytes.
+// encodeRecord encodes a record as a byte for its kind, followed by its Avro encoding.
 func encodeRecord(r chain.Record) ([]byte, error) {
-	kind, body, err := records.encode(r)
+	kind, body, err := recordCodecs.encode(r)
 	return append([]byte{byte(kind)}, body...), err
 }
 
@@ -23,47 +23,48 @@
 	if len(b) == 0 {
 		return nil, eris.New("replica: empty record")
 	}
-	return records.decode(int(b[0]), b[1:])
+	return recordCodecs.decode(int(b[0]), b[1:])
 }
 
-// A part of a record begins with a byte that says where it belongs.
+// Flags in the first byte of a fragment: whether the fragment begins or ends its record.
 const (
-	firstPart byte = 1 << iota
-	lastPart
+	firstFragment byte = 1 << iota
+	lastFragment
 )
 
-func part(b []byte, first, last bool) []byte {
-	mark := byte(0)
+func encodeFragment(b []byte, first, last bool) []byte {
+	flags := byte(0)
 	if first {
-		mark |= firstPart
+		flags |= firstFragment
 	}
 	if last {
-		mark |= lastPart
+		flags |= lastFragment
 	}
-	return append([]byte{mark}, b...)
+	return append([]byte{flags}, b...)
 }
 
-// assembler joins parts. What has no beginning (its segment was reclaimed) or no end (the process ended) is dropped.
-type assembler struct {
-	open bool
-	b    []byte
+// fragmentAssembler joins fragments into records. It drops records without a beginning (their segment was reclaimed) and
+// without an end (the process ended before writing it).
+type fragmentAssembler struct {
+	inRecord bool
+	buffer   []byte
 }
 
-// add takes the next part; the record is whole if it was the last one. It is valid until the next call.
-func (a *assembler) add(p []byte) (record []byte, whole bool) {
-	if len(p) == 0 {
+// add takes the next fragment and returns the record if the fragment completes it. The record is valid until the next call.
+func (a *fragmentAssembler) add(fragment []byte) (record []byte, complete bool) {
+	if len(fragment) == 0 {
 		return nil, false
 	}
-	if p[0]&firstPart != 0 {
-		a.open, a.b = true, a.b[:0]
+	if fragment[0]&firstFragment != 0 {
+		a.inRecord, a.buffer = true, a.buffer[:0]
 	}
-	if !a.open {
+	if !a.inRecord {
 		return nil, false
 	}
-	a.b = append(a.b, p[1:]...)
-	if p[0]&lastPart == 0 {
+	a.buffer = append(a.buffer, fragment[1:]...)
+	if fragment[0]&lastFragment == 0 {
 		return nil, false
 	}
-	a.open = false
-	return a.b, true
+	a.inRecord = false
+	return a.buffer, true
 }
--- a/internal/tier/replica/replica.go
+++ b/internal/tier/replica/replica.go
@@ -1,4 +1,5 @@
-// Package replica runs one member of the control state: a chain.Node with a journal, peers and a clock.
+// Package replica runs one member of the replicated control state: a chain.Node with its journal, network peers and
+// clock.
 //
 //	r, err := replica.Open(replica.Options{
 //		Name: "front-1", Address: "10.1.0.38:7381", Zone: "a", Seeds: seeds, Bootstrap: true, Voter: true,
@@ -8,11 +9,11 @@
 //		Client: client, Mux: mux, Log: logger,
 //	})
 //	... transport.Listen(address, mux)
-//	result, err := r.Propose(ctx, command) // an error leaves open whether it was carried out
-//	snapshot, err := r.Read(ctx)           // no older than the call
+//	result, err := r.Propose(ctx, command) // after an error the outcome is unknown
+//	snapshot, err := r.Read(ctx)           // includes all that was committed before the call
 //
-// One goroutine owns node and journal and works through a bounded queue. It waits for the disk: while that stalls the
-// replica sends nothing, so the others leave it out.
+// One goroutine owns the node and the journal and executes commands from a bounded queue. It blocks on the disk: while
+// the disk stalls, the replica sends nothing and the other members remove it from the chain.
 package replica
 
 import (
@@ -30,95 +31,96 @@
 	"emberquay/internal/vfs"
 )
 
-// Errors of calls. After any error of Propose, and after the end of its context, its fate is open.
+// Errors of calls. After Propose fails with any of them or with its context's error, except ErrBusy, the command may or
+// may not have been executed.
 var (
-	// ErrOutcomeUnknown: the command may have been carried out or may yet be.
-	ErrOutcomeUnknown = eris.New("replica: it is not known whether the command was carried out")
-	// ErrBusy: too many calls wait; this one was not made.
-	ErrBusy = eris.New("replica: too many calls wait")
-	// ErrClosed: the replica is closed, or ended for want of its disk.
+	// ErrOutcomeUnknown means that the command may have been executed, or still may be.
+	ErrOutcomeUnknown = eris.New("replica: unknown whether the command was executed")
+	// ErrBusy means that too many calls are pending; this one was not started.
+	ErrBusy = eris.New("replica: too many pending calls")
+	// ErrClosed means that the replica was closed, or stopped because its journal failed.
 	ErrClosed = eris.New("replica: closed")
 )
 
 const (
-	// commandBound is how many messages and calls may wait for the owner.
-	commandBound = 256
-	// segments of the journal, and how many of them are kept free: a vote and a view with the whole state each, and a
-	// checkpoint, have to fit in at any time.
-	segments      = 6
-	spareSegments = 3
-	// defaultDiskBytes is used where the options name no bound; a state may be a sixth of it.
-	defaultDiskBytes = 24 << 20
-	// diskPause follows a write or sync that failed.
-	diskPause = 100 * time.Millisecond
+	// commandQueueCapacity is the number of messages and calls that may wait for the owner goroutine.
+	commandQueueCapacity = 256
+	// journalSegments is the number of segments of the journal, minFreeSegments how many of them stay free: a vote and a
+	// view, each with the complete state, and a checkpoint must fit at any time.
+	journalSegments = 6
+	minFreeSegments = 3
+	// defaultJournalBytes applies if Options.JournalBytes is 0; a state may take a sixth of it.
+	defaultJournalBytes = 24 << 20
+	// diskRetryDelay is the pause after a failed write or sync.
+	diskRetryDelay = 100 * time.Millisecond
 )
 
-// Options of a replica.
+// Options configure a replica.
 type Options struct {
-	Name, Address, Zone string   // of the node; where other replicas reach it
-	Seeds               []string // addresses of the first members' replicas
-	Bootstrap           bool     // the first start of the whole system
-	Voter               bool     // false: it only forwards calls
+	Name, Address, Zone string   // of the node; Address is where other replicas reach it
+	Seeds               []string // addresses of the initial members
+	Bootstrap           bool     // true only at the first start of the whole system
+	Voter               bool     // false: not a member, only forwards calls
 
-	Files        vfs.FS // nil: what it holds is lost with the process
+	Files        vfs.FS // nil: the state is in memory only
 	Dir          string
-	JournalBytes int64 // bound of the journal; 0: a default
+	JournalBytes int64 // limit of the journal; 0: defaultJournalBytes
 
 	NewStateMachine func() chain.StateMachine
-	// OnCommit is told of states known to be committed, each newer than the one before; where several follow each other
-	// fast some are left out, never the last. It runs in a goroutine of its own. May be nil.
+	// OnCommit receives committed states in ascending order. It may skip states that follow each other quickly, but never
+	// the latest. It runs in a goroutine of its own. May be nil.
 	OnCommit func(epoch, sequence uint64, snapshot []byte)
 
 	Client *transport.Client
-	Mux    *transport.Mux // gets the replica's methods; to be served after Open
-	Log    log.Interface  // nil: the usual one
+	Mux    *transport.Mux // Open registers the replica's methods; serve it after Open
+	Log    log.Interface  // nil: log.Log
 }
 
-// Status is what a replica is.
+// Status describes the membership of a replica.
 type Status struct {
 	Self     view.Member
-	View     view.View // its own, or the newest it heard of
+	View     view.View // of which it is a member, or the newest one that it knows
 	IsMember bool      // of View
 }
 
-// Replica is one running member.
+// Replica is a running member, or a forwarder if it is not a voter.
 type Replica struct {
-	options  Options
-	log      log.Interface
-	node     *chain.Node
-	journal  *journal.Journal // nil without a disk
-	started  time.Time
-	commands chan func()
-	peers    *peers
-	commits  *notifier
-	status   atomic.Pointer[Status]
-	waiting  map[int64]chan chain.Reply
-	closing  chan struct{}
-	closed   atomic.Bool
-	ended    chan struct{}
+	options        Options
+	log            log.Interface
+	node           *chain.Node
+	journal        *journal.Journal // nil: in memory only
+	startedAt      time.Time
+	commands       chan func()
+	sender         *peerSender
+	commitNotifier *notifier
+	status         atomic.Pointer[Status]
+	pendingCalls   map[int64]chan chain.Reply
+	closing        chan struct{}
+	closed         atomic.Bool
+	stopped        chan struct{}
 }
 
-// Open takes up what the disk holds and starts the replica. Errors: the disk's, or settings that make no sense.
+// Open recovers the state from the disk and starts the replica. It returns errors of the disk and of invalid settings.
 func Open(o Options) (*Replica, error) {
 	if o.Log == nil {
 		o.Log = log.Log
 	}
 	r := &Replica{
-		options:  o,
-		log:      o.Log,
-		started:  time.Now(),
-		commands: make(chan func(), commandBound),
-		waiting:  map[int64]chan chain.Reply{},
-		closing:  make(chan struct{}),
-		ended:    make(chan struct{}),
+		options:      o,
+		log:          o.Log,
+		startedAt:    time.Now(),
+		commands:     make(chan func(), commandQueueCapacity),
+		pendingCalls: map[int64]chan chain.Reply{},
+		closing:      make(chan struct{}),
+		stopped:      make(chan struct{}),
 	}
-	durable, lost, err := r.openJournal()
+	durable, dataLost, err := r.openJournal()
 	if err != nil {
 		return nil, err
 	}
 	settings := chain.Settings{
 		Name: o.Name, Address: o.Address, Zone: o.Zone, Seeds: o.Seeds, Voter: o.Voter,
-		Bootstrap: o.Bootstrap && !lost, Random: randomSeed(),
+		Bootstrap: o.Bootstrap && !dataLost, Random: randomSeed(),
 	}
 	node, out, err := chain.New(settings, durable, o.NewStateMachine(), r.now())
 	if err != nil {
@@ -126,16 +128,16 @@
 		return nil, err
 	}
 	r.node = node
-	r.peers = newPeers(o.Client, o.Log)
-	r.commits = newNotifier(o.OnCommit)
-	r.publish()
-	transport.Receive(o.Mux, messageMethod, envelopes, r.receive)
-	go r.own(out)
+	r.sender = newPeerSender(o.Client, o.Log)
+	r.commitNotifier = newNotifier(o.OnCommit)
+	r.publishStatus()
+	transport.Receive(o.Mux, messageMethod, envelopeCodec, r.receive)
+	go r.run(out)
 	return r, nil
 }
 
-// Propose has a command carried out and gives its result, once it is committed, or once it is confirmed that it changed
-// nothing. Errors: ErrOutcomeUnknown, ErrBusy, ErrClosed, or the context's end.
+// Propose executes a command and returns its result once the command is committed, or once it is confirmed that it
+// changed nothing. Errors: ErrOutcomeUnknown, ErrBusy, ErrClosed, or the context's error.
 func (r *Replica) Propose(ctx context.Context, command []byte) (result []byte, err error) {
 	reply, err := r.call(ctx, func() (int64, chain.Output, bool) { return r.node.Propose(r.now(), command) })
 	if err != nil {
@@ -147,42 +149,43 @@
 	return reply.Result, nil
 }
 
-// Read gives a committed state that is no older than the call. Errors: ErrBusy, ErrClosed, or the context's end.
+// Read returns a committed state that is at least as new as the start of the call (a linearizable read). Errors: ErrBusy,
+// ErrClosed, or the context's error.
 func (r *Replica) Read(ctx context.Context) (snapshot []byte, err error) {
 	reply, err := r.call(ctx, func() (int64, chain.Output, bool) { return r.node.Read(r.now()) })
 	return reply.Snapshot, err
 }
 
-// Status is what the replica is at present.
+// Status returns the current membership of the replica.
 func (r *Replica) Status() Status { return *r.status.Load() }
 
-// View is the view of which the replica is a member, or the newest it heard of; zero: none yet.
+// View returns the view of which the replica is a member, or the newest one that it knows; zero if there is none yet.
 func (r *Replica) View() view.View { return r.Status().View }
 
-// Members are the voting members of View.
+// Members returns the voting members of View.
 func (r *Replica) Members() []view.Member { return r.View().Members }
 
-// SetSeeds replaces the addresses to ask for the others.
+// SetSeeds replaces the addresses that are contacted to find the members.
 func (r *Replica) SetSeeds(seeds []string) {
 	select {
 	case r.commands <- func() { r.node.SetSeeds(seeds) }:
-	case <-r.ended:
+	case <-r.stopped:
 	}
 }
 
-// Stopped is closed once the replica has ended: by Close, or because the disk can't hold its state.
-func (r *Replica) Stopped() <-chan struct{} { return r.ended }
+// Stopped returns a channel that is closed once the replica has stopped: by Close, or because its journal failed.
+func (r *Replica) Stopped() <-chan struct{} { return r.stopped }
 
-// resignPoll is how often LeaveChain looks whether the others go on without this member.
-const resignPoll = 10 * time.Millisecond
+// leavePollInterval is how often LeaveChain checks whether this member has left the chain.
+const leavePollInterval = 10 * time.Millisecond
 
-// LeaveChain has the other members go on without this one before it ends, so that no order waits until its silence is noticed.
-// It returns once they do, or when ctx ends; calls are served until Close.
+// LeaveChain has the other members reconfigure without this one before it stops, so that no write waits until they detect
+// its failure. It returns once they have done so, or when ctx ends; calls are served until Close.
 func (r *Replica) LeaveChain(ctx context.Context) {
-	if r.enqueue(ctx, func() { r.carryOut(r.node.LeaveChain(r.now())) }) != nil {
+	if r.enqueue(ctx, func() { r.handleOutput(r.node.LeaveChain(r.now())) }) != nil {
 		return
 	}
-	ticker := time.NewTicker(resignPoll)
+	ticker := time.NewTicker(leavePollInterval)
 	defer ticker.Stop()
 	for {
 		status := r.Status()
@@ -193,97 +196,97 @@
 		case <-ticker.C:
 		case <-ctx.Done():
 			return
-		case <-r.ended:
+		case <-r.stopped:
 			return
 		}
 	}
 }
 
-// Close ends the replica; calls that wait get ErrClosed. What was acknowledged is on the disk.
+// Close stops the replica; pending calls return ErrClosed. All acknowledged commands are on the disk.
 func (r *Replica) Close() error {
 	if r.closed.CompareAndSwap(false, true) {
 		close(r.closing)
 	}
-	<-r.ended
+	<-r.stopped
 	return nil
 }
 
-// call makes a call in the owner's goroutine and waits for its reply.
-func (r *Replica) call(ctx context.Context, begin func() (int64, chain.Output, bool)) (chain.Reply, error) {
-	answer := make(chan chain.Reply, 1)
-	made := make(chan int64, 1) // 0: too many wait
-	do := func() {
+// call runs start in the owner goroutine and waits for the reply to the call that it begins.
+func (r *Replica) call(ctx context.Context, start func() (int64, chain.Output, bool)) (chain.Reply, error) {
+	replies := make(chan chain.Reply, 1)
+	numbers := make(chan int64, 1) // 0: not started, since too many calls are pending or ctx has ended
+	command := func() {
 		if ctx.Err() != nil {
-			made <- 0
+			numbers <- 0
 			return
 		}
-		number, out, ok := begin()
+		number, out, ok := start()
 		if ok {
-			r.waiting[number] = answer
+			r.pendingCalls[number] = replies
 		}
-		made <- number
-		r.carryOut(out)
+		numbers <- number
+		r.handleOutput(out)
 	}
-	if err := r.enqueue(ctx, do); err != nil {
+	if err := r.enqueue(ctx, command); err != nil {
 		return chain.Reply{}, err
 	}
 	select {
-	case reply := <-answer:
+	case reply := <-replies:
 		return reply, nil
-	case number := <-made:
+	case number := <-numbers:
 		if number == 0 {
 			return chain.Reply{}, ErrBusy
 		}
-		return r.await(ctx, number, answer)
+		return r.await(ctx, number, replies)
 	case <-ctx.Done():
-		go r.withdrawLater(made)
+		go r.cancelAfterStart(numbers)
 		return chain.Reply{}, eris.Wrap(ctx.Err(), "replica")
-	case <-r.ended:
+	case <-r.stopped:
 		return chain.Reply{}, ErrClosed
 	}
 }
 
-func (r *Replica) await(ctx context.Context, number int64, answer <-chan chain.Reply) (chain.Reply, error) {
+func (r *Replica) await(ctx context.Context, number int64, replies <-chan chain.Reply) (chain.Reply, error) {
 	select {
-	case reply := <-answer:
+	case reply := <-replies:
 		return reply, nil
 	case <-ctx.Done():
-		r.withdraw(number)
+		r.cancelCall(number)
 		return chain.Reply{}, eris.Wrap(ctx.Err(), "replica")
-	case <-r.ended:
+	case <-r.stopped:
 		return chain.Reply{}, ErrClosed
 	}
 }
 
-// withdrawLater ends a call whose number the owner hasn't given yet.
-func (r *Replica) withdrawLater(made <-chan int64) {
+// cancelAfterStart cancels a call that the owner goroutine has not started yet, once it has.
+func (r *Replica) cancelAfterStart(numbers <-chan int64) {
 	select {
-	case number := <-made:
-		r.withdraw(number)
-	case <-r.ended:
+	case number := <-numbers:
+		r.cancelCall(number)
+	case <-r.stopped:
 	}
 }
 
-func (r *Replica) withdraw(number int64) {
+func (r *Replica) cancelCall(number int64) {
 	select {
 	case r.commands <- func() {
-		delete(r.waiting, number)
+		delete(r.pendingCalls, number)
 		r.node.Abandon(number)
 	}:
-	case <-r.ended:
+	case <-r.stopped:
 	}
 }
 
-func (r *Replica) enqueue(ctx context.Context, do func()) error {
+func (r *Replica) enqueue(ctx context.Context, command func()) error {
 	select {
-	case r.commands <- do:
+	case r.commands <- command:
 		return nil
 	case <-ctx.Done():
 		return eris.Wrap(ctx.Err(), "replica")
-	case <-r.ended:
+	case <-r.stopped:
 		return ErrClosed
 	}
 }
 
-// now is the monotonic time since the start.
-func (r *Replica) now() time.Duration { return time.Since(r.started) }
+// now returns the monotonic time since the start.
+func (r *Replica) now() time.Duration { return time.Since(r.startedAt) }
--- a/internal/tier/replica/replica_test.go
+++ b/internal/tier/replica/replica_test.go
@@ -28,7 +28,7 @@
 	RunSpecs(t, "replica")
 }
 
-// counter has a version; a command names the version it builds on.
+// counter is a state machine that counts; a command names the version that it increments.
 type counter struct{ version uint64 }
 
 func (c *counter) Apply(command []byte) ([]byte, bool) {
@@ -46,9 +46,9 @@
 	return nil
 }
 
-func on(version uint64) []byte { return binary.BigEndian.AppendUint64(nil, version) }
+func increment(version uint64) []byte { return binary.BigEndian.AppendUint64(nil, version) }
 
-// process is one replica with its server and its disk.
+// process is a replica with its server and disk.
 type process struct {
 	address string
 	seeds   []string
@@ -59,7 +59,7 @@
 	client  *transport.Client
 }
 
-// open starts the replica and its server. Of the options only those that differ between tests are given.
+// open starts the replica and its server. Callers set only the options that differ between tests.
 func (p *process) open(options replica.Options) {
 	GinkgoHelper()
 	options.Name, options.Address, options.Zone = p.address, p.address, "a"
@@ -76,7 +76,7 @@
 	Expect(err).NotTo(HaveOccurred())
 }
 
-// kill ends it; what its disk holds stays.
+// kill closes the replica and its server; the disk remains.
 func (p *process) kill() {
 	if p.replica == nil {
 		return
@@ -87,35 +87,35 @@
 	p.replica = nil
 }
 
-// processes are so many that are the seeds of each other.
-func processes(count int) []process {
+// newProcesses returns count processes that are each other's seeds.
+func newProcesses(count int) []process {
 	all := make([]process, count)
 	var seeds []string
-	for at := range all {
-		all[at] = process{address: freeAddress(), disk: memfs.New(), voter: true}
-		seeds = append(seeds, all[at].address)
+	for i := range all {
+		all[i] = process{address: freeAddress(), disk: memfs.New(), voter: true}
+		seeds = append(seeds, all[i].address)
 	}
-	for at := range all {
-		all[at].seeds = seeds
+	for i := range all {
+		all[i].seeds = seeds
 	}
 	return all
 }
 
-// machine is a replica of a counter.
-type machine struct {
+// counterReplica is a replica of a counter.
+type counterReplica struct {
 	process
 
-	broken    atomic.Bool // the disk takes nothing
+	diskFails atomic.Bool // every sync fails
 	mutex     sync.Mutex
-	committed []uint64 // versions told; guarded by mutex
+	committed []uint64 // versions passed to OnCommit; guarded by mutex
 }
 
-func (m *machine) start(bootstrap bool) {
+func (m *counterReplica) start(bootstrap bool) {
 	if m.disk == nil {
 		m.disk = memfs.New()
 	}
 	m.disk.Hook = func(c memfs.Call) memfs.Verdict {
-		if c.Op == "sync" && m.broken.Load() {
+		if c.Op == "sync" && m.diskFails.Load() {
 			return memfs.Verdict{Err: syscall.EIO}
 		}
 		return memfs.Verdict{}
@@ -132,7 +132,7 @@
 	})
 }
 
-func (m *machine) newest() uint64 {
+func (m *counterReplica) newestCommitted() uint64 {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if len(m.committed) == 0 {
@@ -141,7 +141,7 @@
 	return m.committed[len(m.committed)-1]
 }
 
-// freeAddress is one on which nobody listens.
+// freeAddress returns an address on which nobody listens.
 func freeAddress() string {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -149,183 +149,183 @@
 	return l.Addr().String()
 }
 
-func cluster(size int) []*machine {
-	var machines []*machine
-	for _, p := range processes(size) {
-		m := &machine{process: p}
-		machines = append(machines, m)
+func startCounterReplicas(size int) []*counterReplica {
+	var replicas []*counterReplica
+	for _, p := range newProcesses(size) {
+		m := &counterReplica{process: p}
+		replicas = append(replicas, m)
 		m.start(true)
 		DeferCleanup(m.kill)
 	}
-	return machines
+	return replicas
 }
 
-// version reads the counter at a replica.
-func version(ctx context.Context, m *machine) uint64 {
+// readVersion reads the counter through a replica.
+func readVersion(ctx context.Context, m *counterReplica) uint64 {
 	snapshot, err := m.replica.Read(ctx)
 	Expect(err).NotTo(HaveOccurred())
 	return binary.BigEndian.Uint64(snapshot)
 }
 
-// advance brings the counter on by one.
-func advance(ctx context.Context, m *machine, from uint64) {
-	result, err := m.replica.Propose(ctx, on(from))
+// mustIncrement increments the counter from a version.
+func mustIncrement(ctx context.Context, m *counterReplica, from uint64) {
+	result, err := m.replica.Propose(ctx, increment(from))
 	Expect(err).NotTo(HaveOccurred())
 	Expect(binary.BigEndian.Uint64(result)).To(Equal(from + 1))
 }
 
 var _ = Describe("three replicas", func() {
-	It("agree, go on without one, and take it back", func(ctx SpecContext) {
-		machines := cluster(3)
+	It("agree, continue without one, and readmit it", func(ctx SpecContext) {
+		replicas := startCounterReplicas(3)
 		for i := range uint64(9) {
-			advance(ctx, machines[i%3], i)
+			mustIncrement(ctx, replicas[i%3], i)
 		}
-		for _, m := range machines {
-			Expect(version(ctx, m)).To(Equal(uint64(9)))
+		for _, m := range replicas {
+			Expect(readVersion(ctx, m)).To(Equal(uint64(9)))
 		}
-		result, err := machines[1].replica.Propose(ctx, on(3))
+		result, err := replicas[1].replica.Propose(ctx, increment(3))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(binary.BigEndian.Uint64(result)).To(Equal(uint64(9)), "refused")
+		Expect(binary.BigEndian.Uint64(result)).To(Equal(uint64(9)), "rejected")
 
-		head, _ := machines[0].replica.View().Head()
-		var dead *machine
-		var alive []*machine
-		for _, m := range machines {
+		head, _ := replicas[0].replica.View().Head()
+		var killed *counterReplica
+		var running []*counterReplica
+		for _, m := range replicas {
 			if m.address == head.Address {
-				dead = m
+				killed = m
 			} else {
-				alive = append(alive, m)
+				running = append(running, m)
 			}
 		}
-		dead.kill()
-		advance(ctx, alive[0], 9)
-		advance(ctx, alive[1], 10)
-		Expect(version(ctx, alive[1])).To(Equal(uint64(11)))
+		killed.kill()
+		mustIncrement(ctx, running[0], 9)
+		mustIncrement(ctx, running[1], 10)
+		Expect(readVersion(ctx, running[1])).To(Equal(uint64(11)))
 
-		dead.disk = dead.disk.After(memfs.Process, nil)
-		dead.start(false)
-		Expect(version(ctx, dead)).To(Equal(uint64(11)))
-		Eventually(ctx, func() int { return len(alive[0].replica.View().Chain) }).Should(Equal(3))
-		advance(ctx, dead, 11)
-		for _, m := range machines {
-			Eventually(ctx, m.newest).Should(Equal(uint64(12)))
+		killed.disk = killed.disk.After(memfs.Process, nil)
+		killed.start(false)
+		Expect(readVersion(ctx, killed)).To(Equal(uint64(11)))
+		Eventually(ctx, func() int { return len(running[0].replica.View().Chain) }).Should(Equal(3))
+		mustIncrement(ctx, killed, 11)
+		for _, m := range replicas {
+			Eventually(ctx, m.newestCommitted).Should(Equal(uint64(12)))
 		}
 	}, NodeTimeout(time.Minute))
 
-	It("keep what was acknowledged when all lose power and one its disk", func(ctx SpecContext) {
-		machines := cluster(3)
+	It("keep all acknowledged commands when all lose power and one loses its disk", func(ctx SpecContext) {
+		replicas := startCounterReplicas(3)
 		for i := range uint64(400) { // several laps of the journal
-			advance(ctx, machines[i%3], i)
+			mustIncrement(ctx, replicas[i%3], i)
 		}
-		chance := rand.New(rand.NewPCG(1, 2))
-		for _, m := range machines {
+		random := rand.New(rand.NewPCG(1, 2))
+		for _, m := range replicas {
 			m.kill()
-			m.disk = m.disk.After(memfs.Power, chance)
+			m.disk = m.disk.After(memfs.Power, random)
 		}
-		machines[1].disk = memfs.New()
-		for _, m := range machines {
+		replicas[1].disk = memfs.New()
+		for _, m := range replicas {
 			m.start(false)
 		}
-		for _, m := range machines {
-			Expect(version(ctx, m)).To(Equal(uint64(400)))
+		for _, m := range replicas {
+			Expect(readVersion(ctx, m)).To(Equal(uint64(400)))
 		}
 		Eventually(ctx, func() []string {
 			var chain []string
-			v := machines[1].replica.View()
+			v := replicas[1].replica.View()
 			for _, id := range v.Chain {
 				member, _ := v.Member(id)
 				chain = append(chain, member.Address)
 			}
 			return chain
-		}).Should(ConsistOf(machines[0].address, machines[1].address, machines[2].address))
-		advance(ctx, machines[1], 400)
+		}).Should(ConsistOf(replicas[0].address, replicas[1].address, replicas[2].address))
+		mustIncrement(ctx, replicas[1], 400)
 	}, NodeTimeout(time.Minute))
 
-	It("go on without one whose disk takes nothing, and take it back once it does", func(ctx SpecContext) {
-		machines := cluster(3)
-		advance(ctx, machines[0], 0)
-		tail, _ := machines[0].replica.View().Tail()
-		var sick *machine
-		for _, m := range machines {
+	It("continue without one whose disk fails, and readmit it once the disk works", func(ctx SpecContext) {
+		replicas := startCounterReplicas(3)
+		mustIncrement(ctx, replicas[0], 0)
+		tail, _ := replicas[0].replica.View().Tail()
+		var failing *counterReplica
+		for _, m := range replicas {
 			if m.address == tail.Address {
-				sick = m
+				failing = m
 			}
 		}
-		sick.broken.Store(true)
-		var well []*machine
-		for _, m := range machines {
-			if m != sick {
-				well = append(well, m)
+		failing.diskFails.Store(true)
+		var healthy []*counterReplica
+		for _, m := range replicas {
+			if m != failing {
+				healthy = append(healthy, m)
 			}
 		}
-		advance(ctx, well[0], 1)
-		advance(ctx, well[1], 2)
-		Expect(len(well[0].replica.View().Chain)).To(Equal(2))
-		sick.broken.Store(false)
-		Eventually(ctx, func() int { return len(sick.replica.View().Chain) }).Should(Equal(3))
-		Eventually(ctx, func() int { return len(well[0].replica.View().Chain) }).Should(Equal(3))
-		advance(ctx, sick, 3)
+		mustIncrement(ctx, healthy[0], 1)
+		mustIncrement(ctx, healthy[1], 2)
+		Expect(len(healthy[0].replica.View().Chain)).To(Equal(2))
+		failing.diskFails.Store(false)
+		Eventually(ctx, func() int { return len(failing.replica.View().Chain) }).Should(Equal(3))
+		Eventually(ctx, func() int { return len(healthy[0].replica.View().Chain) }).Should(Equal(3))
+		mustIncrement(ctx, failing, 3)
 	}, NodeTimeout(time.Minute))
 
-	It("come back when all are killed at once", func(ctx SpecContext) {
-		machines := cluster(3)
+	It("recover when all are killed at once", func(ctx SpecContext) {
+		replicas := startCounterReplicas(3)
 		for i := range uint64(20) {
-			advance(ctx, machines[i%3], i)
+			mustIncrement(ctx, replicas[i%3], i)
 		}
-		for _, m := range machines {
+		for _, m := range replicas {
 			m.kill()
 			m.disk = m.disk.After(memfs.Process, nil)
 		}
-		for _, m := range machines {
+		for _, m := range replicas {
 			m.start(false)
 			m.replica.SetSeeds(m.seeds)
 		}
-		Expect(version(ctx, machines[2])).To(Equal(uint64(20)))
-		advance(ctx, machines[1], 20)
-		for _, m := range machines {
+		Expect(readVersion(ctx, replicas[2])).To(Equal(uint64(20)))
+		mustIncrement(ctx, replicas[1], 20)
+		for _, m := range replicas {
 			Expect(m.replica.Members()).To(HaveLen(3))
 			Expect(m.replica.Status().IsMember).To(BeTrue())
 		}
 	}, NodeTimeout(time.Minute))
 
-	It("end calls with their context, and with the replica", func(ctx SpecContext) {
-		machines := cluster(3)
-		advance(ctx, machines[0], 0)
-		machines[1].kill()
-		machines[2].kill()
-		short, cancel := context.WithCancel(ctx)
+	It("end calls with their context, and when the replica is closed", func(ctx SpecContext) {
+		replicas := startCounterReplicas(3)
+		mustIncrement(ctx, replicas[0], 0)
+		replicas[1].kill()
+		replicas[2].kill()
+		canceled, cancel := context.WithCancel(ctx)
 		failed := make(chan error, 2)
 		go func() {
-			_, err := machines[0].replica.Propose(short, on(1))
+			_, err := replicas[0].replica.Propose(canceled, increment(1))
 			failed <- err
 		}()
 		cancel()
 		Expect(<-failed).To(MatchError(context.Canceled))
 		go func() {
-			_, err := machines[0].replica.Read(ctx)
+			_, err := replicas[0].replica.Read(ctx)
 			failed <- err
 		}()
-		Expect(machines[0].replica.Close()).To(Succeed())
+		Expect(replicas[0].replica.Close()).To(Succeed())
 		Expect(<-failed).To(MatchError(replica.ErrClosed))
-		Eventually(machines[0].replica.Stopped()).Should(BeClosed())
-		_, err := machines[0].replica.Propose(ctx, on(1))
+		Eventually(replicas[0].replica.Stopped()).Should(BeClosed())
+		_, err := replicas[0].replica.Propose(ctx, increment(1))
 		Expect(err).To(MatchError(replica.ErrClosed))
 	}, NodeTimeout(time.Minute))
 
-	It("serve one that only forwards, and take in a fourth", func(ctx SpecContext) {
-		machines := cluster(3)
-		forwards := &machine{process: process{address: freeAddress(), seeds: machines[0].seeds}}
-		forwards.start(false)
-		DeferCleanup(forwards.kill)
-		advance(ctx, forwards, 0)
-		Expect(version(ctx, forwards)).To(Equal(uint64(1)))
-		Expect(forwards.replica.Status().IsMember).To(BeFalse())
+	It("serve a forwarder, and admit a fourth member", func(ctx SpecContext) {
+		replicas := startCounterReplicas(3)
+		forwarder := &counterReplica{process: process{address: freeAddress(), seeds: replicas[0].seeds}}
+		forwarder.start(false)
+		DeferCleanup(forwarder.kill)
+		mustIncrement(ctx, forwarder, 0)
+		Expect(readVersion(ctx, forwarder)).To(Equal(uint64(1)))
+		Expect(forwarder.replica.Status().IsMember).To(BeFalse())
 
-		fourth := &machine{process: process{address: freeAddress(), seeds: machines[0].seeds, voter: true, disk: memfs.New()}}
+		fourth := &counterReplica{process: process{address: freeAddress(), seeds: replicas[0].seeds, voter: true, disk: memfs.New()}}
 		fourth.start(false)
 		DeferCleanup(fourth.kill)
 		Eventually(ctx, func() int { return len(fourth.replica.View().Chain) }).Should(Equal(4))
-		advance(ctx, fourth, 1)
-		Expect(version(ctx, machines[0])).To(Equal(uint64(2)))
+		mustIncrement(ctx, fourth, 1)
+		Expect(readVersion(ctx, replicas[0])).To(Equal(uint64(2)))
 	}, NodeTimeout(time.Minute))
 })
--- a/internal/tier/replica/schema.go
+++ b/internal/tier/replica/schema.go
@@ -6,8 +6,8 @@
 	"emberquay/internal/tier/transport"
 )
 
-// types are the avro types that messages and records share, each naming those before it.
-var types = parseTypes(
+// sharedTypes counts the registered Avro types that messages and records share. A type may refer to those before it.
+var sharedTypes = registerTypes(
 	`{"type":"record","name":"replica.Peer","fields":[
 		{"name":"ID","type":"long"},{"name":"Address","type":"string"}]}`,
 	`{"type":"record","name":"replica.Member","fields":[
@@ -36,46 +36,46 @@
 		{"name":"Value","type":"replica.Proposal"}]}`,
 )
 
-// parseTypes has the types known to the schemas parsed later.
-func parseTypes(schemas ...string) int {
-	for _, s := range schemas {
-		avro.MustParse(s)
+// registerTypes parses schemas, which makes their types available to the schemas parsed later.
+func registerTypes(schemas ...string) int {
+	for _, schema := range schemas {
+		avro.MustParse(schema)
 	}
 	return len(schemas)
 }
 
-// record makes the codec of a record whose fields are given as name and type in turn.
-func record[T any](name string, fields ...string) *transport.Codec[T] {
-	if types == 0 {
-		panic("replica: schemas before the types that they use")
+// newCodec returns the codec of an Avro record; fields alternates the names and the types of its fields.
+func newCodec[T any](name string, fields ...string) *transport.Codec[T] {
+	if sharedTypes == 0 {
+		panic("replica: codec created before the shared types")
 	}
-	s := `{"type":"record","name":"replica.` + name + `","fields":[`
-	for at := 0; at < len(fields); at += 2 {
-		if at > 0 {
-			s += ","
+	schema := `{"type":"record","name":"replica.` + name + `","fields":[`
+	for i := 0; i < len(fields); i += 2 {
+		if i > 0 {
+			schema += ","
 		}
-		s += `{"name":"` + fields[at] + `","type":` + fields[at+1] + `}`
+		schema += `{"name":"` + fields[i] + `","type":` + fields[i+1] + `}`
 	}
-	return transport.MustCodec[T](s + `]}`)
+	return transport.MustCodec[T](schema + `]}`)
 }
 
-// Types of fields.
+// Avro types of fields.
 const (
-	long      = `"long"`
-	boolean   = `"boolean"`
-	text      = `"string"`
-	data      = `"bytes"`
-	number    = `"int"`
-	texts     = `{"type":"array","items":"string"}`
-	ids       = `{"type":"array","items":"long"}`
-	entries   = `{"type":"array","items":"replica.Entry"}`
-	peer      = `"replica.Peer"`
-	member    = `"replica.Member"`
-	aView     = `"replica.View"`
-	ballot    = `"replica.Ballot"`
-	commandID = `"replica.CommandID"`
-	entry     = `"replica.Entry"`
-	state     = `"replica.State"`
-	proposal  = `"replica.Proposal"`
-	acceptor  = `"replica.Acceptor"`
+	longType        = `"long"`
+	booleanType     = `"boolean"`
+	stringType      = `"string"`
+	bytesType       = `"bytes"`
+	intType         = `"int"`
+	stringArrayType = `{"type":"array","items":"string"}`
+	longArrayType   = `{"type":"array","items":"long"}`
+	entryArrayType  = `{"type":"array","items":"replica.Entry"}`
+	peerType        = `"replica.Peer"`
+	memberType      = `"replica.Member"`
+	viewType        = `"replica.View"`
+	ballotType      = `"replica.Ballot"`
+	commandIDType   = `"replica.CommandID"`
+	entryType       = `"replica.Entry"`
+	stateType       = `"replica.State"`
+	proposalType    = `"replica.Proposal"`
+	acceptorType    = `"replica.Acceptor"`
 )
--- a/internal/tier/replica/wire.go
+++ b/internal/tier/replica/wire.go
@@ -9,29 +9,29 @@
 	"emberquay/internal/tier/transport"
 )
 
-// messageMethod carries all messages among replicas; they have no answers.
+// messageMethod is the method of all messages between replicas; they have no responses.
 const messageMethod transport.Method = "replica.message"
 
-// wire is an envelope on its way: the kind says what the body is.
-type wire struct {
+// wireEnvelope is the wire format of an envelope; Kind is the index of the type of Body in messageCodecs.
+type wireEnvelope struct {
 	From, To chain.Peer
 	Kind     int
 	Body     []byte
 }
 
-var envelopes = record[wire]("Envelope", "From", peer, "To", peer, "Kind", number, "Body", data)
+var envelopeCodec = newCodec[wireEnvelope]("Envelope", "From", peerType, "To", peerType, "Kind", intType, "Body", bytesType)
 
-// variant is one type of a message or record, I, and its codec.
-type variant[I any] struct {
-	kind   reflect.Type
+// typeCodec encodes and decodes one concrete type of the interface I (messages or records).
+type typeCodec[I any] struct {
+	goType reflect.Type
 	encode func(I) ([]byte, error)
 	decode func([]byte) (I, error)
 }
 
-// as makes the variant of a type.
-func as[I, T any](codec *transport.Codec[T]) variant[I] {
-	return variant[I]{
-		kind:   reflect.TypeFor[T](),
+// codecOf returns the typeCodec of the type T.
+func codecOf[I, T any](codec *transport.Codec[T]) typeCodec[I] {
+	return typeCodec[I]{
+		goType: reflect.TypeFor[T](),
 		encode: func(v I) ([]byte, error) { return codec.Encode(any(v).(T)) },
 		decode: func(b []byte) (I, error) {
 			v, err := codec.Decode(b)
@@ -41,63 +41,63 @@
 	}
 }
 
-// variants are all types of I; a kind is the place in it, which must not change.
-type variants[I any] []variant[I]
+// typeCodecs lists the codecs of all types of I. A kind is an index in it, so the order must not change.
+type typeCodecs[I any] []typeCodec[I]
 
-func (all variants[I]) encode(v I) (kind int, b []byte, err error) {
-	wanted := reflect.TypeOf(v)
-	for kind, one := range all {
-		if one.kind == wanted {
-			b, err = one.encode(v)
+func (codecs typeCodecs[I]) encode(v I) (kind int, b []byte, err error) {
+	goType := reflect.TypeOf(v)
+	for kind, codec := range codecs {
+		if codec.goType == goType {
+			b, err = codec.encode(v)
 			return kind, b, err
 		}
 	}
 	return 0, nil, eris.Errorf("replica: no codec for %T", v)
 }
 
-func (all variants[I]) decode(kind int, b []byte) (I, error) {
-	if kind < 0 || kind >= len(all) {
-		var none I
-		return none, eris.Errorf("replica: kind %d is not known", kind)
+func (codecs typeCodecs[I]) decode(kind int, b []byte) (I, error) {
+	if kind < 0 || kind >= len(codecs) {
+		var zero I
+		return zero, eris.Errorf("replica: unknown kind %d", kind)
 	}
-	return all[kind].decode(b)
+	return codecs[kind].decode(b)
 }
 
-var messages = variants[chain.Message]{
-	as[chain.Message](record[chain.Heartbeat]("Heartbeat", "Epoch", long, "Committed", long, "Heard", ids)),
-	as[chain.Message](record[chain.ViewNotice]("Hint", "View", aView, "Committed", long)),
-	as[chain.Message](record[chain.ViewRequest]("Ask", "Epoch", long)),
-	as[chain.Message](record[chain.InstallView]("Adopt", "View", aView, "State", state, "Committed", long)),
-	as[chain.Message](record[chain.JoinRequest]("Join", "Member", member, "Heard", ids)),
-	as[chain.Message](record[chain.Prepare]("Prepare", "Epoch", long, "Ballot", ballot, "Sequence", long)),
-	as[chain.Message](record[chain.Promise]("Promise", "Epoch", long, "Ballot", ballot, "Accepted", ballot,
-		"Value", proposal, "Sequence", long, "State", state)),
-	as[chain.Message](record[chain.BallotRejected]("Outbid", "Epoch", long, "Ballot", ballot, "Promised", ballot)),
-	as[chain.Message](record[chain.Accept]("Accept", "Epoch", long, "Ballot", ballot, "Value", proposal)),
-	as[chain.Message](record[chain.Accepted]("Accepted", "Epoch", long, "Ballot", ballot)),
-	as[chain.Message](record[chain.Append]("Append", "Epoch", long, "Entry", entry, "Committed", long)),
-	as[chain.Message](record[chain.Ack]("Ack", "Epoch", long, "Sequence", long)),
-	as[chain.Message](record[chain.ConfirmEpoch]("Confirm", "Epoch", long, "Nonce", long)),
-	as[chain.Message](record[chain.EpochConfirmed]("Confirmed", "Epoch", long, "Nonce", long)),
-	as[chain.Message](record[chain.Propose]("Propose", "ID", commandID, "After", long, "Command", data)),
-	as[chain.Message](record[chain.ProposeResult]("Result", "ID", commandID, "Verdict", number, "Epoch", long,
-		"Sequence", long, "Result", data)),
-	as[chain.Message](record[chain.Read]("Read", "ID", commandID, "Have", long)),
-	as[chain.Message](record[chain.ReadResult]("ReadResult", "ID", commandID, "Verdict", number, "Epoch", long,
-		"Sequence", long, "Full", boolean, "Snapshot", data)),
-	as[chain.Message](record[chain.LeavingChain]("Leave", "Epoch", long)),
-	as[chain.Message](record[chain.BootstrapProbe]("Inquire", "Nonce", long)),
-	as[chain.Message](record[chain.PristineReply]("Untouched", "Nonce", long, "Members", texts)),
+var messageCodecs = typeCodecs[chain.Message]{
+	codecOf[chain.Message](newCodec[chain.Heartbeat]("Heartbeat", "Epoch", longType, "Committed", longType, "Heard", longArrayType)),
+	codecOf[chain.Message](newCodec[chain.ViewNotice]("Hint", "View", viewType, "Committed", longType)),
+	codecOf[chain.Message](newCodec[chain.ViewRequest]("Ask", "Epoch", longType)),
+	codecOf[chain.Message](newCodec[chain.InstallView]("Adopt", "View", viewType, "State", stateType, "Committed", longType)),
+	codecOf[chain.Message](newCodec[chain.JoinRequest]("Join", "Member", memberType, "Heard", longArrayType)),
+	codecOf[chain.Message](newCodec[chain.Prepare]("Prepare", "Epoch", longType, "Ballot", ballotType, "Sequence", longType)),
+	codecOf[chain.Message](newCodec[chain.Promise]("Promise", "Epoch", longType, "Ballot", ballotType, "Accepted", ballotType,
+		"Value", proposalType, "Sequence", longType, "State", stateType)),
+	codecOf[chain.Message](newCodec[chain.BallotRejected]("Outbid", "Epoch", longType, "Ballot", ballotType, "Promised", ballotType)),
+	codecOf[chain.Message](newCodec[chain.Accept]("Accept", "Epoch", longType, "Ballot", ballotType, "Value", proposalType)),
+	codecOf[chain.Message](newCodec[chain.Accepted]("Accepted", "Epoch", longType, "Ballot", ballotType)),
+	codecOf[chain.Message](newCodec[chain.Append]("Append", "Epoch", longType, "Entry", entryType, "Committed", longType)),
+	codecOf[chain.Message](newCodec[chain.Ack]("Ack", "Epoch", longType, "Sequence", longType)),
+	codecOf[chain.Message](newCodec[chain.ConfirmEpoch]("Confirm", "Epoch", longType, "Nonce", longType)),
+	codecOf[chain.Message](newCodec[chain.EpochConfirmed]("Confirmed", "Epoch", longType, "Nonce", longType)),
+	codecOf[chain.Message](newCodec[chain.Propose]("Propose", "ID", commandIDType, "After", longType, "Command", bytesType)),
+	codecOf[chain.Message](newCodec[chain.ProposeResult]("Result", "ID", commandIDType, "Verdict", intType, "Epoch", longType,
+		"Sequence", longType, "Result", bytesType)),
+	codecOf[chain.Message](newCodec[chain.Read]("Read", "ID", commandIDType, "Have", longType)),
+	codecOf[chain.Message](newCodec[chain.ReadResult]("ReadResult", "ID", commandIDType, "Verdict", intType, "Epoch", longType,
+		"Sequence", longType, "Full", booleanType, "Snapshot", bytesType)),
+	codecOf[chain.Message](newCodec[chain.LeavingChain]("Leave", "Epoch", longType)),
+	codecOf[chain.Message](newCodec[chain.BootstrapProbe]("Inquire", "Nonce", longType)),
+	codecOf[chain.Message](newCodec[chain.PristineReply]("Untouched", "Nonce", longType, "Members", stringArrayType)),
 }
 
-// seal makes an envelope ready for the wire.
-func seal(e chain.Envelope) (wire, error) {
-	kind, body, err := messages.encode(e.Body)
-	return wire{From: e.From, To: e.To, Kind: kind, Body: body}, err
+// encodeEnvelope converts an envelope to the wire format.
+func encodeEnvelope(e chain.Envelope) (wireEnvelope, error) {
+	kind, body, err := messageCodecs.encode(e.Body)
+	return wireEnvelope{From: e.From, To: e.To, Kind: kind, Body: body}, err
 }
 
-// open reads what came.
-func (w wire) open() (chain.Envelope, error) {
-	body, err := messages.decode(w.Kind, w.Body)
+// decode converts a received message to an envelope.
+func (w wireEnvelope) decode() (chain.Envelope, error) {
+	body, err := messageCodecs.decode(w.Kind, w.Body)
 	return chain.Envelope{From: w.From, To: w.To, Body: body}, err
 }
--- a/internal/tier/replica/wire_test.go
+++ b/internal/tier/replica/wire_test.go
@@ -10,41 +10,41 @@
 	"emberquay/coordination/view"
 )
 
-func ballot1() view.Ballot { return view.Ballot{Round: 3, Proposer: 1 << 62} }
+func sampleBallot() view.Ballot { return view.Ballot{Round: 3, Proposer: 1 << 62} }
 
-func aView1() view.View {
+func sampleView() view.View {
 	return view.View{Epoch: 4, Initial: 3, Members: []view.Member{{ID: 1, Name: "n", Address: "a", Zone: "z"}}, Chain: []view.MemberID{1}}
 }
 
-func aState1() chain.State {
+func sampleState() chain.State {
 	return chain.State{Epoch: 3, Sequence: 9, Full: true, Snapshot: []byte("state"),
 		Recent: []chain.Outcome{{ID: chain.CommandID{Process: -5, Number: 2}, Sequence: 9, Result: []byte("r")}}}
 }
 
-var _ = Describe("what goes over the wire and to the disk", func() {
-	proposal := chain.Proposal{View: aView1(), State: aState1()}
+var _ = Describe("encoding for the wire and the disk", func() {
+	proposal := chain.Proposal{View: sampleView(), State: sampleState()}
 	entry := chain.Entry{Sequence: 2, ID: chain.CommandID{Process: 7, Number: 8}, Command: []byte("c")}
 
-	DescribeTable("comes back as it was: a message", func(m chain.Message) {
+	DescribeTable("round-trips a message", func(m chain.Message) {
 		e := chain.Envelope{From: chain.Peer{ID: 1, Address: "a"}, To: chain.Peer{ID: 2, Address: "b"}, Body: m}
-		w, err := seal(e)
+		w, err := encodeEnvelope(e)
 		Expect(err).NotTo(HaveOccurred())
-		b, err := envelopes.Encode(w)
+		b, err := envelopeCodec.Encode(w)
 		Expect(err).NotTo(HaveOccurred())
-		w, err = envelopes.Decode(b)
+		w, err = envelopeCodec.Decode(b)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(w.open()).To(Equal(e))
+		Expect(w.decode()).To(Equal(e))
 	},
 		Entry("Heartbeat", chain.Heartbeat{Epoch: 1, Committed: 2, Heard: []view.MemberID{3, 1 << 62}}),
-		Entry("Hint", chain.ViewNotice{View: aView1(), Committed: 4}),
+		Entry("Hint", chain.ViewNotice{View: sampleView(), Committed: 4}),
 		Entry("Ask", chain.ViewRequest{Epoch: 3}),
-		Entry("Adopt", chain.InstallView{View: aView1(), State: aState1(), Committed: 9}),
+		Entry("Adopt", chain.InstallView{View: sampleView(), State: sampleState(), Committed: 9}),
 		Entry("Join", chain.JoinRequest{Member: view.Member{ID: 9, Address: "x"}, Heard: []view.MemberID{1}}),
-		Entry("Prepare", chain.Prepare{Epoch: 1, Ballot: ballot1(), Sequence: 8}),
-		Entry("Promise", chain.Promise{Epoch: 1, Ballot: ballot1(), Accepted: ballot1(), Value: proposal, Sequence: 9, State: aState1()}),
-		Entry("Outbid", chain.BallotRejected{Epoch: 1, Ballot: ballot1(), Promised: ballot1()}),
-		Entry("Accept", chain.Accept{Epoch: 1, Ballot: ballot1(), Value: proposal}),
-		Entry("Accepted", chain.Accepted{Epoch: 1, Ballot: ballot1()}),
+		Entry("Prepare", chain.Prepare{Epoch: 1, Ballot: sampleBallot(), Sequence: 8}),
+		Entry("Promise", chain.Promise{Epoch: 1, Ballot: sampleBallot(), Accepted: sampleBallot(), Value: proposal, Sequence: 9, State: sampleState()}),
+		Entry("Outbid", chain.BallotRejected{Epoch: 1, Ballot: sampleBallot(), Promised: sampleBallot()}),
+		Entry("Accept", chain.Accept{Epoch: 1, Ballot: sampleBallot(), Value: proposal}),
+		Entry("Accepted", chain.Accepted{Epoch: 1, Ballot: sampleBallot()}),
 		Entry("Append", chain.Append{Epoch: 1, Entry: entry, Committed: 1}),
 		Entry("Ack", chain.Ack{Epoch: 1, Sequence: 2}),
 		Entry("Confirm", chain.ConfirmEpoch{Epoch: 1, Nonce: 1 << 61}),
@@ -55,20 +55,20 @@
 		Entry("ReadResult", chain.ReadResult{ID: entry.ID, Verdict: chain.ResultRetry, Epoch: 1, Sequence: 2, Full: true, Snapshot: []byte("s")}),
 	)
 
-	DescribeTable("comes back as it was: a record", func(r chain.Record) {
+	DescribeTable("round-trips a record", func(r chain.Record) {
 		b, err := encodeRecord(r)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(decodeRecord(b)).To(Equal(r))
 	},
 		Entry("Identity", chain.IdentityRecord{Member: view.Member{ID: 3, Name: "n", Address: "a", Zone: "z"}, Known: []string{"b", "c"}}),
-		Entry("Adoption", chain.ViewRecord{View: aView1(), State: aState1(), Committed: 9, Last: []chain.Entry{entry}}),
+		Entry("Adoption", chain.ViewRecord{View: sampleView(), State: sampleState(), Committed: 9, Last: []chain.Entry{entry}}),
 		Entry("Addition", chain.EntryRecord{Epoch: 1, Entry: entry}),
-		Entry("Vote", chain.VoteRecord{Epoch: 1, Acceptor: view.Acceptor[chain.Proposal]{Promised: ballot1(), Accepted: ballot1(), Value: proposal}}),
+		Entry("Vote", chain.VoteRecord{Epoch: 1, Acceptor: view.Acceptor[chain.Proposal]{Promised: sampleBallot(), Accepted: sampleBallot(), Value: proposal}}),
 	)
 
-	It("is refused if it is no message", func() {
-		for _, w := range []wire{{Kind: -1}, {Kind: 99}, {Kind: 3, Body: []byte{1, 2, 3}}} {
-			_, err := w.open()
+	It("fails to decode invalid messages and records", func() {
+		for _, w := range []wireEnvelope{{Kind: -1}, {Kind: 99}, {Kind: 3, Body: []byte{1, 2, 3}}} {
+			_, err := w.decode()
 			Expect(err).To(HaveOccurred())
 		}
 		_, err := decodeRecord(nil)
@@ -76,12 +76,12 @@
 	})
 })
 
-var _ = Describe("parts of a record", func() {
-	It("are joined, and dropped where some are missing", func() {
-		var a assembler
+var _ = Describe("fragments of a record", func() {
+	It("are joined, and dropped if some are missing", func() {
+		var a fragmentAssembler
 		add := func(b string, first, last bool) string {
-			record, whole := a.add(part([]byte(b), first, last))
-			if !whole {
+			record, complete := a.add(encodeFragment([]byte(b), first, last))
+			if !complete {
 				return "-"
 			}
 			return string(record)
@@ -93,15 +93,15 @@
 		Expect(add("c", false, true)).To(Equal("abc"))
 		Expect(add("lost", true, false)).To(Equal("-"))
 		Expect(add("two", true, true)).To(Equal("two"))
-		_, whole := a.add(nil)
-		Expect(whole).To(BeFalse())
+		_, complete := a.add(nil)
+		Expect(complete).To(BeFalse())
 	})
 })
 
 func FuzzOpen(f *testing.F) {
 	f.Add(0, []byte{2, 4, 0})
 	f.Fuzz(func(_ *testing.T, kind int, b []byte) {
-		_, _ = wire{Kind: kind, Body: b}.open()
+		_, _ = wireEnvelope{Kind: kind, Body: b}.decode()
 		_, _ = decodeRecord(b)
 	})
 }
