--- a/internal/tier/store/bench_catchup_test.go
+++ b/internal/tier/store/bench_catchup_test.go
@@ -15,7 +15,7 @@
 	"emberquay/internal/vfs"
 )
 
-// BenchmarkCatchUp brings 40 MB of turns back to a store that lost its disk.
+// BenchmarkCatchUp copies 40 MB of turns to a store that lost its disk.
 func BenchmarkCatchUp(b *testing.B) {
 	RegisterTestingT(b)
 	calls := transport.NewClient()
--- a/internal/tier/store/bench_test.go
+++ b/internal/tier/store/bench_test.go
@@ -15,7 +15,8 @@
 	"emberquay/internal/vfs"
 )
 
-// newBenchClient starts three stores on the machine's own disk, called over the loopback.
+// newBenchClient starts three stores on the machine's disk and returns a client that calls them over the loopback
+// interface.
 func newBenchClient(b *testing.B) *storeclient.Client {
 	RegisterTestingT(b)
 	calls := transport.NewClient()
@@ -45,7 +46,7 @@
 	return client
 }
 
-// BenchmarkCommit keeps turns of 6 KB, one after the other.
+// BenchmarkCommit commits turns of 6 KB, one after the other.
 func BenchmarkCommit(b *testing.B) {
 	client := newBenchClient(b)
 	turn := storeclient.Turn{Program: "p", Input: make([]byte, 5<<10), Output: make([]byte, 1<<10), Retention: time.Second}
@@ -59,7 +60,7 @@
 	}
 }
 
-// BenchmarkCommitMany keeps turns side by side: they share syncs.
+// BenchmarkCommitMany commits turns concurrently, so that they share syncs.
 func BenchmarkCommitMany(b *testing.B) {
 	client := newBenchClient(b)
 	b.ReportAllocs()
@@ -77,7 +78,7 @@
 	})
 }
 
-// BenchmarkReserve grants and settles turns of programs of 20 turns.
+// BenchmarkReserve reserves and settles turns of programs with 20 turns each.
 func BenchmarkReserve(b *testing.B) {
 	client := newBenchClient(b)
 	b.ReportAllocs()
--- a/internal/tier/store/budgets_test.go
+++ b/internal/tier/store/budgets_test.go
@@ -17,12 +17,12 @@
 	"emberquay/internal/vfs/memfs"
 )
 
-// reservation of a budget of 10 that may take 6.
+// reservation returns a reservation of at most 6 tokens of a budget of 10.
 func reservation(turn string) storeclient.Reservation {
 	return storeclient.Reservation{Program: "p", Turn: turn, BudgetTokens: 10, MaxTokens: 6}
 }
 
-// attempts reserves under ever new ids.
+// attempts reserves repeatedly, each time with a new turn id.
 type attempts struct {
 	client *storeclient.Client
 	count  int
@@ -33,7 +33,7 @@
 	return a.client.Reserve(ctx, reservation(fmt.Sprint("attempt-", a.count)))
 }
 
-// reserveAt asks one store.
+// reserveAt sends a reservation to one store.
 func reserveAt(c *cluster, n *node, turn string, recheck bool) storewire.ReserveAnswer {
 	GinkgoHelper()
 	answer, err := n.store.Reserve(ctx, storewire.ReserveRequest{
@@ -44,7 +44,7 @@
 	return answer
 }
 
-// settleAt tells one store.
+// settleAt sends a settlement to one store.
 func settleAt(c *cluster, n *node, turn string, used int64) {
 	GinkgoHelper()
 	answer, err := n.store.Settle(ctx, storewire.SettleRequest{
@@ -59,7 +59,7 @@
 	var c *cluster
 	BeforeEach(func() { c = newCluster(1, "a", "b", "c") })
 
-	It("are granted until what is open or used reaches them", func() {
+	It("grant turns until the open and used tokens reach the budget", func() {
 		client := c.client("a")
 		Expect(client.Reserve(ctx, reservation("1"))).To(Equal(storeclient.Granted))
 		Expect(client.Reserve(ctx, reservation("2"))).To(Equal(storeclient.Granted), "6 of 10 are open")
@@ -72,13 +72,13 @@
 		Eventually(a.next, eventuallyTimeout).Should(Equal(storeclient.Exhausted))
 	})
 
-	It("count what a proxy that died had reserved", func() {
+	It("count the reservations of a proxy that died", func() {
 		Expect(c.client("a").Reserve(ctx, reservation("1"))).To(Equal(storeclient.Granted))
 		Expect(c.client("a").Reserve(ctx, reservation("2"))).To(Equal(storeclient.Granted))
 		Expect(c.client("b").Reserve(ctx, reservation("3"))).To(Equal(storeclient.Undecided))
 	})
 
-	It("are decided by two of three stores, by none alone", func() {
+	It("are decided by two of three stores, not by one alone", func() {
 		c.nodes[1].down.Store(true)
 		Expect(c.client("a").Reserve(ctx, reservation("1"))).To(Equal(storeclient.Granted))
 		c.nodes[2].down.Store(true)
@@ -96,7 +96,7 @@
 		Expect(answer.TurnClosed).To(BeTrue())
 	})
 
-	It("keep nothing of a turn that is refused", func() {
+	It("keep no open reservation of a refused turn", func() {
 		client := c.client("a")
 		Expect(client.Reserve(ctx, reservation("1"))).To(Equal(storeclient.Granted))
 		Expect(client.Reserve(ctx, reservation("2"))).To(Equal(storeclient.Granted))
@@ -106,7 +106,7 @@
 		}
 	})
 
-	It("are told of settlements once a store can be reached again", func() {
+	It("send settlements to a store once it is reachable again", func() {
 		client := c.client("a")
 		Expect(client.Reserve(ctx, reservation("1"))).To(Equal(storeclient.Granted))
 		c.nodes[2].down.Store(true)
@@ -116,7 +116,7 @@
 		Eventually(func() bool { return reserveAt(c, c.nodes[2], "1", true).TurnClosed }, eventuallyTimeout).Should(BeTrue())
 	})
 
-	It("are known after restarts of all", func() {
+	It("survive a restart of all stores", func() {
 		client := c.client("a")
 		Expect(client.Reserve(ctx, reservation("1"))).To(Equal(storeclient.Granted))
 		Expect(client.Reserve(ctx, reservation("2"))).To(Equal(storeclient.Granted))
@@ -126,9 +126,9 @@
 		Expect(client.Reserve(ctx, reservation("3"))).To(Equal(storeclient.Undecided))
 	})
 
-	It("are exact where lists are long and differ", func() {
-		const many = 100
-		for i := range many {
+	It("are exact if the stores' entry lists are long and differ", func() {
+		const settledCount = 100
+		for i := range settledCount {
 			for _, n := range c.nodes {
 				settleAt(c, n, fmt.Sprint("old", i), 1)
 			}
@@ -141,15 +141,15 @@
 		reserveOne := func(turn string, tokens int64) storeclient.Verdict {
 			return client.Reserve(ctx, storeclient.Reservation{Program: "p", Turn: turn, BudgetTokens: tokens, MaxTokens: 1})
 		}
-		Expect(reserveOne("spent", many+2)).To(Equal(storeclient.Exhausted))
-		tries := 0
+		Expect(reserveOne("spent", settledCount+2)).To(Equal(storeclient.Exhausted))
+		attempt := 0
 		Eventually(func() storeclient.Verdict {
-			tries++
-			return reserveOne(fmt.Sprint("one left", tries), many+3)
-		}, eventuallyTimeout).Should(Equal(storeclient.Granted), "once those refused before are withdrawn")
+			attempt++
+			return reserveOne(fmt.Sprint("one left", attempt), settledCount+3)
+		}, eventuallyTimeout).Should(Equal(storeclient.Granted), "once the reservations refused before are withdrawn")
 	})
 
-	It("are forgotten long after a program was last heard of", func() {
+	It("are removed long after the last activity of a program", func() {
 		client := c.client("a")
 		Expect(client.Reserve(ctx, reservation("1"))).To(Equal(storeclient.Granted))
 		c.advanceClock(100 * time.Second)
@@ -162,8 +162,8 @@
 		}
 	})
 
-	It("hold when many turns race through several proxies", func() {
-		const budgetTokens, most, racers = 40, 7, 12
+	It("are not exceeded if many turns race through several proxies", func() {
+		const budgetTokens, maxTokens, racers = 40, 7, 12
 		granted := make(chan string, racers)
 		var racing sync.WaitGroup
 		for i := range racers {
@@ -172,19 +172,19 @@
 			go func() {
 				defer racing.Done()
 				turn := fmt.Sprint("racer-", i)
-				r := storeclient.Reservation{Program: "race", Turn: turn, BudgetTokens: budgetTokens, MaxTokens: most}
+				r := storeclient.Reservation{Program: "race", Turn: turn, BudgetTokens: budgetTokens, MaxTokens: maxTokens}
 				if client.Reserve(ctx, r) == storeclient.Granted {
 					granted <- turn
 				}
 			}()
 		}
 		racing.Wait()
-		Expect(len(granted) * most).To(BeNumerically("<", budgetTokens+most))
+		Expect(len(granted) * maxTokens).To(BeNumerically("<", budgetTokens+maxTokens))
 	})
 })
 
 var _ = Describe("a fence", func() {
-	It("refuses an older view, and gives the newer one", func() {
+	It("rejects a request of an older view and returns the newer view", func() {
 		c := newCluster(1, "a", "b", "c")
 		client := c.client("a")
 		old := storewire.Header{Epoch: int64(c.view.Epoch), StoreID: c.nodes[0].store.ID()}
@@ -195,16 +195,16 @@
 		Expect(answer.Reply.Status).To(Equal(storewire.StaleView))
 		Expect(answer.Reply.View.Epoch).To(Equal(int64(c.view.Epoch)))
 		Expect(answer.Stored).To(BeFalse())
-		Expect(client.Reserve(ctx, reservation("1"))).To(Equal(storeclient.Granted), "the client takes the view over")
+		Expect(client.Reserve(ctx, reservation("1"))).To(Equal(storeclient.Granted), "the client adopts the newer view")
 	})
 
-	It("is kept over a loss of power", func() {
+	It("survives a loss of power", func() {
 		c := newCluster(1, "a", "b", "c")
 		n := c.nodes[0]
 		newer := storewire.Header{Epoch: int64(c.view.Epoch) + 5, StoreID: n.store.ID()}
 		_, err := n.store.History(ctx, storewire.HistoryRequest{Header: newer, Turn: "x"})
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(n.newerEpoch.Load, eventuallyTimeout).Should(Equal(uint64(newer.Epoch)), "the owner is asked for the view")
+		Eventually(n.newerEpoch.Load, eventuallyTimeout).Should(Equal(uint64(newer.Epoch)), "OnNewerView is called")
 		n.restart(memfs.Power, rand.New(rand.NewPCG(3, 1)))
 		older := storewire.Header{Epoch: newer.Epoch - 1, StoreID: n.store.ID()}
 		answer, err := n.store.Commit(ctx, storewire.CommitRequest{Header: older, Turn: storewire.Turn{ID: "x", Root: "x"}})
@@ -215,7 +215,7 @@
 		Expect(same.Reply.Status).To(Equal(storewire.Served))
 	})
 
-	It("serves nothing that was meant for another disk", func() {
+	It("rejects a request addressed to another disk", func() {
 		c := newCluster(1, "a", "b", "c")
 		old := storewire.Header{Epoch: int64(c.view.Epoch), StoreID: c.nodes[0].store.ID()}
 		c.nodes[0].wipe()
@@ -226,7 +226,7 @@
 })
 
 var _ = Describe("a disk that was used before", func() {
-	It("keeps its id; an empty one draws another", func() {
+	It("keeps its id, while an empty one draws another", func() {
 		disk := memfs.New()
 		options := store.Options{Files: disk, Dir: "data", DiskBytes: 1, Bootstrap: true, RepairInterval: -1}
 		first, err := store.Start(options)
--- a/internal/tier/store/cluster_test.go
+++ b/internal/tier/store/cluster_test.go
@@ -25,21 +25,21 @@
 	RunSpecs(t, "store")
 }
 
-// eventuallyTimeout is how long something in the background may take before a test takes it for lost.
+// eventuallyTimeout bounds how long tests wait for background work.
 const eventuallyTimeout = 20 * time.Second
 
-// cluster is some stores and the network between them and their callers, in memory.
+// cluster simulates stores and their network in memory.
 type cluster struct {
-	clock atomic.Int64 // of all stores, nanoseconds
+	clock atomic.Int64 // time of all stores, in nanoseconds
 	view  controlstate.StoreView
 
 	mutex sync.Mutex
 	nodes []*node
-	calls map[string]int                     // by method
-	fault func(method, address string) error // asked before a call; nil: none fails
+	calls map[string]int                     // number of calls by method
+	fault func(method, address string) error // returns the error of a call; nil: no call fails
 }
 
-// node is a machine of the cluster.
+// node is a machine of the cluster with its store.
 type node struct {
 	cluster      *cluster
 	name         string
@@ -53,7 +53,7 @@
 	down         atomic.Bool
 }
 
-// newCluster starts stores in the zones named, one each, founded together.
+// newCluster starts a bootstrapped store in each of the zones and publishes their view.
 func newCluster(tolerance int, zones ...string) *cluster {
 	c := &cluster{calls: map[string]int{}}
 	c.view.Tolerance = tolerance
@@ -67,7 +67,8 @@
 }
 
 func (c *cluster) add(name, zone string) *node {
-	n := &node{cluster: c, name: name, zone: zone, address: name + ":1", disk: memfs.New(), diskBytes: 1} // 16 segments of the least size
+	// A disk of 1 byte gets 16 segments of the minimum size.
+	n := &node{cluster: c, name: name, zone: zone, address: name + ":1", disk: memfs.New(), diskBytes: 1}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.nodes = append(c.nodes, n)
@@ -92,7 +93,7 @@
 	DeferCleanup(func() { s.Close() })
 }
 
-// restart ends the process and starts it again with what the end leaves of the disk.
+// restart stops the store and starts it again with the disk contents that survive a stop of this mode.
 func (n *node) restart(mode memfs.Mode, rng *rand.Rand) {
 	Expect(n.store.Close()).To(Succeed())
 	n.disk = n.disk.After(mode, rng)
@@ -100,7 +101,7 @@
 	n.store.SetView(n.cluster.view)
 }
 
-// wipe starts the store again with an empty disk; the view takes it in as another one.
+// wipe restarts the store with an empty disk, which joins the view as another member.
 func (n *node) wipe() {
 	Expect(n.store.Close()).To(Succeed())
 	n.disk = memfs.New()
@@ -108,7 +109,7 @@
 	n.cluster.joinView(n)
 }
 
-// joinView takes a store into the view, in the place of the one on its machine.
+// joinView adds a store to the view, in place of the former one on its node.
 func (c *cluster) joinView(n *node) {
 	member := controlstate.StoreMember{ID: n.store.ID(), Node: n.name, Zone: n.zone, Address: n.address}
 	members := make([]controlstate.StoreMember, 0, len(c.view.Members)+1)
@@ -123,7 +124,7 @@
 	c.view.Epoch++
 }
 
-// changeView makes a new view.
+// changeView replaces the members of the view and increments its epoch.
 func (c *cluster) changeView(f func([]controlstate.StoreMember) []controlstate.StoreMember) {
 	c.view.Members = f(append([]controlstate.StoreMember(nil), c.view.Members...))
 	c.view.Epoch++
@@ -150,14 +151,14 @@
 	})
 }
 
-// publishView tells all stores of the view.
+// publishView sets the current view on all stores.
 func (c *cluster) publishView() {
 	for _, n := range c.nodes {
 		n.store.SetView(c.view)
 	}
 }
 
-// repairRounds lets every store repair with every other one.
+// repairRounds runs repair rounds on every store that is up.
 func (c *cluster) repairRounds(count int) {
 	for roundNumber := range count {
 		for _, n := range c.nodes {
@@ -170,7 +171,7 @@
 
 func (c *cluster) advanceClock(d time.Duration) { c.clock.Add(int64(d)) }
 
-// client makes a client in a zone that knows the view.
+// client returns a client in a zone, with the current view.
 func (c *cluster) client(zone string) *storeclient.Client {
 	client := storeclient.New(storeclient.Options{Caller: network{c}, Zone: zone})
 	client.SetView(c.view)
@@ -184,9 +185,9 @@
 	return c.calls[method]
 }
 
-var errUnreachable = errors.New("cut")
+var errUnreachable = errors.New("unreachable")
 
-// connect finds who answers at an address.
+// connect counts a call and returns the store at an address, or the error of the call.
 func (c *cluster) connect(ctx context.Context, method, address string) (*store.Store, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -207,21 +208,22 @@
 	return nil, errUnreachable
 }
 
-// setFault sets what fails from now on.
+// setFault sets which calls fail from now on.
 func (c *cluster) setFault(f func(method, address string) error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.fault = f
 }
 
-// network calls the stores of a cluster.
+// network implements storewire.Caller for the stores of a cluster.
 type network struct{ cluster *cluster }
 
-func call[Q, A any](ctx context.Context, n network, method, address string, request Q, f func(*store.Store, context.Context, Q) (A, error)) (A, error) {
-	var none A
+func call[Q, A any](ctx context.Context, n network, method, address string, request Q,
+	f func(*store.Store, context.Context, Q) (A, error)) (A, error) {
+	var zero A
 	s, err := n.cluster.connect(ctx, method, address)
 	if err != nil {
-		return none, err
+		return zero, err
 	}
 	return f(s, ctx, request)
 }
@@ -266,13 +268,13 @@
 	return call(ctx, n, "push", address, request, (*store.Store).Push)
 }
 
-// turnOf makes a turn that continues another.
+// turnOf returns a turn that continues another.
 func turnOf(id, root, previous string) storeclient.Turn {
 	return storeclient.Turn{ID: id, Root: root, Previous: previous, Program: "p", Input: []byte("in " + id + ";"),
 		Output: []byte("out " + id + "\n"), Tokens: 3, Retention: time.Minute}
 }
 
-// commitChain commits a conversation of so many turns and gives their ids.
+// commitChain commits a conversation of count turns and returns their ids.
 func commitChain(c *storeclient.Client, name string, count int) []string {
 	var ids []string
 	previous := ""
@@ -285,7 +287,7 @@
 	return ids
 }
 
-// bodyOf is the body of a conversation made by chain.
+// bodyOf returns the body of a conversation that commitChain committed.
 func bodyOf(ids []string) string {
 	body := ""
 	for _, id := range ids {
@@ -294,7 +296,7 @@
 	return body
 }
 
-// expectFound looks a conversation up by a client that has it not cached.
+// expectFound reads a conversation with a new client, whose cache is empty.
 func (c *cluster) expectFound(ids []string) {
 	GinkgoHelper()
 	history, verdict := c.client(c.nodes[0].zone).History(context.Background(), ids[len(ids)-1])
@@ -303,7 +305,7 @@
 	Expect(history.Root).To(Equal(ids[0]))
 }
 
-// lookUp gives the verdict on a turn of a client that has it not cached; unsure ones take as long as the context.
+// lookUp returns the verdict of a new client on a turn; an Unsure verdict takes until the context ends.
 func (c *cluster) lookUp(id string) storeclient.Verdict {
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
--- a/internal/tier/store/crash_test.go
+++ b/internal/tier/store/crash_test.go
@@ -14,15 +14,16 @@
 	"emberquay/internal/vfs/memfs"
 )
 
-// crashTest is one store that is killed and loses power at random, and what it has acknowledged.
+// crashTest runs random operations on one store, kills it or cuts its power at random, and records what it
+// acknowledged.
 type crashTest struct {
 	cluster        *cluster
 	node           *node
 	rng            *rand.Rand
-	retainedUntil  map[string]time.Duration // acknowledged turns -> until when they have to be there
+	retainedUntil  map[string]time.Duration // acknowledged turn -> end of its retention
 	inputBytes     map[string]int
-	reservedTokens map[string]int64 // acknowledged reservations that may be open
-	settledTokens  map[string]int64 // settlements that were told: each may be lost, and then counts at its most
+	reservedTokens map[string]int64 // acknowledged reservation -> its most tokens
+	settledTokens  map[string]int64 // settlements sent: each may be lost, and the reservation is open then
 	sequence       int
 }
 
@@ -38,7 +39,7 @@
 
 func (c *crashTest) now() time.Duration { return time.Duration(c.cluster.clock.Load()) }
 
-// commitTurn commits a turn of some size, so that the ring is gone around many times.
+// commitTurn commits a turn of random size, so that the ring wraps around many times.
 func (c *crashTest) commitTurn() {
 	c.sequence++
 	t := storewire.Turn{ID: fmt.Sprint("turn-", c.sequence), RetentionMillis: 20_000,
@@ -79,7 +80,7 @@
 	}
 }
 
-// check: all that was acknowledged is there.
+// check verifies that all acknowledged data is there.
 func (c *crashTest) check() {
 	for id, until := range c.retainedUntil {
 		if until < c.now() {
@@ -134,14 +135,14 @@
 	}
 }
 
-var _ = DescribeTable("a store that is killed and loses power again and again keeps all that it acknowledged",
+var _ = DescribeTable("a store that is killed and loses power repeatedly keeps all acknowledged data",
 	func(seed uint64) {
 		c := newCrashTest(seed)
 		for range 800 {
 			c.step()
 		}
 		c.check()
-		Expect(c.node.store.OldestSegment()).To(BeNumerically(">", 8), "half of the ring has been written over")
+		Expect(c.node.store.OldestSegment()).To(BeNumerically(">", 8), "half of the ring has been overwritten")
 		Expect(c.node.disk.Used()).To(BeNumerically("<=", 16<<20))
 	},
 	Entry("seed 1", uint64(1)), Entry("seed 2", uint64(2)), Entry("seed 3", uint64(3)), Entry("seed 4", uint64(4)),
--- a/internal/tier/store/export_test.go
+++ b/internal/tier/store/export_test.go
@@ -1,9 +1,9 @@
 package store
 
-// RepairRound does one round of repair, with the other store whose turn it is.
+// RepairRound runs one repair round.
 func (s *Store) RepairRound(roundNumber int) (urgent bool) { return s.repairRound(roundNumber) }
 
-// TurnCount counts the turns held.
+// TurnCount returns the number of held turns.
 func (s *Store) TurnCount() int {
 	count := 0
 	if err := s.do(s.ctx, func(t *table) bool { count = len(t.turns); return false }); err != nil {
@@ -12,7 +12,7 @@
 	return count
 }
 
-// ProgramCount counts the programs known.
+// ProgramCount returns the number of known programs.
 func (s *Store) ProgramCount() int {
 	count := 0
 	if err := s.do(s.ctx, func(t *table) bool { count = len(t.programs); return false }); err != nil {
@@ -21,5 +21,5 @@
 	return count
 }
 
-// OldestSegment is the oldest segment of the journal.
+// OldestSegment returns the oldest segment of the journal.
 func (s *Store) OldestSegment() uint64 { return s.journal.OldestSegment() }
--- a/internal/tier/store/fuzz_test.go
+++ b/internal/tier/store/fuzz_test.go
@@ -9,7 +9,7 @@
 	"emberquay/internal/vfs/memfs"
 )
 
-// FuzzReplay: no record of a store's files stops it, and what it read can be served.
+// FuzzReplay checks that replaying arbitrary records does not panic and leaves a table that can be used.
 func FuzzReplay(f *testing.F) {
 	turn, err := storewire.EncodeTurn(storewire.Turn{ID: "b", Root: "a", Previous: "a", RetentionMillis: 60000, Input: []byte("in")})
 	if err != nil {
@@ -30,7 +30,7 @@
 		t := newTable(Options{Files: memfs.New(), Dir: "data", Now: func() time.Duration { return 0 }}, minSegmentBytes)
 		for i, record := range [][]byte{first, second, first} {
 			if len(record) == 0 {
-				continue // the journal keeps none that is empty
+				continue // the journal holds no empty records
 			}
 			_ = t.replay(journal.Position{Segment: 1, Offset: uint32(i), Length: uint32(len(record))}, record)
 		}
--- a/internal/tier/store/inspect_test.go
+++ b/internal/tier/store/inspect_test.go
@@ -12,7 +12,7 @@
 	"emberquay/internal/vfs/memfs"
 )
 
-// commitAt commits a turn at one store alone.
+// commitAt commits a turn to one store only.
 func commitAt(c *cluster, n *node, id, root, previous string) {
 	GinkgoHelper()
 	answer, err := n.store.Commit(ctx, storewire.CommitRequest{
@@ -24,7 +24,7 @@
 	Expect(answer.Reply.Status).To(Equal(storewire.Served))
 }
 
-// diskAfter gives the disk of a store that has kept what the function had it keep, and has ended.
+// diskAfter returns the disk and node of a store that was closed after the given function filled it.
 func diskAfter(commit func(*cluster, *node)) (*memfs.Mem, *node) {
 	c := newCluster(0, "a")
 	n := c.nodes[0]
@@ -33,7 +33,7 @@
 	return n.disk, n
 }
 
-// appendRecord puts a record into the ring, whole, whatever it says.
+// appendRecord appends a record with arbitrary contents to the ring.
 func appendRecord(disk *memfs.Mem, record string) journal.Position {
 	GinkgoHelper()
 	j, err := journal.Open(journal.Options{Files: disk, Dir: "data", SegmentBytes: 1 << 20, Segments: 16},
@@ -53,18 +53,18 @@
 	return found
 }
 
-// commitConversation keeps three turns, and reservations of two programs of which one is settled.
+// commitConversation commits three turns and makes two reservations, of which it settles one.
 func commitConversation(c *cluster, n *node) {
 	commitAt(c, n, "t-0", "t-0", "")
 	commitAt(c, n, "t-1", "t-0", "t-0")
 	commitAt(c, n, "t-2", "t-0", "t-1")
 	reserveAt(c, n, "a", false)
 	settleAt(c, n, "a", 4)
-	reserveAt(c, n, "b", false) // answered from the disk, and with it what was told before
+	reserveAt(c, n, "b", false) // its sync also covers the settlement before it
 }
 
 var _ = Describe("the inspection of a store's disk", func() {
-	It("says what a start would find", func() {
+	It("reports what a start would find", func() {
 		disk, n := diskAfter(commitConversation)
 		found := inspectDisk(disk)
 		Expect(found.ID).To(Equal(n.store.ID()))
@@ -88,7 +88,7 @@
 		Expect(kinds["meta"]).To(BeNumerically(">=", 2))
 	})
 
-	It("holds what was acknowledged after a loss of power, over many laps of the ring", func() {
+	It("reports all acknowledged turns after a loss of power, with a ring that wrapped around many times", func() {
 		c := newCrashTest(5)
 		for range 400 {
 			c.step()
@@ -105,7 +105,7 @@
 		Expect(found.Ring.Segments[0].Sequence).To(BeNumerically(">", 1))
 	})
 
-	It("names the turns that are held elsewhere and does not take them for damage", func() {
+	It("lists the turns that are held elsewhere without reporting damage", func() {
 		disk, _ := diskAfter(func(c *cluster, n *node) {
 			commitConversation(c, n)
 			commitAt(c, n, "u-5", "u-0", "u-4")
@@ -122,7 +122,7 @@
 		Expect(found.Turns.Missing[0].Next.ID).To(Equal("u-5"))
 	})
 
-	DescribeTable("finds conversations that make no sense",
+	DescribeTable("finds inconsistent conversations",
 		func(commit func(*cluster, *node), problem string) {
 			disk, _ := diskAfter(commit)
 			found := inspectDisk(disk)
@@ -130,18 +130,18 @@
 			Expect(found.Findings.Listed[0].Problem).To(ContainSubstring(problem))
 			Expect(found.Findings.Listed[0].Offset).To(BeNumerically(">", 0))
 		},
-		Entry("turns in a circle", func(c *cluster, n *node) {
+		Entry("turns that form a cycle", func(c *cluster, n *node) {
 			commitAt(c, n, "a", "r", "b")
 			commitAt(c, n, "b", "r", "a")
 		}, "continues a, which continues it"),
-		Entry("a turn of another conversation before it", func(c *cluster, n *node) {
+		Entry("a predecessor of another conversation", func(c *cluster, n *node) {
 			commitAt(c, n, "a", "a", "")
 			commitAt(c, n, "b", "other", "a")
 			commitAt(c, n, "c", "other", "b")
 		}, "turn b of conversation other continues a of conversation a"),
 	)
 
-	DescribeTable("finds records that are whole but make no sense, at their place",
+	DescribeTable("finds invalid records with intact checksums, and their positions",
 		func(record string, problem string) {
 			disk, _ := diskAfter(commitConversation)
 			p := appendRecord(disk, record)
@@ -152,16 +152,16 @@
 			Expect(found.Findings.Listed[0].Problem).To(ContainSubstring(problem))
 			Expect(found.Turns.Count).To(Equal(3))
 		},
-		Entry("another kind", "X and more", "kind 88 is not known"),
+		Entry("an unknown kind", "X and more", "kind 88 is not known"),
 		Entry("a turn that does not decode", "T\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff", "turn record"),
-		Entry("a turn that ends too early", "T\x02a", "coded otherwise"),
-		Entry("a turn of other contents under a known id", "T\x06t-1\x06t-0\x00\x06t-0\x02p\x00\x00\x00\x00", "other contents"),
-		Entry("a program whose entries do not unpack", "P\x02p\x00\x06abc", "malformed entries"),
-		Entry("a program with more behind its end", "P\x02p\x00\x00zzz", "coded otherwise"),
-		Entry("a meta record that ends too early", "M\x02a\x01", "meta record"),
+		Entry("a turn that is cut short", "T\x02a", "coded otherwise"),
+		Entry("a turn with other contents under a known id", "T\x06t-1\x06t-0\x00\x06t-0\x02p\x00\x00\x00\x00", "other contents"),
+		Entry("a program with malformed entries", "P\x02p\x00\x06abc", "malformed entries"),
+		Entry("a program with trailing bytes", "P\x02p\x00\x00zzz", "coded otherwise"),
+		Entry("a meta record that is cut short", "M\x02a\x01", "meta record"),
 	)
 
-	It("shows a torn tail as the place where the reading stopped", func() {
+	It("reports a torn tail as the position where reading stopped", func() {
 		disk, _ := diskAfter(commitConversation)
 		before := inspectDisk(disk)
 		end := before.Ring.Segments[0].End
@@ -172,9 +172,9 @@
 		Expect(found.Ring.Segments[0].Stop).To(Equal(journal.StopNoRecord))
 	})
 
-	It("finds a flipped byte, and a disk whose first record is lost", func() {
+	It("finds a flipped bit that destroys the first record", func() {
 		disk, _ := diskAfter(commitConversation)
-		disk.Data("data/ring-0000")[60] ^= 4 // in the first record, which says which store this is
+		disk.Data("data/ring-0000")[60] ^= 4 // in the first record, which holds the store's id
 		found := inspectDisk(disk)
 		Expect(found.ID).To(BeEmpty())
 		Expect(found.Findings.Count).To(Equal(1), "%+v", found.Findings)
@@ -182,7 +182,7 @@
 		Expect(found.Findings.Listed[0].Problem).To(ContainSubstring("valid records after it"))
 	})
 
-	It("says what is no disk of a store", func() {
+	It("rejects a folder that is not the disk of a store", func() {
 		_, err := store.Inspect(memfs.New(), "data")
 		Expect(err).To(MatchError(journal.ErrNoRing))
 
--- a/internal/tier/store/repair_test.go
+++ b/internal/tier/store/repair_test.go
@@ -18,7 +18,7 @@
 	var c *cluster
 	BeforeEach(func() { c = newCluster(1, "a", "b", "c") })
 
-	It("is incomplete until it has compared with all others", func() {
+	It("is incomplete until it has compared itself with all others", func() {
 		client := c.client("a")
 		ids := commitChain(client, "talk", 20)
 		Expect(client.Reserve(ctx, reservation("1"))).To(Equal(storeclient.Granted))
@@ -27,7 +27,7 @@
 		c.publishView()
 		Expect(reserveAt(c, c.nodes[0], "x", true).Reply.Complete).To(BeFalse())
 		c.nodes[1].down.Store(true)
-		Expect(c.nodes[0].store.RepairRound(0)).To(BeTrue(), "it goes on at once")
+		Expect(c.nodes[0].store.RepairRound(0)).To(BeTrue(), "the next round is urgent")
 		Expect(c.nodes[0].store.Complete()).To(BeFalse())
 		c.nodes[1].down.Store(false)
 		Expect(c.nodes[0].store.RepairRound(1)).To(BeFalse())
@@ -37,7 +37,7 @@
 		c.expectFound(ids)
 	})
 
-	It("begins anew after a restart in the middle, and stays complete after one at the end", func() {
+	It("starts over after a restart during catch-up, and stays complete after a restart at its end", func() {
 		commitChain(c.client("a"), "talk", 5)
 		c.nodes[0].wipe()
 		c.publishView()
@@ -50,7 +50,7 @@
 		Expect(c.nodes[0].store.TurnCount()).To(Equal(5))
 	})
 
-	It("takes writes meanwhile", func() {
+	It("accepts writes during catch-up", func() {
 		c.nodes[0].wipe()
 		c.publishView()
 		ids := commitChain(c.client("a"), "talk", 3)
@@ -58,7 +58,7 @@
 		c.expectFound(ids)
 	})
 
-	It("has the others tell what they hold once, though one can't be reached", func() {
+	It("asks each reachable store for its inventory once, though another is unreachable", func() {
 		commitChain(c.client("a"), "talk", 5)
 		c.nodes[0].wipe()
 		c.publishView()
@@ -66,14 +66,14 @@
 		for range 5 {
 			c.nodes[0].store.RepairRound(0)
 		}
-		Expect(c.callCount("list")).To(Equal(1+5), "one of the one that answers, five of the one that does not")
+		Expect(c.callCount("list")).To(Equal(1+5), "one to the store that answers, five to the other")
 		Expect(c.nodes[0].store.Complete()).To(BeFalse())
 		c.nodes[2].down.Store(false)
 		c.nodes[0].store.RepairRound(0)
 		Expect(c.nodes[0].store.Complete()).To(BeTrue())
 	})
 
-	It("fetches from another holder where one fails", func() {
+	It("fetches from another holder if one fails", func() {
 		c = newCluster(2, "a", "b", "c", "d", "e")
 		ids := commitChain(c.client("a"), "talk", 4)
 		c.nodes[0].wipe()
@@ -94,7 +94,7 @@
 		c.expectFound(ids)
 	})
 
-	It("brings many turns back", func() {
+	It("copies many turns", func() {
 		client := c.client("a")
 		for i := range 60 {
 			t := turnOf(fmt.Sprint("big", i), "", "")
@@ -107,8 +107,8 @@
 		Expect(c.nodes[0].store.TurnCount()).To(Equal(60))
 	})
 
-	It("does not come back knowing less than another one after it needs", func() {
-		// A turn is at two stores; the disks of both are lost, one after the other.
+	It("recovers enough for the next store that loses its disk", func() {
+		// Each turn is on two stores, and both lose their disks, one after the other.
 		for i := range 3 {
 			ids := commitChain(c.client("a"), fmt.Sprint("talk", i), 3)
 			for _, n := range c.nodes {
@@ -121,9 +121,9 @@
 		}
 	})
 
-	It("takes over a turn that was written past its places", func() {
-		// Written while the first store was down, the turn is at the other two; one of them loses its disk before the
-		// first has got the turn.
+	It("copies a turn that was written to a store where it does not belong", func() {
+		// Written while the first store was down, the turn is on the other two. One of them loses its disk before the
+		// first store gets the turn.
 		c.nodes[0].down.Store(true)
 		ids := commitChain(c.client("a"), "talk", 1)
 		c.nodes[0].down.Store(false)
@@ -140,7 +140,7 @@
 	var c *cluster
 	BeforeEach(func() { c = newCluster(1, "a", "b", "c") })
 
-	It("is one message where nothing differs", func() {
+	It("takes one message if nothing differs", func() {
 		commitChain(c.client("a"), "talk", 10)
 		c.advanceClock(5 * time.Second)
 		c.repairRounds(4)
@@ -149,7 +149,7 @@
 		Expect(c.callCount("push")).To(BeZero())
 	})
 
-	It("brings a turn to its places", func() {
+	It("copies a turn to its places", func() {
 		c.nodes[0].down.Store(true)
 		commitChain(c.client("a"), "talk", 10)
 		c.nodes[0].down.Store(false)
@@ -160,10 +160,10 @@
 		c.repairRounds(3)
 		before := c.callCount("offer")
 		c.repairRounds(3)
-		Expect(c.callCount("offer")).To(Equal(before), "what is at its places is not offered again")
+		Expect(c.callCount("offer")).To(Equal(before), "a turn that is at its places is not offered again")
 	})
 
-	It("tells of reservations and settlements that a store has missed", func() {
+	It("copies reservations and settlements that a store has missed", func() {
 		c.nodes[0].down.Store(true)
 		Expect(c.client("a").Reserve(ctx, reservation("1"))).To(Equal(storeclient.Granted))
 		c.nodes[0].down.Store(false)
@@ -198,14 +198,14 @@
 	})
 })
 
-var _ = Describe("a machine that is removed with what it held", func() {
-	It("makes its turns unsure, not missing, until the others have compared", func() {
+var _ = Describe("a store that is removed together with its data", func() {
+	It("makes unknown turns unsure, not missing, until the others have compared", func() {
 		c := newCluster(1, "a", "b", "c", "d")
 		var ids []string
 		for i := range 20 {
 			ids = append(ids, commitChain(c.client("a"), fmt.Sprint("talk", i), 1)[0])
 		}
-		// The clients' own store has one copy of each turn; it goes for good.
+		// The store in the client's zone holds one copy of each turn. It is lost for good.
 		removed := c.nodes[0]
 		removed.down.Store(true)
 		c.remove(removed.name)
@@ -222,13 +222,13 @@
 		for _, n := range c.nodes {
 			n.down.Store(true)
 			for _, id := range ids {
-				Expect(c.lookUp(id)).To(Equal(storeclient.Found), "each is at two stores again")
+				Expect(c.lookUp(id)).To(Equal(storeclient.Found), "each turn is on two stores again")
 			}
 			n.down.Store(false)
 		}
 	})
 
-	It("is not one that had been emptied", func() {
+	It("does not include one that was retired before", func() {
 		c := newCluster(1, "a", "b", "c", "d")
 		c.retire("store-3")
 		c.publishView()
@@ -241,12 +241,12 @@
 		Expect(reserveAt(c, c.nodes[0], "x", true).Reply.Complete).To(BeTrue())
 	})
 
-	It("is one that comes back with another disk as if it were new", func() {
+	It("includes one that comes back as new with another disk", func() {
 		c := newCluster(1, "a", "b", "c", "d")
 		n := c.nodes[0]
 		commitChain(c.client("a"), "talk", 5)
 		c.remove(n.name)
-		n.wipe() // not in the view, and so in nobody's place
+		n.wipe() // not in the view, so it replaces no member
 		c.publishView()
 		Expect(c.view.Members[3].Replaced).To(BeFalse())
 		Expect(c.lookUp("talk-4")).NotTo(Equal(storeclient.Missing))
@@ -257,7 +257,7 @@
 		Expect(c.lookUp("unheard")).To(Equal(storeclient.Missing))
 	})
 
-	It("is not one whose successor took its place", func() {
+	It("does not include one whose successor took its place", func() {
 		c := newCluster(1, "a", "b", "c")
 		c.nodes[2].wipe()
 		c.publishView()
@@ -265,7 +265,7 @@
 	})
 })
 
-var _ = Describe("views that follow each other", func() {
+var _ = Describe("successive views", func() {
 	It("lose nothing while machines are replaced one by one", func() {
 		c := newCluster(1, "a", "b", "c")
 		ids := commitChain(c.client("a"), "talk", 5)
@@ -292,7 +292,7 @@
 		Expect(c.view.Members).To(HaveLen(3))
 	})
 
-	It("don't let a client work by a view that is over", func() {
+	It("do not let a client work with an outdated view", func() {
 		c := newCluster(1, "a", "b", "c")
 		client := c.client("a")
 		old := c.view
--- a/internal/tier/store/retire_test.go
+++ b/internal/tier/store/retire_test.go
@@ -11,7 +11,7 @@
 	var c *cluster
 	BeforeEach(func() { c = newCluster(1, "a", "b", "c", "d") })
 
-	// emptied retires the first store.
+	// retireFirst retires the first store.
 	retireFirst := func() *node {
 		n := c.nodes[0]
 		c.retire(n.name)
@@ -19,7 +19,7 @@
 		return n
 	}
 
-	It("is emptied before it says so", func() {
+	It("copies all its data to others before it reports its retirement", func() {
 		client := c.client("a")
 		ids := commitChain(client, "talk", 10)
 		Expect(client.Reserve(ctx, reservation("1"))).To(Equal(storeclient.Granted))
@@ -40,7 +40,7 @@
 		}
 	})
 
-	DescribeTable("is not emptied while what it holds is not safe elsewhere",
+	DescribeTable("does not report its retirement while its data is not on other stores",
 		func(prepare func(method, address string) error) {
 			client := c.client("a")
 			commitChain(client, "talk", 10)
@@ -53,19 +53,19 @@
 			Expect(n.store.RepairRound(1)).To(BeFalse())
 			Expect(n.retiredCalls.Load()).To(Equal(int32(1)))
 		},
-		Entry("a store is cut off", func(method, address string) error {
+		Entry("a store is unreachable", func(method, address string) error {
 			if address == "store-2:1" {
 				return errUnreachable
 			}
 			return nil
 		}),
-		Entry("turns can't be pushed", func(method, _ string) error {
+		Entry("no push succeeds", func(method, _ string) error {
 			if method == "push" {
 				return errUnreachable
 			}
 			return nil
 		}),
-		Entry("nothing can be offered", func(method, _ string) error {
+		Entry("no offer succeeds", func(method, _ string) error {
 			if method == "offer" {
 				return errUnreachable
 			}
@@ -73,7 +73,7 @@
 		}),
 	)
 
-	It("is not emptied while one of the others does not know of a reservation", func() {
+	It("does not report its retirement while another store lacks a reservation", func() {
 		n := c.nodes[0]
 		Expect(reserveAt(c, n, "1", false).Stored).To(BeTrue())
 		retireFirst()
@@ -93,7 +93,7 @@
 		}
 	})
 
-	It("takes nothing new, and still serves reads", func() {
+	It("accepts no new turns, and still serves reads", func() {
 		ids := commitChain(c.client("a"), "talk", 3)
 		n := retireFirst()
 		for _, other := range c.nodes[1:] {
@@ -107,7 +107,7 @@
 		Expect(n.store.TurnCount()).To(Equal(before))
 	})
 
-	It("is not emptied while its own disk lacks what it should hold", func() {
+	It("does not report its retirement while it is incomplete", func() {
 		commitChain(c.client("a"), "talk", 3)
 		n := retireFirst()
 		n.wipe()
--- a/internal/tier/store/status_test.go
+++ b/internal/tier/store/status_test.go
@@ -10,7 +10,7 @@
 )
 
 var _ = Describe("the status of a store", func() {
-	It("tells view, completeness and what is held", func() {
+	It("reports the view, completeness and contents", func() {
 		c := newCluster(0, "a")
 		n := c.nodes[0]
 		empty, err := n.store.Status(ctx)
@@ -26,7 +26,7 @@
 		Expect(full.FreeBytes).To(Equal(int64(15 << 20)))
 	})
 
-	It("tells of a fresh disk that it is not complete, and of one that is being emptied", func() {
+	It("reports that a fresh disk is incomplete, and that a store is retiring", func() {
 		c := newCluster(0, "a", "b")
 		c.retire("store-1")
 		c.publishView()
@@ -40,7 +40,7 @@
 		Expect(status).To(And(HaveField("Complete", false), HaveField("Member", false), HaveField("Epoch", int64(0))))
 	})
 
-	It("ends with its caller, and with the store", func() {
+	It("returns an error once the context has ended or the store is closed", func() {
 		n := newCluster(0, "a").nodes[0]
 		ended, end := context.WithCancel(ctx)
 		end()
--- a/internal/tier/store/turns_test.go
+++ b/internal/tier/store/turns_test.go
@@ -24,19 +24,19 @@
 	var c *cluster
 	BeforeEach(func() { c = newCluster(1, "a", "b", "c") })
 
-	It("are found whole by any client", func() {
+	It("are read whole by any client", func() {
 		ids := commitChain(c.client("a"), "talk", 5)
 		c.expectFound(ids)
 		c.expectFound(ids[:3])
 	})
 
-	It("are at as many stores as may be lost and one more, one of them in the client's zone", func() {
+	It("are on one more store than may be lost, one of them in the client's zone", func() {
 		commitChain(c.client("b"), "talk", 4)
 		Expect(c.nodes[1].store.TurnCount()).To(Equal(4))
 		Expect(c.nodes[0].store.TurnCount() + c.nodes[2].store.TurnCount()).To(Equal(4))
 	})
 
-	It("may be continued by several", func() {
+	It("may be continued by several turns", func() {
 		client := c.client("a")
 		ids := commitChain(client, "talk", 3)
 		for _, fork := range []string{"x", "y"} {
@@ -46,7 +46,7 @@
 		c.expectFound(append(append([]string(nil), ids...), "y"))
 	})
 
-	It("are read from the cache by the client that carried them", func() {
+	It("are read from the cache by the client that committed them", func() {
 		client := c.client("a")
 		ids := commitChain(client, "talk", 3)
 		before := c.callCount("history")
@@ -56,7 +56,7 @@
 		Expect(c.callCount("history")).To(Equal(before))
 	})
 
-	It("are read from the client's zone where they are there", func() {
+	It("are read from the store in the client's zone if it has them", func() {
 		ids := commitChain(c.client("a"), "talk", 3)
 		before := c.callCount("history")
 		c.expectFound(ids)
@@ -89,7 +89,7 @@
 		c.expectFound(ids)
 	})
 
-	It("are not durable while too few stores answer", func() {
+	It("are not acknowledged while too few stores answer", func() {
 		c.nodes[1].down.Store(true)
 		c.nodes[2].down.Store(true)
 		short, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
@@ -97,7 +97,7 @@
 		Expect(c.client("a").Commit(short, turnOf("x", "", ""))).NotTo(Succeed())
 	})
 
-	It("go to the next store in order where one fails", func() {
+	It("go to the next store in order if one fails", func() {
 		client := c.client("a")
 		c.setFault(func(method, address string) error {
 			if method == "commit" && address == c.nodes[0].address {
@@ -111,7 +111,7 @@
 		c.expectFound(ids)
 	})
 
-	It("need a root that is known", func() {
+	It("are rejected if their root is unknown", func() {
 		Expect(c.client("a").Commit(ctx, turnOf("x", "", "unheard"))).To(MatchError(storeclient.ErrUnknownRoot))
 	})
 })
@@ -144,7 +144,7 @@
 	}, true, storeclient.Unavailable),
 )
 
-// down takes stores down.
+// down returns a function that takes stores down.
 func down(nodes ...int) func(*cluster) {
 	return func(c *cluster) {
 		for _, i := range nodes {
@@ -153,7 +153,7 @@
 	}
 }
 
-// lostDisk has a store lose its disk and does not let it catch up.
+// lostDisk returns a function that empties the disk of a store, which does not catch up.
 func lostDisk(i int) func(*cluster) {
 	return func(c *cluster) {
 		c.nodes[i].wipe()
@@ -170,8 +170,8 @@
 	})
 })
 
-var _ = Describe("what was acknowledged", func() {
-	It("is there after a restart of all", func() {
+var _ = Describe("acknowledged data", func() {
+	It("survives a restart of all stores", func() {
 		c := newCluster(1, "a", "b", "c")
 		ids := commitChain(c.client("a"), "talk", 5)
 		for _, n := range c.nodes {
@@ -183,7 +183,7 @@
 		c.expectFound(ids)
 	})
 
-	It("is there after a loss of power, whatever else that loses", func() {
+	It("survives a loss of power", func() {
 		for seed := range uint64(12) {
 			rng := rand.New(rand.NewPCG(seed, 1))
 			c := newCluster(1, "a", "b", "c")
@@ -201,11 +201,11 @@
 				c.expectFound(ids)
 			}
 			verdict := client.Reserve(ctx, storeclient.Reservation{Program: "p", Turn: "last", BudgetTokens: 100, MaxTokens: 30})
-			Expect(verdict).To(Equal(storeclient.Undecided), "four of 30 are open")
+			Expect(verdict).To(Equal(storeclient.Undecided), "four reservations of 30 are open")
 		}
 	})
 
-	It("is read again when a record has been moved to a newer segment", func() {
+	It("is readable after its record was moved to a newer segment", func() {
 		c := newCluster(0, "a")
 		client := c.client("a")
 		keep := turnOf("keep", "", "")
@@ -228,7 +228,7 @@
 })
 
 var _ = Describe("a full disk", func() {
-	It("refuses turns at once, keeps reservations, and the turns go elsewhere", func() {
+	It("refuses turns, which go to other stores, and still accepts reservations", func() {
 		c := newCluster(1, "a", "b", "c")
 		small := c.nodes[0]
 		for _, n := range c.nodes[1:] {
@@ -256,7 +256,7 @@
 })
 
 var _ = Describe("a disk that stalls", func() {
-	It("blocks no reads, and has writes refused", func() {
+	It("does not block reads, and makes the store refuse writes", func() {
 		c := newCluster(1, "a", "b", "c")
 		client := c.client("a")
 		ids := commitChain(client, "talk", 2)
@@ -283,7 +283,7 @@
 		answer, err := n.store.History(ctx, storewire.HistoryRequest{Header: header, Turn: ids[1]})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Known).To(BeTrue())
-		Expect(reserveAt(c, n, "t", true).Reply.Status).To(Equal(storewire.Served)) // a second round
+		Expect(reserveAt(c, n, "t", true).Reply.Status).To(Equal(storewire.Served)) // a recheck needs no sync
 		settleAt(c, n, "t", 1)
 		c.advanceClock(time.Second)
 		refused, err := n.store.Commit(ctx, storewire.CommitRequest{Header: header, Turn: storewire.Turn{ID: "y", Root: "y"}})
@@ -296,7 +296,7 @@
 })
 
 var _ = Describe("retention", func() {
-	It("keeps a turn for its time and a little longer, and its chain as long as any of it", func() {
+	It("keeps a turn slightly longer than its retention, and a chain as long as its last turn", func() {
 		c := newCluster(1, "a", "b", "c")
 		client := c.client("a")
 		ids := commitChain(client, "talk", 2)
@@ -317,7 +317,7 @@
 		}
 	})
 
-	It("counts anew after a restart, and does not bring back what expired elsewhere", func() {
+	It("starts over after a restart, and does not restore turns that expired on other stores", func() {
 		c := newCluster(1, "a", "b", "c")
 		commitChain(c.client("a"), "talk", 2)
 		c.advanceClock(60 * time.Second)
@@ -330,7 +330,7 @@
 })
 
 var _ = Describe("stores over the network", func() {
-	It("keep turns and budgets", func() {
+	It("store turns and budgets", func() {
 		calls := transport.NewClient()
 		defer calls.Close()
 		view := controlstate.StoreView{Epoch: 1, Tolerance: 1}
