--- a/internal/tier/store/catchup.go
+++ b/internal/tier/store/catchup.go
@@ -26,7 +26,8 @@
 }
 
 // catchUp copies missing data from the other members and reports whether this store is complete now. A store that was
-// added, not replaced, is complete at once: the quorums grew with it, so none relies on data that it lacks.
+// added, rather than one that replaces a lost disk, is complete at once: the quorums grew with it, so none relies on
+// data that it lacks.
 func (s *Store) catchUp(ctx context.Context, round roundInput) bool {
 	if !round.complete && !round.unsettled && !round.view.Members[round.self].Replaced {
 		return s.markComplete(ctx)
