--- a/internal/tier/storeclient/api.go
+++ b/internal/tier/storeclient/api.go
@@ -1,43 +1,42 @@
-// Package storeclient is how a proxy keeps turns and spends budgets at the stores:
+// Package storeclient stores a proxy's turns and reserves token budgets at the stores:
 //
 //	client := storeclient.New(storeclient.Options{Caller: storewire.NewCaller(calls), Zone: zone})
 //	defer client.Close()
-//	client.SetView(view)                       // controlstate.StoreView, at each change
+//	client.SetView(view)                       // controlstate.StoreView, on each change
 //	history, verdict := client.History(ctx, previous)
-//	verdict = client.Reserve(ctx, storeclient.Reservation{Program: program, Turn: id, Budget: budget, Most: most})
-//	client.Settle(program, id, used)           // after Granted, always
-//	err := client.Commit(ctx, storeclient.Turn{ID: id, Root: history.Root, Previous: previous, ...}) // nil: it is durable
+//	verdict = client.Reserve(ctx, storeclient.Reservation{Program: program, Turn: id, BudgetTokens: b, MaxTokens: m})
+//	client.Settle(program, id, usedTokens)     // always after Granted
+//	err := client.Commit(ctx, storeclient.Turn{ID: id, Root: history.Root, Previous: previous, ...}) // nil once durable
 //
-// Turns of a conversation that this proxy carried or read stay in a bounded cache. All methods may be called by any
-// number of goroutines.
+// A bounded cache holds the turns that this proxy committed or read. All methods are safe for concurrent use.
 package storeclient
 
 import (
 	"time"
 )
 
-// Verdict is what the stores together say.
+// Verdict is the combined result of the stores' answers to a reservation or a history lookup.
 type Verdict int
 
-// The verdicts. The zero value is none of them.
+// Possible verdicts. The zero value is none of them.
 const (
 	_ Verdict = iota
-	// Granted: the turn may run; Settle has to follow it.
+	// Granted: the turn may run; the caller must call Settle afterwards.
 	Granted
-	// Exhausted: what earlier turns have used reaches the budget; the turn must not run, and the reservation is gone.
+	// Exhausted: the settled turns use up the budget. The turn must not run, and the reservation is withdrawn.
 	Exhausted
-	// Undecided: too few stores answered, or turns that still run decide. The turn must not run, and the reservation
-	// is gone; another one, under another id, may be granted soon.
+	// Undecided: too few stores answered, or the result depends on turns that are still running. The turn must not run,
+	// and the reservation is withdrawn; a new reservation with another turn id may be granted soon.
 	Undecided
-	// Found: the whole conversation is in the History.
+	// Found: the History holds the whole conversation.
 	Found
-	// Missing: there is certainly no such turn.
+	// Missing: the turn certainly does not exist.
 	Missing
-	// Unavailable: the turn may exist, but can't be had now.
+	// Unavailable: the turn may exist, but cannot be read now.
 	Unavailable
 )
 
-// String names a verdict.
+// String returns the verdict's name, which differs from that of the constant for Exhausted and Unavailable.
 func (v Verdict) String() string {
 	names := [...]string{"none", "granted", "spent", "undecided", "found", "missing", "unsure"}
 	if v < 0 || int(v) >= len(names) {
@@ -46,28 +45,28 @@
 	return names[v]
 }
 
-// Reservation is the part of a program's budget that one turn may use at most.
+// Reservation requests tokens of a program's budget for one turn.
 type Reservation struct {
 	Program      string
-	Turn         string // unique: a turn that was settled or withdrawn is never granted again
-	BudgetTokens int64  // tokens, of all turns of the program together
-	MaxTokens    int64  // tokens that this turn may generate
+	Turn         string // unique id: a settled or withdrawn turn is never granted again
+	BudgetTokens int64  // of all turns of the program together
+	MaxTokens    int64  // that this turn may generate
 }
 
-// History is a conversation up to a turn.
+// History is a conversation up to and including a turn.
 type History struct {
-	Root string // id of its first turn
-	Body []byte // each turn's input and output, from the oldest; not to be changed
+	Root string // id of the first turn
+	Body []byte // input and output of each turn, oldest first; must not be modified
 }
 
-// Turn is a turn that has ended. It is not changed once it was committed.
+// Turn is a turn that has ended. It must not be modified after Commit.
 type Turn struct {
 	ID        string
-	Root      string // id of the conversation's first turn; empty: this one
-	Previous  string // empty at the start of a conversation
+	Root      string // id of the conversation's first turn; may be empty for the first turn itself
+	Previous  string // id of the preceding turn; empty for the first turn
 	Program   string
 	Input     []byte
-	Output    []byte        // the data of each event, with a line feed after it
-	Tokens    int64         // generated
-	Retention time.Duration // for which it is kept with its chain, from its end
+	Output    []byte        // the data of each event, followed by a line feed
+	Tokens    int64         // number of generated tokens
+	Retention time.Duration // how long the stores hold the turn and its predecessors after its end
 }
--- a/internal/tier/storeclient/cache.go
+++ b/internal/tier/storeclient/cache.go
@@ -7,28 +7,28 @@
 	"emberquay/internal/tier/storewire"
 )
 
-// nodeBytes is roughly what a turn costs besides its texts.
-const nodeBytes = 400
+// turnOverheadBytes approximates the memory of a cached turn besides its input and output.
+const turnOverheadBytes = 400
 
-// cache keeps turns. Each is kept once, whatever number of conversations continue from it. Those least used give way,
-// and of one conversation the latest first, so that what stays is whole from the root.
+// cache is an LRU cache of turns. A turn is held once, however many conversations continue from it. The latest turns of
+// a conversation are evicted first, so that the remaining ones form a chain from the root.
 type cache struct {
-	mutex  sync.Mutex
-	bound  int
-	bytes  int
-	turns  map[string]*list.Element // of storewire.Turn
-	recent *list.List               // most recently used first
+	mutex    sync.Mutex
+	maxBytes int
+	bytes    int
+	turns    map[string]*list.Element // of storewire.Turn
+	recent   *list.List               // most recently used first
 }
 
-func newCache(bound int) *cache {
-	return &cache{bound: bound, turns: map[string]*list.Element{}, recent: list.New()}
+func newCache(maxBytes int) *cache {
+	return &cache{maxBytes: maxBytes, turns: map[string]*list.Element{}, recent: list.New()}
 }
 
-func sizeOf(t storewire.Turn) int { return len(t.Input) + len(t.Output) + nodeBytes }
+func sizeOf(t storewire.Turn) int { return len(t.Input) + len(t.Output) + turnOverheadBytes }
 
-// put keeps a turn.
+// put adds a turn and evicts the least recently used turns beyond maxBytes.
 func (c *cache) put(t storewire.Turn) {
-	if sizeOf(t) > c.bound {
+	if sizeOf(t) > c.maxBytes {
 		return
 	}
 	c.mutex.Lock()
@@ -37,17 +37,17 @@
 		c.turns[t.ID] = c.recent.PushFront(t)
 		c.bytes += sizeOf(t)
 	}
-	c.touch(t.ID)
-	for c.bytes > c.bound {
-		oldest := c.recent.Back()
-		gone := c.recent.Remove(oldest).(storewire.Turn)
-		delete(c.turns, gone.ID)
-		c.bytes -= sizeOf(gone)
+	c.markUsed(t.ID)
+	for c.bytes > c.maxBytes {
+		leastRecent := c.recent.Back()
+		evicted := c.recent.Remove(leastRecent).(storewire.Turn)
+		delete(c.turns, evicted.ID)
+		c.bytes -= sizeOf(evicted)
 	}
 }
 
-// touch makes a turn and all before it the most recently used, the oldest of them most.
-func (c *cache) touch(id string) {
+// markUsed makes a turn and its predecessors the most recently used, the oldest of them first.
+func (c *cache) markUsed(id string) {
 	for element := c.turns[id]; element != nil; {
 		c.recent.MoveToFront(element)
 		previous := element.Value.(storewire.Turn).Previous
@@ -58,8 +58,8 @@
 	}
 }
 
-// origin gives root and home zone of the conversation of a turn.
-func (c *cache) origin(id string) (root, home string, ok bool) {
+// rootAndHomeZone returns the root and the home zone of a turn's conversation.
+func (c *cache) rootAndHomeZone(id string) (root, home string, ok bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	element := c.turns[id]
@@ -70,25 +70,25 @@
 	return t.Root, t.HomeZone, true
 }
 
-// conversation gives the turns up to one, from the oldest. If they are not all there, it gives none and the id of the
-// latest that is missing.
+// conversation returns the turns up to the given one, oldest first. If some are not cached, it returns none of them and
+// the id of the latest missing turn.
 func (c *cache) conversation(id string) (turns []storewire.Turn, missing string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	count := 0
-	for at := id; at != ""; count++ {
-		element := c.turns[at]
+	for current := id; current != ""; count++ {
+		element := c.turns[current]
 		if element == nil {
-			return nil, at
+			return nil, current
 		}
-		at = element.Value.(storewire.Turn).Previous
+		current = element.Value.(storewire.Turn).Previous
 	}
-	c.touch(id)
+	c.markUsed(id)
 	turns = make([]storewire.Turn, count)
-	for at := id; at != ""; {
+	for current := id; current != ""; {
 		count--
-		turns[count] = c.turns[at].Value.(storewire.Turn)
-		at = turns[count].Previous
+		turns[count] = c.turns[current].Value.(storewire.Turn)
+		current = turns[count].Previous
 	}
 	return turns, ""
 }
--- a/internal/tier/storeclient/client.go
+++ b/internal/tier/storeclient/client.go
@@ -12,69 +12,69 @@
 )
 
 const (
-	// suspicion is for how long a store that did not answer is asked last.
-	suspicion = time.Second
-	// retryPause lies between two tries of the same call to a store that refused or failed it.
-	retryPause = 100 * time.Millisecond
-	// defaultCacheBytes holds some hundred conversations.
+	// suspectDuration is how long a store that did not answer is called last.
+	suspectDuration = time.Second
+	// retryDelay is the delay before a call is repeated that a store refused or failed.
+	retryDelay = 100 * time.Millisecond
+	// defaultCacheBytes is enough for some hundred conversations.
 	defaultCacheBytes = 16 << 20
 )
 
-// Options of a client.
+// Options configures a Client.
 type Options struct {
 	Caller     storewire.Caller
-	Zone       string // of this machine: its stores are preferred
-	CacheBytes int    // of turns that are kept; 0: 16 MiB
+	Zone       string // of this machine; its stores are preferred
+	CacheBytes int    // bound of the turn cache; 0: 16 MiB
 }
 
-// Client is the proxy's side of the stores.
+// Client calls the stores on behalf of a proxy.
 type Client struct {
-	caller storewire.Caller
-	zone   string
-	cache  *cache
-	settle *settler
+	caller  storewire.Caller
+	zone    string
+	cache   *cache
+	settler *settler
 
-	adopting sync.Mutex // held to change current
-	current  atomic.Pointer[snapshot]
+	viewMutex sync.Mutex // held while current is replaced
+	current   atomic.Pointer[snapshot]
 
-	suspects sync.Map // address -> time.Time until which it is one
+	suspects sync.Map // address -> time.Time until which the store is suspected
 }
 
-// snapshot is a view with what follows from it. It is not changed.
+// snapshot is a view and the placement table derived from it. It is immutable.
 type snapshot struct {
-	view    storewire.View
-	places  *placement.Table
-	changed chan struct{} // closed when there is a newer one
+	view      storewire.View
+	placement *placement.Table
+	changed   chan struct{} // closed when a newer snapshot is in use
 }
 
-// New makes a client that knows no store yet.
+// New returns a client that knows no stores until SetView.
 func New(o Options) *Client {
 	if o.CacheBytes == 0 {
 		o.CacheBytes = defaultCacheBytes
 	}
 	c := &Client{caller: o.Caller, zone: o.Zone, cache: newCache(o.CacheBytes)}
-	c.settle = newSettler(c)
+	c.settler = newSettler(c)
 	c.current.Store(newSnapshot(storewire.View{}))
 	return c
 }
 
-// Close gives settlements under way a moment and ends all work in the background.
-func (c *Client) Close() { c.settle.close() }
+// Close waits up to closeTimeout for pending settlements, then stops all background work.
+func (c *Client) Close() { c.settler.close() }
 
-// SetView tells of the stores; a view older than the one in use is ignored.
-func (c *Client) SetView(stores controlstate.StoreView) { c.adopt(storewire.ViewOf(stores)) }
+// SetView provides the view of the stores; one that is not newer than the view in use is ignored.
+func (c *Client) SetView(stores controlstate.StoreView) { c.applyView(storewire.ViewOf(stores)) }
 
 func newSnapshot(v storewire.View) *snapshot {
 	members := make([]placement.Member, 0, len(v.Members))
 	for _, m := range v.Members {
 		members = append(members, placement.Member{Name: m.Node, Zone: m.Zone, Retiring: m.Retiring})
 	}
-	return &snapshot{view: v, places: placement.NewTable(members), changed: make(chan struct{})}
+	return &snapshot{view: v, placement: placement.NewTable(members), changed: make(chan struct{})}
 }
 
-func (c *Client) adopt(v storewire.View) {
-	c.adopting.Lock()
-	defer c.adopting.Unlock()
+func (c *Client) applyView(v storewire.View) {
+	c.viewMutex.Lock()
+	defer c.viewMutex.Unlock()
 	old := c.current.Load()
 	if v.Epoch <= old.view.Epoch {
 		return
@@ -83,19 +83,19 @@
 	close(old.changed)
 }
 
-// heed takes from a reply what it says of the view, and tells whether the rest of the answer counts.
-func (c *Client) heed(r storewire.Reply) bool {
+// acceptReply applies a newer view carried by a reply, and reports whether the store served the request.
+func (c *Client) acceptReply(r storewire.Reply) bool {
 	if r.View.Epoch > 0 {
-		c.adopt(r.View)
+		c.applyView(r.View)
 	}
 	return r.Status == storewire.Served
 }
 
-// usable says whether there are stores enough to keep anything.
+// usable reports whether there are enough active stores for all copies of a record.
 func (s *snapshot) usable() bool { return s.view.Epoch > 0 && s.view.ActiveCount() >= s.view.Copies() }
 
-// renewed waits for a newer view, and says whether it came before the context ended.
-func (s *snapshot) renewed(ctx context.Context) bool {
+// waitForNewer waits for a newer view, and reports whether it arrived before the context ended.
+func (s *snapshot) waitForNewer(ctx context.Context) bool {
 	select {
 	case <-s.changed:
 		return true
@@ -108,27 +108,27 @@
 	return storewire.Header{Epoch: s.view.Epoch, StoreID: s.view.Members[member].ID}
 }
 
-// active lists the members that are not retiring.
-func (s *snapshot) active() []int {
-	list := make([]int, 0, len(s.view.Members))
-	for at, m := range s.view.Members {
+// activeMembers returns the indexes of the members that are not retiring.
+func (s *snapshot) activeMembers() []int {
+	members := make([]int, 0, len(s.view.Members))
+	for index, m := range s.view.Members {
 		if !m.Retiring {
-			list = append(list, at)
+			members = append(members, index)
 		}
 	}
-	return list
+	return members
 }
 
-// suspect says whether a store did not answer lately.
-func (c *Client) suspect(address string) bool {
+// isSuspect reports whether a store failed to answer within the last suspectDuration.
+func (c *Client) isSuspect(address string) bool {
 	until, ok := c.suspects.Load(address)
 	return ok && time.Now().Before(until.(time.Time))
 }
 
-// heard notes whether a store answered.
-func (c *Client) heard(address string, answered bool) {
+// recordAnswered records whether a store answered a call.
+func (c *Client) recordAnswered(address string, answered bool) {
 	if !answered {
-		c.suspects.Store(address, time.Now().Add(suspicion))
+		c.suspects.Store(address, time.Now().Add(suspectDuration))
 		return
 	}
 	if _, ok := c.suspects.Load(address); ok {
@@ -136,8 +136,8 @@
 	}
 }
 
-// pause waits, and says whether the context still runs then.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d, and reports whether it elapsed before the context ended.
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/tier/storeclient/commit.go
+++ b/internal/tier/storeclient/commit.go
@@ -11,40 +11,41 @@
 	"emberquay/internal/tier/storewire"
 )
 
-// firstHedge is how long stores may take before the next in order is asked as well; it doubles from one to the next.
-const firstHedge = 150 * time.Millisecond
+// initialHedgeDelay is how long stores may take before the next one in order is called as well; it doubles each time.
+const initialHedgeDelay = 150 * time.Millisecond
 
-// ErrUnknownRoot: a turn that continues another names no root, and the conversation is not in the cache.
-var ErrUnknownRoot = eris.New("storeclient: the conversation's root is not known")
+// ErrUnknownRoot is returned for a turn with a Previous but no Root if the preceding turn is not in the cache.
+var ErrUnknownRoot = eris.New("storeclient: unknown root of the conversation")
 
-// Commit keeps a turn that has ended. It returns nil once the turn is on the disks of so many stores that losing as many
-// as may be lost leaves one; it tries until the context ends. The same turn may be committed again. After an error the
-// turn may be kept or not. The turn's Input and Output are kept in the cache and must not be changed.
+// Commit stores a turn that has ended. It returns nil once Tolerance+1 stores have the turn on disk, so that it
+// survives the loss of Tolerance stores; it retries until the context ends. Committing the same turn again is allowed.
+// After an error the turn may or may not be stored. Input and Output stay in the cache and must not be modified.
 func (c *Client) Commit(ctx context.Context, t Turn) error {
-	record, err := c.recordOf(t)
+	record, err := c.newRecord(t)
 	if err != nil {
 		return err
 	}
 	confirmed := map[string]bool{}
 	for {
-		view := c.current.Load()
-		if view.usable() && c.commitIn(ctx, view, record, confirmed) {
+		snapshot := c.current.Load()
+		if snapshot.usable() && c.commitInView(ctx, snapshot, record, confirmed) {
 			c.cache.put(record)
 			return nil
 		}
-		if !view.renewed(ctx) {
-			return eris.Wrapf(ctx.Err(), "turn %s is on %d stores of %d", t.ID, len(confirmed), view.view.Copies())
+		if !snapshot.waitForNewer(ctx) {
+			return eris.Wrapf(ctx.Err(), "turn %s: %d stores confirmed the commit, %d needed", t.ID, len(confirmed), snapshot.view.Copies())
 		}
 	}
 }
 
-// recordOf makes the record. A conversation keeps the home zone of its first turn, so that its turns stay together.
-func (c *Client) recordOf(t Turn) (storewire.Turn, error) {
+// newRecord builds the record of a turn. A conversation keeps the home zone of its first turn, so that all its turns
+// are placed at the same stores.
+func (c *Client) newRecord(t Turn) (storewire.Turn, error) {
 	home := c.zone
 	root := t.Root
 	if t.Previous == "" {
 		root = t.ID
-	} else if r, h, ok := c.cache.origin(t.Previous); ok {
+	} else if r, h, ok := c.cache.rootAndHomeZone(t.Previous); ok {
 		root, home = r, h
 	}
 	if root == "" {
@@ -63,16 +64,16 @@
 	}, nil
 }
 
-// committing is a commit under one view.
-type committing struct {
+// commitAttempt is a commit within one view.
+type commitAttempt struct {
 	client    *Client
-	view      *snapshot
+	snapshot  *snapshot
 	record    storewire.Turn
-	confirmed map[string]bool // ids of stores that have it on their disks
-	queue     []int           // places in the view that are to be asked next
-	asked     int             // calls under way
+	confirmed map[string]bool // ids of stores that have the record on disk
+	queue     []int           // indexes in the view of the stores to call next
+	inFlight  int             // number of calls in progress
 	answers   chan commitAnswer
-	rested    chan int // members that failed a while ago
+	retries   chan int // members that failed, retryDelay later
 }
 
 type commitAnswer struct {
@@ -81,65 +82,65 @@
 	err    error
 }
 
-// commitIn tries under one view. It gives false if the view has changed or the context has ended.
-func (c *Client) commitIn(ctx context.Context, view *snapshot, record storewire.Turn, confirmed map[string]bool) bool {
+// commitInView tries to commit within one view. It returns false if the view changed or the context ended.
+func (c *Client) commitInView(ctx context.Context, snapshot *snapshot, record storewire.Turn, confirmed map[string]bool) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	order := view.places.AppendOrder(placement.KeyOf(record.Root), record.HomeZone, nil)
-	w := &committing{
+	order := snapshot.placement.AppendOrder(placement.KeyOf(record.Root), record.HomeZone, nil)
+	attempt := &commitAttempt{
 		client:    c,
-		view:      view,
+		snapshot:  snapshot,
 		record:    record,
 		confirmed: confirmed,
 		answers:   make(chan commitAnswer, len(order)),
-		rested:    make(chan int, len(order)),
+		retries:   make(chan int, len(order)),
 	}
-	for _, at := range order {
-		if !confirmed[view.view.Members[at].ID] {
-			w.queue = append(w.queue, at)
+	for _, member := range order {
+		if !confirmed[snapshot.view.Members[member].ID] {
+			attempt.queue = append(attempt.queue, member)
 		}
 	}
-	// Those that did not answer lately come last.
-	slices.SortStableFunc(w.queue, func(a, b int) int { return w.doubt(a) - w.doubt(b) })
-	return w.run(ctx)
+	// Suspected stores come last.
+	slices.SortStableFunc(attempt.queue, func(a, b int) int { return attempt.suspectRank(a) - attempt.suspectRank(b) })
+	return attempt.run(ctx)
 }
 
-func (w *committing) doubt(member int) int {
-	if w.client.suspect(w.view.view.Members[member].Address) {
+func (c *commitAttempt) suspectRank(member int) int {
+	if c.client.isSuspect(c.snapshot.view.Members[member].Address) {
 		return 1
 	}
 	return 0
 }
 
-// missing is how many stores still have to confirm.
-func (w *committing) missing() int {
-	missing := w.view.view.Copies()
-	for _, m := range w.view.view.Members {
-		if w.confirmed[m.ID] && !m.Retiring {
+// missingCopies returns how many more active stores have to confirm.
+func (c *commitAttempt) missingCopies() int {
+	missing := c.snapshot.view.Copies()
+	for _, m := range c.snapshot.view.Members {
+		if c.confirmed[m.ID] && !m.Retiring {
 			missing--
 		}
 	}
 	return missing
 }
 
-func (w *committing) run(ctx context.Context) bool {
-	hedge := firstHedge
+func (c *commitAttempt) run(ctx context.Context) bool {
+	hedge := initialHedgeDelay
 	timer := time.NewTimer(hedge)
 	defer timer.Stop()
-	w.ask(ctx, w.missing())
-	for w.missing() > 0 {
+	c.askNext(ctx, c.missingCopies())
+	for c.missingCopies() > 0 {
 		select {
-		case a := <-w.answers:
-			w.take(ctx, a)
-			w.ask(ctx, w.missing()-w.asked)
-		case member := <-w.rested:
-			w.queue = append(w.queue, member)
-			w.ask(ctx, w.missing()-w.asked)
+		case a := <-c.answers:
+			c.handleAnswer(ctx, a)
+			c.askNext(ctx, c.missingCopies()-c.inFlight)
+		case member := <-c.retries:
+			c.queue = append(c.queue, member)
+			c.askNext(ctx, c.missingCopies()-c.inFlight)
 		case <-timer.C:
 			hedge *= 2
 			timer.Reset(hedge)
-			w.ask(ctx, 1)
-		case <-w.view.changed:
+			c.askNext(ctx, 1)
+		case <-c.snapshot.changed:
 			return false
 		case <-ctx.Done():
 			return false
@@ -148,39 +149,39 @@
 	return true
 }
 
-// ask calls the next stores in order.
-func (w *committing) ask(ctx context.Context, count int) {
-	for ; count > 0 && len(w.queue) > 0; count-- {
-		member := w.queue[0]
-		w.queue = w.queue[1:]
-		w.asked++
-		go w.call(ctx, member)
+// askNext calls the next count stores of the queue.
+func (c *commitAttempt) askNext(ctx context.Context, count int) {
+	for ; count > 0 && len(c.queue) > 0; count-- {
+		member := c.queue[0]
+		c.queue = c.queue[1:]
+		c.inFlight++
+		go c.call(ctx, member)
 	}
 }
 
-func (w *committing) call(ctx context.Context, member int) {
-	address := w.view.view.Members[member].Address
-	request := storewire.CommitRequest{Header: w.view.header(member), Turn: w.record}
-	a, err := w.client.caller.Commit(ctx, address, request)
+func (c *commitAttempt) call(ctx context.Context, member int) {
+	address := c.snapshot.view.Members[member].Address
+	request := storewire.CommitRequest{Header: c.snapshot.header(member), Turn: c.record}
+	a, err := c.client.caller.Commit(ctx, address, request)
 	select {
-	case w.answers <- commitAnswer{member: member, answer: a, err: err}:
+	case c.answers <- commitAnswer{member: member, answer: a, err: err}:
 	case <-ctx.Done():
 	}
 }
 
-// take counts a confirmation. A store that failed comes behind all others, after a pause: two that refuse at once must
-// not be asked in a loop.
-func (w *committing) take(ctx context.Context, a commitAnswer) {
-	store := w.view.view.Members[a.member]
-	w.client.heard(store.Address, a.err == nil)
-	w.asked--
-	if a.err == nil && w.client.heed(a.answer.Reply) {
-		w.confirmed[store.ID] = true
+// handleAnswer counts a confirmation. A store that failed is queued behind all others after retryDelay: two stores that
+// refuse immediately must not be called in a busy loop.
+func (c *commitAttempt) handleAnswer(ctx context.Context, a commitAnswer) {
+	store := c.snapshot.view.Members[a.member]
+	c.client.recordAnswered(store.Address, a.err == nil)
+	c.inFlight--
+	if a.err == nil && c.client.acceptReply(a.answer.Reply) {
+		c.confirmed[store.ID] = true
 		return
 	}
-	time.AfterFunc(retryPause, func() {
+	time.AfterFunc(retryDelay, func() {
 		select {
-		case w.rested <- a.member:
+		case c.retries <- a.member:
 		case <-ctx.Done():
 		}
 	})
--- a/internal/tier/storeclient/history.go
+++ b/internal/tier/storeclient/history.go
@@ -8,42 +8,42 @@
 )
 
 const (
-	// historyLimit bounds the look-up of a conversation; then it is Unsure.
-	historyLimit = time.Second
-	// nearHedge is how long the stores of the own zone may take before all others are asked.
-	nearHedge = 30 * time.Millisecond
-	// holderHedge is how long a store may take for the texts before the next one that knows the turn is asked.
-	holderHedge = 100 * time.Millisecond
-	// mostTurns bounds a conversation: a chain that is longer is taken for a broken one.
-	mostTurns = 1 << 14
+	// historyTimeout bounds the lookup of a conversation; after it the verdict is Unavailable.
+	historyTimeout = time.Second
+	// localHedgeDelay is how long the stores of the client's own zone may take before all others are called.
+	localHedgeDelay = 30 * time.Millisecond
+	// holderHedgeDelay is how long a store may take to return bodies before the next holder of the turn is called.
+	holderHedgeDelay = 100 * time.Millisecond
+	// maxTurns bounds a conversation: a longer chain is treated as corrupt.
+	maxTurns = 1 << 14
 )
 
-// History gives the conversation up to a turn. Missing says that certainly no such turn exists; whatever else keeps it
-// from being Found is Unsure. It takes a second at most.
+// History returns the conversation up to a turn. The verdict is Missing only if the turn certainly does not exist; all
+// other failures are Unavailable. It takes at most one second.
 func (c *Client) History(ctx context.Context, previous string) (History, Verdict) {
 	if turns, _ := c.cache.conversation(previous); len(turns) > 0 {
-		return historyOf(turns), Found
+		return newHistory(turns), Found
 	}
-	ctx, cancel := context.WithTimeout(ctx, historyLimit)
+	ctx, cancel := context.WithTimeout(ctx, historyTimeout)
 	defer cancel()
 	for {
-		view := c.current.Load()
-		if view.usable() {
-			turns, verdict, decided := c.lookUp(ctx, view, previous)
+		snapshot := c.current.Load()
+		if snapshot.usable() {
+			turns, verdict, decided := c.collectInView(ctx, snapshot, previous)
 			if verdict == Found {
-				return historyOf(turns), Found
+				return newHistory(turns), Found
 			}
 			if decided {
 				return History{}, verdict
 			}
 		}
-		if !view.renewed(ctx) {
+		if !snapshot.waitForNewer(ctx) {
 			return History{}, Unavailable
 		}
 	}
 }
 
-func historyOf(turns []storewire.Turn) History {
+func newHistory(turns []storewire.Turn) History {
 	size := 0
 	for _, t := range turns {
 		size += len(t.Input) + len(t.Output)
@@ -56,189 +56,189 @@
 	return History{Root: turns[0].Root, Body: body}
 }
 
-// lookUp collects a conversation under one view, from its end to its root. It gives false if the view has changed.
-func (c *Client) lookUp(ctx context.Context, view *snapshot, previous string) ([]storewire.Turn, Verdict, bool) {
-	var backwards []storewire.Turn
+// collectInView reads a conversation within one view, from its end to its root. It returns false if the view changed.
+func (c *Client) collectInView(ctx context.Context, snapshot *snapshot, previous string) ([]storewire.Turn, Verdict, bool) {
+	var newestFirst []storewire.Turn
 	wanted := previous
-	for wanted != "" && len(backwards) < mostTurns {
+	for wanted != "" && len(newestFirst) < maxTurns {
 		if cached, _ := c.cache.conversation(wanted); len(cached) > 0 {
-			return c.join(cached, backwards), Found, true
+			return c.assemble(cached, newestFirst), Found, true
 		}
-		s := newSearch(c, view, wanted)
+		s := newSearch(c, snapshot, wanted)
 		found, verdict, decided := s.run(ctx)
 		if verdict != Found {
-			if len(backwards) > 0 {
-				verdict = Unavailable // the turn itself is known: that it exists is certain
+			if len(newestFirst) > 0 {
+				verdict = Unavailable // the turn itself exists, only a predecessor was not found
 			}
 			return nil, verdict, decided
 		}
-		backwards = append(backwards, found...)
-		wanted = backwards[len(backwards)-1].Previous
+		newestFirst = append(newestFirst, found...)
+		wanted = newestFirst[len(newestFirst)-1].Previous
 	}
 	if wanted != "" {
 		return nil, Unavailable, true
 	}
-	return c.join(nil, backwards), Found, true
+	return c.assemble(nil, newestFirst), Found, true
 }
 
-// join puts turns that were found from the end behind those before them, and keeps them.
-func (c *Client) join(oldest, backwards []storewire.Turn) []storewire.Turn {
+// assemble appends newestFirst in reverse to the preceding turns, and caches the appended turns.
+func (c *Client) assemble(oldest, newestFirst []storewire.Turn) []storewire.Turn {
 	turns := oldest
-	for at := len(backwards) - 1; at >= 0; at-- {
-		turns = append(turns, backwards[at])
-		c.cache.put(backwards[at])
+	for i := len(newestFirst) - 1; i >= 0; i-- {
+		turns = append(turns, newestFirst[i])
+		c.cache.put(newestFirst[i])
 	}
 	return turns
 }
 
-// search looks for one turn under one view. The stores of the own zone are asked for it at once. The others are first
-// asked whether they know it, since bytes between zones are dear.
+// search looks up one turn within one view. The stores of the client's own zone are asked for the bodies at once. The
+// others are first asked whether they know the turn, since traffic between zones is expensive.
 type search struct {
-	client  *Client
-	view    *snapshot
-	wanted  string
-	answers chan historyAnswer
-	asked   []bool       // by member: it was asked
-	near    int          // first calls to the own zone that are under way
-	far     bool         // the others have been asked
-	unknown map[int]bool // complete members that do not know the turn
-	holders []int        // members that know it and have not been asked for its texts
-	texts   bool         // a holder is being asked for them
-	known   bool         // some member knows it
-	hedge   *time.Timer
+	client       *Client
+	snapshot     *snapshot
+	wanted       string
+	answers      chan historyAnswer
+	asked        []bool       // by member: called at the start
+	localPending int          // first calls to the own zone that are in progress
+	remoteAsked  bool         // the other members have been called
+	notFound     map[int]bool // complete members that do not know the turn
+	holders      []int        // members that know the turn and have not been asked for bodies
+	bodyPending  bool         // a call to a holder is in progress
+	known        bool         // some member knows the turn
+	hedgeTimer   *time.Timer
 }
 
 type historyAnswer struct {
-	member int
-	bodies bool
-	answer storewire.HistoryAnswer
-	err    error
+	member     int
+	withBodies bool
+	answer     storewire.HistoryAnswer
+	err        error
 }
 
-func newSearch(c *Client, view *snapshot, wanted string) *search {
+func newSearch(c *Client, snapshot *snapshot, wanted string) *search {
 	return &search{
-		client:  c,
-		view:    view,
-		wanted:  wanted,
-		answers: make(chan historyAnswer, len(view.view.Members)),
-		asked:   make([]bool, len(view.view.Members)),
-		unknown: map[int]bool{},
+		client:   c,
+		snapshot: snapshot,
+		wanted:   wanted,
+		answers:  make(chan historyAnswer, len(snapshot.view.Members)),
+		asked:    make([]bool, len(snapshot.view.Members)),
+		notFound: map[int]bool{},
 	}
 }
 
-// run gives the turns found, from the one wanted towards the root, or a verdict; false if the view has changed.
+// run returns the turns found, from the wanted one towards the root, or a verdict; false if the view changed.
 func (s *search) run(ctx context.Context) ([]storewire.Turn, Verdict, bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	for at, m := range s.view.view.Members {
-		if m.Zone == s.client.zone && !s.client.suspect(m.Address) {
-			s.near++
-			s.asked[at] = true
-			go s.ask(ctx, at, true)
+	for index, m := range s.snapshot.view.Members {
+		if m.Zone == s.client.zone && !s.client.isSuspect(m.Address) {
+			s.localPending++
+			s.asked[index] = true
+			go s.ask(ctx, index, true)
 		}
 	}
-	s.hedge = time.NewTimer(nearHedge)
-	defer s.hedge.Stop()
+	s.hedgeTimer = time.NewTimer(localHedgeDelay)
+	defer s.hedgeTimer.Stop()
 	for {
-		if s.near == 0 {
-			s.askFar(ctx)
+		if s.localPending == 0 {
+			s.askRemote(ctx)
 		}
 		select {
 		case a := <-s.answers:
-			if turns := s.take(ctx, a); len(turns) > 0 {
+			if turns := s.handleAnswer(ctx, a); len(turns) > 0 {
 				return turns, Found, true
 			}
-		case <-s.hedge.C:
-			s.askFar(ctx)
-			s.texts = false // the next holder may be quicker
-			s.askHolder(ctx)
-		case <-s.view.changed:
+		case <-s.hedgeTimer.C:
+			s.askRemote(ctx)
+			s.bodyPending = false // the next holder may be faster
+			s.askNextHolder(ctx)
+		case <-s.snapshot.changed:
 			return nil, Unavailable, false
 		case <-ctx.Done():
 			return nil, Unavailable, true
 		}
-		if !s.known && len(s.unknown) >= s.view.view.NotFoundQuorum() {
+		if !s.known && len(s.notFound) >= s.snapshot.view.NotFoundQuorum() {
 			return nil, Missing, true
 		}
 	}
 }
 
-// askFar asks all that were not asked at first, once.
-func (s *search) askFar(ctx context.Context) {
-	if s.far {
+// askRemote asks the members not called at the start whether they know the turn. Only the first call has an effect.
+func (s *search) askRemote(ctx context.Context) {
+	if s.remoteAsked {
 		return
 	}
-	s.far = true
-	for at, asked := range s.asked {
+	s.remoteAsked = true
+	for index, asked := range s.asked {
 		if !asked {
-			go s.ask(ctx, at, false)
+			go s.ask(ctx, index, false)
 		}
 	}
 }
 
-func (s *search) ask(ctx context.Context, member int, bodies bool) {
-	address := s.view.view.Members[member].Address
-	request := storewire.HistoryRequest{Header: s.view.header(member), Turn: s.wanted, WithBodies: bodies}
+func (s *search) ask(ctx context.Context, member int, withBodies bool) {
+	address := s.snapshot.view.Members[member].Address
+	request := storewire.HistoryRequest{Header: s.snapshot.header(member), Turn: s.wanted, WithBodies: withBodies}
 	a, err := s.client.caller.History(ctx, address, request)
 	select {
-	case s.answers <- historyAnswer{member: member, bodies: bodies, answer: a, err: err}:
+	case s.answers <- historyAnswer{member: member, withBodies: withBodies, answer: a, err: err}:
 	case <-ctx.Done():
 	}
 }
 
-// take deals with one answer: the turns, or what follows from it.
-func (s *search) take(ctx context.Context, a historyAnswer) []storewire.Turn {
-	member := s.view.view.Members[a.member]
-	s.client.heard(member.Address, a.err == nil)
-	if a.bodies && s.texts {
-		s.texts = false
+// handleAnswer processes an answer. It returns the turns if the answer holds any.
+func (s *search) handleAnswer(ctx context.Context, a historyAnswer) []storewire.Turn {
+	member := s.snapshot.view.Members[a.member]
+	s.client.recordAnswered(member.Address, a.err == nil)
+	if a.withBodies && s.bodyPending {
+		s.bodyPending = false
 	}
-	if a.bodies && !s.far && s.near > 0 {
-		s.near--
+	if a.withBodies && !s.remoteAsked && s.localPending > 0 {
+		s.localPending--
 	}
-	served := a.err == nil && s.client.heed(a.answer.Reply)
+	served := a.err == nil && s.client.acceptReply(a.answer.Reply)
 	switch {
-	case served && a.answer.Known && a.bodies:
+	case served && a.answer.Known && a.withBodies:
 		s.known = true
-		if turns := s.decode(a.answer.Turns); len(turns) > 0 {
+		if turns := s.decodeChain(a.answer.Turns); len(turns) > 0 {
 			return turns
 		}
-		s.again(ctx, a.member, false)
+		s.retryLater(ctx, a.member, false)
 	case served && a.answer.Known:
 		s.known = true
 		s.holders = append(s.holders, a.member)
 	case served && a.answer.Reply.Complete:
-		s.unknown[a.member] = true
+		s.notFound[a.member] = true
 	default:
-		s.again(ctx, a.member, a.bodies && member.Zone == s.client.zone)
+		s.retryLater(ctx, a.member, a.withBodies && member.Zone == s.client.zone)
 	}
-	s.askHolder(ctx)
+	s.askNextHolder(ctx)
 	return nil
 }
 
-// askHolder asks one of those that know the turn for its texts.
-func (s *search) askHolder(ctx context.Context) {
-	if s.texts || len(s.holders) == 0 {
+// askNextHolder asks the next holder for bodies unless such a call is in progress.
+func (s *search) askNextHolder(ctx context.Context) {
+	if s.bodyPending || len(s.holders) == 0 {
 		return
 	}
 	holder := s.holders[0]
 	s.holders = s.holders[1:]
-	s.texts = true
-	s.hedge.Reset(holderHedge)
+	s.bodyPending = true
+	s.hedgeTimer.Reset(holderHedgeDelay)
 	go s.ask(ctx, holder, true)
 }
 
-// again asks a store once more, a little later.
-func (s *search) again(ctx context.Context, member int, bodies bool) {
-	time.AfterFunc(retryPause, func() {
+// retryLater calls a store again after retryDelay.
+func (s *search) retryLater(ctx context.Context, member int, withBodies bool) {
+	time.AfterFunc(retryDelay, func() {
 		if ctx.Err() == nil {
-			s.ask(ctx, member, bodies)
+			s.ask(ctx, member, withBodies)
 		}
 	})
 }
 
-// decode reads the turns of an answer as far as they make a chain that begins with the one wanted.
-func (s *search) decode(records [][]byte) []storewire.Turn {
+// decodeChain decodes the turns of an answer as far as they form a chain that begins with the wanted turn.
+func (s *search) decodeChain(records [][]byte) []storewire.Turn {
 	turns := make([]storewire.Turn, 0, len(records))
 	wanted := s.wanted
 	for _, record := range records {
--- a/internal/tier/storeclient/reserve.go
+++ b/internal/tier/storeclient/reserve.go
@@ -9,29 +9,29 @@
 )
 
 const (
-	// reserveLimit bounds a reservation: the turn's client can come back sooner than a cut ends.
-	reserveLimit = 600 * time.Millisecond
-	// leastGrace is the least time that the last stores have once a quorum has answered.
-	leastGrace = 2 * time.Millisecond
+	// reserveTimeout bounds a reservation: the turn's client can retry before a network partition heals.
+	reserveTimeout = 600 * time.Millisecond
+	// minGrace is the least time that the remaining stores have to answer after a quorum has.
+	minGrace = 2 * time.Millisecond
 )
 
-// Reserve asks for a part of a program's budget; it takes 600 ms at most. After Granted the caller has to call Settle
-// with what its client was sent, however the turn ends; without it the reservation counts at its most.
+// Reserve reserves tokens of a program's budget; it takes at most 600 ms. After Granted the caller must call Settle
+// with the tokens sent to its client, however the turn ends; until then MaxTokens count as used.
 func (c *Client) Reserve(ctx context.Context, r Reservation) Verdict {
-	ctx, cancel := context.WithTimeout(ctx, reserveLimit)
+	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
 	asked := false
 	verdict := Undecided
 	for {
-		view := c.current.Load()
-		if view.usable() {
+		snapshot := c.current.Load()
+		if snapshot.usable() {
 			asked = true
 			var decided bool
-			if verdict, decided = c.reserveIn(ctx, view, r); decided {
+			if verdict, decided = c.reserveInView(ctx, snapshot, r); decided {
 				break
 			}
 		}
-		if !view.renewed(ctx) {
+		if !snapshot.waitForNewer(ctx) {
 			break
 		}
 	}
@@ -41,60 +41,60 @@
 	return verdict
 }
 
-// reserving is a reservation under one view.
-type reserving struct {
-	client  *Client
-	view    *snapshot
-	request storewire.ReserveRequest
-	members []int // places in the view
-	attempt *budget.Attempt
-	round   int
-	failed  int // members whose last call of this round failed
-	started time.Time
-	answers chan reserveAnswer
+// reserveAttempt is a reservation within one view.
+type reserveAttempt struct {
+	client      *Client
+	snapshot    *snapshot
+	request     storewire.ReserveRequest
+	members     []int // indexes in the view of the active members
+	attempt     *budget.Attempt
+	round       int
+	failedCalls int // failed calls of this round
+	started     time.Time
+	answers     chan reserveAnswer
 }
 
-// reserveAnswer is what became of a call.
+// reserveAnswer is the result of one call.
 type reserveAnswer struct {
 	round  int
-	member int // place in reserving.members
+	member int // index in reserveAttempt.members
 	answer storewire.ReserveAnswer
 	err    error
 }
 
-// reserveIn decides under one view. It gives false if the view has changed.
-func (c *Client) reserveIn(ctx context.Context, view *snapshot, r Reservation) (Verdict, bool) {
+// reserveInView decides within one view. It returns false if the view changed.
+func (c *Client) reserveInView(ctx context.Context, snapshot *snapshot, r Reservation) (Verdict, bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	members := view.active()
-	w := &reserving{
-		client:  c,
-		view:    view,
-		request: storewire.ReserveRequest{Program: r.Program, Turn: r.Turn, BudgetTokens: r.BudgetTokens, MaxTokens: r.MaxTokens},
-		members: members,
-		attempt: budget.NewAttempt(r.BudgetTokens, len(members), view.view.Quorum()),
-		started: time.Now(),
-		answers: make(chan reserveAnswer, len(members)),
+	members := snapshot.activeMembers()
+	attempt := &reserveAttempt{
+		client:   c,
+		snapshot: snapshot,
+		request:  storewire.ReserveRequest{Program: r.Program, Turn: r.Turn, BudgetTokens: r.BudgetTokens, MaxTokens: r.MaxTokens},
+		members:  members,
+		attempt:  budget.NewAttempt(r.BudgetTokens, len(members), snapshot.view.Quorum()),
+		started:  time.Now(),
+		answers:  make(chan reserveAnswer, len(members)),
 	}
-	w.askAll(ctx)
-	return w.run(ctx)
+	attempt.askAll(ctx)
+	return attempt.run(ctx)
 }
 
-func (w *reserving) run(ctx context.Context) (Verdict, bool) {
+func (r *reserveAttempt) run(ctx context.Context) (Verdict, bool) {
 	var grace <-chan time.Time
 	for {
 		select {
-		case a := <-w.answers:
-			w.take(ctx, a)
+		case a := <-r.answers:
+			r.handleAnswer(ctx, a)
 		case <-grace:
 			grace = nil
-			w.recheck(ctx)
-		case <-w.view.changed:
+			r.startNextRound(ctx)
+		case <-r.snapshot.changed:
 			return Undecided, false
 		case <-ctx.Done():
 			return Undecided, true
 		}
-		switch w.attempt.Decide() {
+		switch r.attempt.Decide() {
 		case budget.Granted:
 			return Granted, true
 		case budget.Exhausted:
@@ -103,86 +103,86 @@
 			return Undecided, true
 		}
 		switch {
-		case w.attempt.NeedsWholeLists() || w.round == 0 && w.attempt.HasQuorum() && w.allTold():
-			w.recheck(ctx)
-		case w.round == 0 && grace == nil && w.attempt.HasQuorum():
-			timer := time.NewTimer(max(leastGrace, time.Since(w.started)))
+		case r.attempt.NeedsWholeLists() || r.round == 0 && r.attempt.HasQuorum() && r.restUnresponsive():
+			r.startNextRound(ctx)
+		case r.round == 0 && grace == nil && r.attempt.HasQuorum():
+			timer := time.NewTimer(max(minGrace, time.Since(r.started)))
 			defer timer.Stop()
 			grace = timer.C
 		}
 	}
 }
 
-// allTold says whether those that have not reported are not likely to.
-func (w *reserving) allTold() bool {
+// restUnresponsive reports whether the members that have not reported are suspected or failed a call.
+func (r *reserveAttempt) restUnresponsive() bool {
 	missing := 0
-	for at, m := range w.members {
-		if !w.attempt.HasReported(at) && !w.client.suspect(w.view.view.Members[m].Address) {
+	for index, member := range r.members {
+		if !r.attempt.HasReported(index) && !r.client.isSuspect(r.snapshot.view.Members[member].Address) {
 			missing++
 		}
 	}
-	return missing <= w.failed
+	return missing <= r.failedCalls
 }
 
-// recheck asks all once more what they know by now.
-func (w *reserving) recheck(ctx context.Context) {
-	if !w.attempt.HasQuorum() {
+// startNextRound asks all members for their current entries, without reserving again.
+func (r *reserveAttempt) startNextRound(ctx context.Context) {
+	if !r.attempt.HasQuorum() {
 		return
 	}
-	w.request.Whole = w.attempt.StartSecondRound()
-	w.request.Recheck = true
-	w.round++
-	w.failed = 0
-	w.askAll(ctx)
+	r.request.Whole = r.attempt.StartSecondRound()
+	r.request.Recheck = true
+	r.round++
+	r.failedCalls = 0
+	r.askAll(ctx)
 }
 
-func (w *reserving) askAll(ctx context.Context) {
-	for at := range w.members {
-		go w.ask(ctx, at, w.round, w.request)
+func (r *reserveAttempt) askAll(ctx context.Context) {
+	for index := range r.members {
+		go r.ask(ctx, index, r.round, r.request)
 	}
 }
 
-// ask calls one store. The context ends before the answer channel is given up.
-func (w *reserving) ask(ctx context.Context, at, round int, request storewire.ReserveRequest) {
-	request.Header = w.view.header(w.members[at])
-	address := w.view.view.Members[w.members[at]].Address
-	a, err := w.client.caller.Reserve(ctx, address, request)
+// ask calls one store. The context is cancelled when run returns, so the send to answers cannot block forever.
+func (r *reserveAttempt) ask(ctx context.Context, index, round int, request storewire.ReserveRequest) {
+	request.Header = r.snapshot.header(r.members[index])
+	address := r.snapshot.view.Members[r.members[index]].Address
+	a, err := r.client.caller.Reserve(ctx, address, request)
 	select {
-	case w.answers <- reserveAnswer{round: round, member: at, answer: a, err: err}:
+	case r.answers <- reserveAnswer{round: round, member: index, answer: a, err: err}:
 	case <-ctx.Done():
 	}
 }
 
-// take counts an answer, or has the store asked again a little later.
-func (w *reserving) take(ctx context.Context, a reserveAnswer) {
-	address := w.view.view.Members[w.members[a.member]].Address
-	w.client.heard(address, a.err == nil)
-	served := a.err == nil && w.client.heed(a.answer.Reply)
-	if a.round != w.round {
+// handleAnswer adds the report of an answer, or calls the store again after retryDelay.
+func (r *reserveAttempt) handleAnswer(ctx context.Context, a reserveAnswer) {
+	address := r.snapshot.view.Members[r.members[a.member]].Address
+	r.client.recordAnswered(address, a.err == nil)
+	served := a.err == nil && r.client.acceptReply(a.answer.Reply)
+	if a.round != r.round {
 		return
 	}
-	report, ok := reportOf(a.answer)
-	if served && ok && a.answer.Reply.Complete && w.counts(a.answer, report) {
-		w.attempt.AddReport(a.member, report)
+	report, ok := decodeReport(a.answer)
+	if served && ok && a.answer.Reply.Complete && r.acceptable(a.answer, report) {
+		r.attempt.AddReport(a.member, report)
 		return
 	}
-	w.failed++
-	request, round := w.request, w.round
-	time.AfterFunc(retryPause, func() {
+	r.failedCalls++
+	request, round := r.request, r.round
+	time.AfterFunc(retryDelay, func() {
 		if ctx.Err() == nil {
-			w.ask(ctx, a.member, round, request)
+			r.ask(ctx, a.member, round, request)
 		}
 	})
 }
 
-// counts says whether an answer may be reported: in the first round the store has to keep the reservation, unless it
-// says why the turn can't run anyway.
-func (w *reserving) counts(a storewire.ReserveAnswer, r budget.Report) bool {
-	return w.round > 0 || a.Stored || r.TurnClosed || r.SettledTokens >= w.request.BudgetTokens
+// acceptable reports whether an answer counts: in the first round the store must have stored the reservation, unless
+// its report already rules out that the turn may run.
+func (r *reserveAttempt) acceptable(a storewire.ReserveAnswer, report budget.Report) bool {
+	return r.round > 0 || a.Stored || report.TurnClosed || report.SettledTokens >= r.request.BudgetTokens
 }
 
-// reportOf reads what a store knows.
-func reportOf(a storewire.ReserveAnswer) (budget.Report, bool) {
+// decodeReport decodes a store's report; false means malformed entries.
+func decodeReport(a storewire.ReserveAnswer) (budget.Report, bool) {
 	entries, err := budget.DecodeEntries(a.Entries)
 	return budget.Report{
 		TurnClosed:    a.TurnClosed,
--- a/internal/tier/storeclient/settle.go
+++ b/internal/tier/storeclient/settle.go
@@ -10,168 +10,169 @@
 )
 
 const (
-	// settlePause gathers the settlements of turns that end together into one message.
-	settlePause = 20 * time.Millisecond
-	// settleLimit is for how long a settlement is repeated. Stores learn of it from each other later on.
-	settleLimit = 10 * time.Second
-	// settleCall bounds one message.
-	settleCall = time.Second
-	// mostSettleRetry bounds the pause between two tries.
-	mostSettleRetry = time.Second
-	// settleBatch bounds the settlements of a message, about 20 KB.
-	settleBatch = 512
-	// mostUnsettled bounds those that wait for one store. One more is left out, and counts at its most there: safe.
-	mostUnsettled = 8192
-	// closeLimit is how long Close waits for what is under way.
-	closeLimit = 300 * time.Millisecond
+	// settleBatchDelay is how long settlements are collected into one message.
+	settleBatchDelay = 20 * time.Millisecond
+	// settleRetryPeriod is how long a settlement is retried. After that, stores receive it from each other by repair.
+	settleRetryPeriod = 10 * time.Second
+	// settleCallTimeout bounds one call.
+	settleCallTimeout = time.Second
+	// maxSettleRetryDelay bounds the delay between two tries.
+	maxSettleRetryDelay = time.Second
+	// maxSettleBatch bounds the settlements of a message to about 20 KB.
+	maxSettleBatch = 512
+	// maxPendingPerStore bounds the settlements pending for one store. Further ones are dropped; the store then counts the
+	// full reservation as used, which is safe.
+	maxPendingPerStore = 8192
+	// closeTimeout is how long Close waits for pending settlements.
+	closeTimeout = 300 * time.Millisecond
 )
 
-// Settle tells the stores what a turn has used: every token that its client was sent, or that it may have been sent. 0
-// withdraws the reservation. It returns at once; the stores know within some 10 ms, or once they can be reached.
-func (c *Client) Settle(program, turn string, used int64) {
-	c.settle.add(storewire.Settlement{Program: program, TurnKey: int64(budget.TurnKeyOf(turn)), UsedTokens: used})
+// Settle reports the tokens that a turn has used: all that were sent, or may have been sent, to its client. 0 withdraws
+// the reservation. It returns at once; the stores receive it within some 10 ms, or once they can be reached.
+func (c *Client) Settle(program, turn string, usedTokens int64) {
+	c.settler.enqueue(storewire.Settlement{Program: program, TurnKey: int64(budget.TurnKeyOf(turn)), UsedTokens: usedTokens})
 }
 
-// settler repeats settlements until all stores know them.
+// settler sends settlements to all stores and retries each until it is acknowledged or settleRetryPeriod has passed.
 type settler struct {
 	client *Client
 	ctx    context.Context
-	stop   context.CancelFunc
+	cancel context.CancelFunc
 
-	mutex sync.Mutex
-	boxes map[string]*outbox // by store id; guarded by mutex, as is what they hold
-	busy  sync.WaitGroup     // outboxes that are being emptied
-	done  bool
+	mutex    sync.Mutex
+	outboxes map[string]*outbox // by store id; the map and the outboxes are guarded by mutex
+	senders  sync.WaitGroup     // running drain goroutines
+	closed   bool
 }
 
-// outbox holds what one store does not know yet.
+// outbox holds the settlements that one store has not acknowledged.
 type outbox struct {
-	store   string
-	waiting []unsettled
+	storeID string
+	pending []pendingSettlement
 	sending bool
 }
 
-type unsettled struct {
+type pendingSettlement struct {
 	settlement storewire.Settlement
-	until      time.Time
+	deadline   time.Time
 }
 
 func newSettler(c *Client) *settler {
-	ctx, stop := context.WithCancel(context.Background())
-	return &settler{client: c, ctx: ctx, stop: stop, boxes: map[string]*outbox{}}
+	ctx, cancel := context.WithCancel(context.Background())
+	return &settler{client: c, ctx: ctx, cancel: cancel, outboxes: map[string]*outbox{}}
 }
 
-func (s *settler) add(settlement storewire.Settlement) {
-	item := unsettled{settlement: settlement, until: time.Now().Add(settleLimit)}
-	view := s.client.current.Load()
+func (s *settler) enqueue(settlement storewire.Settlement) {
+	item := pendingSettlement{settlement: settlement, deadline: time.Now().Add(settleRetryPeriod)}
+	snapshot := s.client.current.Load()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.done {
+	if s.closed {
 		return
 	}
-	for _, m := range view.view.Members {
-		box := s.boxes[m.ID]
+	for _, m := range snapshot.view.Members {
+		box := s.outboxes[m.ID]
 		if box == nil {
-			box = &outbox{store: m.ID}
-			s.boxes[m.ID] = box
+			box = &outbox{storeID: m.ID}
+			s.outboxes[m.ID] = box
 		}
-		if len(box.waiting) < mostUnsettled {
-			box.waiting = append(box.waiting, item)
+		if len(box.pending) < maxPendingPerStore {
+			box.pending = append(box.pending, item)
 		}
 		if !box.sending {
 			box.sending = true
-			s.busy.Add(1)
-			go s.empty(box)
+			s.senders.Add(1)
+			go s.drain(box)
 		}
 	}
 }
 
-// empty sends what an outbox holds until it holds nothing more.
-func (s *settler) empty(box *outbox) {
-	defer s.busy.Done()
-	wait := settlePause
-	retry := retryPause
+// drain sends the settlements of an outbox until it is empty.
+func (s *settler) drain(box *outbox) {
+	defer s.senders.Done()
+	wait := settleBatchDelay
+	retry := retryDelay
 	for {
-		if !pause(s.ctx, wait) {
+		if !sleep(s.ctx, wait) {
 			return
 		}
-		batch, ok := s.batch(box)
+		batch, ok := s.nextBatch(box)
 		if !ok {
 			return
 		}
-		if s.send(box.store, batch) {
-			s.sent(box, len(batch))
-			wait, retry = 0, retryPause
+		if s.send(box.storeID, batch) {
+			s.removeSent(box, len(batch))
+			wait, retry = 0, retryDelay
 			continue
 		}
 		wait = retry
-		retry = min(2*retry, mostSettleRetry)
+		retry = min(2*retry, maxSettleRetryDelay)
 	}
 }
 
-// batch gives the oldest that are still to be sent. Without any, the outbox is left alone and, if the store is gone,
-// forgotten.
-func (s *settler) batch(box *outbox) ([]storewire.Settlement, bool) {
-	view := s.client.current.Load()
+// nextBatch returns the oldest pending settlements. If there are none, or the store has left the view, it marks the
+// outbox as idle; the outbox of a store that left the view is deleted.
+func (s *settler) nextBatch(box *outbox) ([]storewire.Settlement, bool) {
+	snapshot := s.client.current.Load()
 	now := time.Now()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for len(box.waiting) > 0 && now.After(box.waiting[0].until) {
-		box.waiting = box.waiting[1:]
+	for len(box.pending) > 0 && now.After(box.pending[0].deadline) {
+		box.pending = box.pending[1:]
 	}
-	gone := view.view.IndexOf(box.store) < 0
-	if len(box.waiting) == 0 || gone {
+	removed := snapshot.view.IndexOf(box.storeID) < 0
+	if len(box.pending) == 0 || removed {
 		box.sending = false
-		box.waiting = nil
-		if gone {
-			delete(s.boxes, box.store)
+		box.pending = nil
+		if removed {
+			delete(s.outboxes, box.storeID)
 		}
 		return nil, false
 	}
-	batch := make([]storewire.Settlement, 0, min(len(box.waiting), settleBatch))
-	for _, u := range box.waiting[:cap(batch)] {
-		batch = append(batch, u.settlement)
+	batch := make([]storewire.Settlement, 0, min(len(box.pending), maxSettleBatch))
+	for _, item := range box.pending[:cap(batch)] {
+		batch = append(batch, item.settlement)
 	}
 	return batch, true
 }
 
-func (s *settler) send(store string, batch []storewire.Settlement) bool {
-	view := s.client.current.Load()
-	at := view.view.IndexOf(store)
-	if at < 0 {
+func (s *settler) send(storeID string, batch []storewire.Settlement) bool {
+	snapshot := s.client.current.Load()
+	member := snapshot.view.IndexOf(storeID)
+	if member < 0 {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(s.ctx, settleCall)
+	ctx, cancel := context.WithTimeout(s.ctx, settleCallTimeout)
 	defer cancel()
-	address := view.view.Members[at].Address
-	a, err := s.client.caller.Settle(ctx, address, storewire.SettleRequest{Header: view.header(at), Settlements: batch})
-	return err == nil && s.client.heed(a.Reply)
+	address := snapshot.view.Members[member].Address
+	a, err := s.client.caller.Settle(ctx, address, storewire.SettleRequest{Header: snapshot.header(member), Settlements: batch})
+	return err == nil && s.client.acceptReply(a.Reply)
 }
 
-// sent takes out what the store knows now; others may have been added behind.
-func (s *settler) sent(box *outbox, count int) {
+// removeSent removes the acknowledged settlements from the front; others may have been appended meanwhile.
+func (s *settler) removeSent(box *outbox, count int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	box.waiting = box.waiting[min(count, len(box.waiting)):]
-	if len(box.waiting) == 0 {
-		box.waiting = nil
+	box.pending = box.pending[min(count, len(box.pending)):]
+	if len(box.pending) == 0 {
+		box.pending = nil
 	}
 }
 
 func (s *settler) close() {
 	s.mutex.Lock()
-	s.done = true
+	s.closed = true
 	s.mutex.Unlock()
-	emptied := make(chan struct{})
+	drained := make(chan struct{})
 	go func() {
-		s.busy.Wait()
-		close(emptied)
+		s.senders.Wait()
+		close(drained)
 	}()
-	timer := time.NewTimer(closeLimit)
+	timer := time.NewTimer(closeTimeout)
 	defer timer.Stop()
 	select {
-	case <-emptied:
+	case <-drained:
 	case <-timer.C:
 	}
-	s.stop()
+	s.cancel()
 }
--- a/internal/tier/storewire/calls.go
+++ b/internal/tier/storewire/calls.go
@@ -19,7 +19,7 @@
 	pushMethod     transport.Method = "store.push"
 )
 
-// Server is what a store answers.
+// Server handles the calls to a store.
 type Server interface {
 	Reserve(context.Context, ReserveRequest) (ReserveAnswer, error)
 	Settle(context.Context, SettleRequest) (Acknowledgement, error)
@@ -33,75 +33,75 @@
 	Push(context.Context, PushRequest) (Acknowledgement, error)
 }
 
-// Caller calls the store at an address. Errors leave open whether the call was carried out.
+// Caller calls the store at an address. After an error the call may or may not have been executed.
 type Caller interface {
-	Reserve(ctx context.Context, address string, q ReserveRequest) (ReserveAnswer, error)
-	Settle(ctx context.Context, address string, q SettleRequest) (Acknowledgement, error)
-	Commit(ctx context.Context, address string, q CommitRequest) (Acknowledgement, error)
-	History(ctx context.Context, address string, q HistoryRequest) (HistoryAnswer, error)
-	List(ctx context.Context, address string, q ListRequest) (ListAnswer, error)
-	Fetch(ctx context.Context, address string, q FetchRequest) (FetchAnswer, error)
-	Programs(ctx context.Context, address string, q ProgramsRequest) (ProgramsAnswer, error)
-	Compare(ctx context.Context, address string, q CompareRequest) (CompareAnswer, error)
-	Offer(ctx context.Context, address string, q OfferRequest) (OfferAnswer, error)
-	Push(ctx context.Context, address string, q PushRequest) (Acknowledgement, error)
+	Reserve(ctx context.Context, address string, request ReserveRequest) (ReserveAnswer, error)
+	Settle(ctx context.Context, address string, request SettleRequest) (Acknowledgement, error)
+	Commit(ctx context.Context, address string, request CommitRequest) (Acknowledgement, error)
+	History(ctx context.Context, address string, request HistoryRequest) (HistoryAnswer, error)
+	List(ctx context.Context, address string, request ListRequest) (ListAnswer, error)
+	Fetch(ctx context.Context, address string, request FetchRequest) (FetchAnswer, error)
+	Programs(ctx context.Context, address string, request ProgramsRequest) (ProgramsAnswer, error)
+	Compare(ctx context.Context, address string, request CompareRequest) (CompareAnswer, error)
+	Offer(ctx context.Context, address string, request OfferRequest) (OfferAnswer, error)
+	Push(ctx context.Context, address string, request PushRequest) (Acknowledgement, error)
 }
 
-// Register has the server answer the calls of a mux.
-func Register(mux *transport.Mux, s Server) {
-	transport.Handle(mux, reserveMethod, reserveCodec, reservedCodec, s.Reserve)
-	transport.Handle(mux, settleMethod, settleCodec, acknowledgementCodec, s.Settle)
-	transport.Handle(mux, commitMethod, commitCodec, acknowledgementCodec, s.Commit)
-	transport.Handle(mux, historyMethod, historyCodec, historyAnswerCodec, s.History)
-	transport.Handle(mux, listMethod, listCodec, listAnswerCodec, s.List)
-	transport.Handle(mux, fetchMethod, fetchCodec, fetchAnswerCodec, s.Fetch)
-	transport.Handle(mux, programsMethod, programsCodec, programsAnswerCodec, s.Programs)
-	transport.Handle(mux, compareMethod, compareCodec, compareAnswerCodec, s.Compare)
-	transport.Handle(mux, offerMethod, offerCodec, offerAnswerCodec, s.Offer)
-	transport.Handle(mux, pushMethod, pushCodec, acknowledgementCodec, s.Push)
+// Register registers the server's methods with a mux.
+func Register(mux *transport.Mux, server Server) {
+	transport.Handle(mux, reserveMethod, reserveCodec, reserveAnswerCodec, server.Reserve)
+	transport.Handle(mux, settleMethod, settleCodec, acknowledgementCodec, server.Settle)
+	transport.Handle(mux, commitMethod, commitCodec, acknowledgementCodec, server.Commit)
+	transport.Handle(mux, historyMethod, historyCodec, historyAnswerCodec, server.History)
+	transport.Handle(mux, listMethod, listCodec, listAnswerCodec, server.List)
+	transport.Handle(mux, fetchMethod, fetchCodec, fetchAnswerCodec, server.Fetch)
+	transport.Handle(mux, programsMethod, programsCodec, programsAnswerCodec, server.Programs)
+	transport.Handle(mux, compareMethod, compareCodec, compareAnswerCodec, server.Compare)
+	transport.Handle(mux, offerMethod, offerCodec, offerAnswerCodec, server.Offer)
+	transport.Handle(mux, pushMethod, pushCodec, acknowledgementCodec, server.Push)
 }
 
-// NewCaller calls by a client of the transport.
-func NewCaller(c *transport.Client) Caller { return caller{client: c} }
+// NewCaller returns a Caller that uses a transport client.
+func NewCaller(client *transport.Client) Caller { return caller{client: client} }
 
 type caller struct{ client *transport.Client }
 
-func (c caller) Reserve(ctx context.Context, address string, q ReserveRequest) (ReserveAnswer, error) {
-	return transport.Call(ctx, c.client, address, reserveMethod, reserveCodec, reservedCodec, q)
+func (c caller) Reserve(ctx context.Context, address string, request ReserveRequest) (ReserveAnswer, error) {
+	return transport.Call(ctx, c.client, address, reserveMethod, reserveCodec, reserveAnswerCodec, request)
 }
 
-func (c caller) Settle(ctx context.Context, address string, q SettleRequest) (Acknowledgement, error) {
-	return transport.Call(ctx, c.client, address, settleMethod, settleCodec, acknowledgementCodec, q)
+func (c caller) Settle(ctx context.Context, address string, request SettleRequest) (Acknowledgement, error) {
+	return transport.Call(ctx, c.client, address, settleMethod, settleCodec, acknowledgementCodec, request)
 }
 
-func (c caller) Commit(ctx context.Context, address string, q CommitRequest) (Acknowledgement, error) {
-	return transport.Call(ctx, c.client, address, commitMethod, commitCodec, acknowledgementCodec, q)
+func (c caller) Commit(ctx context.Context, address string, request CommitRequest) (Acknowledgement, error) {
+	return transport.Call(ctx, c.client, address, commitMethod, commitCodec, acknowledgementCodec, request)
 }
 
-func (c caller) History(ctx context.Context, address string, q HistoryRequest) (HistoryAnswer, error) {
-	return transport.Call(ctx, c.client, address, historyMethod, historyCodec, historyAnswerCodec, q)
+func (c caller) History(ctx context.Context, address string, request HistoryRequest) (HistoryAnswer, error) {
+	return transport.Call(ctx, c.client, address, historyMethod, historyCodec, historyAnswerCodec, request)
 }
 
-func (c caller) List(ctx context.Context, address string, q ListRequest) (ListAnswer, error) {
-	return transport.Call(ctx, c.client, address, listMethod, listCodec, listAnswerCodec, q)
+func (c caller) List(ctx context.Context, address string, request ListRequest) (ListAnswer, error) {
+	return transport.Call(ctx, c.client, address, listMethod, listCodec, listAnswerCodec, request)
 }
 
-func (c caller) Fetch(ctx context.Context, address string, q FetchRequest) (FetchAnswer, error) {
-	return transport.Call(ctx, c.client, address, fetchMethod, fetchCodec, fetchAnswerCodec, q)
+func (c caller) Fetch(ctx context.Context, address string, request FetchRequest) (FetchAnswer, error) {
+	return transport.Call(ctx, c.client, address, fetchMethod, fetchCodec, fetchAnswerCodec, request)
 }
 
-func (c caller) Programs(ctx context.Context, address string, q ProgramsRequest) (ProgramsAnswer, error) {
-	return transport.Call(ctx, c.client, address, programsMethod, programsCodec, programsAnswerCodec, q)
+func (c caller) Programs(ctx context.Context, address string, request ProgramsRequest) (ProgramsAnswer, error) {
+	return transport.Call(ctx, c.client, address, programsMethod, programsCodec, programsAnswerCodec, request)
 }
 
-func (c caller) Compare(ctx context.Context, address string, q CompareRequest) (CompareAnswer, error) {
-	return transport.Call(ctx, c.client, address, compareMethod, compareCodec, compareAnswerCodec, q)
+func (c caller) Compare(ctx context.Context, address string, request CompareRequest) (CompareAnswer, error) {
+	return transport.Call(ctx, c.client, address, compareMethod, compareCodec, compareAnswerCodec, request)
 }
 
-func (c caller) Offer(ctx context.Context, address string, q OfferRequest) (OfferAnswer, error) {
-	return transport.Call(ctx, c.client, address, offerMethod, offerCodec, offerAnswerCodec, q)
+func (c caller) Offer(ctx context.Context, address string, request OfferRequest) (OfferAnswer, error) {
+	return transport.Call(ctx, c.client, address, offerMethod, offerCodec, offerAnswerCodec, request)
 }
 
-func (c caller) Push(ctx context.Context, address string, q PushRequest) (Acknowledgement, error) {
-	return transport.Call(ctx, c.client, address, pushMethod, pushCodec, acknowledgementCodec, q)
+func (c caller) Push(ctx context.Context, address string, request PushRequest) (Acknowledgement, error) {
+	return transport.Call(ctx, c.client, address, pushMethod, pushCodec, acknowledgementCodec, request)
 }
--- a/internal/tier/storewire/fuzz_test.go
+++ b/internal/tier/storewire/fuzz_test.go
@@ -8,7 +8,7 @@
 	"emberquay/internal/tier/storewire"
 )
 
-// FuzzDecode: what can be read at all comes out the same again.
+// FuzzDecode checks that decoders never panic, and that whatever they accept is unchanged after encoding and decoding.
 func FuzzDecode(f *testing.F) {
 	turn, err := storewire.EncodeTurn(storewire.Turn{ID: "b", Root: "a", Previous: "a", Program: "p", Tokens: 3, Input: []byte("in"), Output: []byte("out")})
 	if err != nil {
@@ -30,7 +30,7 @@
 			}
 			same, err := storewire.DecodeTurn(again)
 			if err != nil || same.ID != turn.ID || !bytes.Equal(same.Output, turn.Output) || same.RetentionMillis != turn.RetentionMillis {
-				t.Fatalf("%+v comes back as %+v: %v", turn, same, err)
+				t.Fatalf("%+v was encoded and decoded to %+v: %v", turn, same, err)
 			}
 		}
 		_, _ = storewire.DecodeTurnHead(data)
@@ -42,11 +42,11 @@
 		if entries, err := budget.DecodeEntries(data); err == nil {
 			same, err := budget.DecodeEntries(budget.EncodeEntries(nil, entries))
 			if err != nil || len(same) != len(entries) {
-				t.Fatalf("%v comes back as %v: %v", entries, same, err)
+				t.Fatalf("%v was encoded and decoded to %v: %v", entries, same, err)
 			}
 			for at := range entries {
 				if same[at] != entries[at] {
-					t.Fatalf("%v comes back as %v", entries[at], same[at])
+					t.Fatalf("%v was encoded and decoded to %v", entries[at], same[at])
 				}
 			}
 		}
--- a/internal/tier/storewire/messages.go
+++ b/internal/tier/storewire/messages.go
@@ -1,38 +1,38 @@
 package storewire
 
-// Status says what a store makes of a request.
+// Status is a store's decision on a request.
 type Status int
 
-// The standings.
+// Possible statuses.
 const (
 	Served Status = iota
-	// StaleView: the store has served a newer view; the request was not carried out.
+	// StaleView: the store has seen a newer view; the request was not executed.
 	StaleView
-	// WrongStore: another disk than the one meant answers at this address; the request was not carried out.
+	// WrongStore: a store with another id answers at this address; the request was not executed.
 	WrongStore
-	// Busy: the store can't take it now: its disk is full or slow, or it holds as much as it may.
+	// Busy: the store cannot accept the request now: its disk is full or slow, or a limit is reached.
 	Busy
 )
 
 // Header is part of every request.
 type Header struct {
-	Epoch   int64  `avro:"epoch"` // of the view by which the sender chose the store
-	StoreID string `avro:"store"` // id of the store in that view
+	Epoch   int64  `avro:"epoch"` // of the view in which the sender chose the store
+	StoreID string `avro:"store"` // id of the addressed store in that view
 }
 
 // Reply is part of every answer.
 type Reply struct {
 	Status   Status `avro:"standing"`
-	Complete bool   `avro:"complete"` // the store holds all that it should: its "unknown" counts
-	View     View   `avro:"view"`     // the store's own where it is newer than the request's; else empty
+	Complete bool   `avro:"complete"` // the store holds all records placed at it: its "unknown" counts
+	View     View   `avro:"view"`     // the store's view if newer than the request's, otherwise empty
 }
 
-// Turn is the record of a turn. It is never changed.
+// Turn is the record of a turn. It is immutable.
 type Turn struct {
 	ID              string `avro:"id"`
 	Root            string `avro:"root"`     // id of the first turn of its conversation
-	HomeZone        string `avro:"home"`     // zone whose store comes first in the order of its places
-	Previous        string `avro:"previous"` // empty at the start
+	HomeZone        string `avro:"home"`     // zone whose store comes first in the placement order
+	Previous        string `avro:"previous"` // empty for the first turn
 	Program         string `avro:"program"`
 	Tokens          int64  `avro:"tokens"`
 	RetentionMillis int64  `avro:"retention_millis"`
@@ -40,7 +40,7 @@
 	Output          []byte `avro:"output"`
 }
 
-// TurnHead is a Turn without what was said.
+// TurnHead is a Turn without Input and Output.
 type TurnHead struct {
 	ID              string `avro:"id"`
 	Root            string `avro:"root"`
@@ -51,157 +51,157 @@
 	RetentionMillis int64  `avro:"retention_millis"`
 }
 
-// ReserveRequest asks for a reservation to be kept, or (Recheck) for what the store knows by now.
+// ReserveRequest asks a store to hold a reservation, or with Recheck only for its current entries.
 type ReserveRequest struct {
 	Header       Header `avro:"header"`
 	Program      string `avro:"program"`
 	Turn         string `avro:"turn"`
 	BudgetTokens int64  `avro:"budget"`
 	MaxTokens    int64  `avro:"most"`
-	Recheck      bool   `avro:"recheck"` // keep nothing
-	Whole        bool   `avro:"whole"`   // list all entries, however many
+	Recheck      bool   `avro:"recheck"` // do not store the reservation
+	Whole        bool   `avro:"whole"`   // return all entries, however many
 }
 
-// ReserveAnswer says what the store knows of the program's other turns.
+// ReserveAnswer reports the program's other turns.
 type ReserveAnswer struct {
 	Reply         Reply  `avro:"reply"`
-	Stored        bool   `avro:"kept"`   // the reservation is on the disk
-	TurnClosed    bool   `avro:"closed"` // the turn was settled before: it must not run
+	Stored        bool   `avro:"kept"`   // the reservation is on disk
+	TurnClosed    bool   `avro:"closed"` // the turn is already settled and must not run
 	SettledTokens int64  `avro:"settled"`
 	Digest        int64  `avro:"digest"`  // of the settled entries
-	Whole         bool   `avro:"whole"`   // Entries holds the settled ones too, not only those that are open
-	Entries       []byte `avro:"entries"` // packed, see coordination/budget
+	Whole         bool   `avro:"whole"`   // Entries includes settled entries, not only open ones
+	Entries       []byte `avro:"entries"` // see budget.EncodeEntries
 }
 
-// Settlement closes a reservation; 0 tokens withdraw it.
+// Settlement closes a reservation; 0 used tokens withdraw it.
 type Settlement struct {
 	Program    string `avro:"program"`
-	TurnKey    int64  `avro:"turn"` // its key, see coordination/budget
+	TurnKey    int64  `avro:"turn"` // a budget.TurnKey
 	UsedTokens int64  `avro:"used"`
 }
 
-// SettleRequest closes reservations, known to the store or not.
+// SettleRequest closes reservations, including ones unknown to the store.
 type SettleRequest struct {
 	Header      Header       `avro:"header"`
 	Settlements []Settlement `avro:"settlements"`
 }
 
-// Acknowledgement answers what needs no more than a Reply.
+// Acknowledgement is the answer to requests that need only a Reply.
 type Acknowledgement struct {
 	Reply Reply `avro:"reply"`
 }
 
-// CommitRequest asks for a turn to be kept; the answer comes once it is on the disk.
+// CommitRequest asks a store to hold a turn; the answer is sent once the turn is on disk.
 type CommitRequest struct {
 	Header Header `avro:"header"`
 	Turn   Turn   `avro:"turn"`
 }
 
-// HistoryRequest asks for a turn and those before it.
+// HistoryRequest asks for a turn and its predecessors.
 type HistoryRequest struct {
 	Header     Header `avro:"header"`
 	Turn       string `avro:"turn"`
-	WithBodies bool   `avro:"bodies"` // else only whether the turn is known
+	WithBodies bool   `avro:"bodies"` // otherwise only whether the turn is known
 }
 
-// HistoryAnswer holds the turns from the one asked for towards the oldest, as far as the store holds them without a gap
-// and a message has room.
+// HistoryAnswer holds the requested turn and its predecessors, newest first, up to the first one that the store lacks
+// or that does not fit into the message.
 type HistoryAnswer struct {
 	Reply Reply    `avro:"reply"`
 	Known bool     `avro:"known"`
-	Turns [][]byte `avro:"turns"` // records as kept, see EncodeTurn
+	Turns [][]byte `avro:"turns"` // each encoded by EncodeTurn
 }
 
-// ListRequest asks for the turns that a store holds, in the order of their keys.
+// ListRequest asks for a page of the turns that a store holds, in the order of their keys.
 type ListRequest struct {
 	Header    Header `avro:"header"`
 	Sender    string `avro:"sender"` // id of the store that asks
-	AfterKey  int64  `avro:"after"`  // key that the page begins behind, as unsigned
-	FromStart bool   `avro:"first"`  // the page begins at the lowest key
+	AfterKey  int64  `avro:"after"`  // key after which the page begins, to be read as unsigned
+	FromStart bool   `avro:"first"`  // the page begins at the lowest key, AfterKey is ignored
 }
 
-// ListAnswer is a page of that list.
+// ListAnswer is a page of turns.
 type ListAnswer struct {
 	Reply Reply  `avro:"reply"`
-	Turns []byte `avro:"turns"` // packed Listed
+	Turns []byte `avro:"turns"` // packed ListedTurn elements
 	More  bool   `avro:"more"`
 }
 
 // FetchRequest asks for turns by key.
 type FetchRequest struct {
 	Header Header `avro:"header"`
-	Keys   []byte `avro:"keys"` // packed
+	Keys   []byte `avro:"keys"` // packed, see AppendKey
 }
 
-// TurnCopy is a record on its way to another store.
+// TurnCopy is a turn that is transferred to another store.
 type TurnCopy struct {
-	RemainingMillis int64  `avro:"remaining_millis"` // for which it is still to be kept
+	RemainingMillis int64  `avro:"remaining_millis"` // until the turn expires
 	Turn            []byte `avro:"turn"`
 }
 
-// FetchAnswer holds the first of the turns asked for, as many as a message has room for; those that are gone are left out.
+// FetchAnswer holds the first of the requested turns, as many as fit into a message; turns no longer held are left out.
 type FetchAnswer struct {
 	Reply         Reply      `avro:"reply"`
-	ProcessedKeys int        `avro:"looked"` // keys that were dealt with
+	ProcessedKeys int        `avro:"looked"` // number of the request's keys that this answer covers
 	Turns         []TurnCopy `avro:"parcels"`
 }
 
-// Program is what a store knows of a program's budget.
+// Program holds a store's budget entries of a program.
 type Program struct {
 	Name       string `avro:"name"`
-	IdleMillis int64  `avro:"idle_millis"` // since it was last heard of
-	Entries    []byte `avro:"entries"`     // packed
+	IdleMillis int64  `avro:"idle_millis"` // since the last activity
+	Entries    []byte `avro:"entries"`     // see budget.EncodeEntries
 }
 
-// ProgramsRequest asks for all programs that a store knows, in the order of their names.
+// ProgramsRequest asks for a page of all programs that a store knows, in the order of their names.
 type ProgramsRequest struct {
 	Header    Header `avro:"header"`
-	AfterName string `avro:"after"` // name that the page begins behind
+	AfterName string `avro:"after"` // name after which the page begins
 }
 
-// ProgramsAnswer is a page of them.
+// ProgramsAnswer is a page of programs.
 type ProgramsAnswer struct {
 	Reply    Reply     `avro:"reply"`
 	Programs []Program `avro:"programs"`
 	More     bool      `avro:"more"`
 }
 
-// CompareRequest asks whether two stores hold the same of what both should hold.
+// CompareRequest asks whether two stores agree on the records that are placed at both.
 type CompareRequest struct {
 	Header         Header `avro:"header"`
 	Sender         string `avro:"sender"` // id of the store that asks
-	TurnsDigest    int64  `avro:"turns"`  // digest
+	TurnsDigest    int64  `avro:"turns"`  // digest over all shared turns
 	ProgramsDigest int64  `avro:"programs"`
 }
 
-// CompareAnswer holds the digests of the ranges where they differ.
+// CompareAnswer holds the digests by range if the digests of the request differ.
 type CompareAnswer struct {
 	Reply          Reply   `avro:"reply"`
-	TurnDigests    []int64 `avro:"turns"` // empty: all is alike
+	TurnDigests    []int64 `avro:"turns"` // empty: no difference
 	ProgramDigests []int64 `avro:"programs"`
 }
 
-// ProgramDigest stands for a program and its entries.
+// ProgramDigest is the digest of a program's entries.
 type ProgramDigest struct {
 	Name   string `avro:"name"`
 	Digest int64  `avro:"digest"`
 }
 
-// OfferRequest names what the sender could push.
+// OfferRequest lists the records that the sender can push.
 type OfferRequest struct {
 	Header   Header          `avro:"header"`
 	TurnKeys []byte          `avro:"turns"` // packed keys
 	Programs []ProgramDigest `avro:"programs"`
 }
 
-// OfferAnswer says what of it is wanted; all else is on the store's disk when the answer comes.
+// OfferAnswer selects the offered records to push; all others are on the store's disk when the answer is sent.
 type OfferAnswer struct {
 	Reply          Reply `avro:"reply"`
-	WantedTurns    []int `avro:"turns"`    // places in the request's list
-	WantedPrograms []int `avro:"programs"` // likewise
+	WantedTurns    []int `avro:"turns"`    // indexes in the request's list
+	WantedPrograms []int `avro:"programs"` // indexes in the request's list
 }
 
-// PushRequest brings records; the answer comes once they are on the disk.
+// PushRequest transfers records; the answer is sent once they are on disk.
 type PushRequest struct {
 	Header   Header     `avro:"header"`
 	Turns    []TurnCopy `avro:"parcels"`
--- a/internal/tier/storewire/view.go
+++ b/internal/tier/storewire/view.go
@@ -6,24 +6,24 @@
 	"emberquay/internal/tier/controlstate"
 )
 
-// View is one state of the list of stores, in the order of its epochs. It is not changed once made.
+// View is one version of the list of stores; a higher epoch is newer. It is immutable.
 type View struct {
-	Epoch     int64    `avro:"epoch"`     // 0: none is known yet
-	Tolerance int      `avro:"tolerance"` // how many stores may be lost at once
+	Epoch     int64    `avro:"epoch"`     // 0: no view is known yet
+	Tolerance int      `avro:"tolerance"` // number of stores that may be lost at once
 	Members   []Member `avro:"members"`
 }
 
-// Member is a store of a view.
+// Member is a store in a view.
 type Member struct {
-	ID       string `avro:"id"`   // drawn when its disk was first used: a lost disk makes another member
+	ID       string `avro:"id"`   // generated when the disk is first used; a store with a new disk is a new member
 	Node     string `avro:"node"` // name of the machine
 	Zone     string `avro:"zone"`
-	Address  string `avro:"address"`  // IP:port of its internal calls
-	Retiring bool   `avro:"retiring"` // it takes nothing new and is being emptied
-	Replaced bool   `avro:"replaced"` // it took the place of a store whose disk is lost, and may lack what that one held
+	Address  string `avro:"address"`  // IP:port for internal calls
+	Retiring bool   `avro:"retiring"` // it accepts no new records and moves its records to other stores
+	Replaced bool   `avro:"replaced"` // it replaces a store whose disk was lost, and may lack the records of that store
 }
 
-// ViewOf gives the view that the control state holds.
+// ViewOf converts a view of the control state.
 func ViewOf(stores controlstate.StoreView) View {
 	view := View{Epoch: int64(stores.Epoch), Tolerance: stores.Tolerance, Members: make([]Member, 0, len(stores.Members))}
 	for _, m := range stores.Members {
@@ -32,7 +32,7 @@
 	return view
 }
 
-// StoreView gives the view back as the control state has it; when members joined is not told.
+// StoreView converts the view to that of the control state, without Joined of its members.
 func (v *View) StoreView() controlstate.StoreView {
 	stores := controlstate.StoreView{Epoch: uint64(v.Epoch), Tolerance: v.Tolerance}
 	for _, m := range v.Members {
@@ -41,12 +41,12 @@
 	return stores
 }
 
-// IndexOf gives the place of a member in Members, or -1.
+// IndexOf returns the index of a member in Members, or -1.
 func (v *View) IndexOf(id string) int {
 	return slices.IndexFunc(v.Members, func(m Member) bool { return m.ID == id })
 }
 
-// ActiveCount counts the members that are not retiring.
+// ActiveCount returns the number of members that are not retiring.
 func (v *View) ActiveCount() int {
 	active := 0
 	for _, m := range v.Members {
@@ -57,24 +57,24 @@
 	return active
 }
 
-// Copies is how many stores have to hold a turn: one more than may be lost.
+// Copies returns how many stores must hold a turn: one more than may be lost.
 func (v *View) Copies() int { return v.Tolerance + 1 }
 
-// NotFoundQuorum is how many complete stores, retiring ones included, have to say that they don't know a turn for it not to
-// exist: any so many include one of those that hold it.
+// NotFoundQuorum returns how many complete stores, retiring ones included, must answer that a turn is unknown to prove
+// that it does not exist: any set of this size includes a store that would hold it.
 func (v *View) NotFoundQuorum() int { return max(1, len(v.Members)-v.Tolerance) }
 
-// Quorum is how many complete stores that are not retiring have to hold a reservation: any two such sets meet, and
-// Tolerance may be lost.
+// Quorum returns how many complete active stores must hold a reservation: any two sets of this size intersect, and
+// enough stores remain after the loss of Tolerance of them.
 func (v *View) Quorum() int {
 	active := v.ActiveCount()
 	return max(active-v.Tolerance, active/2+1)
 }
 
-// CatchUpQuorum is how many other complete members a store with a fresh disk has to compare with: one of them at least holds
-// whatever had been acknowledged.
+// CatchUpQuorum returns how many other complete members a store with an empty disk must compare with: at least one of
+// them holds any given acknowledged record.
 func (v *View) CatchUpQuorum() int {
 	others := len(v.Members) - 1
-	strangers := max(v.Tolerance, len(v.Members)-v.Quorum()) // complete stores that may not hold it
-	return max(1, min(others, max(len(v.Members)-v.Tolerance, strangers+1)))
+	mayLack := max(v.Tolerance, len(v.Members)-v.Quorum()) // complete stores that may lack an acknowledged record
+	return max(1, min(others, max(len(v.Members)-v.Tolerance, mayLack+1)))
 }
--- a/internal/tier/storewire/wire_test.go
+++ b/internal/tier/storewire/wire_test.go
@@ -14,17 +14,17 @@
 	RunSpecs(t, "storewire")
 }
 
-var _ = Describe("a turn's record", func() {
+var _ = Describe("the record of a turn", func() {
 	turn := storewire.Turn{ID: "b", Root: "a", HomeZone: "z", Previous: "a", Program: "p", Tokens: 3, RetentionMillis: 60000,
 		Input: []byte("in"), Output: []byte("out\n")}
 
-	It("comes back as it was", func() {
+	It("is decoded unchanged", func() {
 		data, err := storewire.EncodeTurn(turn)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(storewire.DecodeTurn(data)).To(Equal(turn))
 	})
 
-	It("has a head that can be read by itself", func() {
+	It("has a head that can be decoded separately", func() {
 		data, err := storewire.EncodeTurn(turn)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(storewire.DecodeTurnHead(data)).To(Equal(storewire.TurnHead{ID: "b", Root: "a", HomeZone: "z", Previous: "a",
@@ -32,16 +32,16 @@
 	})
 })
 
-var _ = DescribeTable("how many stores of a view have to agree",
-	func(members, retiring, tolerance, copies, unknown, quorum, catchUp int) {
+var _ = DescribeTable("copies and quorums of a view",
+	func(members, retiring, tolerance, copies, notFoundQuorum, quorum, catchUpQuorum int) {
 		view := storewire.View{Tolerance: tolerance}
-		for at := range members {
-			view.Members = append(view.Members, storewire.Member{Retiring: at < retiring})
+		for i := range members {
+			view.Members = append(view.Members, storewire.Member{Retiring: i < retiring})
 		}
 		Expect(view.Copies()).To(Equal(copies))
-		Expect(view.NotFoundQuorum()).To(Equal(unknown))
+		Expect(view.NotFoundQuorum()).To(Equal(notFoundQuorum))
 		Expect(view.Quorum()).To(Equal(quorum))
-		Expect(view.CatchUpQuorum()).To(Equal(catchUp))
+		Expect(view.CatchUpQuorum()).To(Equal(catchUpQuorum))
 	},
 	Entry("three, one may be lost", 3, 0, 1, 2, 2, 2, 2),
 	Entry("four, one may be lost", 4, 0, 1, 2, 3, 3, 3),
@@ -53,14 +53,14 @@
 )
 
 var _ = Describe("packed lists", func() {
-	It("come back as they were", func() {
+	It("are decoded unchanged", func() {
 		data := storewire.AppendListedTurn(nil, storewire.ListedTurn{Key: 7, PlacedAtSender: true})
 		data = storewire.AppendListedTurn(data, storewire.ListedTurn{Key: 1 << 63})
 		Expect(storewire.DecodeListedTurns(data)).To(Equal([]storewire.ListedTurn{{Key: 7, PlacedAtSender: true}, {Key: 1 << 63}}))
 		Expect(storewire.DecodeKeys(storewire.AppendKey(nil, 9))).To(Equal([]uint64{9}))
 	})
 
-	It("are refused when cut", func() {
+	It("are rejected when truncated", func() {
 		_, err := storewire.DecodeListedTurns([]byte{1, 2, 3})
 		Expect(err).To(MatchError(storewire.ErrMalformedList))
 		_, err = storewire.DecodeKeys([]byte{1, 2, 3})
