--- a/internal/tier/controlplane/inspect.go
+++ b/internal/tier/controlplane/inspect.go
@@ -27,7 +27,7 @@
 	LastSequence int64        `json:"sequence"`
 	Committed    int64        `json:"committed"`
 	Vote         VoteSummary  `json:"vote"`
-	State        StateSummary `json:"state"` // as of Sequence
+	State        StateSummary `json:"state"` // as of LastSequence
 	SavedEntries int          `json:"known"` // number of cluster entries saved across restarts
 	// Findings lists the problems of the ring, of its records, of the state that results from them and of the saved
 	// entries.
--- a/internal/tier/controlstate/changes.go
+++ b/internal/tier/controlstate/changes.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// digestBytes is large enough that the digests of two changes of a deployment do not collide.
+	// digestBytes is large enough that the digests of two changes of a deployment do not collide by chance.
 	digestBytes = 16
 	// changeBytes is the size of one encoded change: its digest and its version in big-endian order.
 	changeBytes = digestBytes + 8
@@ -47,7 +47,7 @@
 
 const (
 	notAccepted       acceptance = iota // another change or none was accepted on its base
-	isAccepted                          // the version that it led to is known
+	wasAccepted                         // the version that it led to is known
 	acceptanceUnknown                   // the changes accepted on versions this old were dropped
 )
 
@@ -65,14 +65,14 @@
 	if !found || next == len(c.changes) || c.changes[next].id != id {
 		return 0, notAccepted
 	}
-	return c.changes[next].version, isAccepted
+	return c.changes[next].version, wasAccepted
 }
 
 // findOldest is find for a base below all kept versions: the change is either the oldest kept one or an older one.
 func (c *acceptedChanges) findOldest(id digest, base uint64) (version uint64, result acceptance) {
 	switch {
 	case c.changes[0].id == id:
-		return c.changes[0].version, isAccepted
+		return c.changes[0].version, wasAccepted
 	case len(c.changes) < formerMaxAccepted:
 		return 0, notAccepted // no change was dropped
 	}
--- a/internal/tier/controlstate/configuration.go
+++ b/internal/tier/controlstate/configuration.go
@@ -16,7 +16,7 @@
 	}
 	id := digestOf(c)
 	switch version, result := s.accepted.find(id, c.Base); result {
-	case isAccepted:
+	case wasAccepted:
 		return Result{Status: StatusOK, Version: version}, false
 	case acceptanceUnknown:
 		reason := fmt.Sprintf("version %d is in force; what was taken on version %d is not remembered any more", s.version, c.Base)
