--- a/internal/tier/cluster/cluster.go
+++ b/internal/tier/cluster/cluster.go
@@ -1,5 +1,5 @@
-// Package cluster finds the other processes of the tier, tells which of them run, and spreads small values
-// among them: the configuration, the store view, receivers and their reports.
+// Package cluster discovers the other processes of the tier, reports which of them are running, and replicates small
+// values among them: the configuration, the store view and the receivers.
 //
 //	c, err := cluster.Start(cluster.Options{Self: identity, Seeds: seeds, Client: client, Mux: mux})
 //	server, err := transport.Listen(identity.Address, mux)
@@ -10,9 +10,9 @@
 //	c.Leave(ctx)
 //	c.Close()
 //
-// One goroutine owns the node (package core) and works through a bounded queue of commands; what it sends goes
-// out in goroutines whose number is bounded, and it never waits for them. What is read, Get, List and Nodes,
-// comes from immutable snapshots. Watchers are called from one more goroutine.
+// One goroutine owns the node (package core) and executes commands from a bounded queue. Messages are sent by a
+// bounded number of other goroutines, for which it never waits. Get, List and Nodes read immutable snapshots. One more
+// goroutine calls the watchers.
 package cluster
 
 import (
@@ -34,20 +34,20 @@
 	"emberquay/internal/tier/transport"
 )
 
-// Entry is a value under a key; Stamp orders the values of a key.
+// Entry is a key with its value and version; Stamp is the version.
 type (
 	Entry = gossip.Entry
 	Stamp = gossip.Stamp
 )
 
-// Node is a process of the tier as it is known here.
+// Node is a process of the tier as known to this process.
 type (
 	Node  = membership.Node
 	Role  = membership.Role
 	State = membership.State
 )
 
-// The roles and states, for those who import this package only.
+// Roles and states of nodes, for importers that don't import package membership.
 const (
 	Proxy   = membership.Proxy
 	Control = membership.Control
@@ -59,8 +59,8 @@
 	Left    = membership.Left
 )
 
-// The prefixes of keys. A receiver's record that says that it is gone, and a node's that says that it is down or has
-// left, is kept for a minute.
+// Keys of single entries and prefixes of keys. The records of receivers that are gone, and of nodes that are down or
+// have left, are kept for a minute.
 const (
 	ConfigurationKey = core.ConfigurationKey
 	StoresKey        = core.StoresKey
@@ -68,50 +68,51 @@
 	NodePrefix       = core.NodePrefix
 )
 
-// Identity is what a process says of itself.
+// Identity describes a process to the others.
 type Identity struct {
-	Name    string // node name of the machine
+	Name    string // name of the machine
 	Role    Role
 	Zone    string
 	Region  string
 	Address string // internal address, ip:port
 }
 
-// Options of a cluster.
+// Options configure a Cluster.
 type Options struct {
 	Self   Identity
-	Seeds  []string // internal addresses of the seeds' control planes; the own one may be among them
+	Seeds  []string // internal addresses of control nodes; may include the own address
 	Client *transport.Client
-	Mux    *transport.Mux // the handlers are registered here: before transport.Listen
+	Mux    *transport.Mux // Start registers the handlers here; call transport.Listen after it
 	Log    log.Interface  // log.Log if nil
 }
 
-// Cluster is the runtime of one process. All methods may be called from any goroutine.
+// Cluster runs the node of one process. Its methods are safe for concurrent use.
 type Cluster struct {
-	self     Identity
-	client   *transport.Client
-	log      log.Interface
-	commands chan command
-	done     chan struct{}
-	stop     sync.Once
-	ready    chan struct{}
-	table    atomic.Pointer[iradix.Tree[Entry]]
-	nodes    atomic.Pointer[[]Node]
-	notify   *notifier
-	senders  *senders
-	keep     atomic.Pointer[keepFunc]
+	self      Identity
+	client    *transport.Client
+	log       log.Interface
+	commands  chan command
+	done      chan struct{}
+	closeOnce sync.Once
+	ready     chan struct{}
+	table     atomic.Pointer[iradix.Tree[Entry]]
+	nodes     atomic.Pointer[[]Node]
+	notifier  *notifier
+	sender    *sender
+	persist   atomic.Pointer[persistFunc]
 }
 
-// Start registers the handlers on the mux and begins to look for the others. The caller then listens.
+// Start registers the handlers on the mux and starts to discover other nodes. The caller must then call
+// transport.Listen.
 func Start(options Options) (*Cluster, error) {
 	if options.Log == nil {
 		options.Log = log.Log
 	}
 	if !options.Self.Role.Valid() {
-		return nil, eris.Errorf("cluster: %s", options.Self.Role)
+		return nil, eris.Errorf("cluster: invalid role %s", options.Self.Role)
 	}
 	now := time.Now()
-	node, err := core.New(now, core.Options{Self: selfAt(now, options.Self), Seeds: options.Seeds, Seed: rand.Uint64()})
+	node, err := core.New(now, core.Options{Self: newSelfNode(now, options.Self), Seeds: options.Seeds, Seed: rand.Uint64()})
 	if err != nil {
 		return nil, eris.Wrap(err, "cluster")
 	}
@@ -119,53 +120,53 @@
 		self:     options.Self,
 		client:   options.Client,
 		log:      options.Log,
-		commands: make(chan command, commandBound),
+		commands: make(chan command, commandQueueSize),
 		done:     make(chan struct{}),
 		ready:    make(chan struct{}),
 	}
-	c.notify = newNotifier(c.Get, c.node)
-	c.senders = newSenders(c)
+	c.notifier = newNotifier(c.Get, c.node)
+	c.sender = newSender(c)
 	c.table.Store(iradix.New[Entry]())
 	o := &owner{cluster: c, core: node}
-	o.carryOut()
-	c.handle(options.Mux)
+	o.applyPendingEffects()
+	c.registerHandlers(options.Mux)
 	go o.run()
-	go c.notify.run(c.done)
+	go c.notifier.run(c.done)
 	return c, nil
 }
 
-// selfAt draws the incarnation: the time of day, so that a later start has a higher one. Where the clock was set
-// back since an earlier start, the node meets its own higher record and goes above it.
-func selfAt(now time.Time, self Identity) Node {
+// newSelfNode returns this node with the current time as its incarnation, so that a later start has a higher one. If
+// the clock was set back since an earlier start, the node receives its own higher record and exceeds it.
+func newSelfNode(now time.Time, self Identity) Node {
 	return Node{Name: self.Name, Role: self.Role, Zone: self.Zone, Region: self.Region, Address: self.Address, Incarnation: uint64(now.UnixNano())}
 }
 
-// Self is this node as it tells of itself.
+// Self returns this node as it declares itself.
 func (c *Cluster) Self() Node {
 	n, _ := c.node(membership.IDOf(c.self.Name, c.self.Role))
 	return n
 }
 
-// keepFunc returns nil once an entry of the table is kept as its node promises.
-type keepFunc func(ctx context.Context, key string, stamp Stamp) error
+// persistFunc returns nil once an entry of the table is persisted as this node guarantees.
+type persistFunc func(ctx context.Context, key string, stamp Stamp) error
 
-// SetPersistFunc has this node say that it has an entry which PublishConfirmed brings here only once keep has returned nil
-// for it. Without it, having the entry in memory is enough.
-func (c *Cluster) SetPersistFunc(keep func(ctx context.Context, key string, stamp Stamp) error) {
-	f := keepFunc(keep)
-	c.keep.Store(&f)
+// SetPersistFunc sets the function that persists entries delivered to this node by PublishConfirmed: the node confirms
+// an entry only after persist has returned nil for it. Without one, an entry in memory is confirmed.
+func (c *Cluster) SetPersistFunc(persist func(ctx context.Context, key string, stamp Stamp) error) {
+	f := persistFunc(persist)
+	c.persist.Store(&f)
 }
 
-// Publish puts an entry into the table and spreads it. A zero stamp is replaced by one above what is known
-// here of the key. An entry that is not above what is known is dropped. The value must not be changed after.
+// Publish adds an entry to the table and spreads it. It replaces a zero stamp by one newer than the stamp known here
+// of the key. It drops an entry that is not newer than the known one. The value must not be modified afterwards.
 func (c *Cluster) Publish(entry Entry) {
-	c.do(func(o *owner, now time.Time) { o.core.Publish(now, entry) })
+	c.submit(func(o *owner, now time.Time) { o.core.Publish(now, entry) })
 }
 
-// Get gives the newest entry of a key.
+// Get returns the newest entry of a key.
 func (c *Cluster) Get(key string) (Entry, bool) { return c.table.Load().Get([]byte(key)) }
 
-// List gives the entries whose keys begin with prefix, in the order of their keys.
+// List returns the entries whose keys begin with prefix, sorted by key.
 func (c *Cluster) List(prefix string) []Entry {
 	var found []Entry
 	c.table.Load().Root().WalkPrefix([]byte(prefix), func(_ []byte, e Entry) bool {
@@ -175,10 +176,10 @@
 	return found
 }
 
-// Nodes gives the known nodes, this one among them, in the order of their ids. It must not be changed.
+// Nodes returns the known nodes including this one, sorted by id. The slice must not be modified.
 func (c *Cluster) Nodes() []Node { return *c.nodes.Load() }
 
-// node gives a known node.
+// node returns the node with an id, if it is known.
 func (c *Cluster) node(id membership.ID) (Node, bool) {
 	nodes := c.Nodes()
 	i, found := slices.BinarySearchFunc(nodes, id, func(n Node, id membership.ID) int { return cmp.Compare(n.ID(), id) })
@@ -188,56 +189,57 @@
 	return nodes[i], true
 }
 
-// Watch calls f with the present entries of a prefix and then with each newer one. All calls come in order
-// from one goroutine; of several values of a key that come quickly one after the other, f may see only the
-// newest, and the same entry may come twice. f must be quick.
+// Watch calls f with the current entries whose keys have a prefix, and then with each newer one. All calls come in
+// order from one goroutine. If a key changes several times in quick succession, f may get only the newest entry; f may
+// get the same entry twice. f must return quickly.
 func (c *Cluster) Watch(prefix string, f func(Entry)) {
-	present := func() {
+	replay := func() {
 		for _, e := range c.List(prefix) {
 			f(e)
 		}
 	}
-	c.notify.register(watcher{prefix: prefix, entry: f, present: present})
+	c.notifier.register(watcher{prefix: prefix, onEntry: f, replay: replay})
 }
 
-// WatchNodes calls f with the known nodes and then with each change of one, from the goroutine of Watch. A
-// node that is forgotten was Down or Left before and is not told again.
+// WatchNodes calls f with the known nodes and then with each change of a node, from the same goroutine as Watch. The
+// removal of a node is not reported; the node was Down or Left before.
 func (c *Cluster) WatchNodes(f func(Node)) {
-	present := func() {
+	replay := func() {
 		for _, n := range c.Nodes() {
 			f(n)
 		}
 	}
-	c.notify.register(watcher{node: f, present: present})
+	c.notifier.register(watcher{onNode: f, replay: replay})
 }
 
-// Ready is closed once this process has compared its table with a majority of the control nodes, so that it
-// has what they had when it started. After 1.5 s one control node is enough, after 3 s any other machine.
+// Ready returns a channel that is closed once this process has compared its table with a majority of the control
+// nodes, so that it has the entries that they had when it started. After 1.5 s one control node suffices, after 3 s any
+// other machine.
 func (c *Cluster) Ready() <-chan struct{} { return c.ready }
 
-// SetSeeds replaces the seeds' addresses.
+// SetSeeds replaces the addresses of the seeds.
 func (c *Cluster) SetSeeds(seeds []string) {
-	c.do(func(o *owner, _ time.Time) { o.core.SetSeeds(seeds) })
+	c.submit(func(o *owner, _ time.Time) { o.core.SetSeeds(seeds) })
 }
 
-// Leave tells the others that this process ends as planned. It returns once the live control nodes have it, or
-// with ctx's error. The process goes on to compare tables until Close, but the others push nothing to it any
-// more and don't count it as live: it is the last step of a planned stop, after the last request.
+// Leave declares that this process shuts down as planned. It returns once the live control nodes have confirmed this,
+// or with the error of ctx. The process continues to compare tables until Close, but other nodes no longer push entries
+// to it or count it as live. Therefore Leave is the last step of a planned shutdown, after the last request.
 func (c *Cluster) Leave(ctx context.Context) error {
-	left := make(chan Entry, 1)
-	c.do(func(o *owner, now time.Time) {
+	ownEntry := make(chan Entry, 1)
+	c.submit(func(o *owner, now time.Time) {
 		o.core.Leave(now)
 		if entry, known := o.core.Get(core.NodeKey(o.core.Self().ID())); known {
-			left <- entry
+			ownEntry <- entry
 		}
-		close(left)
+		close(ownEntry)
 	})
 	select {
-	case entry, told := <-left:
-		if !told {
-			return eris.New("cluster: this node is not in its own table")
+	case entry, found := <-ownEntry:
+		if !found {
+			return eris.New("cluster: the table has no record of this node")
 		}
-		_, err := c.confirm(ctx, entry, false, Control)
+		_, err := c.deliverAndConfirm(ctx, entry, false, Control)
 		return err
 	case <-ctx.Done():
 		return ctx.Err()
@@ -246,8 +248,8 @@
 	}
 }
 
-// Close stops the runtime. Nothing is told to the others: Leave does that.
-func (c *Cluster) Close() { c.stop.Do(func() { close(c.done) }) }
+// Close stops the node without informing the others, which Leave does.
+func (c *Cluster) Close() { c.closeOnce.Do(func() { close(c.done) }) }
 
-// errClosed tells that the cluster was closed meanwhile.
+// errClosed is returned by calls that Close has interrupted.
 var errClosed = eris.New("cluster: closed")
--- a/internal/tier/cluster/confirm.go
+++ b/internal/tier/cluster/confirm.go
@@ -11,28 +11,30 @@
 )
 
 const (
-	// confirmAll is up to how many live nodes of the asked roles each is told directly. Beyond it the control
-	// nodes are, and the others hear of it from their peers.
-	confirmAll = 40
-	// confirmRetry follows a delivery that failed.
-	confirmRetry = 100 * time.Millisecond
-	// relayTime is how long the first node of another zone may take before the whole value goes to all there.
-	relayTime = 300 * time.Millisecond
-	// relayedValue is from how many bytes on a value crosses to another zone once only.
-	relayedValue = 2 << 10
+	// maxDirectTargets is the largest number of live nodes of the requested roles that an entry is delivered to
+	// directly. If there are more, it is delivered to the control nodes, and the others get it by gossip.
+	maxDirectTargets = 40
+	// confirmRetryDelay is the delay after a failed delivery.
+	confirmRetryDelay = 100 * time.Millisecond
+	// relayTimeout is how long the first node of another zone may take to confirm before the whole value is sent to all
+	// nodes of that zone.
+	relayTimeout = 300 * time.Millisecond
+	// relayMinBytes is the size from which on a value is sent to another zone only once.
+	relayMinBytes = 2 << 10
 )
 
-// PublishConfirmed publishes an entry and returns once all live nodes of the roles have said that they have it
-// or a newer one, or with ctx's error when ctx ends. It gives those that have said so, this node not among
-// them. An entry that is known already is brought to the others all the same. No roles are all roles. A node that goes down or leaves meanwhile is not waited for. Above
-// confirmAll nodes only the control nodes are waited for. A zero stamp is replaced as by Publish.
+// PublishConfirmed publishes an entry and returns once all live nodes of the roles have confirmed that they have it or
+// a newer one, or with the error of ctx. It returns the nodes that have confirmed, without this one. An entry that is
+// already known here is delivered nevertheless. No roles means all roles. It does not wait for nodes that go down or
+// leave meanwhile, and with more than maxDirectTargets nodes it waits only for the control nodes. A zero stamp is
+// replaced as by Publish.
 func (c *Cluster) PublishConfirmed(ctx context.Context, entry Entry, roles ...Role) (confirmed []Node, err error) {
 	if len(roles) == 0 {
 		roles = []Role{Proxy, Control, Store}
 	}
-	direct := c.coversAll(roles)
+	direct := c.targetsAllLive(roles)
 	published := make(chan Entry, 1)
-	c.do(func(o *owner, now time.Time) {
+	c.submit(func(o *owner, now time.Time) {
 		publish := o.core.Publish
 		if direct {
 			publish = o.core.PublishWithoutPush
@@ -42,7 +44,7 @@
 	})
 	select {
 	case stamped := <-published:
-		return c.confirm(ctx, stamped, !direct, roles...)
+		return c.deliverAndConfirm(ctx, stamped, !direct, roles...)
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-c.done:
@@ -50,44 +52,46 @@
 	}
 }
 
-// targets are the live nodes that an entry is brought to directly.
+// targets returns the live nodes that an entry is delivered to directly.
 func (c *Cluster) targets(roles []Role) []Node {
-	live := c.live(func(n Node) bool { return slices.Contains(roles, n.Role) })
-	if len(live) <= confirmAll {
+	live := c.liveNodes(func(n Node) bool { return slices.Contains(roles, n.Role) })
+	if len(live) <= maxDirectTargets {
 		return live
 	}
-	return c.live(func(n Node) bool { return n.Role == Control })
+	return c.liveNodes(func(n Node) bool { return n.Role == Control })
 }
 
-func (c *Cluster) live(wanted func(Node) bool) []Node {
+// liveNodes returns the live nodes that match, except this one.
+func (c *Cluster) liveNodes(matches func(Node) bool) []Node {
 	own := membership.IDOf(c.self.Name, c.self.Role)
 	var live []Node
 	for _, n := range c.Nodes() {
-		if n.Live() && n.ID() != own && wanted(n) {
+		if n.Live() && n.ID() != own && matches(n) {
 			live = append(live, n)
 		}
 	}
 	return live
 }
 
-// coversAll tells whether the direct deliveries reach every live node, so that nobody needs to push.
-func (c *Cluster) coversAll(roles []Role) bool {
-	return len(c.targets(roles)) == len(c.live(func(Node) bool { return true }))
+// targetsAllLive reports whether direct deliveries reach every live node, so that no pushes are needed.
+func (c *Cluster) targetsAllLive(roles []Role) bool {
+	return len(c.targets(roles)) == len(c.liveNodes(func(Node) bool { return true }))
 }
 
-// confirmation says whether a node has an entry.
+// confirmation reports whether a node has an entry.
 type confirmation struct {
 	node Node
 	has  bool
 }
 
-// confirm brings an entry to the live nodes of the roles until all have it or ctx ends.
-func (c *Cluster) confirm(ctx context.Context, entry Entry, forward bool, roles ...Role) ([]Node, error) {
+// deliverAndConfirm delivers an entry to the live nodes of the roles until all have confirmed it or ctx ends. It
+// returns the nodes that have confirmed.
+func (c *Cluster) deliverAndConfirm(ctx context.Context, entry Entry, forward bool, roles ...Role) ([]Node, error) {
 	d := delivery{cluster: c, entry: entry, forward: forward}
 	targets := c.targets(roles)
 	results := make(chan confirmation, len(targets))
-	for _, group := range d.groups(targets) {
-		go d.bringToGroup(ctx, group, results)
+	for _, group := range d.groupTargets(targets) {
+		go d.deliverToGroup(ctx, group, results)
 	}
 	var confirmed []Node
 	for range targets {
@@ -97,7 +101,7 @@
 				confirmed = append(confirmed, r.node)
 			}
 		case <-ctx.Done():
-			return append(confirmed, ready(results)...), ctx.Err()
+			return append(confirmed, drainConfirmed(results)...), ctx.Err()
 		case <-c.done:
 			return confirmed, errClosed
 		}
@@ -105,8 +109,8 @@
 	return confirmed, nil
 }
 
-// ready gives those whose confirmations came together with the end of the time.
-func ready(results <-chan confirmation) []Node {
+// drainConfirmed returns the nodes whose confirmations are already in the channel.
+func drainConfirmed(results <-chan confirmation) []Node {
 	var confirmed []Node
 	for {
 		select {
@@ -120,25 +124,25 @@
 	}
 }
 
-// delivery is one entry on its way to some nodes.
+// delivery is the direct delivery of one entry to some nodes.
 type delivery struct {
 	cluster *Cluster
 	entry   Entry
 	forward bool
 }
 
-// groups parts the targets by zone where the value is large and the zone is another one, its control nodes
-// first. All others are groups of one.
-func (d delivery) groups(targets []Node) [][]Node {
+// groupTargets groups the targets in other zones by zone if the value is large, with control nodes first. Each other
+// target is a group of its own.
+func (d delivery) groupTargets(targets []Node) [][]Node {
 	var groups [][]Node
 	byZone := map[string]int{}
 	for _, n := range targets {
-		if len(d.entry.Value) < relayedValue || n.Zone == d.cluster.self.Zone {
+		if len(d.entry.Value) < relayMinBytes || n.Zone == d.cluster.self.Zone {
 			groups = append(groups, []Node{n})
 			continue
 		}
-		index, some := byZone[n.Zone]
-		if !some {
+		index, found := byZone[n.Zone]
+		if !found {
 			index = len(groups)
 			byZone[n.Zone] = index
 			groups = append(groups, nil)
@@ -152,12 +156,12 @@
 	return groups
 }
 
-// bringToGroup brings the entry to one node of a zone and lets the others fetch it there.
-func (d delivery) bringToGroup(ctx context.Context, group []Node, results chan<- confirmation) {
+// deliverToGroup delivers the entry to the first node of a group and has the others fetch the value from that node.
+func (d delivery) deliverToGroup(ctx context.Context, group []Node, results chan<- confirmation) {
 	holder := ""
 	if len(group) > 1 {
-		relayCtx, cancel := context.WithTimeout(ctx, relayTime)
-		if d.once(relayCtx, group[0], "") {
+		relayCtx, cancel := context.WithTimeout(ctx, relayTimeout)
+		if d.deliverOnce(relayCtx, group[0], "") {
 			holder = group[0].Address
 			results <- confirmation{node: group[0], has: true}
 			group = group[1:]
@@ -165,37 +169,39 @@
 		cancel()
 	}
 	for _, n := range group[1:] {
-		go func() { results <- confirmation{node: n, has: d.bring(ctx, n, holder)} }()
+		go func() { results <- confirmation{node: n, has: d.deliver(ctx, n, holder)} }()
 	}
-	results <- confirmation{node: group[0], has: d.bring(ctx, group[0], holder)}
+	results <- confirmation{node: group[0], has: d.deliver(ctx, group[0], holder)}
 }
 
-// bring delivers the entry to a node, again and again until it has it, is not live any more, or ctx ends.
-func (d delivery) bring(ctx context.Context, n Node, holder string) bool {
+// deliver delivers the entry to a node and retries until the node confirms, is no longer live, or ctx ends. It reports
+// whether the node has confirmed.
+func (d delivery) deliver(ctx context.Context, n Node, holder string) bool {
 	for ctx.Err() == nil {
-		if d.once(ctx, n, holder) {
+		if d.deliverOnce(ctx, n, holder) {
 			return true
 		}
 		holder = ""
-		known, some := d.cluster.node(n.ID())
-		if !some || !known.Live() {
+		known, found := d.cluster.node(n.ID())
+		if !found || !known.Live() {
 			return false
 		}
-		n = known // it may have come back at another address
-		pause(ctx, confirmRetry)
+		n = known // its address may have changed
+		sleep(ctx, confirmRetryDelay)
 	}
 	return false
 }
 
-func pause(ctx context.Context, length time.Duration) {
-	ctx, cancel := context.WithTimeout(ctx, length)
+func sleep(ctx context.Context, duration time.Duration) {
+	ctx, cancel := context.WithTimeout(ctx, duration)
 	defer cancel()
 	<-ctx.Done()
 }
 
-// once delivers the entry, or only its stamp where the node can fetch it from a holder.
-func (d delivery) once(ctx context.Context, n Node, holder string) bool {
-	ctx, cancel := context.WithTimeout(ctx, sendTime)
+// deliverOnce sends the entry to a node, without its value if the node can fetch it from a holder. It reports whether
+// the node has confirmed.
+func (d delivery) deliverOnce(ctx context.Context, n Node, holder string) bool {
+	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	c := d.cluster
 	own := membership.IDOf(c.self.Name, c.self.Role)
@@ -203,46 +209,47 @@
 	if holder != "" {
 		request.Entry.Value = nil
 	}
-	answer, err := transport.Call(ctx, c.client, n.Address, methodConfirm, confirmRequests, confirmAnswers, request)
+	answer, err := transport.Call(ctx, c.client, n.Address, methodConfirm, confirmRequestCodec, confirmAnswerCodec, request)
 	return err == nil && answer.Has
 }
 
-// confirmed handles a delivery.
-func (c *Cluster) confirmed(ctx context.Context, request confirmRequest) (confirmAnswer, error) {
+// handleConfirm handles the delivery of an entry by another node.
+func (c *Cluster) handleConfirm(ctx context.Context, request confirmRequest) (confirmAnswer, error) {
 	entry := core.EntryFromWire(request.Entry)
 	if request.Holder != "" {
-		if has, err := c.deliver(ctx, request, nil); has || err != nil {
-			return confirmAnswer{Has: has && c.isKept(ctx, request)}, err
+		if has, err := c.receiveDelivery(ctx, request, nil); has || err != nil {
+			return confirmAnswer{Has: has && c.isPersisted(ctx, request)}, err
 		}
-		answer, err := transport.Call(ctx, c.client, request.Holder, methodFetch, fetchRequests, fetchAnswers, fetchRequest{Key: entry.Key})
+		answer, err := transport.Call(ctx, c.client, request.Holder, methodFetch, fetchRequestCodec, fetchAnswerCodec, fetchRequest{Key: entry.Key})
 		if err != nil || len(answer.Entries) == 0 {
-			return confirmAnswer{}, nil // the whole value comes next
+			return confirmAnswer{}, nil // the sender retries with the value
 		}
 		entry = core.EntryFromWire(answer.Entries[0])
 	}
-	has, err := c.deliver(ctx, request, &entry)
-	return confirmAnswer{Has: has && c.isKept(ctx, request)}, err
+	has, err := c.receiveDelivery(ctx, request, &entry)
+	return confirmAnswer{Has: has && c.isPersisted(ctx, request)}, err
 }
 
-// isKept says whether an entry that is in the table is kept as SetPersistFunc asks.
-func (c *Cluster) isKept(ctx context.Context, request confirmRequest) bool {
-	keep := c.keep.Load()
-	if keep == nil {
+// isPersisted reports whether the function of SetPersistFunc has persisted an entry that is in the table.
+func (c *Cluster) isPersisted(ctx context.Context, request confirmRequest) bool {
+	persist := c.persist.Load()
+	if persist == nil {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(ctx, sendTime)
+	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
-	return (*keep)(ctx, request.Entry.Key, core.StampFromWire(request.Entry.Stamp)) == nil
+	return (*persist)(ctx, request.Entry.Key, core.StampFromWire(request.Entry.Stamp)) == nil
 }
 
-// deliver puts an entry, if there is one, into the table and tells whether what was asked for is there now.
-func (c *Cluster) deliver(ctx context.Context, request confirmRequest, entry *Entry) (bool, error) {
+// receiveDelivery adds an entry to the table unless it is nil, and reports whether the table now has the requested
+// version or a newer one.
+func (c *Cluster) receiveDelivery(ctx context.Context, request confirmRequest, entry *Entry) (bool, error) {
 	stamp := core.StampFromWire(request.Entry.Stamp)
 	result := make(chan bool, 1)
-	c.do(func(o *owner, now time.Time) {
+	c.submit(func(o *owner, now time.Time) {
 		if entry != nil {
 			o.core.ReceiveEntry(now, membership.ID(request.From), *entry, request.Forward)
-			o.carryOut() // it must be seen here before its sender hears that it is
+			o.applyPendingEffects() // the entry must be visible here before its sender gets the confirmation
 		}
 		result <- o.core.Has(request.Entry.Key, stamp)
 	})
@@ -256,10 +263,10 @@
 	}
 }
 
-// fetched handles a request for an entry.
-func (c *Cluster) fetched(_ context.Context, request fetchRequest) (fetchAnswer, error) {
-	entry, some := c.Get(request.Key)
-	if !some {
+// handleFetch handles a request for an entry.
+func (c *Cluster) handleFetch(_ context.Context, request fetchRequest) (fetchAnswer, error) {
+	entry, found := c.Get(request.Key)
+	if !found {
 		return fetchAnswer{}, nil
 	}
 	return fetchAnswer{Entries: []core.WireEntry{core.EntryToWire(entry)}}, nil
--- a/internal/tier/cluster/core/core.go
+++ b/internal/tier/cluster/core/core.go
@@ -9,55 +9,55 @@
 	"emberquay/coordination/membership"
 )
 
-// Options of a Core.
+// Options configure a Core.
 type Options struct {
 	Self  membership.Node // with the incarnation of this start
-	Seeds []string        // internal addresses of control planes; the own one may be among them
-	Seed  uint64          // of all choices
+	Seeds []string        // internal addresses of control nodes; may include the own address
+	Seed  uint64          // random seed
 }
 
-// Core is one node.
+// Core is the state machine of one node.
 type Core struct {
 	id         membership.ID
 	address    string
 	random     *rand.Rand
 	gossip     *gossip.Disseminator
 	membership *membership.Membership
-	join       join
-	rejoin     rejoin
+	join       joinState
+	rejoin     rejoinState
 	peersStale bool
 
 	effects Effects
 	outbox  []Outgoing
 }
 
-// New makes a node that knows only itself and the seeds.
+// New returns a node that knows only itself and the seeds.
 func New(now time.Time, options Options) (*Core, error) {
 	self := options.Self
 	self.State = membership.Alive
-	entry, err := nodeEntry(self)
+	entry, err := nodeToEntry(self)
 	if err != nil {
 		return nil, err
 	}
 	random := rand.New(rand.NewPCG(options.Seed, 2))
-	// A phase of its own: nodes that start together must not all speak at the same moments.
-	first := now.Add(time.Duration(random.Int64N(int64(membership.HeartbeatInterval))))
+	// A random phase keeps nodes that start together from sending at the same moments.
+	firstDue := now.Add(time.Duration(random.Int64N(int64(membership.HeartbeatInterval))))
 	c := &Core{
 		id:         self.ID(),
 		address:    self.Address,
 		random:     random,
-		gossip:     gossip.New(now, gossip.Options{Self: string(self.ID()), Zone: self.Zone, Kinds: kinds(), FirstCompare: first}, options.Seed),
-		membership: membership.New(first, self, options.Seed),
+		gossip:     gossip.New(now, gossip.Options{Self: string(self.ID()), Zone: self.Zone, Kinds: kinds(), FirstCompare: firstDue}, options.Seed),
+		membership: membership.New(firstDue, self, options.Seed),
 	}
 	c.join.start(now)
 	c.SetSeeds(options.Seeds)
 	c.gossip.SetSyncing(true)
 	c.gossip.Publish(now, entry)
-	c.settle(now)
+	c.applyEffects(now)
 	return c, nil
 }
 
-// SetSeeds replaces the seeds' addresses.
+// SetSeeds replaces the addresses of the seeds.
 func (c *Core) SetSeeds(seeds []string) {
 	c.rejoin.seeds = slices.DeleteFunc(slices.Clone(seeds), func(a string) bool { return a == c.address })
 	c.random.Shuffle(len(c.rejoin.seeds), func(i, j int) {
@@ -65,13 +65,13 @@
 	})
 }
 
-// Publish takes an entry and spreads it. A zero stamp is replaced by one above what is known of the key. The
-// entry with its stamp is returned, and whether it was above what was known.
+// Publish adds an entry to the table and pushes it to other nodes. It replaces a zero stamp by one newer than the
+// known stamp of the key. It returns the entry with its stamp, and whether the entry was newer than the known one.
 func (c *Core) Publish(now time.Time, e gossip.Entry) (gossip.Entry, bool) {
 	return c.publish(now, e, c.gossip.Publish)
 }
 
-// PublishWithoutPush does the same without pushing the entry to others: the caller brings it to all.
+// PublishWithoutPush is like Publish but does not push the entry: the caller delivers it to all nodes.
 func (c *Core) PublishWithoutPush(now time.Time, e gossip.Entry) (gossip.Entry, bool) {
 	return c.publish(now, e, c.gossip.Put)
 }
@@ -80,82 +80,83 @@
 	if e.Stamp.IsZero() {
 		e.Stamp = c.gossip.NextStamp(now, e.Key)
 	}
-	news := put(now, e)
-	c.settle(now)
-	return e, news
+	isNew := put(now, e)
+	c.applyEffects(now)
+	return e, isNew
 }
 
-// ReceiveEntry takes an entry that a peer has brought directly. Forward has it pushed on.
+// ReceiveEntry adds an entry that a peer has delivered directly. If forward is set, the entry is pushed to other nodes.
 func (c *Core) ReceiveEntry(now time.Time, from membership.ID, e gossip.Entry, forward bool) {
 	if forward {
 		c.gossip.Receive(now, string(from), gossip.Message{Push: []gossip.Entry{e}})
 	} else {
 		c.gossip.Put(now, e)
 	}
-	c.settle(now)
+	c.applyEffects(now)
 }
 
-// Has tells whether the entry of a key with that stamp, or a newer one, is or was here.
+// Has reports whether the table holds, or held before its expiry, the entry of a key with this stamp or a newer one.
 func (c *Core) Has(key string, stamp gossip.Stamp) bool {
-	known, some := c.gossip.GetWithTombstones(key)
-	return some && !stamp.After(known.Stamp)
+	known, found := c.gossip.GetWithTombstones(key)
+	return found && !stamp.After(known.Stamp)
 }
 
-// Get gives the entry of a key.
+// Get returns the entry of a key.
 func (c *Core) Get(key string) (gossip.Entry, bool) { return c.gossip.Get(key) }
 
-// Each calls f with every entry of the table, in no order.
+// Each calls f with every entry of the table, in no particular order.
 func (c *Core) Each(f func(gossip.Entry)) { c.gossip.Each(f) }
 
-// Root is the digest of the table.
+// Root returns the digest of the table.
 func (c *Core) Root() uint64 { return c.gossip.Root() }
 
-// Nodes gives all known nodes in the order of their ids.
+// Nodes returns all known nodes including this one, sorted by id.
 func (c *Core) Nodes() []membership.Node { return c.membership.Nodes() }
 
-// Self is this node as it tells of itself.
+// Self returns this node as it declares itself.
 func (c *Core) Self() membership.Node { return c.membership.Self() }
 
-// Ready tells whether the table was compared with enough others, see join.
+// Ready reports whether the table was compared with enough other nodes, see joinState.
 func (c *Core) Ready() bool { return c.join.ready }
 
-// Leave tells the others that this node ends as planned.
+// Leave declares that this node shuts down as planned.
 func (c *Core) Leave(now time.Time) {
 	c.membership.Leave()
-	c.settle(now)
+	c.applyEffects(now)
 }
 
-// Due is when Tick wants to be called next.
+// Due returns when Tick must next be called.
 func (c *Core) Due() time.Time {
 	due := c.gossip.Due()
-	if other := c.membership.Due(); other.Before(due) {
-		due = other
+	if membershipDue := c.membership.Due(); membershipDue.Before(due) {
+		due = membershipDue
 	}
-	if !c.join.ready && c.join.due.Before(due) {
-		due = c.join.due
+	if !c.join.ready && c.join.nextRound.Before(due) {
+		due = c.join.nextRound
 	}
 	return due
 }
 
-// Tick does what is due.
+// Tick performs the actions that are due.
 func (c *Core) Tick(now time.Time) {
 	c.membership.Tick(now)
 	c.gossip.Tick(now)
-	c.settle(now)
+	c.applyEffects(now)
 	if c.join.ready {
-		c.tryLost(now)
+		c.tryRejoin(now)
 	} else {
 		c.tickJoin(now)
 	}
 }
 
-// Receive handles an envelope. At is the address that was called if the envelope is an answer, empty if not.
-func (c *Core) Receive(now time.Time, e Envelope, at string) {
+// Receive handles an envelope. If the envelope is an answer, calledAddress is the address that was called; otherwise
+// it is empty.
+func (c *Core) Receive(now time.Time, e Envelope, calledAddress string) {
 	if e.From == c.id || e.From == "" {
 		return
 	}
-	c.checkAddress(e, at)
-	c.checkIncarnation(e)
+	c.markReplacedNodes(e, calledAddress)
+	c.reconcileSenderRecord(e)
 	c.membership.RecordContact(now, e.From, e.Incarnation)
 	for _, m := range e.Gossip {
 		c.gossip.Receive(now, string(e.From), m)
@@ -163,36 +164,36 @@
 	for _, m := range e.Membership {
 		c.membership.Receive(now, e.From, m)
 	}
-	compared := c.settle(now)
-	c.addressAnswers(e.From, at)
+	compared := c.applyEffects(now)
+	c.setAnswerAddress(e.From, calledAddress)
 	if !c.join.ready && slices.Contains(compared, string(e.From)) {
-		c.compared(now, e)
+		c.recordComparison(now, e)
 	}
 }
 
-// addressAnswers sends what goes back to a node that is not known yet to the address where it has answered.
-func (c *Core) addressAnswers(to membership.ID, at string) {
+// setAnswerAddress addresses envelopes for a node that is not yet known to the address at which it answered.
+func (c *Core) setAnswerAddress(to membership.ID, calledAddress string) {
 	if _, known := c.membership.Node(to); known {
 		return
 	}
 	for i := range c.outbox {
 		if c.outbox[i].To == to {
-			c.outbox[i].Address = at
+			c.outbox[i].Address = calledAddress
 		}
 	}
 }
 
-// checkAddress notices that another process answers where a node was taken to be.
-func (c *Core) checkAddress(e Envelope, at string) {
-	if at == "" {
+// markReplacedNodes declares older live nodes down if a newer process answers at their address.
+func (c *Core) markReplacedNodes(e Envelope, calledAddress string) {
+	if calledAddress == "" {
 		return
 	}
-	if n, known := c.membership.Node(e.From); known && n.Address == at && n.Incarnation == e.Incarnation {
-		return // as expected; what was there before has been judged
+	if n, known := c.membership.Node(e.From); known && n.Address == calledAddress && n.Incarnation == e.Incarnation {
+		return // the expected process; earlier ones at this address have already been marked
 	}
 	var replaced []membership.ID
 	c.membership.EachOther(func(id membership.ID, n *membership.Node) bool {
-		if n.Address == at && id != e.From && n.Live() && n.Incarnation < e.Incarnation {
+		if n.Address == calledAddress && id != e.From && n.Live() && n.Incarnation < e.Incarnation {
 			replaced = append(replaced, id)
 		}
 		return true
@@ -202,32 +203,32 @@
 	}
 }
 
-// checkIncarnation asks for the record of a sender that is unknown here or newer, and shows a sender the
-// record that is above what it says of itself, so that it refutes.
-func (c *Core) checkIncarnation(e Envelope) {
+// reconcileSenderRecord requests the record of a sender that is unknown or newer than its known record. It sends the
+// known record to a sender with a lower incarnation or one that was declared down, so that the sender refutes it.
+func (c *Core) reconcileSenderRecord(e Envelope) {
 	key := NodeKey(e.From)
-	known, some := c.gossip.GetWithTombstones(key)
+	known, found := c.gossip.GetWithTombstones(key)
 	state := membership.State(known.Stamp.Sequence)
 	switch {
-	case !some || known.Stamp.Epoch < e.Incarnation:
-		c.sendGossip(e.From, gossip.Message{Want: []string{key}})
+	case !found || known.Stamp.Epoch < e.Incarnation:
+		c.queueGossip(e.From, gossip.Message{Want: []string{key}})
 	case known.Stamp.Epoch > e.Incarnation || state == membership.Down:
-		c.sendGossip(e.From, gossip.Message{Push: []gossip.Entry{known}})
+		c.queueGossip(e.From, gossip.Message{Push: []gossip.Entry{known}})
 	}
 }
 
-// settle carries what gossip and membership have to tell each other until neither has more, and collects what
-// goes out. It gives the ids of the peers that the table was compared with.
-func (c *Core) settle(now time.Time) (compared []string) {
+// applyEffects passes the effects of gossip and membership to each other until neither has any left, and collects the
+// outgoing messages. It returns the ids of the peers with which a comparison of tables is complete.
+func (c *Core) applyEffects(now time.Time) (compared []string) {
 	for {
-		g := c.gossip.Take()
-		m := c.membership.Take()
-		if isSettled(g, m) {
+		gossipEffects := c.gossip.Take()
+		membershipEffects := c.membership.Take()
+		if areEmpty(gossipEffects, membershipEffects) {
 			break
 		}
-		compared = append(compared, g.Compared...)
-		c.takeGossip(now, g)
-		c.takeMembership(now, m)
+		compared = append(compared, gossipEffects.Compared...)
+		c.applyGossipEffects(now, gossipEffects)
+		c.applyMembershipEffects(now, membershipEffects)
 	}
 	if c.peersStale {
 		c.peersStale = false
@@ -236,40 +237,40 @@
 	return compared
 }
 
-func isSettled(g gossip.Effects, m membership.Effects) bool {
-	return len(g.Messages)+len(g.Changed)+len(g.Expired)+len(g.Compared)+
-		len(m.Heartbeats)+len(m.Messages)+len(m.Declared)+len(m.Changed) == 0
+func areEmpty(gossipEffects gossip.Effects, membershipEffects membership.Effects) bool {
+	return len(gossipEffects.Messages)+len(gossipEffects.Changed)+len(gossipEffects.Expired)+len(gossipEffects.Compared)+
+		len(membershipEffects.Heartbeats)+len(membershipEffects.Messages)+len(membershipEffects.Declared)+len(membershipEffects.Changed) == 0
 }
 
-func (c *Core) takeGossip(now time.Time, effects gossip.Effects) {
+func (c *Core) applyGossipEffects(now time.Time, effects gossip.Effects) {
 	for _, out := range effects.Messages {
-		c.sendGossip(membership.ID(out.To), out.Message)
+		c.queueGossip(membership.ID(out.To), out.Message)
 	}
 	for _, e := range effects.Changed {
 		c.effects.Changed = append(c.effects.Changed, e)
-		if n, isNode := c.asNode(e); isNode {
+		if n, isNode := c.parseNodeEntry(e); isNode {
 			c.membership.ApplyRecord(now, n)
 		}
 	}
 	for _, key := range effects.Expired {
 		c.effects.Expired = append(c.effects.Expired, key)
-		if id, isNode := nodeIDOf(key); isNode {
+		if id, isNode := nodeIDFromKey(key); isNode {
 			c.membership.Remove(id)
 			c.effects.ChangedNodes = append(c.effects.ChangedNodes, id)
 		}
 	}
 }
 
-func (c *Core) takeMembership(now time.Time, effects membership.Effects) {
+func (c *Core) applyMembershipEffects(now time.Time, effects membership.Effects) {
 	for _, to := range effects.Heartbeats {
-		c.envelopeTo(to)
+		c.pendingEnvelope(to)
 	}
 	for _, out := range effects.Messages {
-		e := c.envelopeTo(out.To)
+		e := c.pendingEnvelope(out.To)
 		e.Membership = append(e.Membership, out.Message)
 	}
 	for _, n := range effects.Declared {
-		if entry, err := nodeEntry(n); err == nil {
+		if entry, err := nodeToEntry(n); err == nil {
 			c.gossip.Publish(now, entry)
 		}
 	}
@@ -277,20 +278,21 @@
 		c.effects.ChangedNodes = append(c.effects.ChangedNodes, id)
 		c.peersStale = true
 		if n, known := c.membership.Node(id); known {
-			c.rejoin.note(n)
+			c.rejoin.recordNode(n)
 		}
 	}
 }
 
-func (c *Core) asNode(e gossip.Entry) (membership.Node, bool) {
-	if _, isNode := nodeIDOf(e.Key); !isNode {
+// parseNodeEntry returns the node that an entry describes; false if the entry is no valid node record.
+func (c *Core) parseNodeEntry(e gossip.Entry) (membership.Node, bool) {
+	if _, isNode := nodeIDFromKey(e.Key); !isNode {
 		return membership.Node{}, false
 	}
-	n, err := nodeOf(e)
+	n, err := nodeFromEntry(e)
 	return n, err == nil
 }
 
-// peers are the live nodes besides this one.
+// peers returns the live nodes except this one.
 func (c *Core) peers() []gossip.Peer {
 	var peers []gossip.Peer
 	c.membership.EachOther(func(id membership.ID, n *membership.Node) bool {
@@ -302,14 +304,14 @@
 	return peers
 }
 
-// sendGossip adds a message to what goes to a node.
-func (c *Core) sendGossip(to membership.ID, m gossip.Message) {
-	e := c.envelopeTo(to)
+// queueGossip adds a message to the pending envelope for a node.
+func (c *Core) queueGossip(to membership.ID, m gossip.Message) {
+	e := c.pendingEnvelope(to)
 	e.Gossip = append(e.Gossip, m)
 }
 
-// envelopeTo gives the envelope that goes to a node with the next Take. The pointer holds until the next call.
-func (c *Core) envelopeTo(to membership.ID) *Envelope {
+// pendingEnvelope returns the envelope that the next Take returns for a node. The pointer is valid until the next call.
+func (c *Core) pendingEnvelope(to membership.ID) *Envelope {
 	for i := range c.outbox {
 		if c.outbox[i].To == to {
 			return &c.outbox[i].Envelope
@@ -319,16 +321,16 @@
 	return &c.outbox[len(c.outbox)-1].Envelope
 }
 
-// greet opens a comparison with whoever is at an address and tells it of this node.
-func (c *Core) greet(address string) {
+// sendCompareRequest starts a comparison with the node at an address and sends it the record of this node.
+func (c *Core) sendCompareRequest(address string) {
 	messages := []gossip.Message{c.gossip.CompareRequest()}
-	if own, some := c.gossip.Get(NodeKey(c.id)); some {
+	if own, found := c.gossip.Get(NodeKey(c.id)); found {
 		messages = append(messages, gossip.Message{Push: []gossip.Entry{own}})
 	}
 	c.outbox = append(c.outbox, Outgoing{Address: address, Envelope: Envelope{Gossip: messages}})
 }
 
-// Take gives the effects of the steps since the last Take.
+// Take returns the effects of all calls since the last Take.
 func (c *Core) Take() Effects {
 	taken := c.effects
 	taken.Messages = c.outbox
--- a/internal/tier/cluster/core/doc.go
+++ b/internal/tier/cluster/core/doc.go
@@ -1,10 +1,10 @@
-// Package core joins gossip and membership into one step-wise node: the records of nodes are entries of the
-// gossip table, and what membership declares is published there. It also finds the others at the start and
-// after a cut.
+// Package core combines gossip and membership into the state machine of one node: node records are entries of
+// the gossip table, and the declarations of membership are published there. It also discovers other nodes at
+// startup and after a network partition.
 //
-// A Core is pure: time, envelopes and the seed of its choices come in, effects go out. The runtime around it
-// is internal/tier/cluster; tests run hundreds of them under a seeded scheduler.
+// A Core does no I/O and is deterministic: time, envelopes and the random seed are arguments, effects are
+// returned. Package internal/tier/cluster runs it; tests run hundreds of cores under a seeded scheduler.
 //
-// Invariants: the table's record of a node and membership's view of it agree, a local suspicion apart; a node
-// calls itself ready only after a comparison with others, see join.
+// Invariants: the record of a node in the table agrees with the view of membership, except for a local
+// suspicion; a node reports ready only after it has compared its table with other nodes (see joinState).
 package core
--- a/internal/tier/cluster/core/rejoin.go
+++ b/internal/tier/cluster/core/rejoin.go
@@ -8,72 +8,73 @@
 )
 
 const (
-	// lostInterval is how often one node that is not among the live ones is tried: after a cut, two sides that
-	// have declared each other down find each other so.
-	lostInterval = time.Second
-	// cutInterval is how often, and cutTries how many are tried by a node that hears from no other machine.
-	cutInterval = 400 * time.Millisecond
-	cutTries    = 4
-	// maxRemembered bounds the addresses of lost nodes that are kept.
-	maxRemembered = 64
+	// rejoinInterval is how often one node that is not known as live is contacted. After a network partition, two
+	// sides that have declared each other down find each other this way.
+	rejoinInterval = time.Second
+	// isolatedRejoinInterval is how often a node that hears from no other machine contacts such nodes, and
+	// isolatedRejoinTries is how many of them at a time.
+	isolatedRejoinInterval = 400 * time.Millisecond
+	isolatedRejoinTries    = 4
+	// maxLostNodes bounds the number of lost nodes whose addresses are kept.
+	maxLostNodes = 64
 )
 
-// lost is a node that went down, as it was when it was seen last.
-type lost struct {
-	id      membership.ID
-	address string
-	hub     bool
+// lostNode is a node that went down, as last known.
+type lostNode struct {
+	id        membership.ID
+	address   string
+	isControl bool
 }
 
-// rejoin remembers where others may be found again.
-type rejoin struct {
-	seeds []string
-	lost  []lost // the oldest first
-	turn  int
-	next  time.Time
+// rejoinState holds the addresses at which other nodes may be found again.
+type rejoinState struct {
+	seeds     []string
+	lost      []lostNode // oldest first
+	nextIndex int
+	nextRound time.Time
 }
 
-// note keeps the address of a node that has gone down, and drops that of one that runs or has left.
-func (r *rejoin) note(n membership.Node) {
+// recordNode keeps the address of a node that is down and drops that of a node that runs or has left.
+func (r *rejoinState) recordNode(n membership.Node) {
 	id := n.ID()
-	r.lost = slices.DeleteFunc(r.lost, func(l lost) bool { return l.id == id || l.address == n.Address })
+	r.lost = slices.DeleteFunc(r.lost, func(l lostNode) bool { return l.id == id || l.address == n.Address })
 	if n.State != membership.Down {
 		return
 	}
-	if len(r.lost) >= maxRemembered {
-		r.lost = slices.Delete(r.lost, r.leastUseful(), r.leastUseful()+1)
+	if len(r.lost) >= maxLostNodes {
+		r.lost = slices.Delete(r.lost, r.evictionIndex(), r.evictionIndex()+1)
 	}
-	r.lost = append(r.lost, lost{id: id, address: n.Address, hub: n.Role == membership.Control})
+	r.lost = append(r.lost, lostNode{id: id, address: n.Address, isControl: n.Role == membership.Control})
 }
 
-// leastUseful is the oldest that is no control node, or the oldest.
-func (r *rejoin) leastUseful() int {
-	return max(0, slices.IndexFunc(r.lost, func(l lost) bool { return !l.hub }))
+// evictionIndex returns the index of the oldest lost node that is not a control node, or of the oldest one.
+func (r *rejoinState) evictionIndex() int {
+	return max(0, slices.IndexFunc(r.lost, func(l lostNode) bool { return !l.isControl }))
 }
 
-// tryLost greets nodes that are not among the live ones, in turn.
-func (c *Core) tryLost(now time.Time) {
-	if now.Before(c.rejoin.next) {
+// tryRejoin requests comparisons from nodes that are not known as live, in rotation.
+func (c *Core) tryRejoin(now time.Time) {
+	if now.Before(c.rejoin.nextRound) {
 		return
 	}
-	interval, tries := lostInterval, 1
+	interval, tries := rejoinInterval, 1
 	if !c.membership.HasRecentContact(now) {
-		interval, tries = cutInterval, cutTries
+		interval, tries = isolatedRejoinInterval, isolatedRejoinTries
 	}
 	jitter := time.Duration(c.random.Int64N(int64(interval / 4)))
-	c.rejoin.next = now.Add(interval - interval/8 + jitter)
-	addresses := c.lostAddresses()
+	c.rejoin.nextRound = now.Add(interval - interval/8 + jitter)
+	addresses := c.rejoinAddresses()
 	for range min(tries, len(addresses)) {
-		c.greet(addresses[c.rejoin.turn%len(addresses)])
-		c.rejoin.turn++
+		c.sendCompareRequest(addresses[c.rejoin.nextIndex%len(addresses)])
+		c.rejoin.nextIndex++
 	}
 }
 
-// lostAddresses are the seeds where no live node is known, and the lost nodes.
-func (c *Core) lostAddresses() []string {
+// rejoinAddresses returns the addresses of the seeds at which no live node is known, and of the lost nodes.
+func (c *Core) rejoinAddresses() []string {
 	var addresses []string
 	for _, seed := range c.rejoin.seeds {
-		if !c.isLiveAt(seed) {
+		if !c.hasLiveNodeAt(seed) {
 			addresses = append(addresses, seed)
 		}
 	}
@@ -85,8 +86,8 @@
 	return addresses
 }
 
-// isLiveAt tells whether a live node is known at an address.
-func (c *Core) isLiveAt(address string) bool {
+// hasLiveNodeAt reports whether a live node is known at an address.
+func (c *Core) hasLiveNodeAt(address string) bool {
 	found := false
 	c.membership.EachOther(func(_ membership.ID, n *membership.Node) bool {
 		found = n.Address == address && n.Live()
--- a/internal/tier/cluster/core/wire.go
+++ b/internal/tier/cluster/core/wire.go
@@ -10,7 +10,7 @@
 	"emberquay/internal/tier/transport"
 )
 
-// WireEnvelope is an envelope as avro holds it: numbers without sign as longs, the sums of buckets as bytes.
+// WireEnvelope is the avro form of an envelope. Unsigned numbers are stored as longs, bucket sums as bytes.
 type WireEnvelope struct {
 	From        string           `avro:"from"`
 	Incarnation int64            `avro:"incarnation"`
@@ -19,14 +19,14 @@
 	Membership  []wireMembership `avro:"membership"`
 }
 
-// WireStamp is a stamp as avro holds it.
+// WireStamp is the avro form of a stamp.
 type WireStamp struct {
 	Epoch    int64  `avro:"epoch"`
 	Sequence int64  `avro:"sequence"`
 	Origin   string `avro:"origin"`
 }
 
-// WireEntry is an entry as avro holds it.
+// WireEntry is the avro form of an entry.
 type WireEntry struct {
 	Key   string    `avro:"key"`
 	Stamp WireStamp `avro:"stamp"`
@@ -42,7 +42,7 @@
 	Push    []WireEntry   `avro:"push"`
 	Offer   []wireVersion `avro:"offer"`
 	Want    []string      `avro:"want"`
-	Compare *int64        `avro:"compare"` // the root
+	Compare *int64        `avro:"compare"` // root of the digest
 	Equal   bool          `avro:"equal"`
 	Sums    []byte        `avro:"sums"`
 	Summary *wireSummary  `avro:"summary"`
@@ -65,7 +65,7 @@
 
 type wireMembership struct {
 	Ping  *wirePing `avro:"ping"`
-	Probe *string   `avro:"probe"` // the target
+	Probe *string   `avro:"probe"` // id of the target
 	Ack   *wireAck  `avro:"ack"`
 }
 
@@ -79,7 +79,7 @@
 	For         string `avro:"for"`
 }
 
-// The schemas of what other messages of the cluster are made of too.
+// Schemas of parts that other messages of the cluster also contain.
 const (
 	StampSchema = `{"type":"record","name":"Stamp","fields":[
 	{"name":"epoch","type":"long"},
@@ -125,7 +125,7 @@
 		{"name":"incarnation","type":"long"},
 		{"name":"for","type":"string"}]}]}]}`
 
-// EnvelopeCodec codes envelopes on the wire.
+// EnvelopeCodec encodes and decodes envelopes.
 var EnvelopeCodec = transport.MustCodec[WireEnvelope](`{"type":"record","name":"ClusterEnvelope","fields":[
 	{"name":"from","type":"string"},
 	{"name":"incarnation","type":"long"},
@@ -133,43 +133,43 @@
 	{"name":"gossip","type":{"type":"array","items":` + gossipSchema + `}},
 	{"name":"membership","type":{"type":"array","items":` + membershipSchema + `}}]}`)
 
-// EnvelopeToWire gives the form of an envelope that avro holds.
+// EnvelopeToWire converts an envelope to its avro form.
 func EnvelopeToWire(e Envelope) WireEnvelope {
 	return WireEnvelope{
 		From:        string(e.From),
 		Incarnation: int64(e.Incarnation),
 		Syncing:     e.Syncing,
-		Gossip:      each(e.Gossip, gossipToWire),
-		Membership:  each(e.Membership, membershipToWire),
+		Gossip:      convertAll(e.Gossip, gossipToWire),
+		Membership:  convertAll(e.Membership, membershipToWire),
 	}
 }
 
-// EnvelopeFromWire reads an envelope.
+// EnvelopeFromWire converts an envelope from its avro form.
 func EnvelopeFromWire(w WireEnvelope) (Envelope, error) {
 	e := Envelope{
 		From:        membership.ID(w.From),
 		Incarnation: uint64(w.Incarnation),
 		Syncing:     w.Syncing,
-		Membership:  each(w.Membership, membershipFromWire),
+		Membership:  convertAll(w.Membership, membershipFromWire),
 	}
 	for _, g := range w.Gossip {
 		m, err := gossipFromWire(g)
 		if err != nil {
-			return Envelope{}, eris.Wrapf(err, "from %s", w.From)
+			return Envelope{}, eris.Wrapf(err, "envelope from %s", w.From)
 		}
 		e.Gossip = append(e.Gossip, m)
 	}
 	return e, nil
 }
 
-// each converts all of a list; an empty one stays nil.
-func each[A, B any](list []A, convert func(A) B) []B {
+// convertAll converts each element of a list. It returns nil for an empty list.
+func convertAll[A, B any](list []A, convert func(A) B) []B {
 	if len(list) == 0 {
 		return nil
 	}
 	converted := make([]B, len(list))
-	for i, one := range list {
-		converted[i] = convert(one)
+	for i, element := range list {
+		converted[i] = convert(element)
 	}
 	return converted
 }
@@ -178,17 +178,17 @@
 	return WireStamp{Epoch: int64(s.Epoch), Sequence: int64(s.Sequence), Origin: s.Origin}
 }
 
-// StampFromWire reads a stamp.
+// StampFromWire converts a stamp from its avro form.
 func StampFromWire(s WireStamp) gossip.Stamp {
 	return gossip.Stamp{Epoch: uint64(s.Epoch), Sequence: uint64(s.Sequence), Origin: s.Origin}
 }
 
-// EntryToWire gives the form of an entry that avro holds.
+// EntryToWire converts an entry to its avro form.
 func EntryToWire(e gossip.Entry) WireEntry {
 	return WireEntry{Key: e.Key, Stamp: stampToWire(e.Stamp), Value: e.Value}
 }
 
-// EntryFromWire reads an entry.
+// EntryFromWire converts an entry from its avro form.
 func EntryFromWire(e WireEntry) gossip.Entry {
 	return gossip.Entry{Key: e.Key, Stamp: StampFromWire(e.Stamp), Value: e.Value}
 }
@@ -203,8 +203,8 @@
 
 func gossipToWire(m gossip.Message) wireGossip {
 	w := wireGossip{
-		Push:  each(m.Push, EntryToWire),
-		Offer: each(m.Offer, versionToWire),
+		Push:  convertAll(m.Push, EntryToWire),
+		Offer: convertAll(m.Offer, versionToWire),
 		Want:  m.Want,
 		Equal: m.Equal,
 		Sums:  sumsToWire(m.BucketSums),
@@ -214,10 +214,10 @@
 		w.Compare = &root
 	}
 	if s := m.Summary; s != nil {
-		w.Summary = &wireSummary{Buckets: s.Buckets, Versions: each(s.Versions, versionToWire), Whole: s.Whole, Partial: s.Partial}
+		w.Summary = &wireSummary{Buckets: s.Buckets, Versions: convertAll(s.Versions, versionToWire), Whole: s.Whole, Partial: s.Partial}
 	}
 	if d := m.Delta; d != nil {
-		w.Delta = &wireDelta{Entries: each(d.Entries, EntryToWire), Want: d.Want, Offer: each(d.Offer, versionToWire), Partial: d.Partial}
+		w.Delta = &wireDelta{Entries: convertAll(d.Entries, EntryToWire), Want: d.Want, Offer: convertAll(d.Offer, versionToWire), Partial: d.Partial}
 	}
 	return w
 }
@@ -228,8 +228,8 @@
 		return gossip.Message{}, err
 	}
 	m := gossip.Message{
-		Push:       each(w.Push, EntryFromWire),
-		Offer:      each(w.Offer, versionFromWire),
+		Push:       convertAll(w.Push, EntryFromWire),
+		Offer:      convertAll(w.Offer, versionFromWire),
 		Want:       w.Want,
 		Equal:      w.Equal,
 		BucketSums: sums,
@@ -238,32 +238,32 @@
 		m.Compare = &gossip.Digest{Root: uint64(*w.Compare)}
 	}
 	if s := w.Summary; s != nil {
-		m.Summary = &gossip.Summary{Buckets: s.Buckets, Versions: each(s.Versions, versionFromWire), Whole: s.Whole, Partial: s.Partial}
+		m.Summary = &gossip.Summary{Buckets: s.Buckets, Versions: convertAll(s.Versions, versionFromWire), Whole: s.Whole, Partial: s.Partial}
 	}
 	if d := w.Delta; d != nil {
-		m.Delta = &gossip.Delta{Entries: each(d.Entries, EntryFromWire), Want: d.Want, Offer: each(d.Offer, versionFromWire), Partial: d.Partial}
+		m.Delta = &gossip.Delta{Entries: convertAll(d.Entries, EntryFromWire), Want: d.Want, Offer: convertAll(d.Offer, versionFromWire), Partial: d.Partial}
 	}
 	return m, nil
 }
 
-// sumBytes is the size of one bucket's sum on the wire.
+// sumBytes is the encoded size of the sum of one bucket.
 const sumBytes = 4
 
 func sumsToWire(sums []uint32) []byte {
-	packed := make([]byte, 0, sumBytes*len(sums))
+	encoded := make([]byte, 0, sumBytes*len(sums))
 	for _, sum := range sums {
-		packed = binary.BigEndian.AppendUint32(packed, sum)
+		encoded = binary.BigEndian.AppendUint32(encoded, sum)
 	}
-	return packed
+	return encoded
 }
 
-func sumsFromWire(packed []byte) ([]uint32, error) {
-	if len(packed)%sumBytes != 0 {
-		return nil, eris.Errorf("%d bytes of sums", len(packed))
+func sumsFromWire(encoded []byte) ([]uint32, error) {
+	if len(encoded)%sumBytes != 0 {
+		return nil, eris.Errorf("bucket sums have an invalid length of %d bytes", len(encoded))
 	}
 	var sums []uint32
-	for ; len(packed) > 0; packed = packed[sumBytes:] {
-		sums = append(sums, binary.BigEndian.Uint32(packed))
+	for ; len(encoded) > 0; encoded = encoded[sumBytes:] {
+		sums = append(sums, binary.BigEndian.Uint32(encoded))
 	}
 	return sums, nil
 }
--- a/internal/tier/cluster/exchange.go
+++ b/internal/tier/cluster/exchange.go
@@ -9,106 +9,106 @@
 	"emberquay/internal/tier/transport"
 )
 
-// The methods of the cluster. An exchange is answered with an envelope; what is told is not answered.
+// Methods of the cluster. An exchange is answered with an envelope; a tell is one-way.
 const (
 	methodExchange transport.Method = "cluster.exchange"
 	methodTell     transport.Method = "cluster.tell"
 )
 
 const (
-	// sendTime bounds one exchange: a peer behind a cut says nothing.
-	sendTime = 800 * time.Millisecond
-	// sendsAtOnce bounds the envelopes under way, and sendsToOne those to one address: peers that don't answer
-	// must not take the place of those that do. What is over them is dropped, as the network might do.
-	sendsAtOnce = 128
-	sendsToOne  = 8
+	// sendTimeout bounds one exchange, because a peer behind a network partition never answers.
+	sendTimeout = 800 * time.Millisecond
+	// maxSends bounds the envelopes in flight, and maxSendsPerAddress those to one address, so that peers that don't
+	// answer cannot block sends to those that do. Envelopes beyond the bounds are dropped, as the network might do.
+	maxSends           = 128
+	maxSendsPerAddress = 8
 )
 
-// senders carry envelopes to their addresses, each in a goroutine of its own.
-type senders struct {
-	cluster *Cluster
-	mutex   sync.Mutex
-	byTo    map[string]int // envelopes under way by address; guarded by mutex
-	total   int            // guarded by mutex
-	dropped int            // guarded by mutex
+// sender sends envelopes to their addresses, each in its own goroutine.
+type sender struct {
+	cluster           *Cluster
+	mutex             sync.Mutex
+	inFlightByAddress map[string]int // guarded by mutex
+	inFlight          int            // guarded by mutex
+	dropped           int            // guarded by mutex
 }
 
-func newSenders(c *Cluster) *senders { return &senders{cluster: c, byTo: map[string]int{}} }
+func newSender(c *Cluster) *sender { return &sender{cluster: c, inFlightByAddress: map[string]int{}} }
 
-// send sends an envelope, unless too many are under way. It doesn't wait.
-func (s *senders) send(out core.Outgoing) {
-	if !s.begin(out.Address) {
+// send sends an envelope without waiting for it, or drops it if too many are in flight.
+func (s *sender) send(out core.Outgoing) {
+	if !s.acquire(out.Address) {
 		return
 	}
 	go func() {
-		defer s.end(out.Address)
-		s.carry(out)
+		defer s.release(out.Address)
+		s.transmit(out)
 	}()
 }
 
-func (s *senders) begin(address string) bool {
+func (s *sender) acquire(address string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.total >= sendsAtOnce || s.byTo[address] >= sendsToOne {
+	if s.inFlight >= maxSends || s.inFlightByAddress[address] >= maxSendsPerAddress {
 		s.dropped++
 		return false
 	}
-	s.total++
-	s.byTo[address]++
+	s.inFlight++
+	s.inFlightByAddress[address]++
 	return true
 }
 
-func (s *senders) end(address string) {
+func (s *sender) release(address string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.total--
-	s.byTo[address]--
-	if s.byTo[address] == 0 {
-		delete(s.byTo, address)
+	s.inFlight--
+	s.inFlightByAddress[address]--
+	if s.inFlightByAddress[address] == 0 {
+		delete(s.inFlightByAddress, address)
 	}
 }
 
-// carry sends one envelope and hands its answer to the owner. A failure is no news: silence is judged by the
-// monitors.
-func (s *senders) carry(out core.Outgoing) {
+// transmit sends one envelope and passes its answer to the owner. Failures are only logged: the monitors detect nodes
+// that are silent.
+func (s *sender) transmit(out core.Outgoing) {
 	c := s.cluster
-	ctx, cancel := context.WithTimeout(context.Background(), sendTime)
+	ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
 	defer cancel()
 	wire := core.EnvelopeToWire(out.Envelope)
 	if !out.Envelope.ExpectsAnswer() {
 		if err := transport.Send(ctx, c.client, out.Address, methodTell, core.EnvelopeCodec, wire); err != nil {
-			c.log.WithError(err).Debug("cluster: not told")
+			c.log.WithError(err).Debug("cluster: one-way envelope not sent")
 		}
 		return
 	}
 	answer, err := transport.Call(ctx, c.client, out.Address, methodExchange, core.EnvelopeCodec, core.EnvelopeCodec, wire)
 	if err != nil {
-		c.log.WithError(err).Debug("cluster: no answer")
+		c.log.WithError(err).Debug("cluster: exchange failed")
 		return
 	}
 	envelope, err := core.EnvelopeFromWire(answer)
 	if err != nil {
-		c.log.WithError(err).Warnf("cluster: answer of %s", out.Address)
+		c.log.WithError(err).Warnf("cluster: malformed answer from %s", out.Address)
 		return
 	}
-	c.do(func(o *owner, now time.Time) { o.core.Receive(now, envelope, out.Address) })
+	c.submit(func(o *owner, now time.Time) { o.core.Receive(now, envelope, out.Address) })
 }
 
-// handle registers what other nodes call.
-func (c *Cluster) handle(mux *transport.Mux) {
-	transport.Handle(mux, methodExchange, core.EnvelopeCodec, core.EnvelopeCodec, c.exchanged)
-	transport.Receive(mux, methodTell, core.EnvelopeCodec, c.told)
-	transport.Handle(mux, methodConfirm, confirmRequests, confirmAnswers, c.confirmed)
-	transport.Handle(mux, methodFetch, fetchRequests, fetchAnswers, c.fetched)
+// registerHandlers registers the methods that other nodes call.
+func (c *Cluster) registerHandlers(mux *transport.Mux) {
+	transport.Handle(mux, methodExchange, core.EnvelopeCodec, core.EnvelopeCodec, c.handleExchange)
+	transport.Receive(mux, methodTell, core.EnvelopeCodec, c.handleTell)
+	transport.Handle(mux, methodConfirm, confirmRequestCodec, confirmAnswerCodec, c.handleConfirm)
+	transport.Handle(mux, methodFetch, fetchRequestCodec, fetchAnswerCodec, c.handleFetch)
 }
 
-func (c *Cluster) exchanged(ctx context.Context, w core.WireEnvelope) (core.WireEnvelope, error) {
+func (c *Cluster) handleExchange(ctx context.Context, w core.WireEnvelope) (core.WireEnvelope, error) {
 	envelope, err := core.EnvelopeFromWire(w)
 	if err != nil {
 		return core.WireEnvelope{}, err
 	}
 	answers := make(chan core.Envelope, 1)
-	c.do(func(o *owner, now time.Time) { answers <- o.receive(now, envelope, "") })
+	c.submit(func(o *owner, now time.Time) { answers <- o.receiveAndAnswer(now, envelope, "") })
 	select {
 	case answer := <-answers:
 		return core.EnvelopeToWire(answer), nil
@@ -119,11 +119,11 @@
 	}
 }
 
-func (c *Cluster) told(_ context.Context, w core.WireEnvelope) {
+func (c *Cluster) handleTell(_ context.Context, w core.WireEnvelope) {
 	envelope, err := core.EnvelopeFromWire(w)
 	if err != nil {
-		c.log.WithError(err).Warn("cluster: envelope")
+		c.log.WithError(err).Warn("cluster: malformed one-way envelope")
 		return
 	}
-	c.do(func(o *owner, now time.Time) { o.core.Receive(now, envelope, "") })
+	c.submit(func(o *owner, now time.Time) { o.core.Receive(now, envelope, "") })
 }
--- a/internal/tier/cluster/notifier.go
+++ b/internal/tier/cluster/notifier.go
@@ -7,57 +7,58 @@
 	"emberquay/coordination/membership"
 )
 
-// notifier calls the watchers from one goroutine. What waits for it is bounded by the table: keys and ids wait,
-// not values, and what is told is read when it is told. So no watcher sees a key go backwards.
+// notifier calls the watchers from one goroutine. Its queue holds each key and node id at most once, so the table bounds
+// its length. Values are read when the watchers are called, so no watcher gets an older entry after a newer one.
 type notifier struct {
 	entryOf func(key string) (Entry, bool)
 	nodeOf  func(id membership.ID) (Node, bool)
 
 	mutex    sync.Mutex
 	wake     chan struct{}
-	waiting  map[notice]struct{}
-	order    []notice
+	queued   map[notification]struct{}
+	queue    []notification
 	watchers []watcher
 }
 
-// notice is one thing to tell: the entry of a key, or a node, or all that is there to a new watcher.
-type notice struct {
-	key     string
-	node    membership.ID
-	watcher int // 1 more than the index of the new watcher
+// notification is a pending call of watchers: for the entry of a key, for a node, or for a new watcher, which gets all
+// current entries or nodes. One field is set.
+type notification struct {
+	key        string
+	node       membership.ID
+	newWatcher int // index of the new watcher plus 1
 }
 
-// watcher is one registered callback, of entries or of nodes, and how it is told what is there already.
+// watcher is a registered callback for entries or for nodes. Its replay calls it with all that is currently known.
 type watcher struct {
 	prefix  string
-	entry   func(Entry)
-	node    func(Node)
-	present func()
+	onEntry func(Entry)
+	onNode  func(Node)
+	replay  func()
 }
 
 func newNotifier(entryOf func(string) (Entry, bool), nodeOf func(membership.ID) (Node, bool)) *notifier {
-	return &notifier{entryOf: entryOf, nodeOf: nodeOf, wake: make(chan struct{}, 1), waiting: map[notice]struct{}{}}
+	return &notifier{entryOf: entryOf, nodeOf: nodeOf, wake: make(chan struct{}, 1), queued: map[notification]struct{}{}}
 }
 
-// entry tells the watchers of a key's prefix.
-func (n *notifier) entry(key string) { n.add(notice{key: key}) }
+// entryChanged queues a call of the watchers of a key's prefix.
+func (n *notifier) entryChanged(key string) { n.enqueue(notification{key: key}) }
 
-// node tells the watchers of nodes.
-func (n *notifier) node(id membership.ID) { n.add(notice{node: id}) }
+// nodeChanged queues a call of the watchers of nodes.
+func (n *notifier) nodeChanged(id membership.ID) { n.enqueue(notification{node: id}) }
 
 func (n *notifier) register(w watcher) {
 	n.mutex.Lock()
 	n.watchers = append(n.watchers, w)
 	index := len(n.watchers)
 	n.mutex.Unlock()
-	n.add(notice{watcher: index})
+	n.enqueue(notification{newWatcher: index})
 }
 
-func (n *notifier) add(what notice) {
+func (n *notifier) enqueue(item notification) {
 	n.mutex.Lock()
-	if _, waits := n.waiting[what]; !waits {
-		n.waiting[what] = struct{}{}
-		n.order = append(n.order, what)
+	if _, isQueued := n.queued[item]; !isQueued {
+		n.queued[item] = struct{}{}
+		n.queue = append(n.queue, item)
 	}
 	n.mutex.Unlock()
 	select {
@@ -80,54 +81,54 @@
 
 func (n *notifier) drain() {
 	for {
-		what, watchers, some := n.next()
-		if !some {
+		item, watchers, found := n.dequeue()
+		if !found {
 			return
 		}
-		n.tell(what, watchers)
+		n.notify(item, watchers)
 	}
 }
 
-func (n *notifier) next() (notice, []watcher, bool) {
+func (n *notifier) dequeue() (notification, []watcher, bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if len(n.order) == 0 {
-		n.order = nil
-		return notice{}, nil, false
+	if len(n.queue) == 0 {
+		n.queue = nil
+		return notification{}, nil, false
 	}
-	first := n.order[0]
-	n.order = n.order[1:]
-	delete(n.waiting, first)
+	first := n.queue[0]
+	n.queue = n.queue[1:]
+	delete(n.queued, first)
 	return first, n.watchers[:len(n.watchers):len(n.watchers)], true
 }
 
-func (n *notifier) tell(what notice, watchers []watcher) {
+func (n *notifier) notify(item notification, watchers []watcher) {
 	switch {
-	case what.watcher > 0:
-		watchers[what.watcher-1].present()
-	case what.node != "":
-		if node, known := n.nodeOf(what.node); known {
-			tellNode(watchers, node)
+	case item.newWatcher > 0:
+		watchers[item.newWatcher-1].replay()
+	case item.node != "":
+		if node, known := n.nodeOf(item.node); known {
+			notifyNode(watchers, node)
 		}
 	default:
-		if entry, known := n.entryOf(what.key); known {
-			tellEntry(watchers, entry)
+		if entry, known := n.entryOf(item.key); known {
+			notifyEntry(watchers, entry)
 		}
 	}
 }
 
-func tellEntry(watchers []watcher, entry Entry) {
+func notifyEntry(watchers []watcher, entry Entry) {
 	for _, w := range watchers {
-		if w.entry != nil && strings.HasPrefix(entry.Key, w.prefix) {
-			w.entry(entry)
+		if w.onEntry != nil && strings.HasPrefix(entry.Key, w.prefix) {
+			w.onEntry(entry)
 		}
 	}
 }
 
-func tellNode(watchers []watcher, node Node) {
+func notifyNode(watchers []watcher, node Node) {
 	for _, w := range watchers {
-		if w.node != nil {
-			w.node(node)
+		if w.onNode != nil {
+			w.onNode(node)
 		}
 	}
 }
--- a/internal/tier/cluster/owner.go
+++ b/internal/tier/cluster/owner.go
@@ -7,21 +7,21 @@
 	"emberquay/internal/tier/cluster/core"
 )
 
-// commandBound is how many commands may wait for the owner; callers beyond it wait.
-const commandBound = 256
+// commandQueueSize is the number of commands that may wait for the owner. Callers block while the queue is full.
+const commandQueueSize = 256
 
-// command is a step of the owner.
+// command is a function that the owner executes.
 type command func(o *owner, now time.Time)
 
-// owner is the one goroutine that steps the node.
+// owner is the state of the goroutine that owns the node.
 type owner struct {
 	cluster *Cluster
 	core    *core.Core
 	isReady bool
 }
 
-// do hands a command to the owner. It waits while the queue is full, and tells whether the owner runs.
-func (c *Cluster) do(f command) bool {
+// submit queues a command for the owner. It blocks while the queue is full, and returns false if the cluster is closed.
+func (c *Cluster) submit(f command) bool {
 	select {
 	case c.commands <- f:
 		return true
@@ -45,25 +45,25 @@
 		if !now.Before(o.core.Due()) {
 			o.core.Tick(now)
 		}
-		o.carryOut()
+		o.applyPendingEffects()
 		timer.Reset(time.Until(o.core.Due()))
 	}
 }
 
-// carryOut does what the steps have asked for.
-func (o *owner) carryOut() { o.carryOutThese(o.core.Take()) }
+// applyPendingEffects carries out the effects of all calls of the node since the last time.
+func (o *owner) applyPendingEffects() { o.applyEffects(o.core.Take()) }
 
-func (o *owner) carryOutThese(effects core.Effects) {
-	o.snapshot(effects)
+func (o *owner) applyEffects(effects core.Effects) {
+	o.updateSnapshots(effects)
 	for _, e := range effects.Changed {
-		o.cluster.notify.entry(e.Key)
+		o.cluster.notifier.entryChanged(e.Key)
 	}
 	for _, id := range effects.ChangedNodes {
-		o.cluster.notify.node(id)
+		o.cluster.notifier.nodeChanged(id)
 	}
 	for _, out := range effects.Messages {
 		if out.Address != "" {
-			o.cluster.senders.send(out)
+			o.cluster.sender.send(out)
 		}
 	}
 	if !o.isReady && o.core.Ready() {
@@ -72,15 +72,15 @@
 	}
 }
 
-// snapshot publishes the state that others read: before they are told of it.
-func (o *owner) snapshot(effects core.Effects) {
+// updateSnapshots replaces the snapshots that other goroutines read. It must run before the watchers are notified.
+func (o *owner) updateSnapshots(effects core.Effects) {
 	if len(effects.Changed)+len(effects.Expired) > 0 {
 		table := o.cluster.table.Load().Txn()
 		for _, e := range effects.Changed {
 			table.Insert([]byte(e.Key), e)
 		}
 		for _, key := range effects.Expired {
-			if _, there := o.core.Get(key); !there {
+			if _, exists := o.core.Get(key); !exists {
 				table.Delete([]byte(key))
 			}
 		}
@@ -92,11 +92,11 @@
 	}
 }
 
-// receive steps the node with an envelope and gives what goes back to its sender. At is the address that was
-// called if the envelope is an answer.
-func (o *owner) receive(now time.Time, e core.Envelope, at string) core.Envelope {
-	o.carryOut() // what waits must not go out as this answer
-	o.core.Receive(now, e, at)
+// receiveAndAnswer passes an envelope to the node and returns the answer for its sender. If the envelope is itself an
+// answer, calledAddress is the address that was called.
+func (o *owner) receiveAndAnswer(now time.Time, e core.Envelope, calledAddress string) core.Envelope {
+	o.applyPendingEffects() // earlier messages to the sender must not be part of the answer
+	o.core.Receive(now, e, calledAddress)
 	effects := o.core.Take()
 	index := slices.IndexFunc(effects.Messages, func(out core.Outgoing) bool { return out.To == e.From })
 	answer := core.Envelope{From: o.core.Self().ID(), Incarnation: o.core.Self().Incarnation, Syncing: !o.core.Ready()}
@@ -104,6 +104,6 @@
 		answer = effects.Messages[index].Envelope
 		effects.Messages = slices.Delete(effects.Messages, index, index+1)
 	}
-	o.carryOutThese(effects)
+	o.applyEffects(effects)
 	return answer
 }
--- a/internal/tier/cluster/records/node.go
+++ b/internal/tier/cluster/records/node.go
@@ -2,7 +2,7 @@
 
 import "emberquay/coordination/membership"
 
-// NodeRecord is the value of node/NAME/ROLE. Its state is Alive, Down or Left: a suspicion is not spread.
+// NodeRecord is the value of node/NAME/ROLE. Its state is Alive, Down or Left: suspicions are not spread.
 type NodeRecord struct {
 	Name    string
 	Role    membership.Role
@@ -12,7 +12,7 @@
 	State   membership.State
 }
 
-// nodeWire is the record on the wire. The incarnation is the epoch of the entry's stamp.
+// nodeWire is the avro form of a NodeRecord. The incarnation is the epoch of the entry's stamp.
 type nodeWire struct {
 	Name    string `avro:"name"`
 	Role    int    `avro:"role"`
@@ -22,36 +22,36 @@
 	State   int    `avro:"state"`
 }
 
-var nodes = newCodec(`{"type":"record","name":"Node","fields":[
+var nodeCodec = newCodec(`{"type":"record","name":"Node","fields":[
 	{"name":"name","type":"string"},
 	{"name":"role","type":"int"},
 	{"name":"zone","type":"string"},
 	{"name":"region","type":"string"},
 	{"name":"address","type":"string"},
-	{"name":"state","type":"int"}]}`, checkNode)
+	{"name":"state","type":"int"}]}`, validateNode)
 
-func checkNode(n nodeWire) error {
-	c := checker{record: "node"}
-	c.text("name", n.Name, true)
-	c.text("zone", n.Zone, false)
-	c.text("region", n.Region, false)
-	c.text("address", n.Address, true)
-	c.within("role", int64(n.Role), int64(membership.Proxy), int64(membership.Store))
-	c.within("state", int64(n.State), int64(membership.Alive), int64(membership.Left))
+func validateNode(n nodeWire) error {
+	c := boundsChecker{record: "node"}
+	c.checkText("name", n.Name, true)
+	c.checkText("zone", n.Zone, false)
+	c.checkText("region", n.Region, false)
+	c.checkText("address", n.Address, true)
+	c.checkRange("role", int64(n.Role), int64(membership.Proxy), int64(membership.Store))
+	c.checkRange("state", int64(n.State), int64(membership.Alive), int64(membership.Left))
 	if membership.State(n.State) == membership.Suspect {
 		c.fail("state", "a suspicion is not spread")
 	}
-	return c.first
+	return c.firstError
 }
 
-// EncodeNode gives the bytes of a node's record.
+// EncodeNode checks the bounds of a node's record and returns its bytes.
 func EncodeNode(n NodeRecord) ([]byte, error) {
-	return nodes.Encode(nodeWire{Name: n.Name, Role: int(n.Role), Zone: n.Zone, Region: n.Region, Address: n.Address, State: int(n.State)})
+	return nodeCodec.Encode(nodeWire{Name: n.Name, Role: int(n.Role), Zone: n.Zone, Region: n.Region, Address: n.Address, State: int(n.State)})
 }
 
-// DecodeNode reads a node's record.
+// DecodeNode decodes a node's record and checks its bounds.
 func DecodeNode(value []byte) (NodeRecord, error) {
-	w, err := nodes.Decode(value)
+	w, err := nodeCodec.Decode(value)
 	if err != nil {
 		return NodeRecord{}, err
 	}
--- a/internal/tier/cluster/records/other.go
+++ b/internal/tier/cluster/records/other.go
@@ -1,13 +1,13 @@
 package records
 
-// ReportRecord is a receiver's own count of its load, which proxies send each other. Only the newest matters.
+// ReportRecord is the load that a receiver reports of itself. Proxies send it to each other; only the newest matters.
 type ReportRecord struct {
 	Instance  string `avro:"instance"`
 	Running   int    `avro:"running"`
 	Queued    int    `avro:"queued"`
 	KVUsed    int64  `avro:"kv_used"`    // tokens
 	KVTotal   int64  `avro:"kv_total"`   // tokens
-	AgeMillis int64  `avro:"age_millis"` // of the report when it was sent
+	AgeMillis int64  `avro:"age_millis"` // age of the report when it was sent
 	Sequence  int64  `avro:"sequence"`
 }
 
@@ -21,68 +21,68 @@
 	{"name":"age_millis","type":"long"},
 	{"name":"sequence","type":"long"}]}`
 
-// Validate gives a FieldError for the first field that is out of bounds.
-func (r ReportRecord) Validate() error {
-	c := checker{record: "report"}
-	c.text("instance", r.Instance, true)
-	c.within("running", int64(r.Running), 0, maxCount)
-	c.within("queued", int64(r.Queued), 0, maxCount)
-	c.within("kv_used", r.KVUsed, 0, maxCount)
-	c.within("kv_total", r.KVTotal, 0, maxCount)
-	c.within("age_millis", r.AgeMillis, 0, maxMillis)
-	return c.first
+// CheckBounds returns a FieldError for the first field that is out of bounds.
+func (r ReportRecord) CheckBounds() error {
+	c := boundsChecker{record: "report"}
+	c.checkText("instance", r.Instance, true)
+	c.checkRange("running", int64(r.Running), 0, maxCount)
+	c.checkRange("queued", int64(r.Queued), 0, maxCount)
+	c.checkRange("kv_used", r.KVUsed, 0, maxCount)
+	c.checkRange("kv_total", r.KVTotal, 0, maxCount)
+	c.checkRange("age_millis", r.AgeMillis, 0, maxMillis)
+	return c.firstError
 }
 
-// ConfigurationRecord is the value of configuration: the operator's document as it was sent.
+// ConfigurationRecord is the value of configuration: the operator's document as received.
 type ConfigurationRecord struct {
 	Version uint64
 	Body    []byte
 }
 
-// configurationWire is the record on the wire.
+// configurationWire is the avro form of a ConfigurationRecord.
 type configurationWire struct {
 	Version int64  `avro:"version"`
 	Body    []byte `avro:"body"`
 }
 
-var configurations = newCodec(`{"type":"record","name":"Configuration","fields":[
+var configurationWireCodec = newCodec(`{"type":"record","name":"Configuration","fields":[
 	{"name":"version","type":"long"},
-	{"name":"body","type":"bytes"}]}`, checkConfiguration)
+	{"name":"body","type":"bytes"}]}`, validateConfiguration)
 
-func checkConfiguration(r configurationWire) error {
-	c := checker{record: "configuration"}
-	c.within("body", int64(len(r.Body)), 0, MaxConfigurationBytes)
-	return c.first
+func validateConfiguration(r configurationWire) error {
+	c := boundsChecker{record: "configuration"}
+	c.checkRange("body", int64(len(r.Body)), 0, MaxConfigurationBytes)
+	return c.firstError
 }
 
-// ConfigurationCodec codes the value of configuration.
+// ConfigurationCodec encodes and decodes the value of configuration.
 var ConfigurationCodec configurationCodec
 
 type configurationCodec struct{}
 
-// Encode gives the bytes of a configuration's record. The version's bits go as those of a long: avro has no
-// unsigned one.
+// Encode checks the bounds of a configuration's record and returns its bytes. The version is stored as a long with
+// the same bits, because avro has no unsigned type.
 func (configurationCodec) Encode(r ConfigurationRecord) ([]byte, error) {
-	return configurations.Encode(configurationWire{Version: int64(r.Version), Body: r.Body})
+	return configurationWireCodec.Encode(configurationWire{Version: int64(r.Version), Body: r.Body})
 }
 
-// Decode reads a configuration's record.
+// Decode decodes a configuration's record and checks its bounds.
 func (configurationCodec) Decode(value []byte) (ConfigurationRecord, error) {
-	w, err := configurations.Decode(value)
+	w, err := configurationWireCodec.Decode(value)
 	return ConfigurationRecord{Version: uint64(w.Version), Body: w.Body}, err
 }
 
-// StoresRecord is the value of stores: the bytes of a store view, which internal/tier/controlstate reads.
+// StoresRecord is the value of stores: an encoded store view, which package internal/tier/controlstate decodes.
 type StoresRecord struct {
 	View []byte `avro:"view"`
 }
 
-// StoresCodec codes the value of stores.
+// StoresCodec encodes and decodes the value of stores.
 var StoresCodec = newCodec(`{"type":"record","name":"Stores","fields":[
-	{"name":"view","type":"bytes"}]}`, checkStores)
+	{"name":"view","type":"bytes"}]}`, validateStores)
 
-func checkStores(r StoresRecord) error {
-	c := checker{record: "stores"}
-	c.within("view", int64(len(r.View)), 0, MaxStoresBytes)
-	return c.first
+func validateStores(r StoresRecord) error {
+	c := boundsChecker{record: "stores"}
+	c.checkRange("view", int64(len(r.View)), 0, MaxStoresBytes)
+	return c.firstError
 }
--- a/internal/tier/cluster/records/receiver.go
+++ b/internal/tier/cluster/records/receiver.go
@@ -1,19 +1,19 @@
 package records
 
-// ReceiverState is what a control node says of a receiver.
+// ReceiverState is the state of a receiver as declared by a control node.
 type ReceiverState int
 
-// The states of a receiver. Gone is the tombstone: the entry is dropped some time after.
+// States of receivers. An entry in state ReceiverGone expires after some time.
 const (
-	ReceiverReady    ReceiverState = iota // takes requests
-	ReceiverDraining                      // has said that it will end: nothing new may be sent to it
-	ReceiverSilent                        // its heartbeats stay away
-	ReceiverGone                          // has left, or was silent for long
+	ReceiverReady    ReceiverState = iota // accepts requests
+	ReceiverDraining                      // has announced its shutdown: it must get no new requests
+	ReceiverSilent                        // sends no heartbeats
+	ReceiverGone                          // has left, or was silent for a long time
 )
 
 var receiverStateNames = [...]string{"ready", "draining", "silent", "gone"}
 
-// String names the state.
+// String returns the name of the state.
 func (s ReceiverState) String() string {
 	if s >= 0 && int(s) < len(receiverStateNames) {
 		return receiverStateNames[s]
@@ -27,17 +27,17 @@
 	Service             string        `avro:"service"`
 	Address             string        `avro:"address"`
 	Zone                string        `avro:"zone"`
-	Version             string        `avro:"version"` // of its software
+	Version             string        `avro:"version"` // of the receiver's software
 	Slots               int           `avro:"slots"`
 	State               ReceiverState `avro:"state"`
 	ColdRemainingMillis int64         `avro:"cold_remaining_millis"` // at the time of the heartbeat
 	Stage               string        `avro:"stage"`
 	Models              []string      `avro:"models"`
-	Sequence            int64         `avro:"sequence"` // of the heartbeat
-	Owner               string        `avro:"owner"`    // node name of the control node that took the heartbeat
+	Sequence            int64         `avro:"sequence"` // number of the heartbeat
+	Owner               string        `avro:"owner"`    // name of the control node that accepted the heartbeat
 }
 
-// ReceiverCodec codes the values of receiver/ID.
+// ReceiverCodec encodes and decodes the values of receiver/ID.
 var ReceiverCodec = newCodec(`{"type":"record","name":"Receiver","fields":[
 	{"name":"id","type":"string"},
 	{"name":"service","type":"string"},
@@ -50,23 +50,23 @@
 	{"name":"stage","type":"string"},
 	{"name":"models","type":{"type":"array","items":"string"}},
 	{"name":"sequence","type":"long"},
-	{"name":"owner","type":"string"}]}`, checkReceiver)
+	{"name":"owner","type":"string"}]}`, validateReceiver)
 
-func checkReceiver(r ReceiverRecord) error {
-	c := checker{record: "receiver"}
-	c.text("id", r.ID, true)
-	c.text("service", r.Service, false)
-	c.text("address", r.Address, false)
-	c.text("zone", r.Zone, false)
-	c.text("version", r.Version, false)
-	c.text("stage", r.Stage, false)
-	c.text("owner", r.Owner, false)
-	c.within("slots", int64(r.Slots), 0, MaxSlots)
-	c.within("state", int64(r.State), int64(ReceiverReady), int64(ReceiverGone))
-	c.within("cold_remaining_millis", r.ColdRemainingMillis, 0, maxMillis)
-	c.within("models", int64(len(r.Models)), 0, MaxModels)
+func validateReceiver(r ReceiverRecord) error {
+	c := boundsChecker{record: "receiver"}
+	c.checkText("id", r.ID, true)
+	c.checkText("service", r.Service, false)
+	c.checkText("address", r.Address, false)
+	c.checkText("zone", r.Zone, false)
+	c.checkText("version", r.Version, false)
+	c.checkText("stage", r.Stage, false)
+	c.checkText("owner", r.Owner, false)
+	c.checkRange("slots", int64(r.Slots), 0, MaxSlots)
+	c.checkRange("state", int64(r.State), int64(ReceiverReady), int64(ReceiverGone))
+	c.checkRange("cold_remaining_millis", r.ColdRemainingMillis, 0, maxMillis)
+	c.checkRange("models", int64(len(r.Models)), 0, MaxModels)
 	for _, model := range r.Models {
-		c.text("models", model, false)
+		c.checkText("models", model, false)
 	}
-	return c.first
+	return c.firstError
 }
--- a/internal/tier/cluster/records/records.go
+++ b/internal/tier/cluster/records/records.go
@@ -1,9 +1,9 @@
-// Package records holds the typed values of the cluster's table and their avro bytes.
+// Package records defines the typed values of the cluster's table and encodes them as avro.
 //
 //	value, err := records.ReceiverCodec.Encode(records.ReceiverRecord{ID: "i-7f3a91c2", Service: "models", ...})
 //	receiver, err := records.ReceiverCodec.Decode(entry.Value)
 //
-// Both directions check the bounds: what breaks them is an error that names the field.
+// Both directions check the bounds of the fields and return an error that names the first field out of bounds.
 package records
 
 import (
@@ -12,45 +12,45 @@
 	"emberquay/internal/tier/transport"
 )
 
-// Bounds of what a record may hold.
+// Bounds of the fields of records.
 const (
-	MaxTextBytes          = 512                   // bytes of a name, an id or an address
-	MaxModels             = 64                    // models of a receiver
-	MaxSlots              = 1 << 20               // slots of a receiver
-	MaxConfigurationBytes = 8 << 20               // bytes of a configuration: twice the largest that the operator may send
-	MaxStoresBytes        = 1 << 20               // bytes of a store view
-	maxCount              = 1 << 40               // tokens, calls
+	MaxTextBytes          = 512                   // of a name, an id, an address or another text
+	MaxModels             = 64                    // per receiver
+	MaxSlots              = 1 << 20               // per receiver
+	MaxConfigurationBytes = 8 << 20               // twice the largest that the operator may send
+	MaxStoresBytes        = 1 << 20               // of a store view
+	maxCount              = 1 << 40               // tokens or calls
 	maxMillis             = 24 * 3600 * 1000 * 30 // 30 days
 )
 
-// Codec turns the records of one kind into bytes and back.
+// Codec encodes and decodes the records of one type.
 type Codec[T any] struct {
-	wire  *transport.Codec[T]
-	check func(T) error
+	wire     *transport.Codec[T]
+	validate func(T) error
 }
 
-func newCodec[T any](schema string, check func(T) error) *Codec[T] {
-	return &Codec[T]{wire: transport.MustCodec[T](schema), check: check}
+func newCodec[T any](schema string, validate func(T) error) *Codec[T] {
+	return &Codec[T]{wire: transport.MustCodec[T](schema), validate: validate}
 }
 
-// Encode gives the bytes of a record within its bounds.
+// Encode checks the bounds of a record and returns its bytes.
 func (c *Codec[T]) Encode(record T) ([]byte, error) {
-	if err := c.check(record); err != nil {
+	if err := c.validate(record); err != nil {
 		return nil, err
 	}
 	return c.wire.Encode(record)
 }
 
-// Decode reads a record and checks its bounds.
+// Decode decodes a record and checks its bounds.
 func (c *Codec[T]) Decode(value []byte) (T, error) {
 	record, err := c.wire.Decode(value)
 	if err != nil {
 		return record, err
 	}
-	return record, c.check(record)
+	return record, c.validate(record)
 }
 
-// FieldError says which field of a record is out of bounds.
+// FieldError reports a field of a record that is out of bounds.
 type FieldError struct {
 	Record string
 	Field  string
@@ -59,19 +59,19 @@
 
 func (e *FieldError) Error() string { return e.Record + "." + e.Field + ": " + e.Reason }
 
-// checker collects the first field that is out of bounds.
-type checker struct {
-	record string
-	first  error
+// boundsChecker checks the fields of a record and keeps the error of the first one out of bounds.
+type boundsChecker struct {
+	record     string
+	firstError error
 }
 
-func (c *checker) fail(field, reason string) {
-	if c.first == nil {
-		c.first = eris.Wrap(&FieldError{Record: c.record, Field: field, Reason: reason}, "record")
+func (c *boundsChecker) fail(field, reason string) {
+	if c.firstError == nil {
+		c.firstError = eris.Wrap(&FieldError{Record: c.record, Field: field, Reason: reason}, "record")
 	}
 }
 
-func (c *checker) text(field, text string, required bool) {
+func (c *boundsChecker) checkText(field, text string, required bool) {
 	if len(text) > MaxTextBytes {
 		c.fail(field, "too long")
 	}
@@ -80,8 +80,8 @@
 	}
 }
 
-func (c *checker) within(field string, number, least, most int64) {
-	if number < least || number > most {
+func (c *boundsChecker) checkRange(field string, number, minimum, maximum int64) {
+	if number < minimum || number > maximum {
 		c.fail(field, "out of range")
 	}
 }
--- a/internal/tier/dataplane/reports.go
+++ b/internal/tier/dataplane/reports.go
@@ -108,7 +108,7 @@
 // takeReport hands a report of another proxy to the dispatcher.
 func (p *Plane) takeReport(record records.ReportRecord) {
 	p.reportsReceived.Add(1)
-	if record.Validate() != nil || p.assignment.assigned(dispatch.InstanceID(record.Instance)) {
+	if record.CheckBounds() != nil || p.assignment.assigned(dispatch.InstanceID(record.Instance)) {
 		return
 	}
 	p.proxy.HandleReport(dispatch.InstanceID(record.Instance), dispatch.Report{
