--- a/internal/tier/cluster/cluster_test.go
+++ b/internal/tier/cluster/cluster_test.go
@@ -35,7 +35,7 @@
 	_ = p.server.Close() // a test may have closed it
 }
 
-// freeAddress gives a loopback address that nobody listens on.
+// freeAddress returns a loopback address on which nothing listens.
 func freeAddress() string {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -55,10 +55,10 @@
 	return p
 }
 
-// bound is how long a test waits for what must come: only a broken run uses it up.
-const bound = 30 * time.Second
+// specTimeout bounds each spec. Only a failing run reaches it.
+const specTimeout = 30 * time.Second
 
-var _ = Describe("Cluster on loopback", func() {
+var _ = Describe("a cluster on loopback", func() {
 	identities := func() []cluster.Identity {
 		roles := []cluster.Role{cluster.Control, cluster.Proxy, cluster.Proxy, cluster.Store}
 		var all []cluster.Identity
@@ -70,7 +70,7 @@
 		return all
 	}
 
-	It("finds all from one seed, spreads entries and confirms them", func(ctx SpecContext) {
+	It("discovers all nodes through one seed, and spreads and confirms entries", func(ctx SpecContext) {
 		all := identities()
 		seed := all[0].Address
 		var processes []*process
@@ -104,9 +104,9 @@
 		confirmed, err := processes[3].cluster.PublishConfirmed(ctx, cluster.Entry{Key: "receiver/b", Value: []byte("y")}, cluster.Proxy)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(confirmed).To(HaveLen(2))
-	}, SpecTimeout(bound))
+	}, SpecTimeout(specTimeout))
 
-	It("tells that a node has left and that another is down", func(ctx SpecContext) {
+	It("reports that a node has left and that another is down", func(ctx SpecContext) {
 		all := identities()
 		seed := all[0].Address
 		var processes []*process
@@ -134,34 +134,34 @@
 		Expect(processes[3].server.Close()).To(Succeed())
 		Eventually(stateOf(processes[0], all[3])).WithContext(ctx).Should(Equal(cluster.Down))
 		Eventually(stateOf(processes[2], all[3])).WithContext(ctx).Should(Equal(cluster.Down))
-	}, SpecTimeout(bound))
+	}, SpecTimeout(specTimeout))
 
-	It("gives up confirming when the time is over, and says how many have it", func(ctx SpecContext) {
+	It("stops waiting for confirmations when the context ends, and returns those that arrived", func(ctx SpecContext) {
 		all := identities()
 		first := start(all[0], all[0].Address)
 		second := start(all[1], all[0].Address)
 		Eventually(func() []cluster.Node { return first.cluster.Nodes() }).WithContext(ctx).Should(HaveLen(2))
 		second.client.Close()
 		Expect(second.server.Close()).To(Succeed())
-		brief, cancel := context.WithCancel(ctx)
+		cancelled, cancel := context.WithCancel(ctx)
 		cancel()
-		confirmed, err := first.cluster.PublishConfirmed(brief, cluster.Entry{Key: "receiver/a", Value: []byte("x")})
+		confirmed, err := first.cluster.PublishConfirmed(cancelled, cluster.Entry{Key: "receiver/a", Value: []byte("x")})
 		Expect(err).To(MatchError(context.Canceled))
 		Expect(confirmed).To(BeEmpty())
-	}, SpecTimeout(bound))
+	}, SpecTimeout(specTimeout))
 
-	It("confirms only what is kept, where a node is told to keep it first", func(ctx SpecContext) {
+	It("confirms an entry only after it is persisted, if a persist function is set", func(ctx SpecContext) {
 		all := identities()
 		first := start(all[0], all[0].Address)
 		second := start(all[1], all[0].Address)
 		Eventually(func() []cluster.Node { return first.cluster.Nodes() }).WithContext(ctx).Should(HaveLen(2))
-		var asked atomic.Int32
+		var persistCalls atomic.Int32
 		second.cluster.SetPersistFunc(func(_ context.Context, key string, stamp cluster.Stamp) error {
 			entry, known := second.cluster.Get(key)
 			if !known || stamp.After(entry.Stamp) {
-				return errors.New("asked before it was there")
+				return errors.New("persist called before the entry was in the table")
 			}
-			if asked.Add(1) < 3 {
+			if persistCalls.Add(1) < 3 {
 				return errors.New("the disk is busy")
 			}
 			return nil
@@ -169,6 +169,6 @@
 		confirmed, err := first.cluster.PublishConfirmed(ctx, cluster.Entry{Key: "receiver/a", Value: []byte("x")})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(confirmed).To(HaveLen(1))
-		Expect(asked.Load()).To(BeEquivalentTo(3))
-	}, SpecTimeout(bound))
+		Expect(persistCalls.Load()).To(BeEquivalentTo(3))
+	}, SpecTimeout(specTimeout))
 })
--- a/internal/tier/cluster/core/alloc_test.go
+++ b/internal/tier/cluster/core/alloc_test.go
@@ -8,8 +8,8 @@
 	"emberquay/internal/tier/cluster/core"
 )
 
-// TestAllocOfALength: a length alone must not cost the memory of what it announces.
-func TestAllocOfALength(t *testing.T) {
+// TestDecodeBoundsAllocation checks that a short message that announces a huge array does not allocate memory for it.
+func TestDecodeBoundsAllocation(t *testing.T) {
 	data := []byte{0, 0, 0}
 	data = binary.AppendVarint(data, 15<<20)
 	var before, after runtime.MemStats
@@ -18,6 +18,6 @@
 	runtime.ReadMemStats(&after)
 	t.Logf("%v, %d bytes allocated", err, after.TotalAlloc-before.TotalAlloc)
 	if err == nil || after.TotalAlloc-before.TotalAlloc > 64<<20 {
-		t.Errorf("%v, %d MB allocated for %d bytes", err, (after.TotalAlloc-before.TotalAlloc)>>20, len(data))
+		t.Errorf("error %v, %d MB allocated for %d bytes", err, (after.TotalAlloc-before.TotalAlloc)>>20, len(data))
 	}
 }
--- a/internal/tier/cluster/core/chaos_test.go
+++ b/internal/tier/cluster/core/chaos_test.go
@@ -13,151 +13,152 @@
 	"emberquay/internal/tier/cluster/records"
 )
 
-// chaos draws troubles for a world.
-type chaos struct {
-	*world
-	size  int
-	zones int
-	fresh int // machines that came later
+// faultInjector injects random faults into a simulation.
+type faultInjector struct {
+	*simulation
+	size         int
+	zones        int
+	replacements int // number of replace calls so far
 }
 
-// trouble does one thing at random; what ends by itself ends within some seconds.
-func (c *chaos) trouble() {
-	switch c.random.IntN(10) {
+// injectFault injects one random fault, ends a partition or publishes an entry. Faults that end by themselves end within
+// 12 seconds.
+func (f *faultInjector) injectFault() {
+	switch f.random.IntN(10) {
 	case 0:
-		c.kill(c.someone(), time.Duration(c.random.Int64N(int64(8*time.Second))), false)
+		f.restart(f.randomProcess(), time.Duration(f.random.Int64N(int64(8*time.Second))), false)
 	case 1:
-		c.kill(c.someone(), time.Duration(c.random.Int64N(int64(2*time.Second))), true)
+		f.restart(f.randomProcess(), time.Duration(f.random.Int64N(int64(2*time.Second))), true)
 	case 2:
-		if p := c.someone(); p != nil && !p.frozen {
-			c.freeze(p, time.Duration(c.random.Int64N(int64(12*time.Second))))
+		if p := f.randomProcess(); p != nil && !p.isPaused {
+			f.pause(p, time.Duration(f.random.Int64N(int64(12*time.Second))))
 		}
 	case 3:
-		c.cutInTwo()
+		f.partition()
 	case 4:
-		c.cutOneWay()
+		f.partitionOneWay()
 	case 5:
-		c.cut = func(_, _ *process) bool { return false }
+		f.isBlocked = func(_, _ *process) bool { return false }
 	case 6:
-		c.loss, c.repeat = c.random.Float64()*0.3, c.random.Float64()*0.2
-		c.delay = time.Duration(1 + c.random.Int64N(int64(300*time.Millisecond)))
+		f.lossRate, f.duplicateRate = f.random.Float64()*0.3, f.random.Float64()*0.2
+		f.maxDelay = time.Duration(1 + f.random.Int64N(int64(300*time.Millisecond)))
 	case 7:
-		c.replace()
+		f.replace()
 	default:
-		c.publish()
+		f.publish()
 	}
 }
 
-func (c *chaos) someone() *process {
-	up := c.running()
+func (f *faultInjector) randomProcess() *process {
+	up := f.running()
 	if len(up) == 0 {
 		return nil
 	}
-	return up[c.random.IntN(len(up))]
+	return up[f.random.IntN(len(up))]
 }
 
-// kill ends a process and starts it again some time later, perhaps with its clock set back.
-func (c *chaos) kill(p *process, pause time.Duration, back bool) {
+// restart stops a process and starts it again after downtime, with its clock set back if setClockBack is set.
+func (f *faultInjector) restart(p *process, downtime time.Duration, setClockBack bool) {
 	if p == nil {
 		return
 	}
 	skew := time.Duration(0)
-	if back {
+	if setClockBack {
 		skew = -5 * time.Second
 	}
-	c.stop(p)
-	c.after(pause, func() {
-		if c.at[p.node.Address] == nil {
-			c.start(p.node, skew)
+	f.stop(p)
+	f.schedule(downtime, func() {
+		if f.byAddress[p.node.Address] == nil {
+			f.start(p.node, skew)
 		}
 	})
 }
 
-// cutInTwo parts the machines into two sides.
-func (c *chaos) cutInTwo() {
-	sides := c.sides()
-	c.cut = func(from, to *process) bool { return sides[from.node.Name] != sides[to.node.Name] }
+// partition splits the machines into two sides that cannot reach each other.
+func (f *faultInjector) partition() {
+	sides := f.randomSides()
+	f.isBlocked = func(from, to *process) bool { return sides[from.node.Name] != sides[to.node.Name] }
 }
 
-// cutOneWay lets one side hear nothing of the other.
-func (c *chaos) cutOneWay() {
-	sides := c.sides()
-	c.cut = func(from, to *process) bool { return sides[from.node.Name] && !sides[to.node.Name] }
+// partitionOneWay blocks messages from one side to the other, but not in the opposite direction.
+func (f *faultInjector) partitionOneWay() {
+	sides := f.randomSides()
+	f.isBlocked = func(from, to *process) bool { return sides[from.node.Name] && !sides[to.node.Name] }
 }
 
-func (c *chaos) sides() map[string]bool {
-	share := c.random.Float64() * 0.6
+func (f *faultInjector) randomSides() map[string]bool {
+	share := f.random.Float64() * 0.6
 	sides := map[string]bool{}
-	for _, p := range c.running() {
-		sides[p.node.Name] = c.random.Float64() < share
+	for _, p := range f.running() {
+		sides[p.node.Name] = f.random.Float64() < share
 	}
 	return sides
 }
 
-// replace ends a process for good. Another machine takes its address, or the same one comes back elsewhere.
-func (c *chaos) replace() {
-	p := c.someone()
+// replace stops a process. Later another machine starts at its address, or the same machine at another address.
+func (f *faultInjector) replace() {
+	p := f.randomProcess()
 	if p == nil || p.node.Role == membership.Control {
 		return
 	}
-	c.stop(p)
-	c.fresh++
+	f.stop(p)
+	f.replacements++
 	n := p.node
-	if c.random.IntN(2) == 0 {
-		n.Name = fmt.Sprintf("new-%d", c.fresh)
+	if f.random.IntN(2) == 0 {
+		n.Name = fmt.Sprintf("new-%d", f.replacements)
 	} else {
-		n.Address = addressOf(10_000 + c.fresh)
+		n.Address = addressOf(10_000 + f.replacements)
 	}
-	c.after(time.Duration(c.random.Int64N(int64(4*time.Second))), func() {
-		if c.at[n.Address] == nil {
-			c.start(n, 0)
+	f.schedule(time.Duration(f.random.Int64N(int64(4*time.Second))), func() {
+		if f.byAddress[n.Address] == nil {
+			f.start(n, 0)
 		}
 	})
 }
 
-// publish has some node publish something: a receiver's state, or a large value.
-func (c *chaos) publish() {
-	p := c.someone()
-	if p == nil || p.frozen {
+// publish has a random node publish a receiver record or random-sized bytes.
+func (f *faultInjector) publish() {
+	p := f.randomProcess()
+	if p == nil || p.isPaused {
 		return
 	}
-	key := fmt.Sprintf("%s%d", core.ReceiverPrefix, c.random.IntN(30))
-	value := make([]byte, c.random.IntN(3000))
-	if c.random.IntN(2) == 0 {
-		state := records.ReceiverState(c.random.IntN(4))
+	key := fmt.Sprintf("%s%d", core.ReceiverPrefix, f.random.IntN(30))
+	value := make([]byte, f.random.IntN(3000))
+	if f.random.IntN(2) == 0 {
+		state := records.ReceiverState(f.random.IntN(4))
 		var err error
 		value, err = records.ReceiverCodec.Encode(records.ReceiverRecord{ID: key, State: state, Owner: p.node.Name})
 		Expect(err).NotTo(HaveOccurred())
 	}
-	p.core.Publish(c.now, gossip.Entry{Key: key, Value: value})
-	p.carryOut()
+	p.core.Publish(f.now, gossip.Entry{Key: key, Value: value})
+	p.applyPendingEffects()
 }
 
-// heal ends all troubles.
-func (c *chaos) heal() {
-	c.cut = func(_, _ *process) bool { return false }
-	c.loss, c.repeat, c.delay = 0, 0, 2*time.Millisecond
+// healAll ends partitions, loss, duplication and long delays.
+func (f *faultInjector) healAll() {
+	f.isBlocked = func(_, _ *process) bool { return false }
+	f.lossRate, f.duplicateRate, f.maxDelay = 0, 0, 2*time.Millisecond
 }
 
-var _ = Describe("A fleet in trouble", func() {
+var _ = Describe("a fleet with random faults", func() {
 	const runs = 40
 	for seed := range uint64(runs) {
-		It(fmt.Sprintf("agrees once all are in touch again, seed %d", seed), func() {
-			w := newWorld(seed)
-			c := &chaos{world: w, size: 5 + w.random.IntN(56), zones: 1 + w.random.IntN(4)}
-			w.fleet(c.size, c.zones)
-			w.run(5 * time.Second)
-			for range 20 + w.random.IntN(60) {
-				c.trouble()
-				w.run(time.Duration(w.random.Int64N(int64(2 * time.Second))))
+		It(fmt.Sprintf("converges once all nodes can communicate again, seed %d", seed), func() {
+			s := newSimulation(seed)
+			f := &faultInjector{simulation: s, size: 5 + s.random.IntN(56), zones: 1 + s.random.IntN(4)}
+			s.startFleet(f.size, f.zones)
+			s.advance(5 * time.Second)
+			for range 20 + s.random.IntN(60) {
+				f.injectFault()
+				s.advance(time.Duration(s.random.Int64N(int64(2 * time.Second))))
 			}
-			c.heal()
-			w.run(12 * time.Second) // the last pauses and restarts end
-			took := w.runUntil(20*time.Second, 100*time.Millisecond, func() bool { return w.allAgree() == "" })
-			Expect(w.allAgree()).To(BeEmpty(), "after %v", took)
-			w.run(5 * time.Second)
-			Expect(w.allAgree()).To(BeEmpty())
-			for _, p := range w.running() {
+			f.healAll()
+			s.advance(12 * time.Second) // until the last pauses and restarts are over
+			took := s.advanceUntil(20*time.Second, 100*time.Millisecond, func() bool { return s.disagreement() == "" })
+			Expect(s.disagreement()).To(BeEmpty(), "after %v", took)
+			s.advance(5 * time.Second)
+			Expect(s.disagreement()).To(BeEmpty())
+			for _, p := range s.running() {
 				Expect(p.core.Ready()).To(BeTrue(), "%s is not ready", p.node.ID())
 			}
 		})
--- a/internal/tier/cluster/core/core_test.go
+++ b/internal/tier/cluster/core/core_test.go
@@ -20,9 +20,9 @@
 	RunSpecs(t, "cluster/core")
 }
 
-// allKnow tells whether all running processes have the entry of a key with at least that stamp.
-func (w *world) allKnow(key string, stamp gossip.Stamp) bool {
-	for _, p := range w.running() {
+// allHave reports whether all running processes have the entry of a key with this stamp or a newer one.
+func (s *simulation) allHave(key string, stamp gossip.Stamp) bool {
+	for _, p := range s.running() {
 		if !p.core.Has(key, stamp) {
 			return false
 		}
@@ -30,41 +30,41 @@
 	return true
 }
 
-// allAgree tells whether all running processes see each other alive, see none alive that does not run, and
-// hold the same entries.
-func (w *world) allAgree() string {
-	up := w.running()
+// disagreement returns "" if all running processes know each other as alive, know no stopped process as live, and hold
+// the same entries. Otherwise it describes the first difference.
+func (s *simulation) disagreement() string {
+	running := s.running()
 	ids := map[membership.ID]*process{}
-	for _, p := range up {
+	for _, p := range running {
 		ids[p.node.ID()] = p
 	}
-	for _, p := range up {
+	for _, p := range running {
 		seen := 0
 		for _, n := range p.core.Nodes() {
 			other := ids[n.ID()]
 			switch {
 			case other == nil && n.Live():
-				return fmt.Sprintf("%s takes %s for %s", p.node.ID(), n.ID(), n.State)
+				return fmt.Sprintf("%s has %s, which is not running, as %s", p.node.ID(), n.ID(), n.State)
 			case other != nil && n.State != membership.Alive:
-				return fmt.Sprintf("%s takes running %s for %s", p.node.ID(), n.ID(), n.State)
+				return fmt.Sprintf("%s has %s, which is running, as %s", p.node.ID(), n.ID(), n.State)
 			case other != nil && n.Address != other.node.Address:
-				return fmt.Sprintf("%s takes %s to be at %s", p.node.ID(), n.ID(), n.Address)
+				return fmt.Sprintf("%s has the wrong address for %s: %s", p.node.ID(), n.ID(), n.Address)
 			case other != nil:
 				seen++
 			}
 		}
-		if seen != len(up) {
-			return fmt.Sprintf("%s knows %d of %d", p.node.ID(), seen, len(up))
+		if seen != len(running) {
+			return fmt.Sprintf("%s knows %d of %d running nodes", p.node.ID(), seen, len(running))
 		}
 	}
-	return sameTables(up)
+	return tableDifference(running)
 }
 
-// sameTables tells where tables differ: an entry without a lifetime that is the newest must be everywhere, and
-// no older one anywhere. Those with a lifetime are dropped by each node at its own moment.
-func sameTables(up []*process) string {
+// tableDifference describes where tables differ, or returns "". The newest entry of a key must be in each table, and no
+// older one in any. An entry with a lifetime may be missing, because it expires at each node at a different time.
+func tableDifference(running []*process) string {
 	newest := map[string]gossip.Entry{}
-	for _, p := range up {
+	for _, p := range running {
 		p.core.Each(func(e gossip.Entry) {
 			if e.Stamp.After(newest[e.Key].Stamp) {
 				newest[e.Key] = e
@@ -72,9 +72,9 @@
 		})
 	}
 	for key, e := range newest {
-		for _, p := range up {
-			held, some := p.core.Get(key)
-			if some && held.Stamp != e.Stamp || !some && !isMortal(e) {
+		for _, p := range running {
+			held, found := p.core.Get(key)
+			if found && held.Stamp != e.Stamp || !found && !hasLifetime(e) {
 				return fmt.Sprintf("%s has %s at %+v instead of %+v", p.node.ID(), key, held.Stamp, e.Stamp)
 			}
 		}
@@ -82,7 +82,8 @@
 	return ""
 }
 
-func isMortal(e gossip.Entry) bool {
+// hasLifetime reports whether an entry expires: the record of a node that is down or has left, or of a gone receiver.
+func hasLifetime(e gossip.Entry) bool {
 	if strings.HasPrefix(e.Key, core.NodePrefix) {
 		return e.Stamp.Sequence > 0
 	}
@@ -90,38 +91,38 @@
 	return err == nil && receiver.State == records.ReceiverGone
 }
 
-var _ = Describe("A fleet that nothing happens to", func() {
+var _ = Describe("a fleet without faults", func() {
 	for _, size := range []int{1, 2, 4, 10, 100, 300} {
-		It(fmt.Sprintf("of %d nodes finds itself, is ready, rests cheaply and hears news", size), func() {
-			w := newWorld(uint64(size))
-			w.fleet(size, 4)
-			took := w.runUntil(20*time.Second, 50*time.Millisecond, func() bool { return w.allAgree() == "" })
-			Expect(w.allAgree()).To(BeEmpty())
-			w.run(3 * time.Second)
-			for _, p := range w.running() {
+		It(fmt.Sprintf("of %d nodes converges, becomes ready, sends little when idle, and spreads new entries", size), func() {
+			s := newSimulation(uint64(size))
+			s.startFleet(size, 4)
+			took := s.advanceUntil(20*time.Second, 50*time.Millisecond, func() bool { return s.disagreement() == "" })
+			Expect(s.disagreement()).To(BeEmpty())
+			s.advance(3 * time.Second)
+			for _, p := range s.running() {
 				Expect(p.readyAt.IsZero()).To(BeFalse(), "%s is not ready", p.node.ID())
 			}
 
-			w.measure = true
+			s.measure = true
 			const idle = 20 * time.Second
-			w.run(idle)
-			Expect(w.allAgree()).To(BeEmpty())
-			perNode := float64(w.bytes) / float64(size) / idle.Seconds()
-			AddReportEntry("idle", fmt.Sprintf("%d nodes: found after %v, %.0f bytes a node and second sent, %.0f of them between zones, %.1f messages",
-				size, took, perNode, float64(w.crossed)/float64(size)/idle.Seconds(), float64(w.sent)/float64(size)/idle.Seconds()), ReportEntryVisibilityAlways)
-			Expect(perNode).To(BeNumerically("<", 1500)) // as much is received: under 3 KB/s
+			s.advance(idle)
+			Expect(s.disagreement()).To(BeEmpty())
+			perNode := float64(s.sentBytes) / float64(size) / idle.Seconds()
+			AddReportEntry("idle", fmt.Sprintf("%d nodes: converged after %v; each node sends %.0f bytes/s, %.0f of them to other zones, in %.1f messages/s",
+				size, took, perNode, float64(s.crossZoneBytes)/float64(size)/idle.Seconds(), float64(s.sentEnvelopes)/float64(size)/idle.Seconds()), ReportEntryVisibilityAlways)
+			Expect(perNode).To(BeNumerically("<", 1500)) // with as many bytes received, under 3 KB/s
 
 			for _, bytes := range []int{100, 50_000} {
-				w.bytes, w.crossed = 0, 0
-				publisher := w.running()[size/2]
-				entry, news := publisher.core.Publish(w.now, gossip.Entry{Key: core.ConfigurationKey, Value: make([]byte, bytes)})
+				s.sentBytes, s.crossZoneBytes = 0, 0
+				publisher := s.running()[size/2]
+				entry, news := publisher.core.Publish(s.now, gossip.Entry{Key: core.ConfigurationKey, Value: make([]byte, bytes)})
 				Expect(news).To(BeTrue())
-				publisher.carryOut()
-				spread := w.runUntil(10*time.Second, 5*time.Millisecond, func() bool { return w.allKnow(entry.Key, entry.Stamp) })
-				Expect(w.allKnow(entry.Key, entry.Stamp)).To(BeTrue())
-				w.run(2*time.Second - spread%time.Second)
-				AddReportEntry("news", fmt.Sprintf("%d nodes: %d bytes known to all after %v; %.1f KB sent a node, %.1f KB between zones in all",
-					size, bytes, spread, float64(w.bytes)/1000/float64(size), float64(w.crossed)/1000), ReportEntryVisibilityAlways)
+				publisher.applyPendingEffects()
+				spread := s.advanceUntil(10*time.Second, 5*time.Millisecond, func() bool { return s.allHave(entry.Key, entry.Stamp) })
+				Expect(s.allHave(entry.Key, entry.Stamp)).To(BeTrue())
+				s.advance(2*time.Second - spread%time.Second)
+				AddReportEntry("spread", fmt.Sprintf("%d nodes: %d bytes reach all nodes in %v; %.1f KB sent per node, %.1f KB to other zones in total",
+					size, bytes, spread, float64(s.sentBytes)/1000/float64(size), float64(s.crossZoneBytes)/1000), ReportEntryVisibilityAlways)
 			}
 		})
 	}
--- a/internal/tier/cluster/core/fuzz_test.go
+++ b/internal/tier/cluster/core/fuzz_test.go
@@ -9,9 +9,9 @@
 	"emberquay/internal/tier/cluster/core"
 )
 
-// FuzzReceive: no bytes of a peer stop a node, and it goes on spreading.
+// FuzzReceive checks that no envelope of a peer makes a node panic, send malformed envelopes or stop publishing.
 func FuzzReceive(f *testing.F) {
-	zero := epoch
+	zero := testStart
 	for _, e := range []core.Envelope{
 		{From: "front-2/control", Incarnation: 3},
 		{From: "front-2/control", Incarnation: 3, Gossip: []gossip.Message{{Compare: &gossip.Digest{Root: 7}}, {Want: []string{core.ConfigurationKey}}}},
@@ -44,14 +44,14 @@
 			node.Receive(now, envelope, "10.0.0.2:7381")
 			for _, out := range node.Take().Messages {
 				if _, err := core.EnvelopeCodec.Encode(core.EnvelopeToWire(out.Envelope)); err != nil {
-					t.Fatalf("what it sends cannot be coded: %v", err)
+					t.Fatalf("cannot encode an envelope that the node sends: %v", err)
 				}
 			}
 			node.Tick(now)
 		}
 		if _, news := node.Publish(zero.Add(3*time.Second), gossip.Entry{Key: core.StoresKey, Value: []byte("own")}); !news {
 			if _, known := node.Get(core.StoresKey); !known {
-				t.Fatal("what it publishes is nowhere")
+				t.Fatal("the table lacks the entry that the node has published")
 			}
 		}
 	})
--- a/internal/tier/cluster/core/restart_test.go
+++ b/internal/tier/cluster/core/restart_test.go
@@ -7,19 +7,19 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("A fleet whose machines were all started at one moment", func() {
-	It("is ready soon, though nobody was ready before", func() {
-		w := newWorld(7)
-		w.fleet(14, 4)
+var _ = Describe("a fleet whose machines all started at the same time", func() {
+	It("becomes ready soon, although no node was ready before", func() {
+		s := newSimulation(7)
+		s.startFleet(14, 4)
 		ready := func() bool {
-			for _, p := range w.running() {
+			for _, p := range s.running() {
 				if p.readyAt.IsZero() {
 					return false
 				}
 			}
 			return true
 		}
-		took := w.runUntil(5*time.Second, 5*time.Millisecond, ready)
+		took := s.advanceUntil(5*time.Second, 5*time.Millisecond, ready)
 		Expect(ready()).To(BeTrue())
 		Expect(took).To(BeNumerically("<", 900*time.Millisecond))
 	})
--- a/internal/tier/cluster/core/wire_test.go
+++ b/internal/tier/cluster/core/wire_test.go
@@ -71,7 +71,7 @@
 	return m
 }
 
-func TestEnvelopesComeBackAsTheyWere(t *testing.T) {
+func TestEnvelopeCodecRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := core.Envelope{
 			From:        membership.ID(rapid.String().Draw(t, "from")),
@@ -96,17 +96,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := core.EnvelopeCodec.Encode(core.EnvelopeToWire(back)) // an empty list and none are the same
+		reencoded, err := core.EnvelopeCodec.Encode(core.EnvelopeToWire(back)) // compare encoded envelopes: empty and nil lists are equal
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !bytes.Equal(again, data) {
-			t.Fatalf("%+v came back as %+v", e, back)
+		if !bytes.Equal(reencoded, data) {
+			t.Fatalf("%+v decoded as %+v", e, back)
 		}
 	})
 }
 
-func TestAnyBytesAreBorne(t *testing.T) {
+func TestDecodeToleratesAnyBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		wire, err := core.EnvelopeCodec.Decode(rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "bytes"))
 		if err == nil {
--- a/internal/tier/cluster/core/world_test.go
+++ b/internal/tier/cluster/core/world_test.go
@@ -13,36 +13,37 @@
 	"emberquay/internal/tier/cluster/core"
 )
 
-// world runs nodes under one seeded scheduler: links that lose, repeat and reorder, cuts, crashes, pauses.
-type world struct {
-	now     time.Time
-	random  *rand.Rand
-	events  eventQueue
-	order   uint64
-	nodes   []*process // all that ever ran
-	at      map[string]*process
-	cut     func(from, to *process) bool
-	loss    float64
-	repeat  float64
-	delay   time.Duration // the most that a link adds
-	measure bool
-	bytes   int // of envelopes, frames included
-	crossed int // of those, between zones
-	sent    int // envelopes
-	seeds   []string
+// simulation runs nodes under one seeded scheduler. It simulates links that lose, duplicate and reorder messages,
+// network partitions, crashes and pauses.
+type simulation struct {
+	now            time.Time
+	random         *rand.Rand
+	events         eventQueue
+	nextOrder      uint64
+	processes      []*process // all, including stopped ones
+	byAddress      map[string]*process
+	isBlocked      func(from, to *process) bool
+	lossRate       float64
+	duplicateRate  float64
+	maxDelay       time.Duration // upper bound of the random part of a link's delay
+	measure        bool
+	sentBytes      int // of envelopes, including frames
+	crossZoneBytes int // part of sentBytes that crossed zones
+	sentEnvelopes  int
+	seeds          []string
 }
 
-// process is one start of a node.
+// process is one run of a node, from its start to its end.
 type process struct {
-	world   *world
-	node    membership.Node
-	core    *core.Core
-	up      bool
-	frozen  bool
-	inbox   []func() // what came while it was frozen
-	version int      // of the tick that is scheduled
-	newest  map[string]gossip.Stamp
-	readyAt time.Time
+	simulation   *simulation
+	node         membership.Node
+	core         *core.Core
+	isRunning    bool
+	isPaused     bool
+	deferred     []func() // steps to run after a pause
+	tickVersion  int      // of the latest scheduled tick; earlier ones are void
+	newestStamps map[string]gossip.Stamp
+	readyAt      time.Time
 }
 
 type event struct {
@@ -68,230 +69,232 @@
 	return last
 }
 
-var epoch = time.Date(2026, 6, 1, 0, 0, 0, 0, time.UTC)
+var testStart = time.Date(2026, 6, 1, 0, 0, 0, 0, time.UTC)
 
-func newWorld(seed uint64) *world {
-	return &world{
-		now:    epoch,
-		random: rand.New(rand.NewPCG(seed, 99)),
-		at:     map[string]*process{},
-		cut:    func(_, _ *process) bool { return false },
-		delay:  2 * time.Millisecond,
+func newSimulation(seed uint64) *simulation {
+	return &simulation{
+		now:       testStart,
+		random:    rand.New(rand.NewPCG(seed, 99)),
+		byAddress: map[string]*process{},
+		isBlocked: func(_, _ *process) bool { return false },
+		maxDelay:  2 * time.Millisecond,
 	}
 }
 
-func (w *world) after(wait time.Duration, run func()) {
-	w.order++
-	heap.Push(&w.events, event{at: w.now.Add(wait), order: w.order, run: run})
+// schedule runs a function after a delay in simulated time.
+func (s *simulation) schedule(delay time.Duration, run func()) {
+	s.nextOrder++
+	heap.Push(&s.events, event{at: s.now.Add(delay), order: s.nextOrder, run: run})
 }
 
-// run plays until some time has passed.
-func (w *world) run(length time.Duration) {
-	end := w.now.Add(length)
-	for len(w.events) > 0 && !w.events[0].at.After(end) {
-		e := heap.Pop(&w.events).(event)
-		w.now = e.at
+// advance runs the simulation for a duration.
+func (s *simulation) advance(duration time.Duration) {
+	end := s.now.Add(duration)
+	for len(s.events) > 0 && !s.events[0].at.After(end) {
+		e := heap.Pop(&s.events).(event)
+		s.now = e.at
 		e.run()
 	}
-	w.now = end
+	s.now = end
 }
 
-// runUntil plays until a condition holds, at most for a time, and tells how long it took.
-func (w *world) runUntil(most, step time.Duration, holds func() bool) time.Duration {
-	begin := w.now
-	for w.now.Sub(begin) < most && !holds() {
-		w.run(step)
+// advanceUntil runs the simulation until a condition holds or a limit is reached, and returns the time that this took.
+func (s *simulation) advanceUntil(limit, step time.Duration, condition func() bool) time.Duration {
+	begin := s.now
+	for s.now.Sub(begin) < limit && !condition() {
+		s.advance(step)
 	}
-	return w.now.Sub(begin)
+	return s.now.Sub(begin)
 }
 
-// start starts a node; skew is what its clock is off when it draws its incarnation.
-func (w *world) start(n membership.Node, skew time.Duration) *process {
-	n.Incarnation = uint64(w.now.Add(skew).UnixNano())
-	c, err := core.New(w.now, core.Options{Self: n, Seeds: w.seeds, Seed: w.random.Uint64()})
+// start starts a node. Its incarnation comes from a clock that is off by clockSkew.
+func (s *simulation) start(n membership.Node, clockSkew time.Duration) *process {
+	n.Incarnation = uint64(s.now.Add(clockSkew).UnixNano())
+	c, err := core.New(s.now, core.Options{Self: n, Seeds: s.seeds, Seed: s.random.Uint64()})
 	Expect(err).NotTo(HaveOccurred())
-	p := &process{world: w, node: n, core: c, up: true, newest: map[string]gossip.Stamp{}}
-	w.nodes = append(w.nodes, p)
-	w.at[n.Address] = p
-	p.carryOut()
+	p := &process{simulation: s, node: n, core: c, isRunning: true, newestStamps: map[string]gossip.Stamp{}}
+	s.processes = append(s.processes, p)
+	s.byAddress[n.Address] = p
+	p.applyPendingEffects()
 	return p
 }
 
-func (w *world) stop(p *process) {
-	p.up = false
-	p.version++
-	if w.at[p.node.Address] == p {
-		delete(w.at, p.node.Address)
+func (s *simulation) stop(p *process) {
+	p.isRunning = false
+	p.tickVersion++
+	if s.byAddress[p.node.Address] == p {
+		delete(s.byAddress, p.node.Address)
 	}
 }
 
-func (w *world) running() []*process {
+func (s *simulation) running() []*process {
 	var up []*process
-	for _, p := range w.nodes {
-		if p.up {
+	for _, p := range s.processes {
+		if p.isRunning {
 			up = append(up, p)
 		}
 	}
 	return up
 }
 
-// freeze stops a process for a time; what comes meanwhile waits for it.
-func (w *world) freeze(p *process, length time.Duration) {
-	p.frozen = true
-	p.version++
-	w.after(length, func() {
-		if !p.up {
+// pause suspends a process for a duration. Steps that are due meanwhile run afterwards.
+func (s *simulation) pause(p *process, duration time.Duration) {
+	p.isPaused = true
+	p.tickVersion++
+	s.schedule(duration, func() {
+		if !p.isRunning {
 			return
 		}
-		p.frozen = false
-		for _, f := range p.inbox {
+		p.isPaused = false
+		for _, f := range p.deferred {
 			f()
 		}
-		p.inbox = nil
-		p.tick(p.version)
+		p.deferred = nil
+		p.tick(p.tickVersion)
 	})
 }
 
-// step runs a step of the process, once it is not frozen, if it still runs.
-func (p *process) step(f func()) {
+// runStep runs a step of a process, after its pause if it is paused, unless the process has stopped.
+func (p *process) runStep(f func()) {
 	switch {
-	case !p.up:
-	case p.frozen:
-		p.inbox = append(p.inbox, func() { p.step(f) })
+	case !p.isRunning:
+	case p.isPaused:
+		p.deferred = append(p.deferred, func() { p.runStep(f) })
 	default:
 		f()
 	}
 }
 
 func (p *process) tick(version int) {
-	if !p.up || p.frozen || version != p.version {
+	if !p.isRunning || p.isPaused || version != p.tickVersion {
 		return
 	}
-	p.core.Tick(p.world.now)
-	p.carryOut()
+	p.core.Tick(p.simulation.now)
+	p.applyPendingEffects()
 }
 
-// carryOut sends what the steps ask for and schedules the next tick.
-func (p *process) carryOut() { p.carryOutThese(p.core.Take()) }
+// applyPendingEffects sends the pending messages of the node and schedules its next tick.
+func (p *process) applyPendingEffects() { p.applyEffects(p.core.Take()) }
 
-func (p *process) carryOutThese(effects core.Effects) {
-	p.check(effects)
+func (p *process) applyEffects(effects core.Effects) {
+	p.checkInvariants(effects)
 	for _, out := range effects.Messages {
 		if out.Address != "" {
 			p.send(out)
 		}
 	}
-	p.version++
-	version := p.version
-	p.world.after(max(0, p.core.Due().Sub(p.world.now)), func() { p.tick(version) })
+	p.tickVersion++
+	version := p.tickVersion
+	p.simulation.schedule(max(0, p.core.Due().Sub(p.simulation.now)), func() { p.tick(version) })
 }
 
-// check holds what must hold at every step.
-func (p *process) check(effects core.Effects) {
+// checkInvariants checks after each step that no entry went back to an older stamp, and records when the node is ready.
+func (p *process) checkInvariants(effects core.Effects) {
 	for _, e := range effects.Changed {
-		Expect(e.Stamp.After(p.newest[e.Key])).To(BeTrue(), "%s went backwards at %s", e.Key, p.node.ID())
-		p.newest[e.Key] = e.Stamp
+		Expect(e.Stamp.After(p.newestStamps[e.Key])).To(BeTrue(), "%s went backwards at %s", e.Key, p.node.ID())
+		p.newestStamps[e.Key] = e.Stamp
 	}
 	if p.readyAt.IsZero() && p.core.Ready() {
-		p.readyAt = p.world.now
+		p.readyAt = p.simulation.now
 	}
 }
 
-// send carries an envelope to the process at an address, and its answer back.
+// send delivers an envelope to the process at its address, and the answer back.
 func (p *process) send(out core.Outgoing) {
-	w := p.world
-	w.count(p, out)
-	w.deliver(p, func() *process { return w.at[out.Address] }, func(to *process) {
+	s := p.simulation
+	s.countOutgoing(p, out)
+	s.deliver(p, func() *process { return s.byAddress[out.Address] }, func(to *process) {
 		answer := to.answer(out.Envelope)
 		if !out.Envelope.ExpectsAnswer() {
 			return
 		}
-		w.countBytes(to, p, answer)
-		w.deliver(to, func() *process { return p }, func(back *process) {
-			back.core.Receive(w.now, answer, out.Address)
-			back.carryOut()
+		s.countEnvelope(to, p, answer)
+		s.deliver(to, func() *process { return p }, func(caller *process) {
+			caller.core.Receive(s.now, answer, out.Address)
+			caller.applyPendingEffects()
 		})
 	})
 }
 
-// answer steps a process with an envelope and gives what goes back at once.
+// answer passes an envelope to the node and returns the answer for its sender.
 func (p *process) answer(e core.Envelope) core.Envelope {
-	p.core.Receive(p.world.now, e, "")
+	p.core.Receive(p.simulation.now, e, "")
 	effects := p.core.Take()
 	self := p.core.Self()
 	answer := core.Envelope{From: self.ID(), Incarnation: self.Incarnation, Syncing: !p.core.Ready()}
 	if !e.ExpectsAnswer() {
-		p.carryOutThese(effects)
+		p.applyEffects(effects)
 		return answer
 	}
-	kept := effects.Messages[:0]
+	others := effects.Messages[:0]
 	for _, out := range effects.Messages {
 		if out.To == e.From {
 			answer = out.Envelope
 		} else {
-			kept = append(kept, out)
+			others = append(others, out)
 		}
 	}
-	effects.Messages = kept
-	p.carryOutThese(effects)
+	effects.Messages = others
+	p.applyEffects(effects)
 	return answer
 }
 
-// deliver runs a step at a process some time later, or not at all, or more than once.
-func (w *world) deliver(from *process, to func() *process, f func(*process)) {
+// deliver runs a step at a process after a delay. Depending on the rates of loss and duplication, the step may not run
+// at all, or run twice.
+func (s *simulation) deliver(from *process, destination func() *process, f func(*process)) {
 	copies := 1
-	if w.random.Float64() < w.loss {
+	if s.random.Float64() < s.lossRate {
 		copies = 0
 	}
-	if w.random.Float64() < w.repeat {
+	if s.random.Float64() < s.duplicateRate {
 		copies++
 	}
 	for range copies {
-		wait := 500*time.Microsecond + time.Duration(w.random.Int64N(int64(w.delay)))
-		w.after(wait, func() {
-			target := to()
-			if target == nil || w.cut(from, target) {
+		delay := 500*time.Microsecond + time.Duration(s.random.Int64N(int64(s.maxDelay)))
+		s.schedule(delay, func() {
+			target := destination()
+			if target == nil || s.isBlocked(from, target) {
 				return
 			}
-			target.step(func() { f(target) })
+			target.runStep(func() { f(target) })
 		})
 	}
 }
 
-// frameBytes is what the transport adds to a payload, about.
+// frameBytes is the approximate overhead of the transport per message.
 const frameBytes = 28
 
-func (w *world) count(from *process, out core.Outgoing) {
-	if to := w.at[out.Address]; to != nil {
-		w.countBytes(from, to, out.Envelope)
+func (s *simulation) countOutgoing(from *process, out core.Outgoing) {
+	if to := s.byAddress[out.Address]; to != nil {
+		s.countEnvelope(from, to, out.Envelope)
 	}
 }
 
-func (w *world) countBytes(from, to *process, e core.Envelope) {
-	if !w.measure {
+func (s *simulation) countEnvelope(from, to *process, e core.Envelope) {
+	if !s.measure {
 		return
 	}
 	data, err := core.EnvelopeCodec.Encode(core.EnvelopeToWire(e))
 	Expect(err).NotTo(HaveOccurred())
-	w.sent++
-	w.bytes += len(data) + frameBytes
+	s.sentEnvelopes++
+	s.sentBytes += len(data) + frameBytes
 	if from.node.Zone != to.node.Zone {
-		w.crossed += len(data) + frameBytes
+		s.crossZoneBytes += len(data) + frameBytes
 	}
 }
 
-// fleet starts nodes as a deployment does: all at nearly the same moment, three control nodes as seeds.
-func (w *world) fleet(size, zones int) {
+// startFleet starts nodes as a deployment does: all within 300 ms, with three control nodes as seeds.
+func (s *simulation) startFleet(size, zones int) {
 	for i := range min(3, size) {
-		w.seeds = append(w.seeds, addressOf(i))
+		s.seeds = append(s.seeds, addressOf(i))
 	}
 	for i := range size {
-		w.after(time.Duration(w.random.Int64N(int64(300*time.Millisecond))), func() { w.start(w.nodeAt(i, zones), 0) })
+		s.schedule(time.Duration(s.random.Int64N(int64(300*time.Millisecond))), func() { s.start(s.nodeOf(i, zones), 0) })
 	}
-	w.run(300 * time.Millisecond)
+	s.advance(300 * time.Millisecond)
 }
 
-func (w *world) nodeAt(i, zones int) membership.Node {
+func (s *simulation) nodeOf(i, zones int) membership.Node {
 	role := membership.Proxy
 	switch {
 	case i < 3:
