--- a/internal/tier/cluster/core/core_test.go
+++ b/internal/tier/cluster/core/core_test.go
@@ -115,8 +115,8 @@
 			for _, bytes := range []int{100, 50_000} {
 				s.sentBytes, s.crossZoneBytes = 0, 0
 				publisher := s.running()[size/2]
-				entry, news := publisher.core.Publish(s.now, gossip.Entry{Key: core.ConfigurationKey, Value: make([]byte, bytes)})
-				Expect(news).To(BeTrue())
+				entry, isNew := publisher.core.Publish(s.now, gossip.Entry{Key: core.ConfigurationKey, Value: make([]byte, bytes)})
+				Expect(isNew).To(BeTrue())
 				publisher.applyPendingEffects()
 				spread := s.advanceUntil(10*time.Second, 5*time.Millisecond, func() bool { return s.allHave(entry.Key, entry.Stamp) })
 				Expect(s.allHave(entry.Key, entry.Stamp)).To(BeTrue())
--- a/internal/tier/cluster/core/fuzz_test.go
+++ b/internal/tier/cluster/core/fuzz_test.go
@@ -49,7 +49,7 @@
 			}
 			node.Tick(now)
 		}
-		if _, news := node.Publish(zero.Add(3*time.Second), gossip.Entry{Key: core.StoresKey, Value: []byte("own")}); !news {
+		if _, isNew := node.Publish(zero.Add(3*time.Second), gossip.Entry{Key: core.StoresKey, Value: []byte("own")}); !isNew {
 			if _, known := node.Get(core.StoresKey); !known {
 				t.Fatal("the table lacks the entry that the node has published")
 			}
