--- a/cmd/emberquay/serve.go
+++ b/cmd/emberquay/serve.go
@@ -52,19 +52,19 @@
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	s.Tally(time.Duration(own.Log.CountS * float64(time.Second)))
+	s.LogCounts(time.Duration(own.Log.CountS * float64(time.Second)))
 	recall(s, own.Move.Learnt)
 	// The list as last known goes in before anything that is owed is looked at.
-	tell := s.Known
+	tell := s.LoadReceivers
 	list := directory.New(conf.Discovery, conf.Seed, conf.Limits, func(n directory.News) { tell(n) })
 	if conf.Known != nil {
 		if err := list.Known(conf.Known); err != nil {
 			slog.Warn("bad_known", "part", "config", "err", err)
 		}
 	}
-	tell = s.Listed
-	desk := notices.New(conf.Discovery, conf.Limits, s.Told)
-	s.Start(desk)
+	tell = s.UpdateReceivers
+	desk := notices.New(conf.Discovery, conf.Limits, s.NoticesDelivered)
+	s.Recover(desk)
 
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -101,7 +101,7 @@
 	close(stop)
 	<-stopped
 	if own.Move.Learnt != "" {
-		at, all := s.Learnt()
+		at, all := s.History()
 		err := warmstart.Write(own.Move.Learnt, at, all)
 		slog.Info("learnt_kept", "part", "serve", "file", own.Move.Learnt, "receivers", len(all), "err", err)
 	}
@@ -125,7 +125,7 @@
 		return
 	}
 	slog.Info("recalled", "part", "serve", "file", path, "receivers", len(all))
-	s.Recall(all)
+	s.RestoreHistory(all)
 }
 
 // lockWait is how long a start waits for the process before it to let go of the folder.
@@ -169,9 +169,9 @@
 // rest to the ledger. Nothing is left to do only once clients can bring no more: what they bring after a moment without
 // work would else be cut off in the midst of its call. Its times run from the signal.
 func windDown(limits config.Limits, front *clients.Server, s *sender.Sender, began time.Time) {
-	front.Linger()
+	front.DisableKeepAlives()
 	time.Sleep(time.Until(began.Add(limits.StopListen)))
-	freeze := time.AfterFunc(time.Until(began.Add(limits.StopSubmit)), s.Freeze)
+	freeze := time.AfterFunc(time.Until(began.Add(limits.StopSubmit)), s.StopSending)
 	defer freeze.Stop()
 	ctx, cancel := context.WithDeadline(context.Background(), began.Add(limits.StopEnd))
 	defer cancel()
@@ -184,7 +184,7 @@
 	case <-ctx.Done():
 	}
 	c, _ := s.Status()
-	slog.Info("stopped", "part", "serve", "after", time.Since(began).Round(time.Millisecond), "taken", c.Taken,
-		"refused", c.Refused, "delivered", c.Delivered, "nacked", c.Nacked, "undeliverable", c.Undeliverable,
-		"held", c.Held, "owed", c.Owed)
+	slog.Info("stopped", "part", "serve", "after", time.Since(began).Round(time.Millisecond), "taken", c.Accepted,
+		"refused", c.Rejected, "delivered", c.Delivered, "nacked", c.Nacked, "undeliverable", c.Undeliverable,
+		"held", c.Held, "owed", c.PendingNotices)
 }
--- a/internal/delivery/clients/clients.go
+++ b/internal/delivery/clients/clients.go
@@ -38,9 +38,9 @@
 	brandHeader    = "X-Caller"     // whose the text is, where brands have shares
 )
 
-// Taker takes texts on.
-type Taker interface {
-	Hand(t *ledger.Text, reply chan<- sender.Answer) bool
+// TextAcceptor takes texts on.
+type TextAcceptor interface {
+	HandIn(t *ledger.Text, reply chan<- sender.Answer) bool
 	Withdraw(t *ledger.Text)
 	Status() (sender.Counts, bool)
 }
@@ -49,14 +49,14 @@
 type Server struct {
 	limits   config.Limits
 	products map[string]bool
-	taker    Taker
+	taker    TextAcceptor
 	http     *http.Server
 	conns    *conns
 	listener atomic.Pointer[net.Listener]
 }
 
 // New makes the server; the settings name the products.
-func New(c *config.Config, taker Taker) *Server {
+func New(c *config.Config, taker TextAcceptor) *Server {
 	s := &Server{limits: c.Limits, products: c.Products, taker: taker, conns: newConns(c.Limits)}
 	mux := http.NewServeMux()
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// Open counts the clients' connections.
-func (s *Server) Open() int { return s.conns.count() }
+// OpenConns counts the clients' connections.
+func (s *Server) OpenConns() int { return s.conns.count() }
 
 func (s *Server) ready(w http.ResponseWriter, _ *http.Request) {
 	if s.conns.stopping.Load() {
@@ -103,7 +103,7 @@
 		sender.Counts
 		Clients int  `json:"client_conns"`
 		Stops   bool `json:"stopping"`
-	}{counts, s.Open(), s.conns.stopping.Load()})
+	}{counts, s.OpenConns(), s.conns.stopping.Load()})
 }
 
 // connKey is under what a request's context holds its connection.
@@ -144,14 +144,14 @@
 	}
 	connOf(r).reached(working)
 	reply := make(chan sender.Answer, 1)
-	if !s.taker.Hand(t, reply) {
+	if !s.taker.HandIn(t, reply) {
 		http.Error(w, "busy", http.StatusServiceUnavailable)
 		return
 	}
 	select {
 	case a := <-reply:
 		// A client that has gone before its answer hands the text in again: that goes before an answer ready just then.
-		if (r.Context().Err() != nil || s.answer(w, a) != nil) && a.Verdict == sender.Taken {
+		if (r.Context().Err() != nil || s.answer(w, a) != nil) && a.Verdict == sender.Accepted {
 			s.taker.Withdraw(t) // it never heard that the text was taken on
 		}
 	case <-r.Context().Done():
@@ -165,11 +165,11 @@
 		w.Header().Set("Connection", "close")
 	}
 	switch a.Verdict {
-	case sender.Taken:
+	case sender.Accepted:
 		w.WriteHeader(http.StatusAccepted)
 	case sender.Nacked:
-		if a.ComeBack > 0 {
-			w.Header().Set("Retry-After", seconds(a.ComeBack))
+		if a.RetryAfter > 0 {
+			w.Header().Set("Retry-After", seconds(a.RetryAfter))
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
 	default:
--- a/internal/delivery/clients/clients_test.go
+++ b/internal/delivery/clients/clients_test.go
@@ -30,7 +30,7 @@
 	reply     chan<- sender.Answer // of the last text
 }
 
-func (k *taker) Hand(t *ledger.Text, reply chan<- sender.Answer) bool {
+func (k *taker) HandIn(t *ledger.Text, reply chan<- sender.Answer) bool {
 	k.reply = reply
 	k.texts <- t
 	if k.answer != nil {
@@ -101,10 +101,10 @@
 		status int
 		after  string
 	}{
-		{sender.Answer{Verdict: sender.Taken}, 202, ""},
+		{sender.Answer{Verdict: sender.Accepted}, 202, ""},
 		{sender.Answer{Verdict: sender.Nacked}, 503, ""},
-		{sender.Answer{Verdict: sender.Nacked, ComeBack: 5001}, 503, "0.501"},
-		{sender.Answer{Verdict: sender.Failed}, 422, ""},
+		{sender.Answer{Verdict: sender.Nacked, RetryAfter: 5001}, 503, "0.501"},
+		{sender.Answer{Verdict: sender.Undeliverable}, 422, ""},
 	} {
 		_, k, addr := serve(t, 9, &c.answer)
 		conn := dial(t, addr)
@@ -127,7 +127,7 @@
 // Key and brand come in headers of their own; those in the envelope are for clients that have none. Names are put as the
 // settings hold them: one with a space would else be unknown, or another brand's share would count.
 func TestKeyAndBrandComeInHeaders(t *testing.T) {
-	_, k, addr := serve(t, 9, &sender.Answer{Verdict: sender.Taken})
+	_, k, addr := serve(t, 9, &sender.Answer{Verdict: sender.Accepted})
 	for envelope, want := range map[string]string{"dest=7": "k1 late_order b_1", "dest=7,key=k2,brand=b2": "k1 late_order b_1"} {
 		h := strings.Replace(heads, "dest=7", envelope, 1) + "X-Route-Hash: k1\r\nX-Caller: b 1\r\n"
 		if r := ask(t, dial(t, addr), strings.Replace(h, "Class: order", "Class: late order", 1), ""); r.StatusCode != 202 {
@@ -246,8 +246,8 @@
 	first, second := dial(t, addr), dial(t, addr)
 	ask(t, first, heads, "")
 	ask(t, second, heads, "")
-	if r := ask(t, dial(t, addr), heads, ""); r.StatusCode != 202 || s.Open() != 2 {
-		t.Error(r, s.Open())
+	if r := ask(t, dial(t, addr), heads, ""); r.StatusCode != 202 || s.OpenConns() != 2 {
+		t.Error(r, s.OpenConns())
 	}
 	closed := 0
 	for _, c := range []net.Conn{first, second} {
@@ -364,7 +364,7 @@
 	s, _, addr := serve(t, 9, &sender.Answer{})
 	idle := dial(t, addr)
 	ask(t, idle, heads, "")
-	s.Linger()
+	s.DisableKeepAlives()
 	if _, err := idle.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("an idle connection stays: %v", err)
 	}
--- a/internal/delivery/clients/conns.go
+++ b/internal/delivery/clients/conns.go
@@ -289,9 +289,9 @@
 	}
 }
 
-// Linger: the process is to end. Idle connections close, others after their next answer; new ones still come.
+// DisableKeepAlives: the process is to end. Idle connections close, others after their next answer; new ones still come.
 // The server's own ways to close idle ones are not used: they close some on which a request has been read already.
-func (s *Server) Linger() {
+func (s *Server) DisableKeepAlives() {
 	s.conns.stopping.Store(true)
 	s.conns.rest() // one that goes idle from now on closes then
 }
--- a/internal/delivery/clients/crossing_test.go
+++ b/internal/delivery/clients/crossing_test.go
@@ -83,11 +83,11 @@
 // taken on and sent, and its client never heard. Now it is answered first.
 func TestClosedAsARequestIsRead(t *testing.T) {
 	for moment, close := range map[string]func(*Server, string){
-		"asked to stop": func(s *Server, _ string) { s.Linger() },
+		"asked to stop": func(s *Server, _ string) { s.DisableKeepAlives() },
 		"shut down": func(s *Server, _ string) {
 			ctx, cancel := context.WithCancel(context.Background())
 			cancel()
-			s.Linger()
+			s.DisableKeepAlives()
 			s.Shutdown(ctx)
 		},
 		"makes room": func(s *Server, addr string) {
@@ -102,7 +102,7 @@
 			t.Fatal(err)
 		}
 		l := &pausing{Listener: inner, read: make(chan struct{}), on: make(chan struct{})}
-		s, _ := serveOn(t, l, 1, &sender.Answer{Verdict: sender.Taken})
+		s, _ := serveOn(t, l, 1, &sender.Answer{Verdict: sender.Accepted})
 		c := dial(t, inner.Addr().String())
 		ask(t, c, heads, "")
 		until(s, func(o *conn) bool { return o.at == idle })
@@ -129,16 +129,16 @@
 	<-k.texts
 	io.WriteString(c, bodiless[:1]) // net/http reads one byte beside a request that it works on
 	until(s, func(o *conn) bool { return o.ahead.Load() })
-	k.reply <- sender.Answer{Verdict: sender.Taken}
+	k.reply <- sender.Answer{Verdict: sender.Accepted}
 	in := bufio.NewReader(c)
 	if r, err := http.ReadResponse(in, nil); err != nil || r.StatusCode != 202 {
 		t.Fatal(r, err)
 	}
-	s.Linger()
+	s.DisableKeepAlives()
 	io.WriteString(c, bodiless[1:])
 	select {
 	case <-k.texts:
-		k.reply <- sender.Answer{Verdict: sender.Taken}
+		k.reply <- sender.Answer{Verdict: sender.Accepted}
 	case <-time.After(2 * time.Second):
 		t.Error("the rest of the request is not read")
 	}
@@ -161,7 +161,7 @@
 		t.Fatal("withdrawn, and its client waits")
 	case <-time.After(200 * time.Millisecond):
 	}
-	k.reply <- sender.Answer{Verdict: sender.Taken}
+	k.reply <- sender.Answer{Verdict: sender.Accepted}
 	if r, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || r.StatusCode != 202 {
 		t.Error(r, err)
 	}
--- a/internal/delivery/receivers/call.go
+++ b/internal/delivery/receivers/call.go
@@ -33,14 +33,14 @@
 
 // Call is one submit of a text.
 type Call struct {
-	Text string
-	Mark string // by which the receiver knows a repeat; may be empty
-	Body []byte
-	Wait time.Duration // for the answer
-	Done func(control.Result)
+	TextID         string
+	IdempotencyKey string // by which the receiver knows a repeat; may be empty
+	Body           []byte
+	Timeout        time.Duration // for the answer
+	Done           func(control.Result)
 
-	// Still says whether a call that had to wait for its connection may leave; nil: it may.
-	Still func(context.Context) bool
+	// MaySend says whether a call that had to wait for its connection may leave; nil: it may.
+	MaySend func(context.Context) bool
 
 	addr   string
 	ctx    context.Context
@@ -57,7 +57,7 @@
 
 // NewCall makes a call that Cancel can call off from the start.
 func NewCall(text, mark string, body []byte, wait time.Duration, done func(control.Result)) *Call {
-	c := &Call{Text: text, Mark: mark, Body: body, Wait: wait, Done: done}
+	c := &Call{TextID: text, IdempotencyKey: mark, Body: body, Timeout: wait, Done: done}
 	c.ctx, c.cancel = context.WithCancelCause(context.Background())
 	return c
 }
@@ -74,8 +74,8 @@
 // Cancel gives the call up; its connection is closed.
 func (c *Call) Cancel() { c.cancel(errCancelled) }
 
-// KeepBack gives the call up if it still waits for its connection, so that it surely never runs.
-func (c *Call) KeepBack() {
+// CancelUnsent gives the call up if it still waits for its connection, so that it surely never runs.
+func (c *Call) CancelUnsent() {
 	if c.stage.CompareAndSwap(waiting, keptBack) {
 		c.cancel(errCancelled)
 	}
@@ -101,7 +101,7 @@
 			// While a connection was made, by a network that says nothing for a second, say, a wait may have been
 			// told or the time for a repeat have passed: what is written now counts as sent now.
 			var stop error
-			if !(first && info.WasIdle) && c.Still != nil && !c.Still(c.ctx) || !c.leave() {
+			if !(first && info.WasIdle) && c.MaySend != nil && !c.MaySend(c.ctx) || !c.leave() {
 				stop = errOverdue
 			}
 			t.on.begin(stop, func() { c.cancel(errSpoilt) })
@@ -126,11 +126,11 @@
 func (c *Call) request() *http.Request {
 	req := &http.Request{
 		Method: http.MethodPost, URL: &url.URL{Scheme: "http", Host: c.addr, Path: callPath},
-		Host: c.addr, Header: http.Header{protocol.ID: {c.Text}, protocol.Budget: {seconds(c.Wait)}},
+		Host: c.addr, Header: http.Header{protocol.ID: {c.TextID}, protocol.Budget: {seconds(c.Timeout)}},
 		Body: io.NopCloser(bytes.NewReader(c.Body)), ContentLength: int64(len(c.Body)),
 	}
-	if c.Mark != "" {
-		req.Header[protocol.Mark] = []string{c.Mark}
+	if c.IdempotencyKey != "" {
+		req.Header[protocol.Mark] = []string{c.IdempotencyKey}
 	}
 	return req
 }
@@ -138,7 +138,7 @@
 // call makes the call and tells its result once.
 func (p *peer) call(c *Call) {
 	began := time.Now()
-	timer := time.AfterFunc(c.Wait, func() { c.cancel(errTooLong) })
+	timer := time.AfterFunc(c.Timeout, func() { c.cancel(errTooLong) })
 	defer timer.Stop()
 	defer c.cancel(nil)
 	t, resp, err := p.round(c, true)
@@ -187,7 +187,7 @@
 		r.NotListening = r.Outcome == control.NoConnection && errors.Is(err, syscall.ECONNREFUSED)
 	}
 	if !errors.Is(err, errCancelled) {
-		slog.Warn("call_failed", "part", "receivers", "text", c.Text, "addr", c.addr, "outcome", r.Outcome, "kept", r.StaleConn, "err", err)
+		slog.Warn("call_failed", "part", "receivers", "text", c.TextID, "addr", c.addr, "outcome", r.Outcome, "kept", r.StaleConn, "err", err)
 	}
 	return r
 }
--- a/internal/delivery/receivers/call_test.go
+++ b/internal/delivery/receivers/call_test.go
@@ -61,7 +61,7 @@
 }
 
 // submit makes one call and waits for its result.
-func submit(t *testing.T, f *Fleet, body []byte, wait time.Duration) control.Result {
+func submit(t *testing.T, f *Pool, body []byte, wait time.Duration) control.Result {
 	t.Helper()
 	done := make(chan control.Result, 2)
 	if !f.Submit(1, NewCall("t1", "mark", body, wait, func(r control.Result) { done <- r })) {
@@ -76,9 +76,9 @@
 	panic("unreachable")
 }
 
-func fleet(addr string) *Fleet {
+func fleet(addr string) *Pool {
 	f := New(limits, []string{"x0", "x1"})
-	f.Listed(1, addr)
+	f.SetAddress(1, addr)
 	return f
 }
 
@@ -147,7 +147,7 @@
 	}()
 	f := fleet(l.Addr().String())
 	submit(t, f, nil, time.Second)
-	for f.Open() > 0 {
+	for f.OpenConns() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	if r := submit(t, f, nil, time.Second); r.Outcome != control.NoConnection {
@@ -253,7 +253,7 @@
 	for range 2 {
 		f.Submit(1, NewCall("t", "", nil, time.Minute, func(r control.Result) { done <- r }))
 	}
-	for f.Open() < 2 {
+	for f.OpenConns() < 2 {
 		time.Sleep(time.Millisecond)
 	}
 	if r := submit(t, f, nil, time.Second); r.Outcome != control.Unsent {
@@ -262,13 +262,13 @@
 	close(release)
 	<-done
 	<-done
-	f.Close(1)
-	for end := time.Now().Add(time.Second); f.Open() > 0; time.Sleep(time.Millisecond) {
+	f.CloseIdle(1)
+	for end := time.Now().Add(time.Second); f.OpenConns() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d connections stay open", f.Open())
+			t.Fatalf("%d connections stay open", f.OpenConns())
 		}
 	}
-	if f.Gone(1); f.Submit(1, NewCall("t", "", nil, time.Second, nil)) {
+	if f.Remove(1); f.Submit(1, NewCall("t", "", nil, time.Second, nil)) {
 		t.Error("a call to a receiver that is gone")
 	}
 }
@@ -279,12 +279,12 @@
 	b, _ := standIn(t, func(*http.Request, []byte) string { return "200 OK\r\n" })
 	f := fleet(a)
 	f.limits.ReceiverConns = 1
-	f.Listed(2, b)
+	f.SetAddress(2, b)
 	submit(t, f, nil, time.Second)
 	done := make(chan control.Result, 1)
 	f.Submit(2, NewCall("t2", "", nil, time.Second, func(r control.Result) { done <- r }))
-	if r := <-done; r.Outcome != control.Delivered || f.Open() != 1 {
-		t.Errorf("%v with %d connections", r, f.Open())
+	if r := <-done; r.Outcome != control.Delivered || f.OpenConns() != 1 {
+		t.Errorf("%v with %d connections", r, f.OpenConns())
 	}
 }
 
@@ -434,7 +434,7 @@
 	for i, want := range []string{"unsent, asked 1, came 0", "delivered, asked 2, came 1", "delivered, asked 2, came 2"} {
 		done := make(chan control.Result, 1)
 		call := NewCall("t1", "mark", []byte("x"), time.Second, func(r control.Result) { done <- r })
-		call.Still = func(context.Context) bool { asked++; return i == 1 }
+		call.MaySend = func(context.Context) bool { asked++; return i == 1 }
 		f.Submit(1, call)
 		if got := fmt.Sprintf("%v, asked %d, came %d", (<-done).Outcome, asked, came.Load()); got != want {
 			t.Errorf("call %d: %s, want %s", i, got, want)
--- a/internal/delivery/receivers/conn.go
+++ b/internal/delivery/receivers/conn.go
@@ -16,7 +16,7 @@
 // one answer for the next call's.
 type conn struct {
 	net.Conn
-	fleet  *Fleet
+	fleet  *Pool
 	closed atomic.Bool
 
 	mu     sync.Mutex
--- a/internal/delivery/receivers/crossing_test.go
+++ b/internal/delivery/receivers/crossing_test.go
@@ -96,7 +96,7 @@
 	many := limits
 	many.ReceiverConns, many.Slots = 64, 64
 	f := New(many, nil)
-	f.Listed(1, l.Addr().String())
+	f.SetAddress(1, l.Addr().String())
 	const calls = 600
 	var mine sync.WaitGroup
 	outcomes := make([]control.Outcome, calls)
--- a/internal/delivery/receivers/receivers.go
+++ b/internal/delivery/receivers/receivers.go
@@ -15,8 +15,8 @@
 	"emberquay/internal/delivery/config"
 )
 
-// Fleet holds the receivers that the list names. One goroutine uses it, the module's actor.
-type Fleet struct {
+// Pool holds the receivers that the list names. One goroutine uses it, the module's actor.
+type Pool struct {
 	limits config.Limits
 	names  []string // of the values of a report, in order
 	calls  atomic.Int64
@@ -28,12 +28,12 @@
 }
 
 // New makes a fleet that knows no receiver. Names are those of the values that a report may hold.
-func New(limits config.Limits, names []string) *Fleet {
-	return &Fleet{limits: limits, names: names, peers: map[control.ReceiverID]*peer{}}
+func New(limits config.Limits, names []string) *Pool {
+	return &Pool{limits: limits, names: names, peers: map[control.ReceiverID]*peer{}}
 }
 
-// Listed tells where a receiver is.
-func (f *Fleet) Listed(id control.ReceiverID, addr string) {
+// SetAddress tells where a receiver is.
+func (f *Pool) SetAddress(id control.ReceiverID, addr string) {
 	p := f.peers[id]
 	if p == nil {
 		p = f.newPeer(addr)
@@ -47,8 +47,8 @@
 	}
 }
 
-// Gone: the list does not name the receiver any more. Calls that are out end by themselves.
-func (f *Fleet) Gone(id control.ReceiverID) {
+// Remove: the list does not name the receiver any more. Calls that are out end by themselves.
+func (f *Pool) Remove(id control.ReceiverID) {
 	if p := f.peers[id]; p != nil {
 		f.mu.Lock()
 		delete(f.peers, id)
@@ -59,7 +59,7 @@
 }
 
 // Submit hands a call to a receiver's actor; false if the receiver is unknown or its mailbox is full.
-func (f *Fleet) Submit(to control.ReceiverID, c *Call) bool {
+func (f *Pool) Submit(to control.ReceiverID, c *Call) bool {
 	p := f.peers[to]
 	if p == nil {
 		return false
@@ -72,7 +72,7 @@
 // take counts one more connection to a receiver. At the cap idle ones are closed first, of the receivers that
 // were called longest ago: what is idle elsewhere must not keep a call from going, and each one closed is
 // opened again.
-func (f *Fleet) take(p *peer) bool {
+func (f *Pool) take(p *peer) bool {
 	if f.open.Add(1) <= int64(f.limits.ReceiverConns) {
 		return true
 	}
@@ -81,37 +81,37 @@
 	f.mu.Unlock()
 	slices.SortFunc(others, func(a, b *peer) int { return cmp.Compare(a.used.Load(), b.used.Load()) })
 	for _, o := range others {
-		if f.Open() <= f.limits.ReceiverConns {
+		if f.OpenConns() <= f.limits.ReceiverConns {
 			return true
 		}
 		if o != p {
 			o.transport.CloseIdleConnections()
 		}
 	}
-	if f.Open() <= f.limits.ReceiverConns {
+	if f.OpenConns() <= f.limits.ReceiverConns {
 		return true
 	}
 	f.open.Add(-1)
 	return false
 }
 
-// Close closes the idle connections to a receiver.
-func (f *Fleet) Close(to control.ReceiverID) {
+// CloseIdle closes the idle connections to a receiver.
+func (f *Pool) CloseIdle(to control.ReceiverID) {
 	if p := f.peers[to]; p != nil {
 		p.post(p.transport.CloseIdleConnections)
 	}
 }
 
-// Open counts the connections to all receivers.
-func (f *Fleet) Open() int { return int(f.open.Load()) }
+// OpenConns counts the connections to all receivers.
+func (f *Pool) OpenConns() int { return int(f.open.Load()) }
 
 // Dials counts the connections that were asked for so far.
-func (f *Fleet) Dials() int { return int(f.dials.Load()) }
+func (f *Pool) Dials() int { return int(f.dials.Load()) }
 
 // peer is one receiver. Its actor takes what is posted in order; each call then has a goroutine, which the
 // module's slots bound.
 type peer struct {
-	fleet     *Fleet
+	fleet     *Pool
 	addr      string       // the fleet's goroutine's alone
 	used      atomic.Int64 // the number of the last call
 	gone      atomic.Bool  // the last of its calls closes their connections
@@ -119,7 +119,7 @@
 	transport *http.Transport
 }
 
-func (f *Fleet) newPeer(addr string) *peer {
+func (f *Pool) newPeer(addr string) *peer {
 	p := &peer{fleet: f, addr: addr, mail: make(chan func(), 2*f.limits.Slots+8)}
 	p.transport = &http.Transport{
 		DialContext:            p.dial,
--- a/internal/delivery/sender/count.go
+++ b/internal/delivery/sender/count.go
@@ -7,23 +7,23 @@
 	"emberquay/control"
 )
 
-// Calls is what became of submits, by why they did not deliver.
-type Calls struct {
-	Full         int `json:"full"`          // turned away, for whatever reason
-	Crowded      int `json:"crowded"`       // of these, for want of a connection
-	NoConnection int `json:"no_connection"` // none could be made
-	NoAnswer     int `json:"no_answer"`     // none in time, or the connection broke
-	Errored      int `json:"errored"`
-	Unsent       int `json:"unsent"` // never left
-	Dials        int `json:"dials"`  // connections that were asked for
+// AttemptCounts is what became of submits, by why they did not deliver.
+type AttemptCounts struct {
+	Refused          int `json:"full"`          // turned away, for whatever reason
+	ConnLimitReached int `json:"crowded"`       // of these, for want of a connection
+	NoConnection     int `json:"no_connection"` // none could be made
+	NoAnswer         int `json:"no_answer"`     // none in time, or the connection broke
+	Errored          int `json:"errored"`
+	Unsent           int `json:"unsent"` // never left
+	Dials            int `json:"dials"`  // connections that were asked for
 }
 
-func (c *Calls) add(r control.Result) {
+func (c *AttemptCounts) add(r control.Result) {
 	switch r.Outcome {
 	case control.Refused:
-		c.Full++
+		c.Refused++
 		if r.ConnLimitReached {
-			c.Crowded++
+			c.ConnLimitReached++
 		}
 	case control.NoConnection:
 		c.NoConnection++
@@ -43,8 +43,8 @@
 	told  Counts
 }
 
-// Tally has the sender log what it does, before Run; see quaylab count for whole fleets of such logs.
-func (s *Sender) Tally(every time.Duration) { s.tally = tally{every: every, last: time.Now()} }
+// LogCounts has the sender log what it does, before Run; see quaylab count for whole fleets of such logs.
+func (s *Sender) LogCounts(every time.Duration) { s.tally = tally{every: every, last: time.Now()} }
 
 func (s *Sender) count() {
 	t := &s.tally
@@ -52,15 +52,15 @@
 		return
 	}
 	now, was := s.counted(), t.told
-	if now.Taken == was.Taken && now.Submits == was.Submits && now.Refused == was.Refused && now.ended() == was.ended() {
+	if now.Accepted == was.Accepted && now.Attempts == was.Attempts && now.Rejected == was.Rejected && now.ended() == was.ended() {
 		return
 	}
 	slog.Info("counted", "part", "sender", "over", time.Since(t.last).Round(time.Millisecond),
-		"taken", now.Taken-was.Taken, "refused", now.Refused-was.Refused, "delivered", now.Delivered-was.Delivered,
-		"nacked", now.Nacked-was.Nacked, "undeliverable", now.Undeliverable-was.Undeliverable, "submits", now.Submits-was.Submits,
-		"full", now.Full-was.Full, "crowded", now.Crowded-was.Crowded, "no_connection", now.NoConnection-was.NoConnection,
+		"taken", now.Accepted-was.Accepted, "refused", now.Rejected-was.Rejected, "delivered", now.Delivered-was.Delivered,
+		"nacked", now.Nacked-was.Nacked, "undeliverable", now.Undeliverable-was.Undeliverable, "submits", now.Attempts-was.Attempts,
+		"full", now.Refused-was.Refused, "crowded", now.ConnLimitReached-was.ConnLimitReached, "no_connection", now.NoConnection-was.NoConnection,
 		"no_answer", now.NoAnswer-was.NoAnswer, "errored", now.Errored-was.Errored, "unsent", now.Unsent-was.Unsent,
-		"dials", now.Dials-was.Dials, "held", now.Held, "out", now.Out, "conns", now.Open)
+		"dials", now.Dials-was.Dials, "held", now.Held, "out", now.InFlight, "conns", now.ReceiverConns)
 	t.last, t.told = time.Now(), now
 }
 
@@ -70,6 +70,6 @@
 // counted is what was done and what is in hand.
 func (s *Sender) counted() Counts {
 	c := s.counts
-	c.Held, c.Owed, c.Receivers, c.Open, c.Dials = len(s.texts), s.owed, len(s.listed), s.fleet.Open(), s.fleet.Dials()
+	c.Held, c.PendingNotices, c.Receivers, c.ReceiverConns, c.Dials = len(s.texts), s.owed, len(s.listed), s.fleet.OpenConns(), s.fleet.Dials()
 	return c
 }
--- a/internal/delivery/sender/crossing_test.go
+++ b/internal/delivery/sender/crossing_test.go
@@ -32,7 +32,7 @@
 	first := g.text("a", "once")
 	second, third := again(first), again(first)
 	for _, x := range []*ledger.Text{first, second, third} {
-		if v := g.handed(x); v != Taken {
+		if v := g.handed(x); v != Accepted {
 			t.Fatal(v)
 		}
 	}
@@ -50,7 +50,7 @@
 	// Where none has heard, nobody owns it.
 	fourth := g.text("b", "free")
 	fifth := again(fourth)
-	g.Tell(func() { g.Sender.hand(fourth, make(chan Answer, 1)); g.Sender.hand(fifth, make(chan Answer, 1)) })
+	g.Enqueue(func() { g.Sender.hand(fourth, make(chan Answer, 1)); g.Sender.hand(fifth, make(chan Answer, 1)) })
 	g.Withdraw(fourth)
 	g.Withdraw(fifth)
 	g.until("a text is kept that nobody wants", func() bool { return g.holds() == 0 })
@@ -65,9 +65,9 @@
 	g.set["RequestClasses.2.ObjectiveUs"], g.set["RequestClasses.2.HardLimitUs"] = "100000000", "200000000"
 	g.start()
 	g.hand("a", "once", time.Minute)
-	out := func() int { return g.asks(func() int { return g.counts.Out }) }
+	out := func() int { return g.asks(func() int { return g.counts.InFlight }) }
 	g.until("no call", func() bool { return out() == 1 })
-	g.Freeze()
+	g.StopSending()
 	g.until("a call that cannot leave stays out", func() bool { return out() == 0 })
 	g.kill()
 	g.addr = there
@@ -113,7 +113,7 @@
 	g.hand("a", "free", time.Minute)
 	g.until("no call", func() bool { return g.called("a") == 1 })
 	s, stand, on := g.Sender, make(chan bool), make(chan bool)
-	g.Tell(func() { s.later = append(s.later, func() { stand <- true; <-on }) }) // within a settle, after the mailbox was read
+	g.Enqueue(func() { s.later = append(s.later, func() { stand <- true; <-on }) }) // within a settle, after the mailbox was read
 	<-stand
 	close(release)
 	g.until("no answer", func() bool { return len(s.mail) > 0 })
@@ -133,12 +133,12 @@
 	g := newRig(t, silent)
 	g.start()
 	first := g.text("a", "once")
-	if v := g.handed(first); v != Taken {
+	if v := g.handed(first); v != Accepted {
 		t.Fatal(v)
 	}
 	g.until("no call", func() bool { return g.called("a") == 1 })
 	reply := make(chan Answer, 1)
-	g.Tell(func() { // in one step, so that the end of the call comes after it
+	g.Enqueue(func() { // in one step, so that the end of the call comes after it
 		g.Sender.withdraw(g.texts["a"])
 		g.Sender.hand(again(first), reply)
 	})
@@ -150,7 +150,7 @@
 	if g.called("a") != 1 || len(g.notices) > 0 || g.holds() > 0 {
 		t.Errorf("%d calls, %d notices, %d held", g.called("a"), len(g.notices), g.holds())
 	}
-	if v := g.handed(again(first)); v != Taken { // all of it is over
+	if v := g.handed(again(first)); v != Accepted { // all of it is over
 		t.Error(v)
 	}
 }
@@ -162,7 +162,7 @@
 	x := g.text("a", "once")
 	g.handed(x)
 	g.until("it stays held", func() bool { return g.holds() == 0 })
-	if v := g.handed(again(x)); v != Taken || g.holds() > 0 || g.called("a") != 1 {
+	if v := g.handed(again(x)); v != Accepted || g.holds() > 0 || g.called("a") != 1 {
 		t.Errorf("%v, %d held, %d calls", v, g.holds(), g.called("a"))
 	}
 	g.mu.Lock()
@@ -173,7 +173,7 @@
 	g.handed(y)
 	g.notice() // it is owed, over a restart too
 	for range 2 {
-		if v := g.handed(again(y)); v != Taken || g.holds() > 0 || g.called("b") != 1 {
+		if v := g.handed(again(y)); v != Accepted || g.holds() > 0 || g.called("b") != 1 {
 			t.Errorf("%v, %d held, %d calls", v, g.holds(), g.called("b"))
 		}
 		g.kill()
--- a/internal/delivery/sender/listing.go
+++ b/internal/delivery/sender/listing.go
@@ -12,11 +12,11 @@
 
 // The list of receivers: who is where, and what was learnt of them.
 
-// Listed posts news of the list.
-func (s *Sender) Listed(news directory.News) { s.Tell(func() { s.hear(news) }) }
+// UpdateReceivers posts news of the list.
+func (s *Sender) UpdateReceivers(news directory.News) { s.Enqueue(func() { s.hear(news) }) }
 
-// Known tells the list as it was last known, before Run.
-func (s *Sender) Known(news directory.News) { s.hear(news) }
+// LoadReceivers tells the list as it was last known, before Run.
+func (s *Sender) LoadReceivers(news directory.News) { s.hear(news) }
 
 func (s *Sender) hear(news directory.News) {
 	named := map[control.ReceiverID]bool{}
@@ -60,17 +60,17 @@
 	}
 }
 
-// Recall takes over what a process before has learnt, as its receivers are listed; before the list is told.
-func (s *Sender) Recall(all []warmstart.Receiver) {
+// RestoreHistory takes over what a process before has learnt, as its receivers are listed; before the list is told.
+func (s *Sender) RestoreHistory(all []warmstart.Receiver) {
 	s.recall = map[string]warmstart.Receiver{}
 	for _, l := range all {
 		s.recall[l.Addr] = l
 	}
 }
 
-// Learnt gives what the module has learnt, for the process after this one; after Run. What was taken over of
+// History gives what the module has learnt, for the process after this one; after Run. What was taken over of
 // receivers that were not listed yet goes on.
-func (s *Sender) Learnt() (control.Time, []warmstart.Receiver) {
+func (s *Sender) History() (control.Time, []warmstart.Receiver) {
 	addr := map[control.ReceiverID]string{}
 	for a, id := range s.at {
 		addr[id] = a
@@ -88,7 +88,7 @@
 func (s *Sender) place(h directory.Host) {
 	s.vacate(h.Receiver)
 	s.listed[h.Receiver], s.at[h.Addr] = h.ReceiverEntry, h.Receiver
-	s.fleet.Listed(h.Receiver, h.Addr)
+	s.fleet.SetAddress(h.Receiver, h.Addr)
 }
 
 // vacate frees the address of a receiver.
@@ -99,5 +99,5 @@
 func (s *Sender) drop(id control.ReceiverID) {
 	s.vacate(id)
 	delete(s.listed, id)
-	s.fleet.Gone(id)
+	s.fleet.Remove(id)
 }
--- a/internal/delivery/sender/outlet.go
+++ b/internal/delivery/sender/outlet.go
@@ -36,21 +36,21 @@
 		return
 	}
 	done := func(r control.Result) {
-		s.Tell(func() {
-			s.counts.Out--
+		s.Enqueue(func() {
+			s.counts.InFlight--
 			s.answered(id, no, r)
 		})
 	}
 	call := receivers.NewCall(id, h.Mark, h.Body, protocol.Span(wait), done)
-	call.Still = func(ctx context.Context) bool { return s.still(ctx, id, no) }
+	call.MaySend = func(ctx context.Context) bool { return s.still(ctx, id, no) }
 	h.call = call
 	s.leave(func() {
 		if !s.fleet.Submit(to, call) {
 			s.unsent(id, no)
 			return
 		}
-		s.counts.Out++
-		s.counts.Submits++
+		s.counts.InFlight++
+		s.counts.Attempts++
 	}, func() { s.unsent(id, no) })
 }
 
@@ -88,7 +88,9 @@
 }
 
 // MarkUndeliverable ends a text for good.
-func (s *Sender) MarkUndeliverable(id string) { s.end(&ledger.Notice{ID: id}, Answer{Verdict: Failed}) }
+func (s *Sender) MarkUndeliverable(id string) {
+	s.end(&ledger.Notice{ID: id}, Answer{Verdict: Undeliverable})
+}
 
 // end tells the client where it still waits, else the platform.
 func (s *Sender) end(n *ledger.Notice, a Answer) {
@@ -97,7 +99,7 @@
 	case h == nil:
 	case h.waits != nil:
 		// Written before it is said: a process killed in between would else send what its client had back.
-		s.counts.Refused++
+		s.counts.Rejected++
 		s.forget(n.ID)
 		s.leave(func() { h.tell(a) }, nil) // an end goes in any case
 	default:
@@ -134,7 +136,7 @@
 }
 
 // CloseIdle closes the idle connections to a receiver.
-func (s *Sender) CloseIdle(to control.ReceiverID) { s.fleet.Close(to) }
+func (s *Sender) CloseIdle(to control.ReceiverID) { s.fleet.CloseIdle(to) }
 
 // WatchReceivers has nothing to do here: internal/delivery/directory keeps a watch open from the start, asked for or not.
 func (s *Sender) WatchReceivers() {}
--- a/internal/delivery/sender/sender.go
+++ b/internal/delivery/sender/sender.go
@@ -21,19 +21,19 @@
 
 // The verdicts.
 const (
-	Taken  Verdict = iota
-	Nacked         // handing it in again is harmless
-	Failed
+	Accepted Verdict = iota
+	Nacked           // handing it in again is harmless
+	Undeliverable
 )
 
 // Answer is a verdict and, with a nack, advice when to come back; 0: none.
 type Answer struct {
-	Verdict  Verdict
-	ComeBack control.Time
+	Verdict    Verdict
+	RetryAfter control.Time
 }
 
-// Desk takes notices to the platform.
-type Desk interface{ Post(*ledger.Notice) bool }
+// Notifier takes notices to the platform.
+type Notifier interface{ Post(*ledger.Notice) bool }
 
 // wakeUps is how many times a call waits for a processor from its release until its answer is read, each as late as the
 // process is observed to be: the receiver's actor, the call, its dial, the connection's writer, the receiver's reader and
@@ -50,8 +50,8 @@
 
 	module *control.Sender
 	ledger *ledger.Ledger
-	fleet  *receivers.Fleet
-	desk   Desk
+	fleet  *receivers.Pool
+	desk   Notifier
 
 	lateness *lateness.Monitor // from Run on
 
@@ -75,23 +75,23 @@
 
 // Counts is what a sender has done since its start, and what it has in hand.
 type Counts struct {
-	Taken         int `json:"taken"`
-	Refused       int `json:"refused"` // at once
+	Accepted      int `json:"taken"`
+	Rejected      int `json:"refused"` // at once
 	Delivered     int `json:"delivered"`
 	Nacked        int `json:"nacked"` // later
 	Undeliverable int `json:"undeliverable"`
-	Submits       int `json:"submits"`
-	Calls
+	Attempts      int `json:"submits"`
+	AttemptCounts
 
-	Held      int `json:"held"`
-	Out       int `json:"out"`  // submits
-	Owed      int `json:"owed"` // notices
-	Receivers int `json:"receivers"`
-	Open      int `json:"receiver_conns"`
+	Held           int `json:"held"`
+	InFlight       int `json:"out"`  // submits
+	PendingNotices int `json:"owed"` // notices
+	Receivers      int `json:"receivers"`
+	ReceiverConns  int `json:"receiver_conns"`
 }
 
 // New makes the actor, takes over what the ledger owes and tells the module. Run then lets it act.
-func New(c *config.Config, l *ledger.Ledger, f *receivers.Fleet) (*Sender, error) {
+func New(c *config.Config, l *ledger.Ledger, f *receivers.Pool) (*Sender, error) {
 	s := &Sender{
 		limits: c.Limits, began: time.Now(), mail: make(chan func(), c.Limits.Mailbox),
 		timer: time.NewTimer(time.Hour), ledger: l, fleet: f,
@@ -111,9 +111,9 @@
 	return protocol.At(s.began) + protocol.Ticks(time.Since(s.began))
 }
 
-// Start takes over what is owed from before, once the list as last known has been told. Notices that are
+// Recover takes over what is owed from before, once the list as last known has been told. Notices that are
 // due go to the desk.
-func (s *Sender) Start(desk Desk) {
+func (s *Sender) Recover(desk Notifier) {
 	s.desk = desk
 	s.ledger.Now(s.now())
 	texts, due := s.ledger.Owed()
@@ -184,15 +184,15 @@
 			h.tell(Answer{Verdict: Nacked})
 		case s.unsynced: // it might be forgotten
 			s.withdraw(h)
-			s.counts.Refused++
+			s.counts.Rejected++
 			h.tell(Answer{Verdict: Nacked})
 		default:
-			h.tell(Answer{Verdict: Taken})
-			s.counts.Taken++
+			h.tell(Answer{Verdict: Accepted})
+			s.counts.Accepted++
 		}
 	}
 	s.fresh, s.unsynced = s.fresh[:0], false
-	if s.stopping && s.counts.Out == 0 && (s.frozen || len(s.texts)+s.owed == 0) {
+	if s.stopping && s.counts.InFlight == 0 && (s.frozen || len(s.texts)+s.owed == 0) {
 		s.stopping = false
 		close(s.idle)
 	}
@@ -229,12 +229,12 @@
 	}
 }
 
-// Tell posts a call on the module; it waits while the mailbox is full.
-func (s *Sender) Tell(do func()) { s.mail <- do }
+// Enqueue posts a call on the module; it waits while the mailbox is full.
+func (s *Sender) Enqueue(do func()) { s.mail <- do }
 
-// Told posts that notices have arrived.
-func (s *Sender) Told(all []*ledger.Notice) {
-	s.Tell(func() {
+// NoticesDelivered posts that notices have arrived.
+func (s *Sender) NoticesDelivered(all []*ledger.Notice) {
+	s.Enqueue(func() {
 		for _, n := range all {
 			s.owed--
 			s.noted(n.ID, s.ledger.Ended(n.ID))
@@ -267,16 +267,16 @@
 }
 
 // Stop posts that the process is to end: what is owed is worked on, and Idle tells once nothing is left.
-func (s *Sender) Stop() { s.Tell(func() { s.stopping = true }) }
+func (s *Sender) Stop() { s.Enqueue(func() { s.stopping = true }) }
 
-// Freeze posts that nothing new goes out; Idle then tells once no call is out. Calls that wait for their connections are
+// StopSending posts that nothing new goes out; Idle then tells once no call is out. Calls that wait for their connections are
 // kept back: out at the end they would count as such that may have run.
-func (s *Sender) Freeze() {
-	s.Tell(func() {
+func (s *Sender) StopSending() {
+	s.Enqueue(func() {
 		s.frozen = true
 		for _, h := range s.texts {
 			if h.call != nil {
-				h.call.KeepBack()
+				h.call.CancelUnsent()
 			}
 		}
 	})
--- a/internal/delivery/sender/sender_test.go
+++ b/internal/delivery/sender/sender_test.go
@@ -102,9 +102,9 @@
 	if g.Sender, err = New(conf, l, receivers.New(conf.Limits, nil)); err != nil {
 		g.t.Fatal(err)
 	}
-	g.Known(directory.News{Whole: true, Hosts: []directory.Host{{Addr: g.addr,
+	g.LoadReceivers(directory.News{Whole: true, Hosts: []directory.Host{{Addr: g.addr,
 		ReceiverEntry: control.ReceiverEntry{Receiver: 1, Rate: 1000, Destination: 3, Kind: "one"}}}})
-	g.Start(g)
+	g.Recover(g)
 	g.stop, g.stopped = make(chan struct{}), make(chan struct{})
 	go func(s *Sender, stop, stopped chan struct{}) {
 		defer close(stopped)
@@ -147,7 +147,7 @@
 func (g *rig) handed(x *ledger.Text) Verdict {
 	g.t.Helper()
 	reply := make(chan Answer, 1)
-	if !g.Hand(x, reply) {
+	if !g.HandIn(x, reply) {
 		g.t.Fatal("the mailbox is full")
 	}
 	select {
@@ -189,7 +189,7 @@
 // asks has the actor count something.
 func (g *rig) asks(count func() int) int {
 	n := make(chan int)
-	g.Tell(func() { n <- count() })
+	g.Enqueue(func() { n <- count() })
 	return <-n
 }
 
@@ -204,7 +204,7 @@
 func TestDelivered(t *testing.T) {
 	g := newRig(t, ok)
 	g.start()
-	if v := g.hand("a", "once", time.Second); v != Taken {
+	if v := g.hand("a", "once", time.Second); v != Accepted {
 		t.Fatal(v)
 	}
 	g.until("it stays held", func() bool { return g.holds() == 0 })
@@ -232,7 +232,7 @@
 	g.start()
 	reply := make(chan Answer) // the actor stands still until the answer is taken
 	defer func() { go func() { <-reply }() }()
-	g.Hand(&ledger.Text{ID: "a", Product: "free", Destination: 3, ValidUntil: g.now()}, reply)
+	g.HandIn(&ledger.Text{ID: "a", Product: "free", Destination: 3, ValidUntil: g.now()}, reply)
 	g.until("the end is not written", func() bool {
 		found, owed, _, err := ledger.Inspect(vfs.OS{}, g.dir)
 		if err != nil {
@@ -249,7 +249,7 @@
 	for product, nack := range map[string]bool{"free": true, "marked": true, "once": false} {
 		g := newRig(t, silent)
 		g.start()
-		if v := g.hand("a", product, 200*time.Millisecond); v != Taken {
+		if v := g.hand("a", product, 200*time.Millisecond); v != Accepted {
 			t.Fatal(v)
 		}
 		if n := g.notice(); n.ID != "a" || n.Nack != nack {
@@ -261,7 +261,7 @@
 		if n := g.notice(); n.ID != "a" || n.Nack != nack {
 			t.Errorf("%s: %+v", product, n)
 		}
-		g.Told([]*ledger.Notice{{ID: "a"}})
+		g.NoticesDelivered([]*ledger.Notice{{ID: "a"}})
 		g.holds()
 		g.kill()
 		g.start()
@@ -315,7 +315,7 @@
 		w.WriteHeader(http.StatusOK)
 	})
 	g.start()
-	g.Listed(directory.News{Whole: true}) // none is listed, so all are held
+	g.UpdateReceivers(directory.News{Whole: true}) // none is listed, so all are held
 	for i := range 9 {
 		g.hand(fmt.Sprint(i), "once", 2*time.Second)
 	}
@@ -369,7 +369,7 @@
 		g.kill()
 		g.start()
 	}
-	g.Told([]*ledger.Notice{g.notice()})
+	g.NoticesDelivered([]*ledger.Notice{g.notice()})
 	g.until("not delivered", func() bool { return g.called("b") == 1 && g.holds() == 0 })
 }
 
@@ -381,7 +381,7 @@
 	g.until("out", func() bool { return g.called("t1") == 1 })
 	before := g.still(t.Context(), "t1", 0)
 	drains := control.ReceiverEntry{Receiver: 1, Rate: 1000, Destination: 3, Kind: "one", State: control.Draining}
-	g.Listed(directory.News{Hosts: []directory.Host{{Addr: g.addr, ReceiverEntry: drains}}})
+	g.UpdateReceivers(directory.News{Hosts: []directory.Host{{Addr: g.addr, ReceiverEntry: drains}}})
 	if after := g.still(t.Context(), "t1", 0); !before || after {
 		t.Errorf("it may leave: %v, and for a receiver that drains: %v", before, after)
 	}
@@ -392,14 +392,14 @@
 	g.start()
 	taken := 0
 	for i := range 60 {
-		if g.hand(fmt.Sprint(i), "free", 2*time.Second) == Taken {
+		if g.hand(fmt.Sprint(i), "free", 2*time.Second) == Accepted {
 			taken++
 		}
 	}
 	if taken != 50 {
 		t.Errorf("%d taken", taken)
 	}
-	if v := g.hand("0", "free", time.Second); v != Taken {
+	if v := g.hand("0", "free", time.Second); v != Accepted {
 		t.Error("a text that is held and comes again is taken on already:", v)
 	}
 }
@@ -411,14 +411,14 @@
 	g.start()
 	var taken int
 	for i := range 30 {
-		if g.hand(fmt.Sprint(i), "free", 2*time.Second) == Taken {
+		if g.hand(fmt.Sprint(i), "free", 2*time.Second) == Accepted {
 			taken++
 		}
 	}
 	if taken == 0 || taken == 30 {
 		t.Errorf("%d taken", taken)
 	}
-	g.Tell(func() { g.ledger.Close(); os.RemoveAll(g.dir) })
+	g.Enqueue(func() { g.ledger.Close(); os.RemoveAll(g.dir) })
 	for i := range 3 {
 		if v := g.hand(fmt.Sprint("x", i), "free", time.Second); v != Nacked {
 			t.Error(v)
@@ -432,7 +432,7 @@
 	g.start()
 	x := &ledger.Text{ID: "a", Product: "free", Destination: 3, Body: []byte("b"), ValidUntil: g.now() + 20000}
 	reply := make(chan Answer, 1)
-	g.Hand(x, reply)
+	g.HandIn(x, reply)
 	g.until("no call", func() bool { return g.called("a") == 1 })
 	g.Withdraw(x)
 	select {
@@ -459,7 +459,7 @@
 		t.Fatal("idle with calls out")
 	default:
 	}
-	g.Freeze()
+	g.StopSending()
 	g.holds()
 	close(release)
 	select {
@@ -515,7 +515,7 @@
 		g.start()
 		for i := range 5 {
 			id, p := fmt.Sprint(round, "-", i), products[draw(3)]
-			if g.hand(id, p, 1500*time.Millisecond) == Taken {
+			if g.hand(id, p, 1500*time.Millisecond) == Accepted {
 				taken[id] = p
 			}
 			time.Sleep(time.Duration(draw(10)) * time.Millisecond)
@@ -549,25 +549,25 @@
 	g := newRig(t, ok)
 	g.start()
 	list := func(hosts ...directory.Host) {
-		g.Listed(directory.News{Hosts: hosts})
+		g.UpdateReceivers(directory.News{Hosts: hosts})
 	}
 	entry := func(id control.ReceiverID, dest int64, l control.ReceiverState, addr string) directory.Host {
 		return directory.Host{Addr: addr, ReceiverEntry: control.ReceiverEntry{Receiver: id, Rate: 1000, Destination: dest, Kind: "one", State: l}}
 	}
 	list(entry(2, 4, control.Up, g.addr))
 	list(entry(1, 3, control.Draining, g.addr)) // late news of the old one
-	if v := g.hand("a", "free", 200*time.Millisecond); v != Taken {
+	if v := g.hand("a", "free", 200*time.Millisecond); v != Accepted {
 		t.Fatal(v)
 	}
 	if g.notice(); g.called("a") > 0 {
 		t.Error("sent to what is another's")
 	}
 	reply := make(chan Answer, 1)
-	g.Hand(&ledger.Text{ID: "b", Product: "free", Destination: 4, ValidUntil: g.now() + control.Second}, reply)
+	g.HandIn(&ledger.Text{ID: "b", Product: "free", Destination: 4, ValidUntil: g.now() + control.Second}, reply)
 	g.until("the new one gets nothing", func() bool { return g.called("b") == 1 })
 	list(entry(1, 3, control.Up, "127.0.0.1:1"), entry(2, 4, control.Removed, g.addr))
 	n := make(chan [2]int)
-	if g.Tell(func() { n <- [2]int{len(g.listed), len(g.at)} }); <-n != [2]int{1, 1} {
+	if g.Enqueue(func() { n <- [2]int{len(g.listed), len(g.at)} }); <-n != [2]int{1, 1} {
 		t.Error("more than the one that is listed is kept")
 	}
 }
@@ -579,7 +579,7 @@
 	g.start()
 	x := &ledger.Text{ID: "a", Product: "free", Destination: 99, Body: make([]byte, 60000), ValidUntil: g.now() + control.Second}
 	reply := make(chan Answer, 2)
-	if g.Hand(x, reply); (<-reply).Verdict != Nacked {
+	if g.HandIn(x, reply); (<-reply).Verdict != Nacked {
 		t.Error("taken on for a destination that does not exist")
 	}
 	if found, _, _, err := ledger.Inspect(vfs.OS{}, g.dir); err != nil || found.Records > 0 || g.holds() > 0 {
@@ -587,8 +587,8 @@
 	}
 	first, second := make(chan Answer, 1), make(chan Answer, 1)
 	b := &ledger.Text{ID: "b", Product: "free", Destination: 3, ValidUntil: g.now() + control.Second}
-	g.Tell(func() { g.Sender.hand(b, first); c := *b; g.Sender.hand(&c, second) })
-	if a, b := <-first, <-second; a.Verdict != Taken || b.Verdict != Taken {
+	g.Enqueue(func() { g.Sender.hand(b, first); c := *b; g.Sender.hand(&c, second) })
+	if a, b := <-first, <-second; a.Verdict != Accepted || b.Verdict != Accepted {
 		t.Error(a, b)
 	}
 	g.until("it stays held", func() bool { return g.holds() == 0 })
@@ -615,7 +615,7 @@
 	}
 	g.files, g.power = m, true
 	g.start()
-	if v := g.hand("a", "free", 2*time.Second); v != Taken {
+	if v := g.hand("a", "free", 2*time.Second); v != Accepted {
 		t.Fatal(v)
 	}
 	g.until("no call", func() bool { return g.called("a") == 1 })
@@ -627,13 +627,13 @@
 	broken.Store(0)
 	before := syncs.Load()
 	replies := make(chan Answer, 30)
-	g.Tell(func() { // one batch
+	g.Enqueue(func() { // one batch
 		for i := range 30 {
 			g.Sender.hand(&ledger.Text{ID: fmt.Sprint("c", i), Product: "free", Destination: 3, ValidUntil: g.now() + control.Second}, replies)
 		}
 	})
 	for range 30 {
-		if a := <-replies; a.Verdict != Taken {
+		if a := <-replies; a.Verdict != Accepted {
 			t.Error(a)
 		}
 	}
@@ -692,8 +692,8 @@
 		defer slog.SetDefault(before)
 		slog.SetDefault(slog.New(slog.NewTextHandler(&out, nil)))
 		s := &Sender{fleet: receivers.New(config.Limits{}, nil)}
-		s.Tally(time.Second)
-		s.counts.Taken, s.counts.Submits = 3, 4
+		s.LogCounts(time.Second)
+		s.counts.Accepted, s.counts.Attempts = 3, 4
 		s.counts.add(control.Result{Outcome: control.Refused, ConnLimitReached: true})
 		s.count()
 		time.Sleep(time.Second)
@@ -727,8 +727,8 @@
 		if err := errors.Join(err1, err2); err != nil {
 			t.Fatal(err)
 		}
-		s.Recall(kept)
-		s.Known(directory.News{Whole: true, Hosts: []directory.Host{h}})
+		s.RestoreHistory(kept)
+		s.LoadReceivers(directory.News{Whole: true, Hosts: []directory.Host{h}})
 		return s
 	}
 	before := start(settings, nil, host)
@@ -736,7 +736,7 @@
 	before.texts["a"] = &held{Text: &ledger.Text{ID: "a"}}
 	before.module.Schedule() // the receiver is one that nobody is at: what it tells comes from here
 	before.module.HandleResult("a", 0, control.Result{Outcome: control.Refused, RetryAfter: 2 * control.Second, Report: []float64{0.9, 50}})
-	learntAt, kept := before.Learnt()
+	learntAt, kept := before.History()
 	if len(kept) != 1 || kept[0].Addr != host.Addr || kept[0].RetryAfterUntil != kept[0].RefusedAt+2*control.Second+1 {
 		t.Fatalf("%+v", kept)
 	}
@@ -752,7 +752,7 @@
 		{"another address", at("127.0.0.1:10", 1, 3), false},
 	} {
 		s := start(moved, kept, c.host)
-		_, now := s.Learnt()
+		_, now := s.History()
 		i := slices.IndexFunc(now, func(r warmstart.Receiver) bool { return r.Addr == c.host.Addr && r.Destination == c.host.Destination })
 		if wait, cold := now[i].RetryAfterUntil == kept[0].RetryAfterUntil, now[i].RecoveredAt == learntAt; wait != c.told || cold != c.told {
 			t.Errorf("%s: the told wait is known: %v, that it is cold: %v", c.name, wait, cold)
--- a/internal/delivery/sender/texts.go
+++ b/internal/delivery/sender/texts.go
@@ -53,9 +53,9 @@
 	}
 }
 
-// Hand posts a text that a client hands in; the answer comes on reply, which must not block. It gives up
+// HandIn posts a text that a client hands in; the answer comes on reply, which must not block. It gives up
 // after the time for an answer.
-func (s *Sender) Hand(t *ledger.Text, reply chan<- Answer) bool {
+func (s *Sender) HandIn(t *ledger.Text, reply chan<- Answer) bool {
 	do := func() { s.hand(t, reply) }
 	select {
 	case s.mail <- do:
@@ -82,14 +82,14 @@
 		if h.waits != nil {
 			h.waits = append(h.waits, reply)
 		} else {
-			reply <- Answer{Verdict: Taken}
+			reply <- Answer{Verdict: Accepted}
 		}
 		return
 	case s.over.ids[t.ID]: // it has its end, and its notice may be on its way
-		reply <- Answer{Verdict: Taken}
+		reply <- Answer{Verdict: Accepted}
 		return
 	case s.left[t.ID] != nil: // what is still out would be taken for its own
-		s.counts.Refused++
+		s.counts.Rejected++
 		reply <- Answer{Verdict: Nacked}
 		return
 	}
@@ -110,7 +110,7 @@
 	}
 	if full {
 		delete(s.texts, t.ID)
-		s.counts.Refused++
+		s.counts.Rejected++
 		reply <- Answer{Verdict: Nacked}
 		return
 	}
@@ -127,7 +127,7 @@
 
 // Withdraw posts that a client went without an answer. The text stays where another hand-in of it was answered.
 func (s *Sender) Withdraw(t *ledger.Text) {
-	s.Tell(func() {
+	s.Enqueue(func() {
 		h := s.texts[t.ID]
 		if h == nil || !slices.Contains(h.from, t) {
 			return
