--- a/cmd/emberquay/node.go
+++ b/cmd/emberquay/node.go
@@ -119,7 +119,7 @@
 func (c *nodeStatusCmd) ask(client *transport.Client, address string) (nodestatus.Status, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
-	status, err := nodestatus.Ask(ctx, client, address)
+	status, err := nodestatus.Fetch(ctx, client, address)
 	var refused *transport.RemoteError
 	switch {
 	case errors.As(err, &refused):
@@ -149,7 +149,7 @@
 		{"node", fmt.Sprintf("%s (%s) at %s, zone %s", s.Name, s.Role, s.Address, s.Zone)},
 		{"incarnation", fmt.Sprint(s.Incarnation)},
 		{"uptime", (time.Duration(s.UptimeMillis) * time.Millisecond).String()},
-		{"configuration", versionText(s.Configuration)},
+		{"configuration", versionText(s.ConfigurationVersion)},
 	}
 	for _, n := range s.Nodes {
 		rows = append(rows, statusRow{n.Role + " nodes", fmt.Sprintf("%d known, %d alive", n.Known, n.Alive)})
@@ -197,7 +197,7 @@
 		{"store view", fmt.Sprintf("epoch %d, %d members, member of it: %s", s.Epoch, s.Members, yes(s.Member))},
 		{"retiring", yes(s.Retiring)},
 		{"turns", fmt.Sprintf("%d, %d bytes", s.Turns, s.TurnBytes)},
-		{"programs", fmt.Sprintf("%d, %d reservations", s.Programs, s.Entries)},
+		{"programs", fmt.Sprintf("%d, %d reservations", s.Programs, s.Reservations)},
 		{"ring", fmt.Sprintf("%d bytes, %d free", s.RingBytes, s.FreeBytes)},
 	}
 }
@@ -205,7 +205,7 @@
 func proxyRows(p *nodestatus.Proxy) []statusRow {
 	return []statusRow{
 		{"ready", yes(p.Ready)},
-		{"in hand", fmt.Sprint(p.InHand)},
+		{"in hand", fmt.Sprint(p.InFlight)},
 		{"to admission", fmt.Sprintf("%d since the start, %d refused", p.Arrived, p.Refused)},
 	}
 }
--- a/cmd/emberquay/node_test.go
+++ b/cmd/emberquay/node_test.go
@@ -144,7 +144,7 @@
 		Expect(c.Role).To(Equal("control"))
 		Expect(c.Control.Member).To(BeTrue())
 		Expect(c.Control.Chain).To(Equal([]int64{c.Control.ID}))
-		Expect(c.Configuration).To(BeZero())
+		Expect(c.ConfigurationVersion).To(BeZero())
 		expectSays("view           epoch 1, 1 members, member of it: yes\n", "node", "status", ip+":7381")
 		expectSays("store view  ", "node", "status", "--settings", kept)
 		expectSays("ready          no\n", "node", "status", "--role", "proxy", "--settings", control)
@@ -155,9 +155,9 @@
 		nodestatus.Register(mux, func(context.Context) (nodestatus.Status, error) {
 			return nodestatus.Status{
 				Name: "front-1", Role: "proxy", Zone: "a", Address: "127.0.0.1:7380", Incarnation: 5, UptimeMillis: 61_500,
-				Configuration: 14, Nodes: []nodestatus.Nodes{{Role: "proxy", Known: 3, Alive: 2}},
-				Receivers: nodestatus.Receivers{Ready: 8, Gone: 2},
-				Proxy:     &nodestatus.Proxy{Ready: true, InHand: 3, Arrived: 450, Refused: 4},
+				ConfigurationVersion: 14, Nodes: []nodestatus.NodeCounts{{Role: "proxy", Known: 3, Alive: 2}},
+				Receivers: nodestatus.ReceiverCounts{Ready: 8, Gone: 2},
+				Proxy:     &nodestatus.Proxy{Ready: true, InFlight: 3, Arrived: 450, Refused: 4},
 			}, nil
 		})
 		server, err := transport.Listen("127.0.0.1:0", mux)
--- a/internal/tier/cluster/exchange.go
+++ b/internal/tier/cluster/exchange.go
@@ -97,7 +97,7 @@
 // registerHandlers registers the methods that other nodes call.
 func (c *Cluster) registerHandlers(mux *transport.Mux) {
 	transport.Handle(mux, methodExchange, core.EnvelopeCodec, core.EnvelopeCodec, c.handleExchange)
-	transport.Receive(mux, methodTell, core.EnvelopeCodec, c.handleTell)
+	transport.HandleOneWay(mux, methodTell, core.EnvelopeCodec, c.handleTell)
 	transport.Handle(mux, methodConfirm, confirmRequestCodec, confirmAnswerCodec, c.handleConfirm)
 	transport.Handle(mux, methodFetch, fetchRequestCodec, fetchAnswerCodec, c.handleFetch)
 }
--- a/internal/tier/dataplane/plane.go
+++ b/internal/tier/dataplane/plane.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		return err
 	}
-	transport.Receive(p.base.Mux, reportMethod, reportCodec, func(_ context.Context, r records.ReportRecord) { p.takeReport(r) })
+	transport.HandleOneWay(p.base.Mux, reportMethod, reportCodec, func(_ context.Context, r records.ReportRecord) { p.takeReport(r) })
 	return p.base.Serve(p.addStatus)
 }
 
--- a/internal/tier/dataplane/reports.go
+++ b/internal/tier/dataplane/reports.go
@@ -96,9 +96,9 @@
 	}()
 }
 
-// ShareReport sends a receiver's report to the other proxies, as those are that this proxy has asked for. It neither
+// PublishReport sends a receiver's report to the other proxies, as those are that this proxy has asked for. It neither
 // takes the report itself nor waits for the others.
-func (p *Plane) ShareReport(id dispatch.InstanceID, report dispatch.Report) {
+func (p *Plane) PublishReport(id dispatch.InstanceID, report dispatch.Report) {
 	p.reports.spread(id, report)
 }
 
--- a/internal/tier/dataplane/reports_test.go
+++ b/internal/tier/dataplane/reports_test.go
@@ -43,7 +43,7 @@
 	base := planes.NewBase(node, settings.Proxy, &log.Logger{Handler: discard.Default})
 	t.Cleanup(base.Close)
 	came := make(chan records.ReportRecord, 1)
-	transport.Receive(base.Mux, reportMethod, reportCodec, func(_ context.Context, r records.ReportRecord) { came <- r })
+	transport.HandleOneWay(base.Mux, reportMethod, reportCodec, func(_ context.Context, r records.ReportRecord) { came <- r })
 	if err := base.Join(); err != nil {
 		t.Fatal(err)
 	}
@@ -91,7 +91,7 @@
 		plane.Shutdown(ctx, time.Now())
 	}()
 	<-plane.stopped.Done()
-	plane.ShareReport("r1", dispatch.Report{Running: 3})
+	plane.PublishReport("r1", dispatch.Report{Running: 3})
 	select {
 	case r := <-reports:
 		if r.Instance != "r1" || r.Running != 3 {
--- a/internal/tier/metrics/collector.go
+++ b/internal/tier/metrics/collector.go
@@ -110,7 +110,7 @@
 
 func (s sink) common(status nodestatus.Status) {
 	s.gauge(uptime, float64(status.UptimeMillis)/1000)
-	s.gauge(configurationVersion, float64(status.Configuration))
+	s.gauge(configurationVersion, float64(status.ConfigurationVersion))
 	for _, n := range status.Nodes {
 		s.gauge(nodes, float64(n.Alive), n.Role, "alive")
 		s.gauge(nodes, float64(n.Known-n.Alive), n.Role, "gone")
@@ -137,16 +137,16 @@
 	s.gauge(storeTurns, float64(now.Turns))
 	s.gauge(storeTurnBytes, float64(now.TurnBytes))
 	s.gauge(storePrograms, float64(now.Programs))
-	s.gauge(storeReservations, float64(now.Entries))
+	s.gauge(storeReservations, float64(now.Reservations))
 	s.gauge(storeRingBytes, float64(now.RingBytes))
 	s.gauge(storeFreeBytes, float64(now.FreeBytes))
 }
 
 func (s sink) proxy(p nodestatus.Proxy) {
 	s.gauge(proxyReady, flag(p.Ready))
-	s.gauge(proxyInHand, float64(p.InHand))
+	s.gauge(proxyInHand, float64(p.InFlight))
 	s.counter(proxyRequests, float64(p.Arrived))
-	figures := p.Figures
+	figures := p.Admission
 	if figures == nil {
 		return
 	}
@@ -155,7 +155,7 @@
 	}
 	s.counter(proxyAttempts, float64(figures.Attempts))
 	s.gauge(proxyQueue, float64(figures.Queued))
-	s.gauge(proxyOut, float64(figures.Out))
+	s.gauge(proxyOut, float64(figures.InFlight))
 	s.gauge(proxyAllowance, float64(figures.Allowance))
-	s.gauge(proxyStopPhase, float64(figures.StopPhase))
+	s.gauge(proxyStopPhase, float64(figures.ShutdownPhase))
 }
--- a/internal/tier/metrics/metrics_test.go
+++ b/internal/tier/metrics/metrics_test.go
@@ -58,12 +58,12 @@
 // whole has something of each role; a process has one of them only.
 func whole() nodestatus.Status {
 	return nodestatus.Status{
-		Name: "front-1", UptimeMillis: 2500, Configuration: 14, Nodes: []nodestatus.Nodes{{Role: "proxy", Known: 5, Alive: 4}},
-		Receivers: nodestatus.Receivers{Ready: 8, Draining: 1},
+		Name: "front-1", UptimeMillis: 2500, ConfigurationVersion: 14, Nodes: []nodestatus.NodeCounts{{Role: "proxy", Known: 5, Alive: 4}},
+		Receivers: nodestatus.ReceiverCounts{Ready: 8, Draining: 1},
 		Control:   &nodestatus.Control{Member: true, Epoch: 3, Members: make([]nodestatus.Member, 4), Chain: []int64{1, 2, 3}, StoreEpoch: 2},
 		Store:     &nodestatus.Store{Complete: true, Turns: 7, TurnBytes: 900, RingBytes: 4000, FreeBytes: 3000},
-		Proxy: &nodestatus.Proxy{Ready: true, InHand: 3, Arrived: 450, Figures: &nodestatus.ProxyFigures{
-			Refusals: []nodestatus.Refusals{{Reason: "too_late", Count: 6}}, Attempts: 470, Queued: 2, Allowance: 31, StopPhase: 1,
+		Proxy: &nodestatus.Proxy{Ready: true, InFlight: 3, Arrived: 450, Admission: &nodestatus.AdmissionStats{
+			Refusals: []nodestatus.RefusalCount{{Reason: "too_late", Count: 6}}, Attempts: 470, Queued: 2, Allowance: 31, ShutdownPhase: 1,
 		}},
 	}
 }
--- a/internal/tier/nodestatus/messages.go
+++ b/internal/tier/nodestatus/messages.go
@@ -10,31 +10,31 @@
 
 // Status is what a process says of itself and of what it knows. One of Control, Store and Proxy is there.
 type Status struct {
-	Name          string `avro:"name" json:"name"` // of the machine
-	Role          string `avro:"role" json:"role"`
-	Zone          string `avro:"zone" json:"zone"`
-	Address       string `avro:"address" json:"address"` // internal, ip:port
-	Incarnation   int64  `avro:"incarnation" json:"incarnation"`
-	UptimeMillis  int64  `avro:"uptime_millis" json:"uptime_ms"`
-	Configuration int64  `avro:"configuration" json:"configuration"` // version in force here; 0: none yet
+	Name                 string `avro:"name" json:"name"` // of the machine
+	Role                 string `avro:"role" json:"role"`
+	Zone                 string `avro:"zone" json:"zone"`
+	Address              string `avro:"address" json:"address"` // internal, ip:port
+	Incarnation          int64  `avro:"incarnation" json:"incarnation"`
+	UptimeMillis         int64  `avro:"uptime_millis" json:"uptime_ms"`
+	ConfigurationVersion int64  `avro:"configuration" json:"configuration"` // version in force here; 0: none yet
 
-	Nodes     []Nodes   `avro:"nodes" json:"nodes"` // by role
-	Receivers Receivers `avro:"receivers" json:"receivers"`
+	Nodes     []NodeCounts   `avro:"nodes" json:"nodes"` // by role
+	Receivers ReceiverCounts `avro:"receivers" json:"receivers"`
 
 	Control *Control `avro:"control" json:"control,omitempty"`
 	Store   *Store   `avro:"store" json:"store,omitempty"`
 	Proxy   *Proxy   `avro:"proxy" json:"proxy,omitempty"`
 }
 
-// Nodes counts the processes of a role that are known, this one among them.
-type Nodes struct {
+// NodeCounts counts the processes of a role that are known, this one among them.
+type NodeCounts struct {
 	Role  string `avro:"role" json:"role"`
 	Known int    `avro:"known" json:"known"`
 	Alive int    `avro:"alive" json:"alive"` // or only suspected
 }
 
-// Receivers counts the receivers known, by state. Those that are gone are remembered for a minute.
-type Receivers struct {
+// ReceiverCounts counts the receivers known, by state. Those that are gone are remembered for a minute.
+type ReceiverCounts struct {
 	Ready    int `avro:"ready" json:"ready"`
 	Draining int `avro:"draining" json:"draining"`
 	Silent   int `avro:"silent" json:"silent"`
@@ -62,40 +62,40 @@
 
 // Store is the store itself.
 type Store struct {
-	ID        string `avro:"id" json:"id"` // of its disk
-	Complete  bool   `avro:"complete" json:"complete"`
-	Retiring  bool   `avro:"retiring" json:"retiring"`
-	Member    bool   `avro:"member" json:"member"` // of the view by which it works
-	Epoch     int64  `avro:"epoch" json:"epoch"`   // of that view; 0: none
-	Members   int    `avro:"members" json:"members"`
-	Turns     int    `avro:"turns" json:"turns"`
-	TurnBytes int64  `avro:"turn_bytes" json:"turn_bytes"` // on the disk
-	Programs  int    `avro:"programs" json:"programs"`
-	Entries   int    `avro:"entries" json:"entries"`       // reservations of all programs, settled ones too
-	RingBytes int64  `avro:"ring_bytes" json:"ring_bytes"` // of all segments that its ring may have
-	FreeBytes int64  `avro:"free_bytes" json:"free_bytes"` // of those that hold nothing
+	ID           string `avro:"id" json:"id"` // of its disk
+	Complete     bool   `avro:"complete" json:"complete"`
+	Retiring     bool   `avro:"retiring" json:"retiring"`
+	Member       bool   `avro:"member" json:"member"` // of the view by which it works
+	Epoch        int64  `avro:"epoch" json:"epoch"`   // of that view; 0: none
+	Members      int    `avro:"members" json:"members"`
+	Turns        int    `avro:"turns" json:"turns"`
+	TurnBytes    int64  `avro:"turn_bytes" json:"turn_bytes"` // on the disk
+	Programs     int    `avro:"programs" json:"programs"`
+	Reservations int    `avro:"entries" json:"entries"`       // reservations of all programs, settled ones too
+	RingBytes    int64  `avro:"ring_bytes" json:"ring_bytes"` // of all segments that its ring may have
+	FreeBytes    int64  `avro:"free_bytes" json:"free_bytes"` // of those that hold nothing
 }
 
 // Proxy is what a data plane has to do with its clients.
 type Proxy struct {
-	Ready   bool  `avro:"ready" json:"ready"`     // the platform may send clients
-	InHand  int   `avro:"in_hand" json:"in_hand"` // requests read and not answered
-	Arrived int64 `avro:"arrived" json:"arrived"` // requests that came to admission since the start
-	Refused int64 `avro:"refused" json:"refused"` // of them, those that admission answered
-	// Figures are told at the metrics address alone: the call's messages stay those of earlier builds.
-	Figures *ProxyFigures `avro:"-" json:"-"`
+	Ready    bool  `avro:"ready" json:"ready"`     // the platform may send clients
+	InFlight int   `avro:"in_hand" json:"in_hand"` // requests read and not answered
+	Arrived  int64 `avro:"arrived" json:"arrived"` // requests that came to admission since the start
+	Refused  int64 `avro:"refused" json:"refused"` // of them, those that admission answered
+	// Admission are told at the metrics address alone: the call's messages stay those of earlier builds.
+	Admission *AdmissionStats `avro:"-" json:"-"`
 }
 
-// ProxyFigures are what a data plane's admission has done and holds.
-type ProxyFigures struct {
-	Refusals               []Refusals // by reason
-	Attempts               int64
-	Queued, Out, Allowance int
-	StopPhase              int // 0: serving, 1: told to stop and accepting, 2: serving what has been read
+// AdmissionStats are what a data plane's admission has done and holds.
+type AdmissionStats struct {
+	Refusals                    []RefusalCount // by reason
+	Attempts                    int64
+	Queued, InFlight, Allowance int
+	ShutdownPhase               int // 0: serving, 1: told to stop and accepting, 2: serving what has been read
 }
 
-// Refusals counts those for one reason.
-type Refusals struct {
+// RefusalCount counts those for one reason.
+type RefusalCount struct {
 	Reason string
 	Count  int64
 }
--- a/internal/tier/nodestatus/nodestatus_test.go
+++ b/internal/tier/nodestatus/nodestatus_test.go
@@ -42,8 +42,8 @@
 func filled() nodestatus.Status {
 	return nodestatus.Status{
 		Name: "front-1", Role: "proxy", Zone: "a", Address: "127.0.0.1:7380", Incarnation: 1 << 60, UptimeMillis: 5,
-		Configuration: 1 << 40, Nodes: []nodestatus.Nodes{{Role: "proxy", Known: 3, Alive: 2}},
-		Receivers: nodestatus.Receivers{Ready: 1, Draining: 2, Silent: 3, Gone: 4},
+		ConfigurationVersion: 1 << 40, Nodes: []nodestatus.NodeCounts{{Role: "proxy", Known: 3, Alive: 2}},
+		Receivers: nodestatus.ReceiverCounts{Ready: 1, Draining: 2, Silent: 3, Gone: 4},
 	}
 }
 
@@ -54,10 +54,10 @@
 			fill(&status)
 			mux := transport.NewMux()
 			nodestatus.Register(mux, func(context.Context) (nodestatus.Status, error) { return status, nil })
-			Expect(nodestatus.Ask(ctx, newClient(), serve(mux))).To(Equal(status))
+			Expect(nodestatus.Fetch(ctx, newClient(), serve(mux))).To(Equal(status))
 		},
 		Entry("a proxy's", func(s *nodestatus.Status) {
-			s.Proxy = &nodestatus.Proxy{Ready: true, InHand: 7, Arrived: 900, Refused: 3}
+			s.Proxy = &nodestatus.Proxy{Ready: true, InFlight: 7, Arrived: 900, Refused: 3}
 		}, NodeTimeout(time.Minute)),
 		Entry("a control plane's", func(s *nodestatus.Status) {
 			s.Control = &nodestatus.Control{ID: 1 << 62, Member: true, Epoch: 4, Chain: []int64{1 << 62, 5}, StoreEpoch: 6,
@@ -65,7 +65,7 @@
 		}, NodeTimeout(time.Minute)),
 		Entry("a store's", func(s *nodestatus.Status) {
 			s.Store = &nodestatus.Store{ID: "s", Complete: true, Retiring: true, Member: true, Epoch: 2, Members: 3,
-				Turns: 4, TurnBytes: 5, Programs: 6, Entries: 7, RingBytes: 8, FreeBytes: 9}
+				Turns: 4, TurnBytes: 5, Programs: 6, Reservations: 7, RingBytes: 8, FreeBytes: 9}
 		}, NodeTimeout(time.Minute)),
 	)
 
@@ -75,10 +75,10 @@
 			return nodestatus.Status{}, errors.New("it ends")
 		})
 		var refused *transport.RemoteError
-		_, err := nodestatus.Ask(ctx, newClient(), serve(mux))
+		_, err := nodestatus.Fetch(ctx, newClient(), serve(mux))
 		Expect(errors.As(err, &refused)).To(BeTrue())
 		Expect(refused.Reason).To(Equal("it ends"))
-		_, err = nodestatus.Ask(ctx, newClient(), serve(transport.NewMux()))
+		_, err = nodestatus.Fetch(ctx, newClient(), serve(transport.NewMux()))
 		Expect(errors.As(err, &refused)).To(BeTrue())
 		Expect(refused.Reason).To(ContainSubstring("unknown method"))
 	}, NodeTimeout(time.Minute))
@@ -96,7 +96,7 @@
 			<-asked
 			end()
 		}()
-		_, err := nodestatus.Ask(short, newClient(), serve(mux))
+		_, err := nodestatus.Fetch(short, newClient(), serve(mux))
 		Expect(err).To(MatchError(context.Canceled))
 	}, NodeTimeout(time.Minute))
 
@@ -118,13 +118,13 @@
 		}
 		c.Publish(cluster.Entry{Key: cluster.ReceiverPrefix + "i-6", Value: []byte("no record")})
 		c.Publish(cluster.Entry{Key: cluster.ConfigurationKey, Value: []byte("any"), Stamp: cluster.Stamp{Epoch: 14}})
-		Eventually(ctx, func() int64 { return nodestatus.Common(c, time.Now()).Configuration }).Should(Equal(int64(14)))
-		status := nodestatus.Common(c, time.Now().Add(-time.Minute))
+		Eventually(ctx, func() int64 { return nodestatus.CommonStatus(c, time.Now()).ConfigurationVersion }).Should(Equal(int64(14)))
+		status := nodestatus.CommonStatus(c, time.Now().Add(-time.Minute))
 		Expect(status.Name).To(Equal("front-1"))
 		Expect(status.Role).To(Equal("proxy"))
 		Expect(status.Incarnation).To(Equal(int64(c.Self().Incarnation)))
 		Expect(status.UptimeMillis).To(BeNumerically(">=", time.Minute.Milliseconds()))
-		Expect(status.Receivers).To(Equal(nodestatus.Receivers{Ready: 2, Draining: 1, Silent: 1, Gone: 1}))
-		Expect(status.Nodes).To(Equal([]nodestatus.Nodes{{Role: "proxy", Known: 1, Alive: 1}, {Role: "control"}, {Role: "store"}}))
+		Expect(status.Receivers).To(Equal(nodestatus.ReceiverCounts{Ready: 2, Draining: 1, Silent: 1, Gone: 1}))
+		Expect(status.Nodes).To(Equal([]nodestatus.NodeCounts{{Role: "proxy", Known: 1, Alive: 1}, {Role: "control"}, {Role: "store"}}))
 	}, NodeTimeout(time.Minute))
 })
--- a/internal/tier/planes/planes.go
+++ b/internal/tier/planes/planes.go
@@ -76,7 +76,7 @@
 // Errors: an address cannot be listened on.
 func (b *Base) Serve(add func(context.Context, *nodestatus.Status) error) error {
 	collect := func(ctx context.Context) (nodestatus.Status, error) {
-		status := nodestatus.Common(b.Cluster, b.started)
+		status := nodestatus.CommonStatus(b.Cluster, b.started)
 		err := add(ctx, &status)
 		return status, err
 	}
--- a/internal/tier/planes/planes_test.go
+++ b/internal/tier/planes/planes_test.go
@@ -74,17 +74,17 @@
 			Expect(base.Address).To(Equal(node.InternalAddress(kind)))
 			Expect(base.Join()).To(Succeed())
 			Expect(base.Serve(func(_ context.Context, s *nodestatus.Status) error {
-				s.Configuration = 9
+				s.ConfigurationVersion = 9
 				return nil
 			})).To(Succeed())
 			client := transport.NewClient()
 			DeferCleanup(client.Close)
-			status, err := nodestatus.Ask(ctx, client, base.Address)
+			status, err := nodestatus.Fetch(ctx, client, base.Address)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(status).To(And(HaveField("Name", "one"), HaveField("Role", role), HaveField("Configuration", int64(9)),
+			Expect(status).To(And(HaveField("Name", "one"), HaveField("Role", role), HaveField("ConfigurationVersion", int64(9)),
 				HaveField("Address", base.Address)))
 			base.Disconnect()
-			_, err = nodestatus.Ask(ctx, client, base.Address)
+			_, err = nodestatus.Fetch(ctx, client, base.Address)
 			Expect(err).To(HaveOccurred())
 		},
 		Entry("proxy", settings.Proxy, "proxy", NodeTimeout(time.Minute)),
@@ -96,7 +96,7 @@
 		base := newBase(machine(settings.Store), settings.Store)
 		Expect(base.Join()).To(Succeed())
 		Expect(base.Serve(func(context.Context, *nodestatus.Status) error { return errors.New("the store ends") })).To(Succeed())
-		_, err := nodestatus.Ask(ctx, base.Client, base.Address)
+		_, err := nodestatus.Fetch(ctx, base.Client, base.Address)
 		Expect(err).To(MatchError(ContainSubstring("the store ends")))
 	}, NodeTimeout(time.Minute))
 
--- a/internal/tier/replica/replica.go
+++ b/internal/tier/replica/replica.go
@@ -131,7 +131,7 @@
 	r.sender = newPeerSender(o.Client, o.Log)
 	r.commitNotifier = newNotifier(o.OnCommit)
 	r.publishStatus()
-	transport.Receive(o.Mux, messageMethod, envelopeCodec, r.receive)
+	transport.HandleOneWay(o.Mux, messageMethod, envelopeCodec, r.receive)
 	go r.run(out)
 	return r, nil
 }
--- a/internal/tier/storeplane/status.go
+++ b/internal/tier/storeplane/status.go
@@ -15,7 +15,7 @@
 	status.Store = &nodestatus.Store{
 		ID: p.store.ID(), Complete: current.Complete, Retiring: current.Retiring, Member: current.Member, Epoch: current.Epoch,
 		Members: current.Members, Turns: current.Turns, TurnBytes: current.TurnBytes, Programs: current.Programs,
-		Entries: current.Entries, RingBytes: current.RingBytes, FreeBytes: current.FreeBytes,
+		Reservations: current.Entries, RingBytes: current.RingBytes, FreeBytes: current.FreeBytes,
 	}
 	return nil
 }
--- a/internal/tier/transport/client.go
+++ b/internal/tier/transport/client.go
@@ -22,8 +22,8 @@
 // ErrNotSent: no byte of the call has left, so it was certainly not carried out.
 var ErrNotSent = errors.New("not sent")
 
-// ErrLost: the connection ended before the answer came; the call may have been carried out.
-var ErrLost = errors.New("connection lost")
+// ErrConnectionLost: the connection ended before the answer came; the call may have been carried out.
+var ErrConnectionLost = errors.New("connection lost")
 
 const (
 	// dialTimeout bounds the making of a connection. A host behind a cut says nothing.
@@ -51,7 +51,7 @@
 	c.done = true
 	c.mutex.Unlock()
 	for _, p := range peers {
-		p.close(ErrLost)
+		p.close(ErrConnectionLost)
 	}
 }
 
@@ -80,7 +80,7 @@
 		return err
 	}
 	if err := p.out.send(envelope{Kind: int(oneWay), Method: string(method), Payload: payload}); err != nil {
-		p.close(ErrLost)
+		p.close(ErrConnectionLost)
 		c.drop(address, p)
 		return err
 	}
@@ -95,9 +95,9 @@
 	id, result := p.expect()
 	e := envelope{Kind: int(request), ID: id, Method: string(method), TimeMillis: timeLeft(ctx), Payload: payload}
 	if err := p.out.send(e); err != nil {
-		p.close(ErrLost)
+		p.close(ErrConnectionLost)
 		c.drop(address, p)
-		return nil, eris.Wrapf(ErrLost, "%s to %s", method, address)
+		return nil, eris.Wrapf(ErrConnectionLost, "%s to %s", method, address)
 	}
 	select {
 	case r := <-result:
@@ -156,7 +156,7 @@
 		return
 	}
 	if !p.start(conn) {
-		p.failed = ErrLost
+		p.failed = ErrConnectionLost
 		close(p.ready)
 		return
 	}
@@ -243,7 +243,7 @@
 	defer p.mutex.Unlock()
 	p.last++
 	if p.waiting == nil {
-		result <- response{err: ErrLost}
+		result <- response{err: ErrConnectionLost}
 		return p.last, result
 	}
 	p.waiting[p.last] = result
@@ -262,7 +262,7 @@
 	for {
 		e, err := readFrame(reader)
 		if err != nil {
-			p.close(ErrLost)
+			p.close(ErrConnectionLost)
 			return
 		}
 		p.mutex.Lock()
--- a/internal/tier/transport/codec.go
+++ b/internal/tier/transport/codec.go
@@ -12,7 +12,7 @@
 const mostElements = 1 << 16
 
 // messages is the avro configuration of all internal messages: bounded like the frames that carry them.
-var messages = avro.Config{MaxByteSliceSize: MaxFrame, MaxSliceAllocSize: mostElements}.Freeze()
+var messages = avro.Config{MaxByteSliceSize: MaxFrameBytes, MaxSliceAllocSize: mostElements}.Freeze()
 
 // Codec turns messages of one type into avro bytes and back. It may be shared.
 type Codec[T any] struct {
--- a/internal/tier/transport/dial_test.go
+++ b/internal/tier/transport/dial_test.go
@@ -27,14 +27,14 @@
 	}
 
 	It("begins anew where the opening packet was lost, each time with more patience", func() {
-		conn, err := transport.DialTries(dialing(os.ErrDeadlineExceeded, os.ErrDeadlineExceeded, nil))
+		conn, err := transport.DialWithRetries(dialing(os.ErrDeadlineExceeded, os.ErrDeadlineExceeded, nil))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(conn).NotTo(BeNil())
-		Expect(patiences).To(Equal([]time.Duration{transport.FirstDial, 2 * transport.FirstDial, 4 * transport.FirstDial}))
+		Expect(patiences).To(Equal([]time.Duration{transport.FirstDialTimeout, 2 * transport.FirstDialTimeout, 4 * transport.FirstDialTimeout}))
 	})
 
 	It("ends where it is turned away", func() {
-		_, err := transport.DialTries(dialing(syscall.ECONNREFUSED))
+		_, err := transport.DialWithRetries(dialing(syscall.ECONNREFUSED))
 		Expect(errors.Is(err, syscall.ECONNREFUSED)).To(BeTrue())
 		Expect(patiences).To(HaveLen(1))
 	})
@@ -44,7 +44,7 @@
 		for i := range lost {
 			lost[i] = os.ErrDeadlineExceeded
 		}
-		_, err := transport.DialTries(dialing(lost...))
+		_, err := transport.DialWithRetries(dialing(lost...))
 		Expect(err).To(HaveOccurred())
 		total := time.Duration(0)
 		for _, p := range patiences {
--- a/internal/tier/transport/doc.go
+++ b/internal/tier/transport/doc.go
@@ -14,5 +14,5 @@
 //
 // The wire: the client opens with a preamble that names the protocol's version; a server closes a connection
 // of a version that it does not speak. Then frames in both directions: a length of four bytes, big endian,
-// at most MaxFrame, and an avro record of that length (schema in envelope.go).
+// at most MaxFrameBytes, and an avro record of that length (schema in envelope.go).
 package transport
--- a/internal/tier/transport/envelope.go
+++ b/internal/tier/transport/envelope.go
@@ -8,8 +8,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// MaxFrame bounds one frame in bytes: a configuration of 4 MiB, escaped, with room to spare.
-const MaxFrame = 16 << 20
+// MaxFrameBytes bounds one frame in bytes: a configuration of 4 MiB, escaped, with room to spare.
+const MaxFrameBytes = 16 << 20
 
 // preamble opens a connection: two letters, the version of the protocol, a byte kept for later.
 var preamble = [4]byte{'E', 'Q', 1, 0}
@@ -46,8 +46,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(body) > MaxFrame {
-		return nil, eris.Errorf("a message of %d bytes is over the bound of %d", len(body), MaxFrame)
+	if len(body) > MaxFrameBytes {
+		return nil, eris.Errorf("a message of %d bytes is over the bound of %d", len(body), MaxFrameBytes)
 	}
 	frame := make([]byte, 4, 4+len(body))
 	binary.BigEndian.PutUint32(frame, uint32(len(body)))
@@ -61,8 +61,8 @@
 		return envelope{}, err
 	}
 	size := binary.BigEndian.Uint32(length[:])
-	if size > MaxFrame {
-		return envelope{}, eris.Errorf("a frame of %d bytes is over the bound of %d", size, MaxFrame)
+	if size > MaxFrameBytes {
+		return envelope{}, eris.Errorf("a frame of %d bytes is over the bound of %d", size, MaxFrameBytes)
 	}
 	body, err := readBody(r, int(size))
 	if err != nil {
--- a/internal/tier/transport/export_test.go
+++ b/internal/tier/transport/export_test.go
@@ -1,9 +1,9 @@
 package transport
 
 // For the tests, which stand in a package of their own.
-var DialTries = dialTries
+var DialWithRetries = dialTries
 
 const (
-	FirstDial   = firstDial
-	DialTimeout = dialTimeout
+	FirstDialTimeout = firstDial
+	DialTimeout      = dialTimeout
 )
--- a/internal/tier/transport/server.go
+++ b/internal/tier/transport/server.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// Receive registers the handler of a method without an answer.
-func Receive[Q any](m *Mux, method Method, q *Codec[Q], f func(context.Context, Q)) {
+// HandleOneWay registers the handler of a method without an answer.
+func HandleOneWay[Q any](m *Mux, method Method, q *Codec[Q], f func(context.Context, Q)) {
 	m.handlers[method] = func(ctx context.Context, payload []byte) ([]byte, error) {
 		message, err := q.Decode(payload)
 		if err != nil {
--- a/internal/tier/transport/transport_test.go
+++ b/internal/tier/transport/transport_test.go
@@ -140,7 +140,7 @@
 
 	It("over the bound of a frame are not sent", func(ctx SpecContext) {
 		server, client := serving()
-		_, err := transport.Call(ctx, client, server.Address(), echo, texts, texts, text{Text: string(make([]byte, transport.MaxFrame))})
+		_, err := transport.Call(ctx, client, server.Address(), echo, texts, texts, text{Text: string(make([]byte, transport.MaxFrameBytes))})
 		Expect(err).To(HaveOccurred())
 		_, err = transport.Call(ctx, client, server.Address(), echo, texts, texts, text{Text: "a"})
 		Expect(err).NotTo(HaveOccurred())
