--- a/cmd/emberquay/disk.go
+++ b/cmd/emberquay/disk.go
@@ -131,7 +131,7 @@
 		return nil
 	}
 	if errors.Is(err, journal.ErrNoRing) {
-		if names, _ := ledger.Names(vfs.OS{}, dir); len(names) > 0 {
+		if names, _ := ledger.FileNames(vfs.OS{}, dir); len(names) > 0 {
 			err = eris.New("it belongs to the delivery service (emberquay ledger inspect)")
 		}
 	}
--- a/cmd/emberquay/disk_test.go
+++ b/cmd/emberquay/disk_test.go
@@ -82,7 +82,7 @@
 func ledgerFolder() string {
 	GinkgoHelper()
 	dir := GinkgoT().TempDir()
-	l, err := ledger.Open(vfs.OS{}, dir, ledger.Options{Room: 3e6})
+	l, err := ledger.Open(vfs.OS{}, dir, ledger.Options{MaxBytes: 3e6})
 	Expect(err).NotTo(HaveOccurred())
 	Expect(l.Close()).To(Succeed())
 	return dir
--- a/cmd/emberquay/ledger.go
+++ b/cmd/emberquay/ledger.go
@@ -30,8 +30,8 @@
 var errUnsound = errors.New("something that was kept is missing")
 
 // inspect reads the folder, and says plainly if there is no ledger in it.
-func (f folder) inspect() (*ledger.Found, []*ledger.Text, []*ledger.Notice, error) {
-	names, err := ledger.Names(vfs.OS{}, f.Dir)
+func (f folder) inspect() (*ledger.Inspection, []*ledger.Text, []*ledger.Notice, error) {
+	names, err := ledger.FileNames(vfs.OS{}, f.Dir)
 	if err != nil {
 		return nil, nil, nil, err
 	}
@@ -60,11 +60,11 @@
 	}
 	printOldBad(found)
 	fmt.Printf("segments=%d records=%d texts=%d notices=%d torn=%d lost=%d old_form=%v sound=%v\n", len(found.Segments), found.Records,
-		found.Texts, found.Notices, found.Torn, found.Lost, found.Old, found.Sound())
-	now := protocol.At(time.Now())
+		found.Texts, found.Notices, found.Torn, found.Lost, found.Old, found.Intact())
+	now := protocol.UnixTicks(time.Now())
 	mayHaveRun, late := 0, 0
 	for _, t := range texts {
-		if t.RanSince > 0 {
+		if t.FirstRunAt > 0 {
 			mayHaveRun++
 		}
 		if t.ValidUntil <= now {
@@ -89,21 +89,21 @@
 		}
 	}
 	printOldBad(found)
-	if !found.Sound() {
+	if !found.Intact() {
 		return unsound(c.Dir, found)
 	}
 	fmt.Printf("sound segments=%d records=%d texts=%d notices=%d\n", len(found.Segments), found.Records, found.Texts, found.Notices)
 	return nil
 }
 
-func printOldBad(found *ledger.Found) {
+func printOldBad(found *ledger.Inspection) {
 	if found.OldBad != "" {
 		fmt.Printf("file=ledger bad=%q\n", found.OldBad)
 	}
 }
 
 // unsound says what is missing. How many records a file of the old form lacks cannot be known.
-func unsound(dir string, found *ledger.Found) error {
+func unsound(dir string, found *ledger.Inspection) error {
 	if found.OldBad != "" {
 		return fmt.Errorf("%s: %w: file ledger: %s; texts that are named and not there: %v", dir, errUnsound, found.OldBad, found.Unknown)
 	}
@@ -120,16 +120,16 @@
 	if _, _, _, err := c.inspect(); err != nil {
 		return err
 	}
-	l, err := ledger.Open(vfs.OS{}, c.Dir, ledger.Options{Room: int64(c.DiskMB * 1e6)})
+	l, err := ledger.Open(vfs.OS{}, c.Dir, ledger.Options{MaxBytes: int64(c.DiskMB * 1e6)})
 	if err != nil {
 		return err
 	}
-	before := l.Stats().Used
+	before := l.Stats().UsedBytes
 	if err := l.Compact(); err != nil {
 		return errors.Join(err, l.Close())
 	}
 	after := l.Stats()
-	fmt.Printf("bytes_before=%d bytes=%d live=%d segments=%d\n", before, after.Used, after.Live, after.Segments)
+	fmt.Printf("bytes_before=%d bytes=%d live=%d segments=%d\n", before, after.UsedBytes, after.LiveBytes, after.Segments)
 	return l.Close()
 }
 
@@ -151,9 +151,9 @@
 		return err
 	}
 	out := json.NewEncoder(os.Stdout)
-	ms := func(t control.Time) int64 { return int64(protocol.Span(t) / time.Millisecond) }
+	ms := func(t control.Time) int64 { return int64(protocol.Duration(t) / time.Millisecond) }
 	for _, t := range texts {
-		if err := out.Encode(exported{t, "text", t.Body, ms(t.TakenAt), ms(t.ValidUntil)}); err != nil {
+		if err := out.Encode(exported{t, "text", t.Body, ms(t.AcceptedAt), ms(t.ValidUntil)}); err != nil {
 			return err
 		}
 	}
--- a/cmd/emberquay/ledger_test.go
+++ b/cmd/emberquay/ledger_test.go
@@ -26,17 +26,17 @@
 // The commands on a folder: reading goes on beside its owner, writing does not, and the status says if it is sound.
 func TestLedgerCommands(t *testing.T) {
 	dir := t.TempDir()
-	l, err := ledger.Open(vfs.OS{}, dir, ledger.Options{Room: 3e6})
+	l, err := ledger.Open(vfs.OS{}, dir, ledger.Options{MaxBytes: 3e6})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, id := range []string{"a", "b", "c"} {
-		if err := l.Taken(&ledger.Text{ID: id, Product: "order", Body: []byte("\x00body"), TakenAt: 10000, ValidUntil: 20000}); err != nil {
+		if err := l.RecordAccepted(&ledger.Text{ID: id, Product: "order", Body: []byte("\x00body"), AcceptedAt: 10000, ValidUntil: 20000}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	l.Submitted("b", 5, "")
-	l.Untold(&ledger.Notice{ID: "c", Nack: true, Delay: 7})
+	l.RecordAttempt("b", 5, "")
+	l.RecordEndOwingNotice(&ledger.Notice{ID: "c", Nack: true, RetryAfter: 7})
 	says := func(status int, want string, args ...string) {
 		t.Helper()
 		out, code := asProgram(append([]string{"ledger"}, args...)...)
--- a/cmd/emberquay/main.go
+++ b/cmd/emberquay/main.go
@@ -53,8 +53,8 @@
 	if _, err := control.New(conf.Seed, conf.Settings, nil); err != nil {
 		return nil, nil, fmt.Errorf("settings: %w", err)
 	}
-	if conf.Known != nil {
-		if err := directory.New(conf.Discovery, conf.Seed, conf.Limits, func(directory.News) {}).Known(conf.Known); err != nil {
+	if conf.CachedList != nil {
+		if err := directory.New(conf.DiscoveryAddr, conf.Seed, conf.Limits, func(directory.Update) {}).Restore(conf.CachedList); err != nil {
 			return nil, nil, fmt.Errorf("known: %w", err)
 		}
 	}
@@ -86,9 +86,9 @@
 	}
 	l := conf.Limits
 	fmt.Printf("name=%s listen=%s discovery=%s state=%s settings=%d products=%d\n",
-		conf.Name, conf.Listen, conf.Discovery, conf.State, len(conf.Settings), len(conf.Products))
+		conf.Name, conf.ListenAddr, conf.DiscoveryAddr, conf.StateDir, len(conf.Settings), len(conf.Products))
 	fmt.Printf("cores=%d memory=%d disk=%d client_conns=%d receiver_conns=%d slots=%d texts=%d\n",
-		l.Cores, l.MemoryBytes, l.DiskBytes, l.ClientConns, l.ReceiverConns, l.Slots, l.Texts)
+		l.Cores, l.MemoryBytes, l.DiskBytes, l.MaxClientConns, l.MaxReceiverConns, l.MaxCalls, l.MaxTexts)
 	fmt.Printf("log_format=%s log_level=%s durability=%s\n", own.Log.Format, own.Log.Level, own.Ledger.Durability)
 	return nil
 }
--- a/cmd/emberquay/serve.go
+++ b/cmd/emberquay/serve.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		return err
 	}
-	logs.Setup(os.Stderr, conf.Limits.LogLines, own.Log)
+	logs.Setup(os.Stderr, conf.Limits.LogLinesPerSecond, own.Log)
 	runtime.GOMAXPROCS(conf.Limits.Cores)
 	debug.SetMemoryLimit(conf.Limits.MemoryBytes * 6 / 10) // files, stacks and the program itself take the rest
 
@@ -48,22 +48,22 @@
 	if err != nil { // texts are refused, the process lives
 		slog.Error("unread", "part", "ledger", "err", err)
 	}
-	s, err := sender.New(conf, kept, receivers.New(conf.Limits, conf.Reports))
+	s, err := sender.New(conf, kept, receivers.New(conf.Limits, conf.ReportNames))
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	s.LogCounts(time.Duration(own.Log.CountS * float64(time.Second)))
-	recall(s, own.Move.Learnt)
+	recall(s, own.Handover.HistoryFile)
 	// The list as last known goes in before anything that is owed is looked at.
 	tell := s.LoadReceivers
-	list := directory.New(conf.Discovery, conf.Seed, conf.Limits, func(n directory.News) { tell(n) })
-	if conf.Known != nil {
-		if err := list.Known(conf.Known); err != nil {
+	list := directory.New(conf.DiscoveryAddr, conf.Seed, conf.Limits, func(n directory.Update) { tell(n) })
+	if conf.CachedList != nil {
+		if err := list.Restore(conf.CachedList); err != nil {
 			slog.Warn("bad_known", "part", "config", "err", err)
 		}
 	}
 	tell = s.UpdateReceivers
-	desk := notices.New(conf.Discovery, conf.Limits, s.NoticesDelivered)
+	desk := notices.New(conf.DiscoveryAddr, conf.Limits, s.NoticesDelivered)
 	s.Recover(desk)
 
 	ctx, cancel := context.WithCancel(context.Background())
@@ -77,18 +77,18 @@
 	go desk.Run(ctx)
 	go func(now *config.Config) {
 		for range signals.Reload() {
-			now = c.reload(now, list.Move, desk.Move)
+			now = c.reload(now, list.SetAddr, desk.SetAddr)
 		}
 	}(conf)
 
-	listener, err := net.Listen("tcp", conf.Listen)
+	listener, err := net.Listen("tcp", conf.ListenAddr)
 	if err != nil {
 		return err
 	}
 	front := clients.New(conf, s)
 	failed := make(chan error, 1)
 	go func() { failed <- front.Serve(listener) }()
-	slog.Info("ready", "part", "serve", "name", conf.Name, "listen", conf.Listen)
+	slog.Info("ready", "part", "serve", "name", conf.Name, "listen", conf.ListenAddr)
 
 	select {
 	case err := <-failed:
@@ -100,16 +100,16 @@
 	cancel()
 	close(stop)
 	<-stopped
-	if own.Move.Learnt != "" {
+	if own.Handover.HistoryFile != "" {
 		at, all := s.History()
-		err := warmstart.Write(own.Move.Learnt, at, all)
-		slog.Info("learnt_kept", "part", "serve", "file", own.Move.Learnt, "receivers", len(all), "err", err)
+		err := warmstart.Write(own.Handover.HistoryFile, at, all)
+		slog.Info("learnt_kept", "part", "serve", "file", own.Handover.HistoryFile, "receivers", len(all), "err", err)
 	}
 	if err := s.CloseLedger(); err != nil {
 		return err
 	}
-	if bad := kept.OldBad(); bad != "" { // said at the start, where nobody may have looked
-		return fmt.Errorf("%s: %w: file ledger: %s", conf.State, errUnsound, bad)
+	if bad := kept.LegacyDamage(); bad != "" { // said at the start, where nobody may have looked
+		return fmt.Errorf("%s: %w: file ledger: %s", conf.StateDir, errUnsound, bad)
 	}
 	return nil
 }
@@ -119,7 +119,7 @@
 	if path == "" {
 		return
 	}
-	all, err := warmstart.Read(path, protocol.At(time.Now()))
+	all, err := warmstart.Read(path, protocol.UnixTicks(time.Now()))
 	if err != nil {
 		slog.Warn("not_recalled", "part", "serve", "err", err)
 		return
@@ -133,9 +133,9 @@
 
 // openLedger opens the folder that lasts.
 func openLedger(conf *config.Config, own *config.Options) (*ledger.Ledger, error) {
-	opt := ledger.Options{Room: conf.Limits.DiskBytes, Power: own.Ledger.Durability == "power"}
+	opt := ledger.Options{MaxBytes: conf.Limits.DiskBytes, PowerLossSafe: own.Ledger.Durability == "power"}
 	for began := time.Now(); ; time.Sleep(50 * time.Millisecond) {
-		l, err := ledger.Open(vfs.OS{}, conf.State, opt)
+		l, err := ledger.Open(vfs.OS{}, conf.StateDir, opt)
 		if !errors.Is(err, vfs.ErrLocked) || time.Since(began) > lockWait {
 			return l, err
 		}
@@ -150,18 +150,18 @@
 		slog.Warn("refused", "part", "config", "err", err)
 		return old
 	}
-	if keys := old.Differ(conf); len(keys) > 0 {
+	if keys := old.ChangedRestartKeys(conf); len(keys) > 0 {
 		slog.Warn("needs_restart", "part", "config", "keys", strings.Join(keys, ","))
 	}
-	logs.Setup(os.Stderr, conf.Limits.LogLines, own.Log)
-	slog.Info("reloaded", "part", "config", "discovery", conf.Discovery, "before", old.Discovery)
-	if conf.Discovery != old.Discovery {
+	logs.Setup(os.Stderr, conf.Limits.LogLinesPerSecond, own.Log)
+	slog.Info("reloaded", "part", "config", "discovery", conf.DiscoveryAddr, "before", old.DiscoveryAddr)
+	if conf.DiscoveryAddr != old.DiscoveryAddr {
 		for _, move := range moves {
-			move(conf.Discovery)
+			move(conf.DiscoveryAddr)
 		}
 	}
 	next := *old
-	next.Discovery = conf.Discovery
+	next.DiscoveryAddr = conf.DiscoveryAddr
 	return &next
 }
 
@@ -170,10 +170,10 @@
 // work would else be cut off in the midst of its call. Its times run from the signal.
 func windDown(limits config.Limits, front *clients.Server, s *sender.Sender, began time.Time) {
 	front.DisableKeepAlives()
-	time.Sleep(time.Until(began.Add(limits.StopListen)))
-	freeze := time.AfterFunc(time.Until(began.Add(limits.StopSubmit)), s.StopSending)
+	time.Sleep(time.Until(began.Add(limits.StopListeningAfter)))
+	freeze := time.AfterFunc(time.Until(began.Add(limits.StopSendingAfter)), s.StopSending)
 	defer freeze.Stop()
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(limits.StopEnd))
+	ctx, cancel := context.WithDeadline(context.Background(), began.Add(limits.ExitAfter))
 	defer cancel()
 	if err := front.Shutdown(ctx); err != nil {
 		slog.Warn("shutdown", "part", "serve", "err", err)
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -61,11 +61,11 @@
 		}
 		switch {
 		case l.Name == "CLOCK" && !d.inBatch:
-			d.now = control.Time(l.Whole("AtTimeUs", 0, math.MaxInt64) / microsPerTick)
-			l.Whole("round", 0, math.MaxInt64)
-			round, d.inBatch = l.Opt("round"), true
+			d.now = control.Time(l.Int("AtTimeUs", 0, math.MaxInt64) / microsPerTick)
+			l.Int("round", 0, math.MaxInt64)
+			round, d.inBatch = l.Optional("round"), true
 		case l.Name == "CLOCK" || !d.inBatch:
-			return fmt.Errorf("line %d: %s: not expected here", l.No, l.Name)
+			return fmt.Errorf("line %d: %s: not expected here", l.Number, l.Name)
 		case l.Name == "COMMIT":
 			d.commit(w)
 			fmt.Fprintf(w, "FINISHED round=%s\n", round)
@@ -118,24 +118,24 @@
 }
 
 func (d *adapter) readDirectory(l *simwire.Line, lines *simwire.Reader) error {
-	ref, count := l.Whole("Ref", 0, 15), l.Whole("Elements", 0, 1<<24)
+	ref, count := l.Int("Ref", 0, 15), l.Int("Elements", 0, 1<<24)
 	var entries []control.ReceiverEntry
 	for range count {
 		m, err := lines.Next()
 		if err != nil {
-			return fmt.Errorf("line %d: DIRECTORY: input ends within its entries: %w", l.No, err)
+			return fmt.Errorf("line %d: DIRECTORY: input ends within its entries: %w", l.Number, err)
 		}
 		if m.Name != "M" {
-			return fmt.Errorf("line %d: %s: an entry M was expected", m.No, m.Name)
+			return fmt.Errorf("line %d: %s: an entry M was expected", m.Number, m.Name)
 		}
 		e := control.ReceiverEntry{
-			Receiver:    control.ReceiverID(m.Whole("Receiver", 0, math.MaxUint32)),
-			Rate:        m.OptNumber("Units"),
-			Destination: m.Whole("Destination", math.MinInt64, math.MaxInt64),
-			Kind:        m.Opt("Type"),
-			Zone:        m.Opt("Hall"),
+			Receiver:    control.ReceiverID(m.Int("Receiver", 0, math.MaxUint32)),
+			Rate:        m.OptionalFloat("Units"),
+			Destination: m.Int("Destination", math.MinInt64, math.MaxInt64),
+			Kind:        m.Optional("Type"),
+			Zone:        m.Optional("Hall"),
 		}
-		switch c := m.Word("Condition"); c {
+		switch c := m.Required("Condition"); c {
 		case "up":
 			e.State = control.Up
 		case "draining":
@@ -143,7 +143,7 @@
 		case "removed":
 			e.State = control.Removed
 		default:
-			m.Fault("Condition", fmt.Sprintf("%q is not known", c))
+			m.RecordError("Condition", fmt.Sprintf("%q is not known", c))
 		}
 		if m.Err() != nil {
 			return m.Err()
@@ -156,7 +156,7 @@
 
 // handleEvent passes one line to its instance.
 func (d *adapter) handleEvent(l *simwire.Line) error {
-	id := l.Whole("Who", 0, math.MaxInt32)
+	id := l.Int("Who", 0, math.MaxInt32)
 	if l.Err() != nil {
 		return nil
 	}
@@ -173,66 +173,66 @@
 	}
 	i := d.instances[id]
 	if i == nil {
-		return fmt.Errorf("line %d: %s: field Who: instance %d does not run", l.No, l.Name, id)
+		return fmt.Errorf("line %d: %s: field Who: instance %d does not run", l.Number, l.Name, id)
 	}
 	d.touch(i)
 	s := i.sender
 	switch l.Name {
 	case "INGRESS":
 		a := control.Arrival{
-			ID:          l.Word("OpId"),
-			Product:     l.Word("Priority"),
-			Destination: l.Whole("BoundFor", math.MinInt64, math.MaxInt64),
-			TimeLeft:    control.Time(l.Whole("PatienceLeftUs", math.MinInt64, math.MaxInt64) / microsPerTick),
-			Key:         l.Opt("PathKey"),
-			Brand:       l.Opt("Party"),
-			Retry:       l.Flag("Retry"),
-			Returned:    l.Flag("Returned"),
+			ID:          l.Required("OpId"),
+			Product:     l.Required("Priority"),
+			Destination: l.Int("BoundFor", math.MinInt64, math.MaxInt64),
+			TimeLeft:    control.Time(l.Int("PatienceLeftUs", math.MinInt64, math.MaxInt64) / microsPerTick),
+			Key:         l.Optional("PathKey"),
+			Brand:       l.Optional("Party"),
+			Retry:       l.Bool("Retry"),
+			Returned:    l.Bool("Returned"),
 		}
 		return i.call(l, func() { s.HandleArrival(a) })
 	case "ATTEMPT_END":
-		textID, number := l.Word("OpId"), int(l.Whole("SeqNo", 0, math.MaxInt32))
-		l.Whole("Receiver", 0, math.MaxUint32)
+		textID, number := l.Required("OpId"), int(l.Int("SeqNo", 0, math.MaxInt32))
+		l.Int("Receiver", 0, math.MaxUint32)
 		r := parseResult(l)
 		return i.call(l, func() { s.HandleResult(textID, number, r) })
 	case "PING_RESULT": // never requested
-		l.Whole("Receiver", 0, math.MaxUint32)
+		l.Int("Receiver", 0, math.MaxUint32)
 		parseResult(l)
 		return nil
 	case "ABORTED":
-		textID := l.Word("OpId")
+		textID := l.Required("OpId")
 		return i.call(l, func() { s.Withdraw(textID) })
 	case "ACK_FIRST":
-		textID := l.Word("OpId")
+		textID := l.Required("OpId")
 		return i.call(l, func() { s.HandleResponseStart(textID) })
 	case "BELL":
-		l.Whole("Mark", 0, math.MaxInt64)
+		l.Int("Mark", 0, math.MaxInt64)
 		return i.call(l, func() { s.SetTime(d.now) })
 	case "PEER_DATA":
-		from := int(l.Whole("Neighbour", 0, math.MaxInt32))
-		content, err := hex.DecodeString(strings.TrimSuffix(l.Word("Content"), "-"))
+		from := int(l.Int("Neighbour", 0, math.MaxInt32))
+		content, err := hex.DecodeString(strings.TrimSuffix(l.Required("Content"), "-"))
 		if err != nil {
-			l.Fault("Content", "not hexadecimal")
+			l.RecordError("Content", "not hexadecimal")
 		}
 		return i.call(l, func() { s.HandlePeerNote(from, content) })
 	case "UPDATE":
-		scope := l.Word("Scope")
+		scope := l.Required("Scope")
 		if scope == "Error" {
 			return i.call(l, func() { s.HandleWatchEnd() })
 		}
-		ref := l.Whole("Ref", 0, 15)
-		l.Whole("Generation", 0, math.MaxInt64)
+		ref := l.Int("Ref", 0, 15)
+		l.Int("Generation", 0, math.MaxInt64)
 		entries, known := d.lists[ref]
 		switch {
 		case l.Err() != nil:
 		case !known:
-			l.Fault("Ref", "no DIRECTORY with this number yet")
+			l.RecordError("Ref", "no DIRECTORY with this number yet")
 		case scope != "Partial" && scope != "Complete" && scope != "Persisted":
-			l.Fault("Scope", fmt.Sprintf("%q is not known", scope))
+			l.RecordError("Scope", fmt.Sprintf("%q is not known", scope))
 		}
 		return i.call(l, func() { s.UpdateReceivers(scope != "Partial", entries) })
 	}
-	return fmt.Errorf("line %d: %s: no such message", l.No, l.Name)
+	return fmt.Errorf("line %d: %s: no such message", l.Number, l.Name)
 }
 
 // call calls the sender, unless the line is faulty.
@@ -244,7 +244,7 @@
 }
 
 func (d *adapter) start(l *simwire.Line, i *instance) error {
-	seed, settings := l.Seed("InitSeed"), control.Settings{}
+	seed, settings := l.Uint("InitSeed"), control.Settings{}
 	for _, f := range l.Fields {
 		settings[f.Name] = f.Value
 	}
@@ -280,12 +280,12 @@
 
 func parseResult(l *simwire.Line) control.Result {
 	r := control.Result{
-		Final:  l.Flag("Final"),
-		Took:   control.Time(l.OptWhole("TookUs", 0, math.MaxInt64) / microsPerTick),
-		Report: l.Numbers("HealthInfo"),
+		Final:  l.Bool("Final"),
+		Took:   control.Time(l.OptionalInt("TookUs", 0, math.MaxInt64) / microsPerTick),
+		Report: l.Floats("HealthInfo"),
 	}
-	remark := l.OptWhole("RemarkMs", 0, math.MaxInt64/100)
-	switch status := l.Word("Status"); status {
+	remark := l.OptionalInt("RemarkMs", 0, math.MaxInt64/100)
+	switch status := l.Required("Status"); status {
 	case "served":
 		r.Outcome = control.Delivered
 	case "server_error":
@@ -303,7 +303,7 @@
 	case "not_sent":
 		r.Outcome = control.Unsent
 	default:
-		l.Fault("Status", fmt.Sprintf("%q is not known", status))
+		l.RecordError("Status", fmt.Sprintf("%q is not known", status))
 	}
 	return r
 }
--- a/internal/delivery/clients/clients.go
+++ b/internal/delivery/clients/clients.go
@@ -66,8 +66,8 @@
 	mux.HandleFunc("GET "+readyPath, s.ready)
 	mux.HandleFunc("GET "+statusPath, s.status)
 	s.http = &http.Server{
-		Handler: s.unpaired(mux), ReadHeaderTimeout: c.Limits.ReadHeader, ReadTimeout: c.Limits.ReadHeader,
-		IdleTimeout: c.Limits.ClientIdle, MaxHeaderBytes: c.Limits.Header,
+		Handler: s.unpaired(mux), ReadHeaderTimeout: c.Limits.RequestReadTimeout, ReadTimeout: c.Limits.RequestReadTimeout,
+		IdleTimeout: c.Limits.ClientIdleTimeout, MaxHeaderBytes: c.Limits.MaxHeaderBytes,
 		ConnState: s.conns.changed, ErrorLog: logs.ForLibrary("clients"),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
 	}
@@ -186,31 +186,31 @@
 
 // text takes out of a hand-in what decisions need; the body and the mark stay as they came.
 func (s *Server) text(r *http.Request, came time.Time) (*ledger.Text, int, error) {
-	if r.ContentLength > s.limits.Body { // before anything is spent on it
+	if r.ContentLength > s.limits.MaxBodyBytes { // before anything is spent on it
 		return nil, http.StatusRequestEntityTooLarge, errors.New("the body is too large")
 	}
 	bad := func(header, what string) (*ledger.Text, int, error) {
 		return nil, http.StatusBadRequest, fmt.Errorf("%s: %s", header, what)
 	}
 	// Names are those of the settings, which are kept without the characters that part them.
-	t := &ledger.Text{ID: r.Header.Get(protocol.ID), Product: config.Word(r.Header.Get(productHeader)),
-		Mark: r.Header.Get(protocol.Mark), Key: r.Header.Get(keyHeader), Brand: config.Word(r.Header.Get(brandHeader))}
+	t := &ledger.Text{ID: r.Header.Get(protocol.IDHeader), Product: config.NormalizeName(r.Header.Get(productHeader)),
+		IdempotencyKey: r.Header.Get(protocol.IdempotencyKeyHeader), Key: r.Header.Get(keyHeader), Brand: config.NormalizeName(r.Header.Get(brandHeader))}
 	// Both are written down as text; bytes that are none would not come back the same.
 	if t.ID == "" || !kept(t.ID) {
-		return bad(protocol.ID, "missing, too long or no text")
+		return bad(protocol.IDHeader, "missing, too long or no text")
 	}
-	if !kept(t.Mark) {
-		return bad(protocol.Mark, "too long or no text")
+	if !kept(t.IdempotencyKey) {
+		return bad(protocol.IdempotencyKeyHeader, "too long or no text")
 	}
 	if !s.products[t.Product] {
 		return bad(productHeader, fmt.Sprintf("%q is not known", t.Product))
 	}
-	budget, err := strconv.ParseFloat(r.Header.Get(protocol.Budget), 64)
+	budget, err := strconv.ParseFloat(r.Header.Get(protocol.BudgetHeader), 64)
 	if err != nil || !(budget >= 0 && budget <= mostBudget) {
-		return bad(protocol.Budget, fmt.Sprintf("%q is no time in seconds", r.Header.Get(protocol.Budget)))
+		return bad(protocol.BudgetHeader, fmt.Sprintf("%q is no time in seconds", r.Header.Get(protocol.BudgetHeader)))
 	}
 	left := control.Time(budget * float64(control.Second)) // rounded down
-	t.ValidUntil = protocol.At(came) + left
+	t.ValidUntil = protocol.UnixTicks(came) + left
 	if err = envelope(r.Header.Get(envelopeHeader), t); err != nil {
 		return bad(envelopeHeader, err.Error())
 	}
@@ -226,7 +226,7 @@
 	if r.ContentLength >= 0 { // net/http reads no more than that
 		t.Body = make([]byte, r.ContentLength)
 		_, err = io.ReadFull(r.Body, t.Body)
-	} else if t.Body, err = io.ReadAll(io.LimitReader(r.Body, s.limits.Body+1)); int64(len(t.Body)) > s.limits.Body {
+	} else if t.Body, err = io.ReadAll(io.LimitReader(r.Body, s.limits.MaxBodyBytes+1)); int64(len(t.Body)) > s.limits.MaxBodyBytes {
 		return nil, http.StatusRequestEntityTooLarge, errors.New("the body is too large")
 	}
 	if err != nil {
@@ -258,7 +258,7 @@
 		case name == "key" && t.Key == "":
 			t.Key = v
 		case name == "brand" && t.Brand == "":
-			t.Brand = config.Word(v)
+			t.Brand = config.NormalizeName(v)
 		}
 	}
 	switch {
--- a/internal/delivery/clients/clients_test.go
+++ b/internal/delivery/clients/clients_test.go
@@ -60,8 +60,8 @@
 	t.Helper()
 	k := &taker{answer: answer, texts: make(chan *ledger.Text, 99), withdrawn: make(chan string, 9)}
 	s := New(&config.Config{Products: map[string]bool{"order": true, "late_order": true}, Limits: config.Limits{
-		ClientConns: most, Body: 64 << 10, Header: 16 << 10, ReadHeader: readHeader, ClientIdle: time.Minute,
-		Answer: 300 * time.Millisecond, Speak: 20 * time.Millisecond}}, k)
+		MaxClientConns: most, MaxBodyBytes: 64 << 10, MaxHeaderBytes: 16 << 10, RequestReadTimeout: readHeader, ClientIdleTimeout: time.Minute,
+		AnswerTimeout: 300 * time.Millisecond, FirstRequestTimeout: 20 * time.Millisecond}}, k)
 	go s.Serve(l)
 	t.Cleanup(func() { s.http.Close() })
 	return s, k
@@ -116,8 +116,8 @@
 			}
 		}
 		x := <-k.texts
-		left := x.ValidUntil - protocol.At(time.Now())
-		if x.ID != "a1" || x.Product != "order" || x.Destination != 7 || x.Mark != "k" || x.Key != "k9" || x.Brand != "b2" || !x.Retry || x.Returned ||
+		left := x.ValidUntil - protocol.UnixTicks(time.Now())
+		if x.ID != "a1" || x.Product != "order" || x.Destination != 7 || x.IdempotencyKey != "k" || x.Key != "k9" || x.Brand != "b2" || !x.Retry || x.Returned ||
 			string(x.Body) != "b\x00y" || left > 12500 || left < 10000 {
 			t.Errorf("%+v, %d left", x, left)
 		}
@@ -183,7 +183,7 @@
 	taken := 0
 	for range 5000 {
 		r := httptest.NewRequest("POST", "/api", strings.NewReader("body"))
-		for _, h := range []string{protocol.ID, productHeader, protocol.Budget, envelopeHeader, protocol.Mark, againHeader} {
+		for _, h := range []string{protocol.IDHeader, productHeader, protocol.BudgetHeader, envelopeHeader, protocol.IdempotencyKeyHeader, againHeader} {
 			if chance.Intn(3) > 0 {
 				r.Header.Set(h, odd[chance.Intn(len(odd))])
 			}
--- a/internal/delivery/clients/conns.go
+++ b/internal/delivery/clients/conns.go
@@ -87,10 +87,10 @@
 func (c *conns) admit(n *conn) bool {
 	c.mu.Lock()
 	var goes *conn
-	if len(c.open) >= c.limits.ClientConns {
+	if len(c.open) >= c.limits.MaxClientConns {
 		goes = c.makeRoom()
 	}
-	if c.waiting = len(c.open) >= c.limits.ClientConns; !c.waiting {
+	if c.waiting = len(c.open) >= c.limits.MaxClientConns; !c.waiting {
 		c.open[n] = true
 	}
 	admitted := !c.waiting
@@ -113,12 +113,12 @@
 			between = append(between, o)
 		case silent, partial:
 			unheard = append(unheard, o)
-			if o.at == silent && now.Sub(o.since) >= c.limits.Speak || now.Sub(o.since) >= c.limits.Answer {
+			if o.at == silent && now.Sub(o.since) >= c.limits.FirstRequestTimeout || now.Sub(o.since) >= c.limits.AnswerTimeout {
 				ripe = append(ripe, o)
 			}
 		}
 	}
-	if len(unheard) <= c.limits.ClientConns/4 {
+	if len(unheard) <= c.limits.MaxClientConns/4 {
 		over = append(over, between...)
 	}
 	for _, o := range append(over, ripe...) {
@@ -175,10 +175,10 @@
 		return nil, err
 	}
 	n := &conn{Conn: raw, conns: l.conns, at: silent, since: time.Now()}
-	for full := false; !l.conns.admit(n); time.Sleep(l.conns.limits.Speak / 4) {
+	for full := false; !l.conns.admit(n); time.Sleep(l.conns.limits.FirstRequestTimeout / 4) {
 		if !full {
 			full = true
-			slog.Warn("full", "part", "clients", "conns", l.conns.limits.ClientConns)
+			slog.Warn("full", "part", "clients", "conns", l.conns.limits.MaxClientConns)
 		}
 	}
 	return n, nil
@@ -253,15 +253,15 @@
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.take(b)
 	for rest := b[:n]; len(rest) > 0; {
-		if c.request.Part == protocol.Over || !c.request.Request {
-			c.request = protocol.Message{Request: true}
+		if c.request.Section == protocol.Complete || !c.request.IsRequest {
+			c.request = protocol.Message{IsRequest: true}
 		}
-		rest = rest[c.request.Take(rest):]
-		if c.request.Paired {
+		rest = rest[c.request.Feed(rest):]
+		if c.request.LengthConflict {
 			c.paired.Store(true)
 		}
 	}
-	c.ahead.Store(c.request.Begun && c.request.Part != protocol.Over)
+	c.ahead.Store(c.request.Started && c.request.Section != protocol.Complete)
 	return n, err
 }
 
@@ -304,7 +304,7 @@
 	}
 	for s.conns.count() > 0 {
 		select {
-		case <-time.After(s.limits.Speak / 4):
+		case <-time.After(s.limits.FirstRequestTimeout / 4):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
--- a/internal/delivery/config/config.go
+++ b/internal/delivery/config/config.go
@@ -19,16 +19,16 @@
 
 // Config is all that a sender is started with.
 type Config struct {
-	Name      string
-	Listen    string // where clients connect
-	Discovery string // where the list is told and notices go
-	State     string // the folder that lasts
-	Seed      uint64
-	Settings  control.Settings
-	Products  map[string]bool // that the settings name
-	Reports   []string        // the names of the values that an answer may report, in order
-	Known     json.RawMessage // the list as this sender had it last, in discovery's form; nil if none
-	Limits    Limits
+	Name          string
+	ListenAddr    string // where clients connect
+	DiscoveryAddr string // where the list is told and notices go
+	StateDir      string // the folder that lasts
+	Seed          uint64
+	Settings      control.Settings
+	Products      map[string]bool // that the settings name
+	ReportNames   []string        // the names of the values that an answer may report, in order
+	CachedList    json.RawMessage // the list as this sender had it last, in discovery's form; nil if none
+	Limits        Limits
 }
 
 // Limits are the sizes, counts and times that the parts of a sender keep to.
@@ -37,32 +37,32 @@
 	MemoryBytes int64
 	DiskBytes   int64
 
-	ClientConns   int // open connections on the clients' side
-	ReceiverConns int // and on the receivers', those being opened too
-	Slots         int // calls out at once
-	Texts         int // held at once
-	Mailbox       int // messages waiting for one actor
-	Body          int64
-	Header        int
-	LogLines      int // a second
+	MaxClientConns    int // open connections on the clients' side
+	MaxReceiverConns  int // and on the receivers', those being opened too
+	MaxCalls          int // calls out at once
+	MaxTexts          int // held at once
+	MailboxSize       int // messages waiting for one actor
+	MaxBodyBytes      int64
+	MaxHeaderBytes    int
+	LogLinesPerSecond int // a second
 
-	Answer       time.Duration // a client hears of its text within this
-	Speak        time.Duration // a client that opened a connection asks within this
-	ReadHeader   time.Duration // for a whole request
-	ClientIdle   time.Duration
-	Dial         time.Duration
-	ReceiverIdle time.Duration
-	Drain        time.Duration // to read the rest of an answer whose outcome is known
-	ListSilence  time.Duration // with not even a heartbeat: the watch is made anew
-	Notice       time.Duration // for the platform to take notices, doubled with each try in vain
-	RetryLeast   time.Duration // between tries of one peer, doubled up to RetryMost
-	RetryMost    time.Duration
-	ListFirst    time.Duration // within this all senders that start together ask for the list
-	ListApart    time.Duration // and for it again, doubled with each try
+	AnswerTimeout       time.Duration // a client hears of its text within this
+	FirstRequestTimeout time.Duration // a client that opened a connection asks within this
+	RequestReadTimeout  time.Duration // for a whole request
+	ClientIdleTimeout   time.Duration
+	DialTimeout         time.Duration
+	ReceiverIdleTimeout time.Duration
+	DrainTimeout        time.Duration // to read the rest of an answer whose outcome is known
+	WatchSilenceTimeout time.Duration // with not even a heartbeat: the watch is made anew
+	NoticeTimeout       time.Duration // for the platform to take notices, doubled with each try in vain
+	MinRetryDelay       time.Duration // between tries of one peer, doubled up to RetryMost
+	MaxRetryDelay       time.Duration
+	FirstListWindow     time.Duration // within this all senders that start together ask for the list
+	ListRetryWindow     time.Duration // and for it again, doubled with each try
 
-	StopListen time.Duration // after a request to stop: no new connections from then on
-	StopSubmit time.Duration // no new submits
-	StopEnd    time.Duration // the end, whatever is still owed
+	StopListeningAfter time.Duration // after a request to stop: no new connections from then on
+	StopSendingAfter   time.Duration // no new submits
+	ExitAfter          time.Duration // the end, whatever is still owed
 }
 
 // What one text may bring: the protocol's bound for the body, and ours for the headers.
@@ -88,11 +88,11 @@
 	} `json:"limits"`
 }
 
-// Differ names the keys in which two configurations differ and that only a restart changes.
-func (c *Config) Differ(o *Config) []string {
+// ChangedRestartKeys names the keys in which two configurations differ and that only a restart changes.
+func (c *Config) ChangedRestartKeys(o *Config) []string {
 	var keys []string
 	for key, same := range map[string]bool{
-		"name": c.Name == o.Name, "listen": c.Listen == o.Listen, "state": c.State == o.State,
+		"name": c.Name == o.Name, "listen": c.ListenAddr == o.ListenAddr, "state": c.StateDir == o.StateDir,
 		"limits": c.Limits == o.Limits, "settings": maps.Equal(c.Settings, o.Settings),
 	} {
 		if !same {
@@ -126,9 +126,9 @@
 		}
 		return nil, fmt.Errorf("not JSON: %w", err)
 	}
-	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, State: f.State, Known: f.Known}
-	if string(c.Known) == "null" {
-		c.Known = nil
+	c := &Config{Name: f.Name, ListenAddr: f.Listen, DiscoveryAddr: f.Discovery, StateDir: f.State, CachedList: f.Known}
+	if string(c.CachedList) == "null" {
+		c.CachedList = nil
 	}
 	for _, k := range []struct {
 		key, env string
@@ -136,13 +136,13 @@
 		address  bool
 	}{
 		{"name", "GW_NAME", &c.Name, false},
-		{"listen", "GW_LISTEN", &c.Listen, true},
-		{"discovery", "GW_DISCOVERY", &c.Discovery, true},
-		{"state", "GW_STATE", &c.State, false},
+		{"listen", "GW_LISTEN", &c.ListenAddr, true},
+		{"discovery", "GW_DISCOVERY", &c.DiscoveryAddr, true},
+		{"state", "GW_STATE", &c.StateDir, false},
 	} {
 		// The file is replaced while the sender runs, the environment is not: what it says of discovery is the
 		// newest, and a restart must not go back behind it.
-		newest := k.at == &c.Discovery && *k.at != ""
+		newest := k.at == &c.DiscoveryAddr && *k.at != ""
 		if v := env(k.env); v != "" && !newest {
 			*k.at = v
 		}
@@ -190,7 +190,7 @@
 		c.Products[name] = true
 	}
 	if row := c.Settings["Report.Names"]; row != "" {
-		c.Reports = strings.Split(row, ",")
+		c.ReportNames = strings.Split(row, ",")
 	}
 	return nil
 }
@@ -223,14 +223,14 @@
 	}
 	c.Limits = Limits{
 		Cores: max(1, int(cores+0.999)), MemoryBytes: int64(memory * 1e6), DiskBytes: int64(disk * 1e6),
-		ClientConns: clientConns(int(sockets), int64(memory*1e6)), ReceiverConns: int(sockets) * 5 / 8, Slots: slots, Texts: texts,
-		Mailbox: 1024, Body: body, Header: header, LogLines: 50,
-		Answer: 300 * time.Millisecond, Speak: 20 * time.Millisecond, ReadHeader: 1500 * time.Millisecond,
-		ClientIdle: 4 * time.Second,                    // some keep a connection for good
-		Dial:       dial, ReceiverIdle: idle * 19 / 20, // a request that crosses the receiver's own close is lost
-		Drain: 100 * time.Millisecond, ListSilence: 4500 * time.Millisecond, Notice: 100 * time.Millisecond,
-		RetryLeast: 50 * time.Millisecond, RetryMost: time.Second, ListFirst: first, ListApart: c.listApart(),
-		StopListen: 1200 * time.Millisecond, StopSubmit: 2600 * time.Millisecond, StopEnd: 3400 * time.Millisecond,
+		MaxClientConns: clientConns(int(sockets), int64(memory*1e6)), MaxReceiverConns: int(sockets) * 5 / 8, MaxCalls: slots, MaxTexts: texts,
+		MailboxSize: 1024, MaxBodyBytes: body, MaxHeaderBytes: header, LogLinesPerSecond: 50,
+		AnswerTimeout: 300 * time.Millisecond, FirstRequestTimeout: 20 * time.Millisecond, RequestReadTimeout: 1500 * time.Millisecond,
+		ClientIdleTimeout: 4 * time.Second,                           // some keep a connection for good
+		DialTimeout:       dial, ReceiverIdleTimeout: idle * 19 / 20, // a request that crosses the receiver's own close is lost
+		DrainTimeout: 100 * time.Millisecond, WatchSilenceTimeout: 4500 * time.Millisecond, NoticeTimeout: 100 * time.Millisecond,
+		MinRetryDelay: 50 * time.Millisecond, MaxRetryDelay: time.Second, FirstListWindow: first, ListRetryWindow: c.listApart(),
+		StopListeningAfter: 1200 * time.Millisecond, StopSendingAfter: 2600 * time.Millisecond, ExitAfter: 3400 * time.Millisecond,
 	}
 	return nil
 }
@@ -350,13 +350,13 @@
 	case nil:
 		return "", nil
 	case string:
-		return Word(v), nil
+		return NormalizeName(v), nil
 	case bool, json.Number:
 		return fmt.Sprint(v), nil
 	}
 	return "", fmt.Errorf("settings.%s: a list in a list", path)
 }
 
-// Word is a name as the plain map holds it, without the characters that part names there. What is compared with a
+// NormalizeName is a name as the plain map holds it, without the characters that part names there. What is compared with a
 // name of the settings has to be put so too.
-func Word(name string) string { return strings.NewReplacer(" ", "_", ",", "_").Replace(name) }
+func NormalizeName(name string) string { return strings.NewReplacer(" ", "_", ",", "_").Replace(name) }
--- a/internal/delivery/config/config_test.go
+++ b/internal/delivery/config/config_test.go
@@ -31,19 +31,19 @@
 		}
 	}
 	l := c.Limits
-	if c.Seed != 0x8c1f30d27a5be964 || l.Cores != 1 || l.Texts != 435 || l.Slots != 51 || l.MemoryBytes != 128e6 ||
-		l.ReceiverIdle >= 5*time.Second || l.ClientConns+l.ReceiverConns >= 512 || l.ClientConns*3 >= 512 {
+	if c.Seed != 0x8c1f30d27a5be964 || l.Cores != 1 || l.MaxTexts != 435 || l.MaxCalls != 51 || l.MemoryBytes != 128e6 ||
+		l.ReceiverIdleTimeout >= 5*time.Second || l.MaxClientConns+l.MaxReceiverConns >= 512 || l.MaxClientConns*3 >= 512 {
 		t.Errorf("%+v", c)
 	}
 	// However many start together, the first ask leaves time to heed a drain that was told before.
 	many := strings.NewReplacer(`"Instances":2`, `"Instances":300`, `"FallMultiple":2.0`, `"StopSendingWithinUs":800000`)
-	if c, err := Parse([]byte(many.Replace(good)), none); err != nil || c.Limits.ListFirst != 600*time.Millisecond || l.ListFirst != 200*time.Millisecond {
-		t.Errorf("asks first within %s, among two within %s, %v", c.Limits.ListFirst, l.ListFirst, err)
+	if c, err := Parse([]byte(many.Replace(good)), none); err != nil || c.Limits.FirstListWindow != 600*time.Millisecond || l.FirstListWindow != 200*time.Millisecond {
+		t.Errorf("asks first within %s, among two within %s, %v", c.Limits.FirstListWindow, l.FirstListWindow, err)
 	}
 	c, err = Parse([]byte(good), func(name string) string {
 		return map[string]string{"GW_LISTEN": "127.0.0.9:1"}[name]
 	})
-	if err != nil || c.Listen != "127.0.0.9:1" || c.Name != "n3" {
+	if err != nil || c.ListenAddr != "127.0.0.9:1" || c.Name != "n3" {
 		t.Errorf("%+v %v", c, err)
 	}
 }
--- a/internal/delivery/config/options.go
+++ b/internal/delivery/config/options.go
@@ -16,9 +16,9 @@
 // A key or value that is not known is an error with its line. A later direction adds its section, with toml, comment and range
 // tags (see internal/tomlfile), and its defaults to DefaultOptions.
 type Options struct {
-	Log    logs.Options  `toml:"log" comment:"how the log is written"`
-	Ledger LedgerOptions `toml:"ledger" comment:"the folder that lasts"`
-	Move   MoveOptions   `toml:"move" comment:"what goes over to the process after this one"`
+	Log      logs.Options    `toml:"log" comment:"how the log is written"`
+	Ledger   LedgerOptions   `toml:"ledger" comment:"the folder that lasts"`
+	Handover HandoverOptions `toml:"move" comment:"what goes over to the process after this one"`
 }
 
 // LedgerOptions says how the folder that lasts is kept.
@@ -26,9 +26,9 @@
 	Durability string `toml:"durability" oneof:"process power" comment:"process: outlasts a killed process; power: the loss of power too"`
 }
 
-// MoveOptions says what a process leaves for the one after it.
-type MoveOptions struct {
-	Learnt string `toml:"learnt" comment:"the file where what was learnt of the receivers is kept over a stop; empty: nowhere"`
+// HandoverOptions says what a process leaves for the one after it.
+type HandoverOptions struct {
+	HistoryFile string `toml:"learnt" comment:"the file where what was learnt of the receivers is kept over a stop; empty: nowhere"`
 }
 
 // DefaultOptions are what counts where the file says nothing.
--- a/internal/delivery/directory/directory_test.go
+++ b/internal/delivery/directory/directory_test.go
@@ -26,7 +26,7 @@
 
 // follow runs a directory against a stand-in of the platform that answers each request in turn with lines;
 // "hold" keeps a watch open. It gives what is told and what was asked.
-func follow(t *testing.T, known string, answers ...string) (<-chan News, <-chan string) {
+func follow(t *testing.T, known string, answers ...string) (<-chan Update, <-chan string) {
 	t.Helper()
 	asked := make(chan string, 99)
 	next := make(chan string, len(answers))
@@ -47,11 +47,11 @@
 		}
 	}))
 	t.Cleanup(s.Close)
-	news := make(chan News, 99)
-	d := New(s.Listener.Addr().String(), 1, config.Limits{Mailbox: 64, ListSilence: 150 * time.Millisecond,
-		RetryLeast: time.Millisecond, ListApart: apart}, func(n News) { news <- n })
+	news := make(chan Update, 99)
+	d := New(s.Listener.Addr().String(), 1, config.Limits{MailboxSize: 64, WatchSilenceTimeout: 150 * time.Millisecond,
+		MinRetryDelay: time.Millisecond, ListRetryWindow: apart}, func(n Update) { news <- n })
 	if known != "" {
-		if err := d.Known([]byte(known)); err != nil {
+		if err := d.Restore([]byte(known)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -91,7 +91,7 @@
 		{Receiver: 1, Rate: 1.5, Destination: 3, Kind: "m2", Zone: "a", State: control.Removed},
 	}
 	for i, w := range want {
-		if n := expect(t, news); n.Whole != (i == 0) || len(n.Hosts) != 1 || n.Hosts[0].ReceiverEntry != w {
+		if n := expect(t, news); n.Complete != (i == 0) || len(n.Entries) != 1 || n.Entries[0].ReceiverEntry != w {
 			t.Errorf("%+v, want %+v", n, w)
 		}
 	}
@@ -100,7 +100,7 @@
 
 func TestWholeListFirstWhereNoneIsKnown(t *testing.T) {
 	news, asked := follow(t, "", told(7, true, 1, "leaving"), "hold")
-	if n := expect(t, news); !n.Whole || n.Hosts[0].State != control.Draining || n.Hosts[0].Addr != "10.1.0.1:8443" {
+	if n := expect(t, news); !n.Complete || n.Entries[0].State != control.Draining || n.Entries[0].Addr != "10.1.0.1:8443" {
 		t.Errorf("%+v", n)
 	}
 	wants(t, asked, "", "?stream=1&index=7")
@@ -111,7 +111,7 @@
 	for _, odd := range []string{told(3, false, 1, "active"), "{not json}\n"} {
 		news, asked := follow(t, told(41, true, 1, "active"), odd, told(4, true, 2, "active"), "hold")
 		expect(t, news)
-		if n := expect(t, news); !n.Whole || n.Hosts[0].Receiver != 2 && n.Hosts[0].Receiver != 1 {
+		if n := expect(t, news); !n.Complete || n.Entries[0].Receiver != 2 && n.Entries[0].Receiver != 1 {
 			t.Errorf("%+v", n)
 		}
 		wants(t, asked, "?stream=1&index=41", "", "?stream=1&index=4")
@@ -123,7 +123,7 @@
 	news, asked := follow(t, told(41, true, 1, "active"), "hold", told(42, false, 2, "active")+"hold")
 	expect(t, news)
 	began := time.Now()
-	if n := expect(t, news); n.Hosts[0].Receiver != 2 || time.Since(began) < 100*time.Millisecond {
+	if n := expect(t, news); n.Entries[0].Receiver != 2 || time.Since(began) < 100*time.Millisecond {
 		t.Errorf("%+v after %s", n, time.Since(began))
 	}
 	wants(t, asked, "?stream=1&index=41", "?stream=1&index=41")
@@ -147,7 +147,7 @@
 	news, asked := follow(t, told(41, true, 1, "active"), "\n", told(42, false, 1, "leaving"), "{spoilt}\n", told(43, true, 2, "active"))
 	wants(t, asked, "?stream=1&index=41", "?stream=1&index=41", "?stream=1&index=42", "", "?stream=1&index=43")
 	expect(t, news)
-	if n := expect(t, news); n.Hosts[0].State != control.Draining {
+	if n := expect(t, news); n.Entries[0].State != control.Draining {
 		t.Errorf("%+v", n)
 	}
 }
@@ -157,10 +157,10 @@
 	indented := strings.ReplaceAll(told(42, false, 2, "leaving"), ",", ",\n\n  ")
 	news, asked := follow(t, told(41, true, 1, "active"), "\n"+indented+"\n\n"+told(43, false, 3, "active")+"hold")
 	expect(t, news)
-	if n := expect(t, news); n.Hosts[0].Receiver != 2 || n.Hosts[0].State != control.Draining {
+	if n := expect(t, news); n.Entries[0].Receiver != 2 || n.Entries[0].State != control.Draining {
 		t.Errorf("%+v", n)
 	}
-	if n := expect(t, news); n.Hosts[0].Receiver != 3 {
+	if n := expect(t, news); n.Entries[0].Receiver != 3 {
 		t.Errorf("%+v", n)
 	}
 	wants(t, asked, "?stream=1&index=41")
@@ -182,7 +182,7 @@
 func TestNumbersEnd(t *testing.T) {
 	n := newNumbers()
 	one := func(id string, state string) control.ReceiverID {
-		return n.news(&list{hosts: []host{{ID: id, State: state}}}).Hosts[0].Receiver
+		return n.news(&list{hosts: []host{{ID: id, State: state}}}).Entries[0].Receiver
 	}
 	stays, leaves := one("stays", "active"), one("leaves", "active")
 	one("leaves", "left")
--- a/internal/delivery/directory/list.go
+++ b/internal/delivery/directory/list.go
@@ -33,14 +33,14 @@
 	Weight float64 `json:"weight"`
 }
 
-// News is what the list tells at once; Whole: what is not in it is gone.
-type News struct {
-	Whole bool
-	Hosts []Host
+// Update is what the list tells at once; Whole: what is not in it is gone.
+type Update struct {
+	Complete bool
+	Entries  []Entry
 }
 
-// Host is one line of it.
-type Host struct {
+// Entry is one line of it.
+type Entry struct {
 	control.ReceiverEntry
 	Addr string
 }
@@ -103,11 +103,11 @@
 	return n.of[id]
 }
 
-func (n *numbers) news(l *list) News {
-	news := News{Whole: l.Full}
+func (n *numbers) news(l *list) Update {
+	news := Update{Complete: l.Full}
 	named := map[string]bool{}
 	for _, h := range l.hosts {
-		e := control.ReceiverEntry{Receiver: n.number(h.ID), Rate: h.Weight, Destination: h.Cell, Kind: config.Word(h.Kind), Zone: config.Word(h.Zone)}
+		e := control.ReceiverEntry{Receiver: n.number(h.ID), Rate: h.Weight, Destination: h.Cell, Kind: config.NormalizeName(h.Kind), Zone: config.NormalizeName(h.Zone)}
 		switch h.State {
 		case "leaving":
 			e.State = control.Draining
@@ -115,7 +115,7 @@
 			e.State = control.Removed
 		}
 		named[h.ID] = e.State != control.Removed
-		news.Hosts = append(news.Hosts, Host{e, h.Addr})
+		news.Entries = append(news.Entries, Entry{e, h.Addr})
 	}
 	n.forget(named, l.Full)
 	return news
--- a/internal/delivery/directory/watch.go
+++ b/internal/delivery/directory/watch.go
@@ -28,13 +28,13 @@
 	whole   bool // the whole list is wanted: there is none yet, or a change was missed
 	pauses  *pauses
 	ended   int // watches that were answered and ended, each within the time of a silence
-	tell    func(News)
+	tell    func(Update)
 }
 
 // New makes the actor; news goes to tell. The seed is for the times at which it asks again.
-func New(addr string, seed uint64, limits config.Limits, tell func(News)) *Directory {
+func New(addr string, seed uint64, limits config.Limits, tell func(Update)) *Directory {
 	return &Directory{base: base(addr), moves: make(chan string, 8), limits: limits, numbers: newNumbers(), whole: true, tell: tell,
-		pauses: newPauses(seed, limits.ListApart),
+		pauses: newPauses(seed, limits.ListRetryWindow),
 		client: &http.Client{
 			Transport:     &http.Transport{DisableCompression: true},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
@@ -43,8 +43,8 @@
 
 func base(addr string) string { return "http://" + addr + listPath }
 
-// Move posts that the list is told at another address from now on.
-func (d *Directory) Move(addr string) { d.moves <- addr }
+// SetAddr posts that the list is told at another address from now on.
+func (d *Directory) SetAddr(addr string) { d.moves <- addr }
 
 // move goes there. The list may have changed meanwhile, so it is asked for whole.
 func (d *Directory) move(addr string) error {
@@ -57,8 +57,8 @@
 	errSilent = errors.New("silent")
 )
 
-// Known tells the list as this sender had it last, before Run.
-func (d *Directory) Known(raw []byte) error {
+// Restore tells the list as this sender had it last, before Run.
+func (d *Directory) Restore(raw []byte) error {
 	l, err := parse(raw)
 	if err != nil {
 		return err
@@ -73,7 +73,7 @@
 // list need not ask at once: most of a fleet may have been started in the same moment.
 func (d *Directory) Run(ctx context.Context) {
 	if !d.whole {
-		d.rest(ctx, d.pauses.first(d.limits.ListFirst))
+		d.rest(ctx, d.pauses.first(d.limits.FirstListWindow))
 	}
 	for ctx.Err() == nil {
 		began := time.Now()
@@ -88,10 +88,10 @@
 		// stays open all the time; one that was answered and then ended is opened again at once, and only a platform
 		// that ends each one so is left alone for longer and longer.
 		if upheld {
-			if err == errMoved || time.Since(began) > d.limits.ListSilence {
+			if err == errMoved || time.Since(began) > d.limits.WatchSilenceTimeout {
 				d.ended = 0
 			}
-			pause = min(pause, d.limits.RetryLeast<<min(d.ended, mostEnded))
+			pause = min(pause, d.limits.MinRetryDelay<<min(d.ended, mostEnded))
 			d.ended++
 		}
 		if err != errMoved && err != errSilent {
@@ -118,9 +118,9 @@
 func (d *Directory) follow(parent context.Context) (heard bool, err error) {
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
-	mail := make(chan line, d.limits.Mailbox/16)
+	mail := make(chan line, d.limits.MailboxSize/16)
 	go d.lines(ctx, mail, d.base, d.whole, d.version)
-	silence := time.NewTimer(d.limits.ListSilence)
+	silence := time.NewTimer(d.limits.WatchSilenceTimeout)
 	defer silence.Stop()
 	for {
 		select {
@@ -138,7 +138,7 @@
 				}
 				return heard, l.err
 			}
-			silence.Reset(d.limits.ListSilence)
+			silence.Reset(d.limits.WatchSilenceTimeout)
 			heard = true
 			if err := d.take(l.text); err != nil {
 				d.whole = true // a change is lost with it
--- a/internal/delivery/ledger/compare_test.go
+++ b/internal/delivery/ledger/compare_test.go
@@ -33,9 +33,9 @@
 
 type ours struct{ *Ledger }
 
-func (o ours) take(t *Text) error     { return o.Taken(t) }
-func (o ours) submit(id string) error { return o.Submitted(id, 5, "a") }
-func (o ours) end(id string) error    { return o.Ended(id) }
+func (o ours) take(t *Text) error     { return o.RecordAccepted(t) }
+func (o ours) submit(id string) error { return o.RecordAttempt(id, 5, "a") }
+func (o ours) end(id string) error    { return o.RecordEnd(id) }
 func (o ours) sync() error            { return o.Sync() }
 func (o ours) close()                 { o.Close() }
 
@@ -95,7 +95,7 @@
 func stores(b *testing.B, room int64, power bool) map[string]func() store {
 	return map[string]func() store{
 		"segments": func() store {
-			l, err := Open(vfs.OS{}, b.TempDir(), Options{Room: room, Power: power})
+			l, err := Open(vfs.OS{}, b.TempDir(), Options{MaxBytes: room, PowerLossSafe: power})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -128,7 +128,7 @@
 				defer s.close()
 				body := make([]byte, c.size)
 				text := func(id string) *Text {
-					return &Text{ID: id, Product: "order", Destination: 3, Mark: id, TakenAt: 1e14, ValidUntil: 1e14, Body: body}
+					return &Text{ID: id, Product: "order", Destination: 3, IdempotencyKey: id, AcceptedAt: 1e14, ValidUntil: 1e14, Body: body}
 				}
 				for i := 0; float64(i)*float64(c.size+200) < c.held*float64(c.room); i++ {
 					if err := s.take(text(fmt.Sprintf("held-%012d", i))); err != nil {
@@ -166,8 +166,8 @@
 				b.ReportMetric(float64(took[len(took)-1].Microseconds()), "max-take-us")
 				if o, ok := s.(ours); ok {
 					st := o.Stats()
-					b.ReportMetric(float64(st.Written)/float64(max(1, st.Written-st.Moved)), "written-per-byte")
-					b.ReportMetric(float64(st.Forced), "forced")
+					b.ReportMetric(float64(st.WrittenBytes)/float64(max(1, st.WrittenBytes-st.MovedBytes)), "written-per-byte")
+					b.ReportMetric(float64(st.ForcedCleanings), "forced")
 				}
 			})
 		}
@@ -178,24 +178,24 @@
 func BenchmarkOpen(b *testing.B) {
 	for _, n := range []int{10, 10_000, 1_000_000} {
 		dir := b.TempDir()
-		l, err := Open(vfs.OS{}, dir, Options{Room: 2e9})
+		l, err := Open(vfs.OS{}, dir, Options{MaxBytes: 2e9})
 		if err != nil {
 			b.Fatal(err)
 		}
 		for i := range n {
-			if err := l.Taken(&Text{ID: fmt.Sprintf("%016x", i), Product: "order", Body: make([]byte, 200), ValidUntil: control.Time(i)}); err != nil {
+			if err := l.RecordAccepted(&Text{ID: fmt.Sprintf("%016x", i), Product: "order", Body: make([]byte, 200), ValidUntil: control.Time(i)}); err != nil {
 				b.Fatal(err)
 			}
 		}
 		for i := range min(100*n, 300_000) {
 			id := fmt.Sprintf("over%012x", i)
-			l.Taken(&Text{ID: id, Product: "order", Body: make([]byte, 200)})
-			l.Ended(id)
+			l.RecordAccepted(&Text{ID: id, Product: "order", Body: make([]byte, 200)})
+			l.RecordEnd(id)
 		}
 		l.Close()
 		b.Run(fmt.Sprint("texts=", n), func(b *testing.B) {
 			for range b.N {
-				l, err := Open(vfs.OS{}, dir, Options{Room: 2e9})
+				l, err := Open(vfs.OS{}, dir, Options{MaxBytes: 2e9})
 				if err != nil || len(l.state.texts) != n {
 					b.Fatal(err, len(l.state.texts))
 				}
--- a/internal/delivery/ledger/layout/layout.go
+++ b/internal/delivery/ledger/layout/layout.go
@@ -24,15 +24,15 @@
 
 // Limits are the sizes that a layout keeps to, in bytes.
 type Limits struct {
-	Room    int64 // all files together, each in whole blocks
-	Record  int64 // the largest record
-	Segment int64 // a segment holds so much, or one record; 0: a 32nd of the room, 2 KiB to 8 MiB
-	End     int64 // what a held text may still grow by
-	Step    int64 // moved at a time, at most; 0: as much as the largest record
+	MaxBytes       int64 // all files together, each in whole blocks
+	MaxRecordBytes int64 // the largest record
+	SegmentBytes   int64 // a segment holds so much, or one record; 0: a 32nd of the room, 2 KiB to 8 MiB
+	GrowthBytes    int64 // what a held text may still grow by
+	MaxStepBytes   int64 // moved at a time, at most; 0: as much as the largest record
 }
 
-// Block is what files are counted in.
-const Block = 512
+// BlockBytes is what files are counted in.
+const BlockBytes = 512
 
 // Layout is what lies where.
 type Layout struct {
@@ -66,34 +66,36 @@
 // New makes an empty layout. Limits that are too small are raised to what works.
 func New(limits Limits) *Layout {
 	l := &Layout{limits: limits, at: map[string]*place{}}
-	if l.limits.Segment == 0 {
-		l.limits.Segment = min(max(limits.Room/64, 2<<10), 1<<20)
+	if l.limits.SegmentBytes == 0 {
+		l.limits.SegmentBytes = min(max(limits.MaxBytes/64, 2<<10), 1<<20)
 	}
-	l.limits.Record = min(l.limits.Record, limits.Room/8)
-	if l.limits.Step == 0 {
-		l.limits.Step = max(l.limits.Record, 4<<10)
+	l.limits.MaxRecordBytes = min(l.limits.MaxRecordBytes, limits.MaxBytes/8)
+	if l.limits.MaxStepBytes == 0 {
+		l.limits.MaxStepBytes = max(l.limits.MaxRecordBytes, 4<<10)
 	}
 	return l
 }
 
-func blocks(n int64) int64 { return (n + Block - 1) / Block * Block }
+func blocks(n int64) int64 { return (n + BlockBytes - 1) / BlockBytes * BlockBytes }
 
 // headroom is what is needed to move all that is live in one segment: it ends before it is passed, or holds one record.
-func (l *Layout) headroom() int64 { return max(l.limits.Segment, l.limits.Record+4*Block) + Block }
+func (l *Layout) headroom() int64 {
+	return max(l.limits.SegmentBytes, l.limits.MaxRecordBytes+4*BlockBytes) + BlockBytes
+}
 
 // capacity is how much may be live, with what it still needs.
-func (l *Layout) capacity() int64 { return l.limits.Room - 2*l.headroom() }
+func (l *Layout) capacity() int64 { return l.limits.MaxBytes - 2*l.headroom() }
 
 // Admits says whether a new text of so many bytes finds room.
 func (l *Layout) Admits(n int64) bool {
 	texts := int64(len(l.at)) + 1
-	return n <= l.limits.Record && l.live+n+texts*l.limits.End <= l.capacity()
+	return n <= l.limits.MaxRecordBytes && l.live+n+texts*l.limits.GrowthBytes <= l.capacity()
 }
 
-// Rolls says whether another segment is begun before a record of so many bytes is written: where it does not fit.
-func (l *Layout) Rolls(n int64) bool {
+// NeedsNewSegment says whether another segment is begun before a record of so many bytes is written: where it does not fit.
+func (l *Layout) NeedsNewSegment(n int64) bool {
 	t := l.tail()
-	return t == nil || t.size+n > l.limits.Segment && t.size > t.head
+	return t == nil || t.size+n > l.limits.SegmentBytes && t.size > t.head
 }
 
 func (l *Layout) tail() *segment {
@@ -103,22 +105,22 @@
 	return l.segments[len(l.segments)-1]
 }
 
-// Begin makes a new segment the tail; its head has so many bytes.
-func (l *Layout) Begin(no uint64, head int64) {
+// StartSegment makes a new segment the tail; its head has so many bytes.
+func (l *Layout) StartSegment(no uint64, head int64) {
 	l.segments = append(l.segments, &segment{no: no, head: head, size: head})
 	l.total += blocks(head)
 }
 
-// Wrote says that the tail has grown by something new. It pays for cleaning.
-func (l *Layout) Wrote(n int64) {
+// AddWritten says that the tail has grown by something new. It pays for cleaning.
+func (l *Layout) AddWritten(n int64) {
 	l.grow(n)
 	// To free one byte, as much has to be moved as is live beside it.
 	garbage := max(l.total-l.live, 1)
-	l.credit = min(l.credit+n*min(32, 1+2*l.live/garbage)+64, 2*l.limits.Step)
+	l.credit = min(l.credit+n*min(32, 1+2*l.live/garbage)+64, 2*l.limits.MaxStepBytes)
 }
 
-// Moved says that it has grown by something that was moved there.
-func (l *Layout) Moved(n int64) {
+// AddMoved says that it has grown by something that was moved there.
+func (l *Layout) AddMoved(n int64) {
 	l.grow(n)
 	l.moved += n
 	l.credit -= n
@@ -169,38 +171,40 @@
 	l.live -= p.size
 }
 
-// Holds says whether something of a text is live.
-func (l *Layout) Holds(id string) bool { return l.at[id] != nil }
+// IsLive says whether something of a text is live.
+func (l *Layout) IsLive(id string) bool { return l.at[id] != nil }
 
 // bound is how much may lie on the disk before cleaning sets in: as much garbage as there is live, or a few segments,
 // so that opening takes time for what is live and not for all that ever was; but with half of what is left, as what is
 // held for long has to be moved through before the garbage behind it is reached.
 func (l *Layout) bound() int64 {
-	return min(l.live+(l.limits.Room-l.headroom()-l.live)/2, max(2*l.live, 8*l.limits.Segment))
+	return min(l.live+(l.limits.MaxBytes-l.headroom()-l.live)/2, max(2*l.live, 8*l.limits.SegmentBytes))
 }
 
 // crowd bounds how many segments there are beyond what their bytes need: each start begins a new one.
 const crowd = 128
 
-func (l *Layout) crowded() bool { return int64(len(l.segments)) > crowd+2*l.total/l.limits.Segment }
+func (l *Layout) crowded() bool {
+	return int64(len(l.segments)) > crowd+2*l.total/l.limits.SegmentBytes
+}
 
-// Due says whether something is to be moved now, in the course of writing.
-func (l *Layout) Due() bool {
+// CleaningDue says whether something is to be moved now, in the course of writing.
+func (l *Layout) CleaningDue() bool {
 	return len(l.segments) > 1 && l.credit > 0 && (l.total > l.bound() || l.crowded())
 }
 
-// Short says whether a record of so many bytes finds no room before more is cleaned. At most it takes moving all
+// MustCleanFirst says whether a record of so many bytes finds no room before more is cleaned. At most it takes moving all
 // that is live once.
-func (l *Layout) Short(n int64) bool {
-	return l.total+blocks(n)+Block > l.limits.Room-l.headroom() && len(l.segments) > 1
+func (l *Layout) MustCleanFirst(n int64) bool {
+	return l.total+blocks(n)+BlockBytes > l.limits.MaxBytes-l.headroom() && len(l.segments) > 1
 }
 
-// Force notes that cleaning had to be done at once.
-func (l *Layout) Force() { l.forced++ }
+// CountForced notes that cleaning had to be done at once.
+func (l *Layout) CountForced() { l.forced++ }
 
-// Next is what is to be moved: the first live record of the oldest segment, with its size. Nothing if that segment
+// NextToMove is what is to be moved: the first live record of the oldest segment, with its size. Nothing if that segment
 // has none, or is the tail.
-func (l *Layout) Next() (id string, n int64) {
+func (l *Layout) NextToMove() (id string, n int64) {
 	if len(l.segments) < 2 || l.segments[0].first == nil {
 		return "", 0
 	}
@@ -208,52 +212,52 @@
 	return p.id, p.size
 }
 
-// Dead is the oldest segment if nothing in it is live and it is not the tail.
-func (l *Layout) Dead() (no uint64, ok bool) {
+// RemovableSegment is the oldest segment if nothing in it is live and it is not the tail.
+func (l *Layout) RemovableSegment() (no uint64, ok bool) {
 	if len(l.segments) < 2 || l.segments[0].first != nil {
 		return 0, false
 	}
 	return l.segments[0].no, true
 }
 
-// Gone says that the oldest segment is removed.
-func (l *Layout) Gone() {
+// DropOldestSegment says that the oldest segment is removed.
+func (l *Layout) DropOldestSegment() {
 	l.total -= blocks(l.segments[0].size)
 	l.segments = slices.Delete(l.segments, 0, 1)
 }
 
-// Oldest is the number of the oldest segment, 0 if there is none.
-func (l *Layout) Oldest() uint64 {
+// OldestSegment is the number of the oldest segment, 0 if there is none.
+func (l *Layout) OldestSegment() uint64 {
 	if len(l.segments) == 0 {
 		return 0
 	}
 	return l.segments[0].no
 }
 
-// Used is what lies on the disk, and Live how much of it counts.
-func (l *Layout) Used() int64 { return l.total }
+// UsedBytes is what lies on the disk, and Live how much of it counts.
+func (l *Layout) UsedBytes() int64 { return l.total }
 
-// Live is how many bytes are live.
-func (l *Layout) Live() int64 { return l.live }
+// LiveBytes is how many bytes are live.
+func (l *Layout) LiveBytes() int64 { return l.live }
 
 // Stats are what a layout has come to.
 type Stats struct {
-	Segments int
-	Live     int64 // bytes
-	Used     int64 // bytes on the disk
-	Room     int64
-	Written  int64 // bytes in all, moved ones too
-	Moved    int64
-	Forced   int // times that cleaning had to be done at once
+	Segments        int
+	LiveBytes       int64 // bytes
+	UsedBytes       int64 // bytes on the disk
+	MaxBytes        int64
+	WrittenBytes    int64 // bytes in all, moved ones too
+	MovedBytes      int64
+	ForcedCleanings int // times that cleaning had to be done at once
 }
 
 // Stats gives them.
 func (l *Layout) Stats() Stats {
-	return Stats{len(l.segments), l.live, l.total, l.limits.Room, l.written, l.moved, l.forced}
+	return Stats{len(l.segments), l.live, l.total, l.limits.MaxBytes, l.written, l.moved, l.forced}
 }
 
-// Check looks whether all adds up; for tests.
-func (l *Layout) Check() string {
+// CheckInvariants looks whether all adds up; for tests.
+func (l *Layout) CheckInvariants() string {
 	live, total, n := int64(0), int64(0), 0
 	for _, s := range l.segments {
 		sum := int64(0)
--- a/internal/delivery/ledger/layout/layout_test.go
+++ b/internal/delivery/ledger/layout/layout_test.go
@@ -27,38 +27,38 @@
 func (d *disk) write(t fatal, id string, n int64) {
 	moved := int64(0)
 	move := func() {
-		if id, n := d.l.Next(); id != "" {
-			d.append(id, n, d.l.Moved)
+		if id, n := d.l.NextToMove(); id != "" {
+			d.append(id, n, d.l.AddMoved)
 			moved += n
 		}
-		if _, ok := d.l.Dead(); ok {
-			d.l.Gone()
+		if _, ok := d.l.RemovableSegment(); ok {
+			d.l.DropOldestSegment()
 		}
 	}
-	for tries := 0; d.l.Short(n); tries++ {
-		d.l.Force()
+	for tries := 0; d.l.MustCleanFirst(n); tries++ {
+		d.l.CountForced()
 		move()
 		if tries > 100000 {
 			t.Fatalf("cleaning does not end: %+v", d.l.Stats())
 		}
 	}
-	d.append(id, n, d.l.Wrote)
-	for d.l.Due() {
+	d.append(id, n, d.l.AddWritten)
+	for d.l.CleaningDue() {
 		move()
 	}
 	d.most = max(d.most, moved)
-	if s := d.l.Stats(); s.Used > s.Room {
-		t.Fatalf("%d bytes on the disk, %d may be", s.Used, s.Room)
+	if s := d.l.Stats(); s.UsedBytes > s.MaxBytes {
+		t.Fatalf("%d bytes on the disk, %d may be", s.UsedBytes, s.MaxBytes)
 	}
-	if bad := d.l.Check(); bad != "" {
+	if bad := d.l.CheckInvariants(); bad != "" {
 		t.Fatal(bad)
 	}
 }
 
 func (d *disk) append(id string, n int64, grow func(int64)) {
-	if d.l.Rolls(n) {
+	if d.l.NeedsNewSegment(n) {
 		d.no++
-		d.l.Begin(d.no, 46)
+		d.l.StartSegment(d.no, 46)
 	}
 	grow(n)
 	if id != "" {
@@ -70,7 +70,7 @@
 func TestNeverOverTheRoom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		room := rapid.Int64Range(24<<10, 400<<10).Draw(t, "room")
-		d := &disk{l: New(Limits{Room: room, Record: 8 << 10, End: 300})}
+		d := &disk{l: New(Limits{MaxBytes: room, MaxRecordBytes: 8 << 10, GrowthBytes: 300})}
 		var held []string
 		for i := range rapid.IntRange(1, 400).Draw(t, "steps") {
 			if len(held) > 0 && rapid.IntRange(0, 2).Draw(t, "end") == 0 {
@@ -95,12 +95,12 @@
 // Live bytes fill at least four fifths of three megabytes, with small texts and with the largest.
 func TestFillsTheRoom(t *testing.T) {
 	for _, size := range []int64{400, 66 << 10} {
-		d := &disk{l: New(Limits{Room: 3e6, Record: 84 << 10, End: 72})}
+		d := &disk{l: New(Limits{MaxBytes: 3e6, MaxRecordBytes: 84 << 10, GrowthBytes: 72})}
 		for i := 0; d.l.Admits(size); i++ {
 			d.write(t, fmt.Sprint(i), size)
 		}
-		if s := d.l.Stats(); float64(s.Live) < 0.8*3e6*float64(size)/float64(size+72) {
-			t.Errorf("texts of %d bytes: %d bytes are live of %d", size, s.Live, s.Room)
+		if s := d.l.Stats(); float64(s.LiveBytes) < 0.8*3e6*float64(size)/float64(size+72) {
+			t.Errorf("texts of %d bytes: %d bytes are live of %d", size, s.LiveBytes, s.MaxBytes)
 		}
 	}
 }
@@ -108,7 +108,7 @@
 // With four fifths of the room held for long, writing goes on with little moved at a time, and hardly ever all at once.
 func TestCleaningGoesAlong(t *testing.T) {
 	{
-		d := &disk{l: New(Limits{Room: 3e6, Record: 84 << 10, End: 72})}
+		d := &disk{l: New(Limits{MaxBytes: 3e6, MaxRecordBytes: 84 << 10, GrowthBytes: 72})}
 		for i := range 2400 {
 			d.write(t, fmt.Sprint("held", i), 1000)
 		}
@@ -120,10 +120,10 @@
 			d.write(t, "", 60)
 		}
 		s := d.l.Stats()
-		if d.most > 4*d.l.limits.Step || s.Forced > 40000/500 {
-			t.Errorf("%d bytes moved at once, step %d: %+v", d.most, d.l.limits.Step, s)
+		if d.most > 4*d.l.limits.MaxStepBytes || s.ForcedCleanings > 40000/500 {
+			t.Errorf("%d bytes moved at once, step %d: %+v", d.most, d.l.limits.MaxStepBytes, s)
 		}
-		if amplified := float64(s.Written) / float64(s.Written-s.Moved); amplified > 15 {
+		if amplified := float64(s.WrittenBytes) / float64(s.WrittenBytes-s.MovedBytes); amplified > 15 {
 			t.Errorf("each byte is written %.1f times", amplified)
 		}
 	}
@@ -132,13 +132,13 @@
 // With little live, little lies on the disk: a start reads what counts, not all that ever was.
 func TestLittleLiveLittleOnTheDisk(t *testing.T) {
 	{
-		d := &disk{l: New(Limits{Room: 1 << 30, Record: 84 << 10, Segment: 64 << 10, End: 72})}
+		d := &disk{l: New(Limits{MaxBytes: 1 << 30, MaxRecordBytes: 84 << 10, SegmentBytes: 64 << 10, GrowthBytes: 72})}
 		for i := range 20000 {
 			id := fmt.Sprint(i)
 			d.write(t, id, 400)
 			d.l.Drop(id)
 		}
-		if s := d.l.Stats(); s.Used > 10*64<<10 {
+		if s := d.l.Stats(); s.UsedBytes > 10*64<<10 {
 			t.Errorf("%+v", s)
 		}
 	}
--- a/internal/delivery/ledger/ledger.go
+++ b/internal/delivery/ledger/ledger.go
@@ -40,8 +40,8 @@
 
 // Options say how a ledger is kept.
 type Options struct {
-	Room  int64 // bytes of the folder, each file counted in whole blocks of 512
-	Power bool  // what was synced outlasts the loss of power
+	MaxBytes      int64 // bytes of the folder, each file counted in whole blocks of 512
+	PowerLossSafe bool  // what was synced outlasts the loss of power
 }
 
 // Ledger is the open folder and what is live in it. It is used by one goroutine.
@@ -102,25 +102,25 @@
 
 // newLayout is one for the room that is left beside everything else in the folder.
 func (l *Ledger) newLayout(others int64) *layout.Layout {
-	room := l.opt.Room - reserveOf(l.opt.Room) - 2*layout.Block - others
-	return layout.New(layout.Limits{Room: room, Record: largest, End: growth})
+	room := l.opt.MaxBytes - reserveOf(l.opt.MaxBytes) - 2*layout.BlockBytes - others
+	return layout.New(layout.Limits{MaxBytes: room, MaxRecordBytes: largest, GrowthBytes: growth})
 }
 
 func (l *Ledger) path(name string) string { return filepath.Join(l.dir, name) }
 
-// Owed gives the texts that have no end yet, in the order they were taken, and the notices that are due.
-func (l *Ledger) Owed() ([]*Text, []*Notice) { return l.state.owed() }
+// Unfinished gives the texts that have no end yet, in the order they were taken, and the notices that are due.
+func (l *Ledger) Unfinished() ([]*Text, []*Notice) { return l.state.owed() }
 
-// Now tells the time at a start. If what is held tells of later instants, the clock was put back since.
-func (l *Ledger) Now(now control.Time) {
+// CheckClock tells the time at a start. If what is held tells of later instants, the clock was put back since.
+func (l *Ledger) CheckClock(now control.Time) {
 	if by := l.state.latest() - now; by > 0 {
 		slog.Warn("clock_put_back", "part", "ledger", "tenths_of_ms", int64(by), "texts", len(l.state.texts))
 		l.state.steppedBack(by)
 	}
 }
 
-// Durable says whether Sync has to be waited for.
-func (l *Ledger) Durable() bool { return l.opt.Power }
+// RequiresSync says whether Sync has to be waited for.
+func (l *Ledger) RequiresSync() bool { return l.opt.PowerLossSafe }
 
 // Stats tells how the folder is used.
 func (l *Ledger) Stats() layout.Stats { return l.lay.Stats() }
@@ -140,8 +140,8 @@
 	return err
 }
 
-// Names lists the files of a folder that are a ledger's.
-func Names(files vfs.FS, dir string) ([]string, error) {
+// FileNames lists the files of a folder that are a ledger's.
+func FileNames(files vfs.FS, dir string) ([]string, error) {
 	names, err := files.List(dir)
 	return slices.DeleteFunc(names, func(name string) bool {
 		_, segment := segNumber(name)
--- a/internal/delivery/ledger/ledger_test.go
+++ b/internal/delivery/ledger/ledger_test.go
@@ -43,7 +43,7 @@
 
 func open(t fatal, m vfs.FS, power bool) *Ledger {
 	t.Helper()
-	l, err := Open(m, dir, Options{Room: room, Power: power})
+	l, err := Open(m, dir, Options{MaxBytes: room, PowerLossSafe: power})
 	if err != nil {
 		t.Fatalf("%v", err)
 	}
@@ -114,10 +114,10 @@
 // check looks at what a start finds.
 func (s *story) check(t fatal, l *Ledger, what string) {
 	t.Helper()
-	texts, notices := l.Owed()
+	texts, notices := l.Unfinished()
 	found := map[string]promise{}
 	for _, x := range texts {
-		found[x.ID] = promise{text: true, body: x.Body, submits: x.Submits, ran: x.RanSince}
+		found[x.ID] = promise{text: true, body: x.Body, submits: x.Attempts, ran: x.FirstRunAt}
 	}
 	for _, n := range notices {
 		if _, both := found[n.ID]; both {
@@ -159,7 +159,7 @@
 		id := fmt.Sprint("t", i)
 		body := bytes.Repeat([]byte{byte(i)}, []int{20, 200, 900, 3000}[c.IntN(4)])
 		p := promise{text: true, body: body}
-		if err := s.call(id, p, func() error { return l.Taken(&Text{ID: id, Body: body, ValidUntil: 5}) }); err == nil {
+		if err := s.call(id, p, func() error { return l.RecordAccepted(&Text{ID: id, Body: body, ValidUntil: 5}) }); err == nil {
 			held = append(held, id)
 		} else if fails(err) {
 			return err
@@ -174,29 +174,29 @@
 		if p.ran == 0 {
 			p.ran, p.tent = control.Time(1000+i), true
 		}
-		if err := s.call(id, p, func() error { return l.Submitted(id, control.Time(1000+i), "z") }); fails(err) {
+		if err := s.call(id, p, func() error { return l.RecordAttempt(id, control.Time(1000+i), "z") }); fails(err) {
 			return err
 		}
 		if p.tent && c.IntN(2) == 0 {
 			p.ran, p.tent = 0, false
-			if err := s.call(id, p, func() error { return l.Answered(id, false) }); fails(err) {
+			if err := s.call(id, p, func() error { return l.RecordResult(id, false) }); fails(err) {
 				return err
 			}
 		} else {
 			p.tent = false
-			if err := s.call(id, p, func() error { return l.Answered(id, true) }); fails(err) {
+			if err := s.call(id, p, func() error { return l.RecordResult(id, true) }); fails(err) {
 				return err
 			}
 		}
 		if len(held) > 4 {
 			held = slices.Delete(held, k, k+1)
 			if c.IntN(3) == 0 {
-				if err := s.call(id, promise{}, func() error { return l.Untold(&Notice{ID: id, Nack: true, Delay: 7}) }); err != nil {
+				if err := s.call(id, promise{}, func() error { return l.RecordEndOwingNotice(&Notice{ID: id, Nack: true, RetryAfter: 7}) }); err != nil {
 					return err
 				}
 			}
 			if c.IntN(4) > 0 {
-				if err := s.call(id, promise{over: true}, func() error { return l.Ended(id) }); err != nil {
+				if err := s.call(id, promise{over: true}, func() error { return l.RecordEnd(id) }); err != nil {
 					return err
 				}
 			}
@@ -227,7 +227,7 @@
 			if err := newStory(power).play(l, scripted); err != nil {
 				t.Fatal(err)
 			}
-			if s := l.Stats(); s.Moved == 0 || l.number < 10 {
+			if s := l.Stats(); s.MovedBytes == 0 || l.number < 10 {
 				t.Fatalf("nothing is cleaned in this story: %+v", s)
 			}
 			points := 0
@@ -257,7 +257,7 @@
 	m := memfs.New()
 	m.Hook = func(c memfs.Call) memfs.Verdict { return memfs.Verdict{Crash: c.No == call, Partly: cut} }
 	s := newStory(power)
-	l, err := Open(m, dir, Options{Room: room, Power: power})
+	l, err := Open(m, dir, Options{MaxBytes: room, PowerLossSafe: power})
 	if err == nil {
 		s.play(l, scripted)
 	}
@@ -273,10 +273,10 @@
 		t.Fatalf("%s: %d bytes in the folder, %d may be", what, used, room)
 	}
 	// What was found is kept from now on, and a second start finds the same.
-	texts, notices := l.Owed()
+	texts, notices := l.Unfinished()
 	l.Close()
 	l = open(t, after.After(memfs.Process, nil), power)
-	texts2, notices2 := l.Owed()
+	texts2, notices2 := l.Unfinished()
 	if fmt.Sprint(ids(texts)) != fmt.Sprint(ids(texts2)) || len(notices) != len(notices2) {
 		t.Fatalf("%s: the second start finds %v, the first %v", what, ids(texts2), ids(texts))
 	}
@@ -314,9 +314,9 @@
 			s.done, s.pending = map[string]promise{}, map[string][]promise{}
 			s.kept = map[string]promise{}
 			known = nil
-			texts, notices := l.Owed()
+			texts, notices := l.Unfinished()
 			for _, x := range texts {
-				s.kept[x.ID] = promise{text: true, body: x.Body, submits: x.Submits, ran: x.RanSince}
+				s.kept[x.ID] = promise{text: true, body: x.Body, submits: x.Attempts, ran: x.FirstRunAt}
 				known = append(known, x.ID)
 			}
 			for _, n := range notices {
@@ -334,7 +334,7 @@
 			case 0, 1, 2:
 				id := fmt.Sprint("t", i)
 				body := bytes.Repeat([]byte{byte(i), '\n', 0}, rapid.IntRange(0, 1500).Draw(t, "body"))
-				if s.call(id, promise{text: true, body: body}, func() error { return l.Taken(&Text{ID: id, Body: body}) }) == nil {
+				if s.call(id, promise{text: true, body: body}, func() error { return l.RecordAccepted(&Text{ID: id, Body: body}) }) == nil {
 					known = append(known, id)
 				} else if broken != 0 && power {
 					s.pending[id] = append(s.pending[id], promise{text: true, body: body})
@@ -345,21 +345,21 @@
 					if p.ran == 0 {
 						p.ran, p.tent = control.Time(1000+i), true
 					}
-					s.call(id, p, func() error { return l.Submitted(id, control.Time(1000+i), "z") })
+					s.call(id, p, func() error { return l.RecordAttempt(id, control.Time(1000+i), "z") })
 				}
 			case 4:
 				if ok && p.tent {
 					p.ran, p.tent = 0, false
-					s.call(id, p, func() error { return l.Answered(id, false) })
+					s.call(id, p, func() error { return l.RecordResult(id, false) })
 				}
 			case 5:
 				if ok { // where that cannot be written it is tried again: either may be found
-					s.call(id, promise{over: true}, func() error { return l.Ended(id) })
+					s.call(id, promise{over: true}, func() error { return l.RecordEnd(id) })
 					known = slices.DeleteFunc(known, func(o string) bool { return o == id })
 				}
 			case 6:
 				if ok {
-					s.call(id, promise{}, func() error { return l.Untold(&Notice{ID: id, Nack: true, Delay: 7}) })
+					s.call(id, promise{}, func() error { return l.RecordEndOwingNotice(&Notice{ID: id, Nack: true, RetryAfter: 7}) })
 					known = slices.DeleteFunc(known, func(o string) bool { return o == id })
 				}
 			case 7:
@@ -375,7 +375,7 @@
 				}
 				again(mode)
 			}
-			if bad := l.lay.Check(); bad != "" {
+			if bad := l.lay.CheckInvariants(); bad != "" {
 				t.Fatalf("%s", bad)
 			}
 			if used := m.Used(); used > room {
@@ -390,12 +390,12 @@
 // ones go on, and once there is room again all is as before.
 func TestDiskFullOfOthers(t *testing.T) {
 	m := memfs.New()
-	l, err := Open(m, dir, Options{Room: 3e6})
+	l, err := Open(m, dir, Options{MaxBytes: 3e6})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range 4 {
-		if err := l.Taken(&Text{ID: fmt.Sprint(i), Body: make([]byte, 100)}); err != nil {
+		if err := l.RecordAccepted(&Text{ID: fmt.Sprint(i), Body: make([]byte, 100)}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -404,35 +404,35 @@
 		used += int64(len(m.Data(n)))
 	}
 	m.Room = used // not a byte more
-	if err := l.Taken(&Text{ID: "new"}); !vfs.IsFull(err) {
+	if err := l.RecordAccepted(&Text{ID: "new"}); !vfs.IsFull(err) {
 		t.Fatalf("a new text: %v", err)
 	}
-	if err := l.Submitted("0", 9, ""); err != nil { // what is held goes on
+	if err := l.RecordAttempt("0", 9, ""); err != nil { // what is held goes on
 		t.Fatal(err)
 	}
-	if err := l.Ended("0"); err != nil {
+	if err := l.RecordEnd("0"); err != nil {
 		t.Fatal(err)
 	}
-	if err := l.Untold(&Notice{ID: "1"}); err != nil {
+	if err := l.RecordEndOwingNotice(&Notice{ID: "1"}); err != nil {
 		t.Fatal(err)
 	}
 	// Now really nothing is left: the end is kept in mind until there is room.
 	m.Room = 1
-	if err := l.Ended("2"); !vfs.IsFull(err) {
+	if err := l.RecordEnd("2"); !vfs.IsFull(err) {
 		t.Fatalf("%v", err)
 	}
-	if err := l.Taken(&Text{ID: "new"}); !vfs.IsFull(err) {
+	if err := l.RecordAccepted(&Text{ID: "new"}); !vfs.IsFull(err) {
 		t.Fatalf("a new text: %v", err)
 	}
 	m.Room = 0
 	l.Sync()
-	if err := l.Taken(&Text{ID: "new"}); err != nil {
+	if err := l.RecordAccepted(&Text{ID: "new"}); err != nil {
 		t.Fatal(err)
 	}
-	if l, err = Open(m.After(memfs.Process, nil), dir, Options{Room: 3e6}); err != nil {
+	if l, err = Open(m.After(memfs.Process, nil), dir, Options{MaxBytes: 3e6}); err != nil {
 		t.Fatal(err)
 	}
-	texts, notices := l.Owed()
+	texts, notices := l.Unfinished()
 	if fmt.Sprint(ids(texts)) != "[3 new]" || len(notices) != 1 || notices[0].ID != "1" {
 		t.Errorf("%v %v", ids(texts), notices)
 	}
@@ -442,8 +442,8 @@
 func TestReadOnlyForATime(t *testing.T) {
 	m := memfs.New()
 	l := open(t, m, true)
-	l.Taken(&Text{ID: "a"})
-	l.Taken(&Text{ID: "b"})
+	l.RecordAccepted(&Text{ID: "a"})
+	l.RecordAccepted(&Text{ID: "b"})
 	l.Sync()
 	m.Hook = func(c memfs.Call) memfs.Verdict {
 		if slices.Contains([]string{"write", "create", "remove", "sync"}, c.Op) {
@@ -451,7 +451,7 @@
 		}
 		return memfs.Verdict{}
 	}
-	if l.Taken(&Text{ID: "c"}) == nil || l.Submitted("a", 1, "") == nil || l.Ended("b") == nil {
+	if l.RecordAccepted(&Text{ID: "c"}) == nil || l.RecordAttempt("a", 1, "") == nil || l.RecordEnd("b") == nil {
 		t.Error("something was written")
 	}
 	m.Hook = nil
@@ -459,7 +459,7 @@
 		t.Fatal(err)
 	}
 	l = open(t, m.After(memfs.Power, rand.New(rand.NewPCG(1, 1))), true)
-	if texts, _ := l.Owed(); fmt.Sprint(ids(texts)) != "[a]" || texts[0].Submits != 0 {
+	if texts, _ := l.Unfinished(); fmt.Sprint(ids(texts)) != "[a]" || texts[0].Attempts != 0 {
 		t.Errorf("%+v", *texts[0])
 	}
 }
@@ -467,20 +467,20 @@
 func TestSecondProcessIsRefused(t *testing.T) {
 	m := memfs.New()
 	open(t, m, false)
-	if _, err := Open(m, dir, Options{Room: room}); !errors.Is(err, vfs.ErrLocked) {
+	if _, err := Open(m, dir, Options{MaxBytes: room}); !errors.Is(err, vfs.ErrLocked) {
 		t.Error(err)
 	}
 	// The real lock, and that it says who has it.
 	at := t.TempDir()
-	l, err := Open(vfs.OS{}, at, Options{Room: room})
+	l, err := Open(vfs.OS{}, at, Options{MaxBytes: room})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(vfs.OS{}, at, Options{Room: room}); !errors.Is(err, vfs.ErrLocked) || !strings.Contains(err.Error(), fmt.Sprint("process ", os.Getpid())) {
+	if _, err := Open(vfs.OS{}, at, Options{MaxBytes: room}); !errors.Is(err, vfs.ErrLocked) || !strings.Contains(err.Error(), fmt.Sprint("process ", os.Getpid())) {
 		t.Error(err)
 	}
 	l.Close()
-	if l, err = Open(vfs.OS{}, at, Options{Room: room}); err != nil {
+	if l, err = Open(vfs.OS{}, at, Options{MaxBytes: room}); err != nil {
 		t.Error(err)
 	}
 	l.Close()
@@ -491,12 +491,12 @@
 	m = memfs.New()
 	l := open(t, m, power)
 	for i := range 14 {
-		if err := l.Taken(&Text{ID: fmt.Sprint("t", i), Body: make([]byte, 900), TakenAt: control.Time(i + 1)}); err != nil {
+		if err := l.RecordAccepted(&Text{ID: fmt.Sprint("t", i), Body: make([]byte, 900), AcceptedAt: control.Time(i + 1)}); err != nil {
 			t.Fatal(err)
 		}
 		l.Sync()
 	}
-	l.Ended("t0")
+	l.RecordEnd("t0")
 	l.Sync()
 	l.Close()
 	var segs []string
@@ -519,13 +519,13 @@
 		data := m.Data(middle)
 		data[segHead+40] ^= 4 // one bit, in the first record
 		l := open(t, m.After(memfs.Process, nil), power)
-		texts, _ := l.Owed()
+		texts, _ := l.Unfinished()
 		if len(texts) != 12 {
 			t.Errorf("%d texts are left: %v", len(texts), ids(texts))
 		}
 		for _, x := range texts {
 			before := x.ID == "t1" || x.ID == "t2" // in the segment before it
-			if before != (x.RanSince == x.TakenAt && x.Submits == 1) {
+			if before != (x.FirstRunAt == x.AcceptedAt && x.Attempts == 1) {
 				t.Errorf("%+v", x)
 			}
 		}
@@ -536,7 +536,7 @@
 		l.Close()
 		// Once it is set aside all is well again, and the same.
 		f, again, _, err := Inspect(m, dir)
-		if err != nil || !f.Sound() || fmt.Sprint(ids(again)) != fmt.Sprint(ids(texts)) || again[0].Submits != 1 {
+		if err != nil || !f.Intact() || fmt.Sprint(ids(again)) != fmt.Sprint(ids(texts)) || again[0].Attempts != 1 {
 			t.Errorf("%v %+v %v", err, f, ids(again))
 		}
 	}
@@ -547,13 +547,13 @@
 	m, middle := damaged(t, false)
 	m.Remove(middle)
 	l := open(t, m, false)
-	if texts, _ := l.Owed(); len(texts) == 0 || len(texts) > 12 || texts[0].RanSince == 0 {
+	if texts, _ := l.Unfinished(); len(texts) == 0 || len(texts) > 12 || texts[0].FirstRunAt == 0 {
 		t.Errorf("%+v", texts)
 	}
 	m, middle = damaged(t, false)
 	copy(m.Data(middle), "nonsense")
 	l = open(t, m.After(memfs.Process, nil), false)
-	if texts, _ := l.Owed(); len(texts) != 13 || texts[0].RanSince != 0 {
+	if texts, _ := l.Unfinished(); len(texts) != 13 || texts[0].FirstRunAt != 0 {
 		t.Errorf("with a spoilt head %v", ids(texts))
 	}
 }
@@ -567,17 +567,17 @@
 	}
 	text := func(id, body string) []byte { return old(taken, (&Text{ID: id, Body: []byte(body)}).record().payload) }
 	raw := slices.Concat(text("a", "one\x00"), text("b", "two"), old(submitted, encode(sent{"a", 0, 77, "z"})), text("c", "three"),
-		old(ended, encode(named{"b"})), old(untold, encode(Notice{ID: "c", Nack: true, Delay: 5})), text("d", "four"), text("torn", "xx")[:30])
+		old(ended, encode(named{"b"})), old(untold, encode(Notice{ID: "c", Nack: true, RetryAfter: 5})), text("d", "four"), text("torn", "xx")[:30])
 	for crash := range 60 {
 		m := memfs.New()
 		m.Put("state/ledger", raw)
 		m.Hook = func(c memfs.Call) memfs.Verdict { return memfs.Verdict{Crash: c.No == crash, Partly: c.Bytes / 2} }
-		Open(m, dir, Options{Room: room})
+		Open(m, dir, Options{MaxBytes: room})
 		m = m.After(memfs.Power, rand.New(rand.NewPCG(uint64(crash), 2)))
 		l := open(t, m, false)
-		texts, notices := l.Owed()
-		if fmt.Sprint(ids(texts)) != "[a d]" || string(texts[0].Body) != "one\x00" || texts[0].Submits != 1 || texts[0].RanSince != 77 ||
-			texts[0].RanZone != "z" || len(notices) != 1 || notices[0].Delay != 5 {
+		texts, notices := l.Unfinished()
+		if fmt.Sprint(ids(texts)) != "[a d]" || string(texts[0].Body) != "one\x00" || texts[0].Attempts != 1 || texts[0].FirstRunAt != 77 ||
+			texts[0].FirstRunZone != "z" || len(notices) != 1 || notices[0].RetryAfter != 5 {
 			t.Fatalf("crash at call %d: %+v %+v", crash, texts, notices)
 		}
 		if slices.Contains(m.Names(), "state/ledger") {
@@ -589,20 +589,20 @@
 // Ten thousand texts are held at a start, and all of them found in the order they were taken.
 func TestTenThousandHeld(t *testing.T) {
 	m := memfs.New()
-	opt := Options{Room: 20e6}
+	opt := Options{MaxBytes: 20e6}
 	l, err := Open(m, dir, opt)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range 10000 {
-		if err := l.Taken(&Text{ID: fmt.Sprint(i), Body: make([]byte, 200)}); err != nil {
+		if err := l.RecordAccepted(&Text{ID: fmt.Sprint(i), Body: make([]byte, 200)}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if l, err = Open(m.After(memfs.Process, nil), dir, opt); err != nil {
 		t.Fatal(err)
 	}
-	texts, _ := l.Owed()
+	texts, _ := l.Unfinished()
 	for i, x := range texts {
 		if x.ID != fmt.Sprint(i) {
 			t.Fatalf("%s stands at %d", x.ID, i)
@@ -620,19 +620,19 @@
 	if err := newStory(true).play(l, 100); err != nil {
 		t.Fatal(err)
 	}
-	texts, notices := l.Owed()
+	texts, notices := l.Unfinished()
 	before := len(m.Names())
 	if err := l.Compact(); err != nil {
 		t.Fatal(err)
 	}
 	l.Close()
 	f, texts2, notices2, err := Inspect(m, dir)
-	if err != nil || !f.Sound() || len(m.Names()) >= before {
+	if err != nil || !f.Intact() || len(m.Names()) >= before {
 		t.Errorf("%v %+v %v", err, f, m.Names())
 	}
 	for i, x := range texts {
 		y := texts2[i]
-		if x.ID != y.ID || !bytes.Equal(x.Body, y.Body) || x.Submits != y.Submits || x.RanSince != y.RanSince || x.Order != y.Order {
+		if x.ID != y.ID || !bytes.Equal(x.Body, y.Body) || x.Attempts != y.Attempts || x.FirstRunAt != y.FirstRunAt || x.Seq != y.Seq {
 			t.Errorf("%+v is %+v", x, y)
 		}
 	}
@@ -659,9 +659,9 @@
 		}
 		m.Put("state/ledger", raw)
 		Inspect(m, dir)
-		for _, size := range []int64{room, layout.Block} {
-			if l, err := Open(m, dir, Options{Room: size}); err == nil {
-				l.Taken(&Text{ID: "new"})
+		for _, size := range []int64{room, layout.BlockBytes} {
+			if l, err := Open(m, dir, Options{MaxBytes: size}); err == nil {
+				l.RecordAccepted(&Text{ID: "new"})
 				l.Close()
 			}
 		}
--- a/internal/delivery/ledger/load.go
+++ b/internal/delivery/ledger/load.go
@@ -14,9 +14,9 @@
 	"emberquay/internal/vfs"
 )
 
-// Found is what a folder was found to hold.
-type Found struct {
-	Segments []FoundSegment
+// Inspection is what a folder was found to hold.
+type Inspection struct {
+	Segments []SegmentInspection
 	Texts    int
 	Notices  int
 	Records  int
@@ -34,8 +34,8 @@
 	hole     bool   // what stands further on is void
 }
 
-// FoundSegment is one of its files.
-type FoundSegment struct {
+// SegmentInspection is one of its files.
+type SegmentInspection struct {
 	Number  uint64 `json:"number"`
 	Bytes   int64  `json:"bytes"`
 	Records int    `json:"records"`
@@ -46,9 +46,9 @@
 	head head // nought if it cannot be read
 }
 
-// Sound says whether nothing that had been kept is missing.
-func (f *Found) Sound() bool {
-	return f.Lost == 0 && f.OldBad == "" && !slices.ContainsFunc(f.Segments, func(s FoundSegment) bool { return s.Bad != "" })
+// Intact says whether nothing that had been kept is missing.
+func (f *Inspection) Intact() bool {
+	return f.Lost == 0 && f.OldBad == "" && !slices.ContainsFunc(f.Segments, func(s SegmentInspection) bool { return s.Bad != "" })
 }
 
 // read reads a whole file, of a bounded size.
@@ -74,12 +74,12 @@
 }
 
 // load reads a folder and changes nothing. Where each live record lies is told to the layout.
-func load(files vfs.FS, dir string, lay *layout.Layout) (*Found, error) {
+func load(files vfs.FS, dir string, lay *layout.Layout) (*Inspection, error) {
 	names, err := files.List(dir)
 	if err != nil {
 		return nil, err
 	}
-	f := &Found{state: newState()}
+	f := &Inspection{state: newState()}
 	if slices.Contains(names, oldName) {
 		// Segments beside it are of a carrying over that was not finished.
 		raw, err := read(files, filepath.Join(dir, oldName))
@@ -100,7 +100,7 @@
 		if err != nil {
 			return nil, err
 		}
-		s := FoundSegment{Number: no, Bytes: int64(len(raw)), raw: raw}
+		s := SegmentInspection{Number: no, Bytes: int64(len(raw)), raw: raw}
 		if s.head, err = readHead(raw, no); err != nil {
 			var why errHead
 			if !errors.As(err, &why) {
@@ -110,7 +110,7 @@
 		}
 		f.Segments = append(f.Segments, s)
 	}
-	slices.SortFunc(f.Segments, func(a, b FoundSegment) int { return int(int64(a.Number - b.Number)) })
+	slices.SortFunc(f.Segments, func(a, b SegmentInspection) int { return int(int64(a.Number - b.Number)) })
 	f.marks()
 	for i := range f.Segments {
 		f.replay(i, lay)
@@ -122,7 +122,7 @@
 
 // marks finds how far the log is known to have been synced: heads and marks say so, those of the last two segments
 // the most. A single segment whose head cannot be read was being begun when the power went, as a rule.
-func (f *Found) marks() {
+func (f *Inspection) marks() {
 	f.marked = len(f.Segments) == 1 && f.Segments[0].Bad != ""
 	for _, s := range f.Segments[max(0, len(f.Segments)-2):] {
 		f.marked = f.marked || s.head.power
@@ -138,12 +138,12 @@
 	}
 }
 
-func (s *FoundSegment) body() []byte { return s.raw[min(segHead, len(s.raw)):] }
+func (s *SegmentInspection) body() []byte { return s.raw[min(segHead, len(s.raw)):] }
 
 // replay applies the records of one segment.
-func (f *Found) replay(i int, lay *layout.Layout) {
+func (f *Inspection) replay(i int, lay *layout.Layout) {
 	s := &f.Segments[i]
-	lay.Begin(s.Number, s.Bytes)
+	lay.StartSegment(s.Number, s.Bytes)
 	end := uint64(math.MaxUint64) // numbers from here on belong to a later segment: what has them here is void
 	for _, later := range f.Segments[i+1:] {
 		if later.head.first > 0 {
@@ -183,7 +183,7 @@
 
 // gap: numbers are missing before a record. Where the log is synced, what had not been yet was promised to no one, and
 // the log ends there.
-func (f *Found) gap(i int, no uint64) {
+func (f *Inspection) gap(i int, no uint64) {
 	if f.hole = f.hole || f.marked && f.last >= f.promised; f.hole {
 		return
 	}
@@ -199,7 +199,7 @@
 }
 
 // lies tells the layout what a record changes.
-func (f *Found) lies(r record, size int, lay *layout.Layout) {
+func (f *Inspection) lies(r record, size int, lay *layout.Layout) {
 	switch id := f.state.named; r.kind {
 	case taken, untold:
 		lay.Put(id, int64(size))
@@ -209,9 +209,9 @@
 }
 
 // settle ends the reading: what was out when the process ended may have run.
-func (f *Found) settle() {
+func (f *Inspection) settle() {
 	for _, t := range f.state.texts {
-		t.Tentative = false
+		t.FirstRunTentative = false
 	}
 	f.Texts, f.Notices = len(f.state.texts), len(f.state.notices)
 	if f.Lost > 0 || f.OldBad != "" {
@@ -227,9 +227,9 @@
 
 // Inspect reads a folder without changing it, also beside a sender that runs. It gives what was found, the texts that
 // are held in the order they were taken, and the notices that are owed.
-func Inspect(files vfs.FS, dir string) (*Found, []*Text, []*Notice, error) {
+func Inspect(files vfs.FS, dir string) (*Inspection, []*Text, []*Notice, error) {
 	for n := 0; ; n++ {
-		f, err := load(files, dir, layout.New(layout.Limits{Room: 1 << 50, Record: mostRecord}))
+		f, err := load(files, dir, layout.New(layout.Limits{MaxBytes: 1 << 50, MaxRecordBytes: mostRecord}))
 		if errors.Is(err, fs.ErrNotExist) && n < tries {
 			if _, gone := files.List(dir); gone == nil {
 				continue // a segment went while it was read: what it held stands further on
--- a/internal/delivery/ledger/mend.go
+++ b/internal/delivery/ledger/mend.go
@@ -7,7 +7,7 @@
 
 // mend clears a folder of damaged segments: what is live before and in them is written anew, then they are set aside,
 // in their order. Until that has come to its end each start finds them again and comes to the same.
-func (l *Ledger) mend(found *Found) {
+func (l *Ledger) mend(found *Inspection) {
 	bad := map[uint64]bool{}
 	last := uint64(0)
 	for _, s := range found.Segments {
@@ -19,17 +19,17 @@
 	if found.Lost > 0 {
 		slog.Error("records_lost", "part", "ledger", "records", found.Lost, "unknown_texts", strings.Join(found.Unknown, ","))
 	}
-	for l.lay.Oldest() != 0 && l.lay.Oldest() <= last {
+	for l.lay.OldestSegment() != 0 && l.lay.OldestSegment() <= last {
 		if l.file == nil && l.roll() != nil {
 			return
 		}
-		if id, _ := l.lay.Next(); id != "" {
+		if id, _ := l.lay.NextToMove(); id != "" {
 			if l.move(id) != nil {
 				return
 			}
 			continue
 		}
-		no, ok := l.lay.Dead()
+		no, ok := l.lay.RemovableSegment()
 		if !ok {
 			return
 		}
@@ -51,7 +51,7 @@
 	if err := l.giveUp(segName(no), true); err != nil {
 		return err
 	}
-	l.lay.Gone()
+	l.lay.DropOldestSegment()
 	return l.files.SyncDir(l.dir)
 }
 
@@ -65,7 +65,7 @@
 	if err != nil {
 		return err
 	}
-	if others > l.opt.Room/8 {
+	if others > l.opt.MaxBytes/8 {
 		slog.Warn("not_kept_aside", "part", "ledger", "file", name, "err", "other damaged files take an eighth of the room")
 		return l.files.Remove(l.path(name))
 	}
@@ -76,5 +76,5 @@
 	return nil
 }
 
-// OldBad says what Open found wrong with a file of the form of before; empty if nothing was. The file is set aside.
-func (l *Ledger) OldBad() string { return l.oldBad }
+// LegacyDamage says what Open found wrong with a file of the form of before; empty if nothing was. The file is set aside.
+func (l *Ledger) LegacyDamage() string { return l.oldBad }
--- a/internal/delivery/ledger/old_test.go
+++ b/internal/delivery/ledger/old_test.go
@@ -20,7 +20,7 @@
 }
 
 func oldText(id string) []byte {
-	return oldRecord(taken, (&Text{ID: id, Body: []byte("body of " + id), TakenAt: 40}).record().payload)
+	return oldRecord(taken, (&Text{ID: id, Body: []byte("body of " + id), AcceptedAt: 40}).record().payload)
 }
 
 // noise is the same on every run.
@@ -57,19 +57,19 @@
 		m := memfs.New()
 		m.Put("state/ledger", x.raw)
 		found, texts, _, err := Inspect(m, dir)
-		if err != nil || found.Sound() || found.OldBad != x.bad || fmt.Sprint(ids(texts)) != x.want {
+		if err != nil || found.Intact() || found.OldBad != x.bad || fmt.Sprint(ids(texts)) != x.want {
 			t.Errorf("%s: %v %+v %v", x.name, err, found, ids(texts))
 		}
-		l, err := Open(m, dir, Options{Room: room})
+		l, err := Open(m, dir, Options{MaxBytes: room})
 		if err != nil {
 			t.Fatal(err)
 		}
-		served, _ := l.Owed()
-		if l.OldBad() != x.bad || fmt.Sprint(ids(served)) != x.want {
-			t.Errorf("%s: %q %v", x.name, l.OldBad(), ids(served))
+		served, _ := l.Unfinished()
+		if l.LegacyDamage() != x.bad || fmt.Sprint(ids(served)) != x.want {
+			t.Errorf("%s: %q %v", x.name, l.LegacyDamage(), ids(served))
 		}
 		for _, one := range served {
-			if one.RanSince == 0 {
+			if one.FirstRunAt == 0 {
 				t.Errorf("%s: %s counts as never run", x.name, one.ID)
 			}
 		}
@@ -77,8 +77,8 @@
 		if kept := m.Data("state/bad-ledger"); !bytes.Equal(kept, x.raw) || slices.Contains(m.Names(), "state/ledger") {
 			t.Errorf("%s: %d bytes set aside of %d, %v", x.name, len(kept), len(x.raw), m.Names())
 		}
-		if l, err = Open(m, dir, Options{Room: room}); err != nil || l.OldBad() != "" {
-			t.Errorf("%s: the next start %v %q", x.name, err, l.OldBad())
+		if l, err = Open(m, dir, Options{MaxBytes: room}); err != nil || l.LegacyDamage() != "" {
+			t.Errorf("%s: the next start %v %q", x.name, err, l.LegacyDamage())
 		}
 	}
 }
@@ -90,13 +90,13 @@
 		m := memfs.New()
 		m.Put("state/ledger", slices.Concat(a, b[:end]))
 		found, texts, _, err := Inspect(m, dir)
-		if err != nil || !found.Sound() || found.Torn != int64(end) || fmt.Sprint(ids(texts)) != "[a]" || texts[0].RanSince != 0 {
+		if err != nil || !found.Intact() || found.Torn != int64(end) || fmt.Sprint(ids(texts)) != "[a]" || texts[0].FirstRunAt != 0 {
 			t.Fatalf("%d of %d bytes: %v %+v %v", end, len(b), err, found, ids(texts))
 		}
 	}
 	m := memfs.New()
 	m.Put("state/ledger", slices.Concat(a, make([]byte, 3000)))
-	if found, _, _, err := Inspect(m, dir); err != nil || !found.Sound() || found.Torn != 3000 {
+	if found, _, _, err := Inspect(m, dir); err != nil || !found.Intact() || found.Torn != 3000 {
 		t.Errorf("zeros at the end: %v %+v", err, found)
 	}
 }
@@ -108,10 +108,10 @@
 		m := memfs.New()
 		m.Put("state/ledger", raw)
 		m.Hook = func(c memfs.Call) memfs.Verdict { return memfs.Verdict{Crash: c.No == crash, Partly: c.Bytes / 2} }
-		Open(m, dir, Options{Room: room})
+		Open(m, dir, Options{MaxBytes: room})
 		m = m.After(memfs.Power, rand.New(rand.NewPCG(uint64(crash), 2)))
 		l := open(t, m, false)
-		if texts, _ := l.Owed(); fmt.Sprint(ids(texts)) != "[a]" || texts[0].RanSince == 0 {
+		if texts, _ := l.Unfinished(); fmt.Sprint(ids(texts)) != "[a]" || texts[0].FirstRunAt == 0 {
 			t.Fatalf("crash at call %d: %+v", crash, texts)
 		}
 		if kept := m.Data("state/bad-ledger"); !bytes.Equal(kept, raw) || slices.Contains(m.Names(), "state/ledger") {
--- a/internal/delivery/ledger/open.go
+++ b/internal/delivery/ledger/open.go
@@ -31,7 +31,7 @@
 	}
 	slog.Info("opened", "part", "ledger", "segments", len(found.Segments), "records", found.Records, "texts", found.Texts,
 		"notices", found.Notices, "torn", found.Torn)
-	if opt := l.opt; opt.Power { // what is acted on from now on must not go with the power
+	if opt := l.opt; opt.PowerLossSafe { // what is acted on from now on must not go with the power
 		if err := l.syncAll(found); err != nil {
 			return err
 		}
@@ -42,14 +42,14 @@
 		}
 	}
 	l.hold()
-	if !found.Sound() {
+	if !found.Intact() {
 		l.mend(found)
 	}
 	return nil
 }
 
 // syncAll has what was found on the disk: the process before may have ended between a write and its sync.
-func (l *Ledger) syncAll(found *Found) error {
+func (l *Ledger) syncAll(found *Inspection) error {
 	for _, s := range found.Segments {
 		f, err := l.files.Open(l.path(segName(s.Number)))
 		if err != nil {
@@ -86,14 +86,14 @@
 		if err != nil {
 			return 0, err
 		}
-		sum += (size + layout.Block - 1) / layout.Block * layout.Block
+		sum += (size + layout.BlockBytes - 1) / layout.BlockBytes * layout.BlockBytes
 	}
 	return sum, nil
 }
 
 // carryOver writes what the old form holds into segments. Until the old file is removed, or set aside where not all of
 // it can be read, nothing of them counts.
-func (l *Ledger) carryOver(found *Found) error {
+func (l *Ledger) carryOver(found *Inspection) error {
 	if l.oldBad = found.OldBad; l.oldBad != "" {
 		slog.Error("damaged", "part", "ledger", "file", oldName, "err", l.oldBad, "unknown_texts", strings.Join(found.Unknown, ","))
 	}
--- a/internal/delivery/ledger/reserve.go
+++ b/internal/delivery/ledger/reserve.go
@@ -9,12 +9,12 @@
 
 // reserveOf is how much is held back for ends when somebody else fills the disk.
 func reserveOf(room int64) int64 {
-	return min(room/64, 1<<20) / layout.Block * layout.Block
+	return min(room/64, 1<<20) / layout.BlockBytes * layout.BlockBytes
 }
 
 // hold holds room back for ends, as a file that can be removed.
 func (l *Ledger) hold() {
-	want := reserveOf(l.opt.Room)
+	want := reserveOf(l.opt.MaxBytes)
 	if l.reserve > 0 || want == 0 || len(l.pending) > 0 {
 		return
 	}
--- a/internal/delivery/ledger/state.go
+++ b/internal/delivery/ledger/state.go
@@ -12,33 +12,33 @@
 
 // Text is a text as it was taken on, and how far it has come.
 type Text struct {
-	ID          string       `json:"id"`
-	Product     string       `json:"product"`
-	Destination int64        `json:"dest"`
-	Mark        string       `json:"mark,omitempty"`  // by which a repeat is known, as it came
-	Key         string       `json:"key,omitempty"`   // texts of one key go in order, where their product asks for it
-	Brand       string       `json:"brand,omitempty"` // whose it is, where brands have shares
-	Retry       bool         `json:"retry,omitempty"`
-	Returned    bool         `json:"returned,omitempty"`
-	TakenAt     control.Time `json:"at,omitempty"` // 0: not known
-	ValidUntil  control.Time `json:"until"`
-	Body        []byte       `json:"-"`
+	ID             string       `json:"id"`
+	Product        string       `json:"product"`
+	Destination    int64        `json:"dest"`
+	IdempotencyKey string       `json:"mark,omitempty"`  // by which a repeat is known, as it came
+	Key            string       `json:"key,omitempty"`   // texts of one key go in order, where their product asks for it
+	Brand          string       `json:"brand,omitempty"` // whose it is, where brands have shares
+	Retry          bool         `json:"retry,omitempty"`
+	Returned       bool         `json:"returned,omitempty"`
+	AcceptedAt     control.Time `json:"at,omitempty"` // 0: not known
+	ValidUntil     control.Time `json:"until"`
+	Body           []byte       `json:"-"`
 
-	Submits  int          `json:"submits,omitempty"`
-	RanSince control.Time `json:"ran,omitempty"` // when the first submit that may have run was sent
-	RanZone  string       `json:"zone,omitempty"`
+	Attempts     int          `json:"submits,omitempty"`
+	FirstRunAt   control.Time `json:"ran,omitempty"` // when the first submit that may have run was sent
+	FirstRunZone string       `json:"zone,omitempty"`
 
-	Order     uint64 `json:"order,omitempty"` // of arrival
-	Tentative bool   `json:"out,omitempty"`   // RanSince holds the submit that is out; it goes if that one never ran
+	Seq               uint64 `json:"order,omitempty"` // of arrival
+	FirstRunTentative bool   `json:"out,omitempty"`   // RanSince holds the submit that is out; it goes if that one never ran
 }
 
 // Notice is the end of a text that the platform has yet to hear of.
 type Notice struct {
-	ID    string       `json:"id"`
-	Nack  bool         `json:"nack,omitempty"`
-	Delay control.Time `json:"delay,omitempty"` // advice with a nack
-	Key   string       `json:"key,omitempty"`   // of the text
-	Order uint64       `json:"order,omitempty"`
+	ID         string       `json:"id"`
+	Nack       bool         `json:"nack,omitempty"`
+	RetryAfter control.Time `json:"delay,omitempty"` // advice with a nack
+	Key        string       `json:"key,omitempty"`   // of the text
+	Seq        uint64       `json:"order,omitempty"`
 }
 
 // The kinds of record.
@@ -109,7 +109,7 @@
 			return false
 		}
 		if t := s.texts[r.ID]; t != nil {
-			t.out(cmp.Or(r.No, t.Submits+1), r.At, r.Zone)
+			t.out(cmp.Or(r.No, t.Attempts+1), r.At, r.Zone)
 		} else {
 			s.wonder(r.ID)
 		}
@@ -150,34 +150,34 @@
 }
 
 func (t *Text) out(no int, at control.Time, zone string) {
-	t.Submits = max(t.Submits, no)
-	if t.RanSince == 0 {
-		t.RanSince, t.RanZone, t.Tentative = at, zone, true
+	t.Attempts = max(t.Attempts, no)
+	if t.FirstRunAt == 0 {
+		t.FirstRunAt, t.FirstRunZone, t.FirstRunTentative = at, zone, true
 	}
 }
 
 // back: the submit that was out never ran.
 func (t *Text) back() {
-	if t.Tentative {
-		t.RanSince, t.RanZone, t.Tentative = 0, "", false
+	if t.FirstRunTentative {
+		t.FirstRunAt, t.FirstRunZone, t.FirstRunTentative = 0, "", false
 	}
 }
 
 func (s *state) add(t *Text) {
-	if t.Order == 0 {
-		t.Order = s.order + 1
+	if t.Seq == 0 {
+		t.Seq = s.order + 1
 	}
-	s.order = max(s.order, t.Order)
+	s.order = max(s.order, t.Seq)
 	s.texts[t.ID] = t
 	delete(s.notices, t.ID)
 	delete(s.unknown, t.ID)
 }
 
 func (s *state) owe(n *Notice) {
-	if n.Order == 0 {
-		n.Order = s.order + 1
+	if n.Seq == 0 {
+		n.Seq = s.order + 1
 	}
-	s.order = max(s.order, n.Order)
+	s.order = max(s.order, n.Seq)
 	s.notices[n.ID] = n
 	delete(s.unknown, n.ID)
 }
@@ -191,9 +191,9 @@
 // earliest when it was taken; or it may have ended. So it counts as one that may have run.
 func (s *state) doubt() {
 	for _, t := range s.texts {
-		t.Submits++
-		if t.RanSince == 0 || t.Tentative {
-			t.RanSince, t.Tentative = max(1, t.TakenAt), false
+		t.Attempts++
+		if t.FirstRunAt == 0 || t.FirstRunTentative {
+			t.FirstRunAt, t.FirstRunTentative = max(1, t.AcceptedAt), false
 		}
 	}
 }
@@ -201,7 +201,7 @@
 // latest is the latest instant that anything of what is held tells of.
 func (s *state) latest() (at control.Time) {
 	for _, t := range s.texts {
-		at = max(at, t.TakenAt, t.RanSince)
+		at = max(at, t.AcceptedAt, t.FirstRunAt)
 	}
 	return at
 }
@@ -211,17 +211,17 @@
 func (s *state) steppedBack(by control.Time) {
 	for _, t := range s.texts {
 		t.ValidUntil -= by
-		t.TakenAt = 0
-		if t.RanSince > 0 {
-			t.RanSince = 1
+		t.AcceptedAt = 0
+		if t.FirstRunAt > 0 {
+			t.FirstRunAt = 1
 		}
 	}
 }
 
 // owed gives the texts that have no end yet, in the order they were taken, and the notices that are due.
 func (s *state) owed() ([]*Text, []*Notice) {
-	return slices.SortedFunc(maps.Values(s.texts), func(a, b *Text) int { return int(int64(a.Order - b.Order)) }),
-		slices.SortedFunc(maps.Values(s.notices), func(a, b *Notice) int { return int(int64(a.Order - b.Order)) })
+	return slices.SortedFunc(maps.Values(s.texts), func(a, b *Text) int { return int(int64(a.Seq - b.Seq)) }),
+		slices.SortedFunc(maps.Values(s.notices), func(a, b *Notice) int { return int(int64(a.Seq - b.Seq)) })
 }
 
 // anew gives the record that makes what is live of an id again; false if nothing is.
--- a/internal/delivery/ledger/sync.go
+++ b/internal/delivery/ledger/sync.go
@@ -22,10 +22,10 @@
 	if l.unread {
 		return nil
 	}
-	if err := l.flush(); err != nil && l.opt.Power {
+	if err := l.flush(); err != nil && l.opt.PowerLossSafe {
 		return err
 	}
-	if !l.opt.Power || !l.dirty || l.file == nil {
+	if !l.opt.PowerLossSafe || !l.dirty || l.file == nil {
 		return nil
 	}
 	err := l.file.Sync()
--- a/internal/delivery/ledger/take.go
+++ b/internal/delivery/ledger/take.go
@@ -7,12 +7,12 @@
 	"emberquay/control"
 )
 
-// Taken keeps a text. Once that fails the text must be refused.
-func (l *Ledger) Taken(t *Text) error {
+// RecordAccepted keeps a text. Once that fails the text must be refused.
+func (l *Ledger) RecordAccepted(t *Text) error {
 	if l.unread {
 		return errUnread
 	}
-	t.Order = l.state.order + 1
+	t.Seq = l.state.order + 1
 	r := t.record()
 	if !l.lay.Admits(r.size()) {
 		return ErrFull
@@ -23,34 +23,34 @@
 	})
 }
 
-// Submitted keeps that a submit goes out; without that it must not.
-func (l *Ledger) Submitted(id string, at control.Time, zone string) error {
+// RecordAttempt keeps that a submit goes out; without that it must not.
+func (l *Ledger) RecordAttempt(id string, at control.Time, zone string) error {
 	t := l.state.texts[id]
 	if t == nil {
 		return fmt.Errorf("text %s is not held", id)
 	}
 	// Where somebody else fills the disk, submits use what is held back as long as that is plenty for the ends.
 	plenty := int64(len(l.state.texts))*ending < l.reserve/2
-	return l.write(note(submitted, sent{id, t.Submits + 1, at, zone}), plenty, func() { t.out(t.Submits+1, at, zone) })
+	return l.write(note(submitted, sent{id, t.Attempts + 1, at, zone}), plenty, func() { t.out(t.Attempts+1, at, zone) })
 }
 
-// Answered keeps what became of the submit that was out.
-func (l *Ledger) Answered(id string, ran bool) error {
+// RecordResult keeps what became of the submit that was out.
+func (l *Ledger) RecordResult(id string, ran bool) error {
 	t := l.state.texts[id]
-	if t == nil || !t.Tentative {
+	if t == nil || !t.FirstRunTentative {
 		return nil
 	}
 	if ran {
-		t.Tentative = false // as the file says already
+		t.FirstRunTentative = false // as the file says already
 		return nil
 	}
 	t.back()
 	return l.write(note(neverRan, named{id}), false, nil)
 }
 
-// Ended keeps that a text is over, or its notice has arrived, and that nothing more is owed. Where it cannot be written
+// RecordEnd keeps that a text is over, or its notice has arrived, and that nothing more is owed. Where it cannot be written
 // it is tried again with each write and Sync to come.
-func (l *Ledger) Ended(id string) error {
+func (l *Ledger) RecordEnd(id string) error {
 	if l.state.texts[id] == nil && l.state.notices[id] == nil {
 		return nil // it was never kept
 	}
@@ -59,11 +59,11 @@
 	return l.must(note(ended, named{id}))
 }
 
-// Untold keeps that a text is over and that the platform is owed a notice. It is tried again as Ended is.
-func (l *Ledger) Untold(n *Notice) error {
+// RecordEndOwingNotice keeps that a text is over and that the platform is owed a notice. It is tried again as Ended is.
+func (l *Ledger) RecordEndOwingNotice(n *Notice) error {
 	l.state.end(n.ID)
 	l.lay.Drop(n.ID)
-	n.Order = l.state.order + 1
+	n.Seq = l.state.order + 1
 	l.state.owe(n)
 	return l.must(note(untold, n))
 }
--- a/internal/delivery/ledger/write.go
+++ b/internal/delivery/ledger/write.go
@@ -13,7 +13,7 @@
 // flush writes the ends that could not be written when they came.
 func (l *Ledger) flush() error {
 	for len(l.pending) > 0 {
-		if err := l.append(l.pending[0], true, l.lay.Wrote); err != nil {
+		if err := l.append(l.pending[0], true, l.lay.AddWritten); err != nil {
 			return err
 		}
 		l.lie(l.pending[0])
@@ -35,26 +35,26 @@
 		return err
 	}
 	// It takes a pass over the segments at most.
-	for most := l.lay.Stats().Segments; l.lay.Short(r.size()) && most > 0; {
-		l.lay.Force()
-		before := l.lay.Oldest()
+	for most := l.lay.Stats().Segments; l.lay.MustCleanFirst(r.size()) && most > 0; {
+		l.lay.CountForced()
+		before := l.lay.OldestSegment()
 		if err := l.clean(); err != nil {
 			return err
 		}
-		if l.lay.Oldest() != before {
+		if l.lay.OldestSegment() != before {
 			most--
 		}
 	}
-	if l.lay.Short(r.size()) && !end && r.kind == taken {
+	if l.lay.MustCleanFirst(r.size()) && !end && r.kind == taken {
 		return ErrFull
 	}
-	if err := l.append(r, end, l.lay.Wrote); err != nil {
+	if err := l.append(r, end, l.lay.AddWritten); err != nil {
 		return err
 	}
 	if then != nil { // before anything is moved: where it lies must be known
 		then()
 	}
-	for l.lay.Due() {
+	for l.lay.CleaningDue() {
 		if err := l.clean(); err != nil {
 			slog.Warn("not_cleaned", "part", "ledger", "err", err)
 			break
@@ -65,15 +65,15 @@
 
 // clean moves one record out of the oldest segment, or removes it once nothing in it is live.
 func (l *Ledger) clean() error {
-	if id, _ := l.lay.Next(); id != "" {
+	if id, _ := l.lay.NextToMove(); id != "" {
 		return l.move(id)
 	}
-	no, ok := l.lay.Dead()
+	no, ok := l.lay.RemovableSegment()
 	if !ok {
 		return errors.New("nothing is left to clean")
 	}
 	// What was moved out of it must be on the disk before it goes, and it before the next one.
-	if l.opt.Power {
+	if l.opt.PowerLossSafe {
 		if err := l.Sync(); err != nil {
 			return err
 		}
@@ -85,8 +85,8 @@
 	if err := l.files.Remove(l.path(segName(no))); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return fmt.Errorf("the lasting folder: %w", err)
 	}
-	l.lay.Gone()
-	if l.opt.Power {
+	l.lay.DropOldestSegment()
+	if l.opt.PowerLossSafe {
 		return l.files.SyncDir(l.dir)
 	}
 	return nil
@@ -99,7 +99,7 @@
 		l.lay.Drop(id)
 		return nil
 	}
-	if err := l.append(r, true, l.lay.Moved); err != nil {
+	if err := l.append(r, true, l.lay.AddMoved); err != nil {
 		return err
 	}
 	l.lay.Put(id, r.size())
@@ -108,7 +108,7 @@
 
 // append writes a record to the tail, a new one if need be.
 func (l *Ledger) append(r record, end bool, grow func(int64)) error {
-	if l.file == nil || l.lay.Rolls(r.size()) {
+	if l.file == nil || l.lay.NeedsNewSegment(r.size()) {
 		if err := l.roll(); err != nil && !(end && l.release(err) && l.roll() == nil) {
 			return fmt.Errorf("the lasting folder: %w", err)
 		}
@@ -130,7 +130,7 @@
 	l.size += int64(len(l.buffer))
 	grow(int64(len(l.buffer)))
 	l.dirty = true
-	if l.opt.Power {
+	if l.opt.PowerLossSafe {
 		l.unsynced = append(l.unsynced, r)
 	}
 	if cap(l.buffer) > 2*largest {
@@ -146,7 +146,7 @@
 		l.file.Close()
 		l.file = nil
 	}
-	if l.dirty && l.opt.Power {
+	if l.dirty && l.opt.PowerLossSafe {
 		l.pending = append(l.unsynced, l.pending...)
 	}
 	l.unsynced, l.dirty = nil, false
@@ -154,7 +154,7 @@
 
 // roll begins another segment.
 func (l *Ledger) roll() error {
-	if l.file != nil && l.opt.Power && l.dirty {
+	if l.file != nil && l.opt.PowerLossSafe && l.dirty {
 		err := l.file.Sync()
 		if err == nil {
 			err = l.files.SyncDir(l.dir)
@@ -172,14 +172,14 @@
 	}
 	l.number++
 	l.names = true
-	head := segmentHead(l.number, l.seq+1, l.opt.Power, l.promised)
+	head := segmentHead(l.number, l.seq+1, l.opt.PowerLossSafe, l.promised)
 	if _, err := f.WriteAt(head, 0); err != nil {
 		f.Close()
 		l.files.Remove(l.path(segName(l.number)))
 		return err
 	}
 	l.file, l.size = f, segHead
-	l.lay.Begin(l.number, segHead)
+	l.lay.StartSegment(l.number, segHead)
 	l.hold()
 	return nil
 }
@@ -190,7 +190,7 @@
 	b := frame(nil, r, 0)
 	if _, err := l.file.WriteAt(b, l.size); err == nil {
 		l.size += int64(len(b))
-		l.lay.Moved(int64(len(b)))
+		l.lay.AddMoved(int64(len(b)))
 	}
 }
 
@@ -203,7 +203,7 @@
 	if err := l.roll(); err != nil {
 		return err
 	}
-	for l.lay.Oldest() <= last {
+	for l.lay.OldestSegment() <= last {
 		if err := l.clean(); err != nil {
 			return err
 		}
--- a/internal/delivery/notices/notices.go
+++ b/internal/delivery/notices/notices.go
@@ -20,8 +20,8 @@
 
 const noticePath = "/v2/finals"
 
-// Desk is the actor that sends notices, several at once where they have gathered, each until it is taken.
-type Desk struct {
+// Notifier is the actor that sends notices, several at once where they have gathered, each until it is taken.
+type Notifier struct {
 	limits config.Limits
 	mail   chan *ledger.Notice
 	told   func([]*ledger.Notice) // they have arrived
@@ -45,32 +45,32 @@
 }
 
 // New makes the actor; told hears of what has arrived. Owed notices fit in the mailbox beside the texts held.
-func New(addr string, limits config.Limits, told func([]*ledger.Notice)) *Desk {
-	return &Desk{at: newPlace(addr), limits: limits, told: told,
-		mail: make(chan *ledger.Notice, 2*limits.Texts+limits.Mailbox),
+func New(addr string, limits config.Limits, told func([]*ledger.Notice)) *Notifier {
+	return &Notifier{at: newPlace(addr), limits: limits, told: told,
+		mail: make(chan *ledger.Notice, 2*limits.MaxTexts+limits.MailboxSize),
 		client: &http.Client{
 			Transport:     &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 1},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		}}
 }
 
-// Move sends what is not told yet to another address from now on, what is under way too: the old one may take
+// SetAddr sends what is not told yet to another address from now on, what is under way too: the old one may take
 // no more. A notice that comes twice does no harm.
-func (d *Desk) Move(addr string) {
+func (d *Notifier) SetAddr(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.at.leave()
 	d.at = newPlace(addr)
 }
 
-func (d *Desk) place() *place {
+func (d *Notifier) place() *place {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.at
 }
 
 // Post hands over a notice without waiting; false if there is no room.
-func (d *Desk) Post(n *ledger.Notice) bool {
+func (d *Notifier) Post(n *ledger.Notice) bool {
 	select {
 	case d.mail <- n:
 		return true
@@ -87,9 +87,9 @@
 }
 
 // Run sends what is posted until the context ends.
-func (d *Desk) Run(ctx context.Context) {
+func (d *Notifier) Run(ctx context.Context) {
 	var due []*ledger.Notice
-	pause := d.limits.RetryLeast
+	pause := d.limits.MinRetryDelay
 	for {
 		if len(due) == 0 {
 			select {
@@ -99,7 +99,7 @@
 				due = append(due, n)
 			}
 		}
-		for more := true; more && len(due) < d.limits.Mailbox; {
+		for more := true; more && len(due) < d.limits.MailboxSize; {
 			select {
 			case n := <-d.mail:
 				due = append(due, n)
@@ -109,7 +109,7 @@
 		}
 		// After a fault one goes alone, and to the back if it fails: none may hold up the others for ever.
 		most := len(due)
-		if pause > d.limits.RetryLeast {
+		if pause > d.limits.MinRetryDelay {
 			most = 1
 		}
 		body, batch := d.write(due[:most])
@@ -128,10 +128,10 @@
 				d.client.CloseIdleConnections()
 			case <-time.After(pause):
 			}
-			pause = min(max(2*pause, d.limits.RetryLeast), d.limits.RetryMost)
+			pause = min(max(2*pause, d.limits.MinRetryDelay), d.limits.MaxRetryDelay)
 			continue
 		}
-		pause = d.limits.RetryLeast
+		pause = d.limits.MinRetryDelay
 		arrived := slices.Clone(due[:batch])
 		due = append(due[:0], due[batch:]...)
 		d.told(arrived)
@@ -141,15 +141,15 @@
 // patience is how long a try waits for its answer. The first, on a connection that was kept and may say nothing more,
 // leaves time for a second before the end of a text counts as late; a platform that is slow gets more each
 // time, as the pause before it grows.
-func (d *Desk) patience(pause time.Duration) time.Duration {
-	return d.limits.Notice * min(max(1, pause/max(1, d.limits.RetryLeast)), mostPatience)
+func (d *Notifier) patience(pause time.Duration) time.Duration {
+	return d.limits.NoticeTimeout * min(max(1, pause/max(1, d.limits.MinRetryDelay)), mostPatience)
 }
 
 // mostPatience bounds by how much that grows.
 const mostPatience = 8
 
 // write writes as many notices as one body may hold, and says how many.
-func (d *Desk) write(due []*ledger.Notice) ([]byte, int) {
+func (d *Notifier) write(due []*ledger.Notice) ([]byte, int) {
 	var body bytes.Buffer
 	lines := json.NewEncoder(&body)
 	lines.SetEscapeHTML(false)
@@ -157,18 +157,18 @@
 		w := wire{Message: n.ID, Outcome: "given_up"}
 		if n.Nack {
 			const perMs = control.Second / 1000
-			w.Outcome, w.RetryMs = "handed_back", int64((n.Delay+perMs-1)/perMs)
+			w.Outcome, w.RetryMs = "handed_back", int64((n.RetryAfter+perMs-1)/perMs)
 		}
 		whole := body.Len()
 		lines.Encode(w) // strings and a number always encode, and a buffer takes them
-		if i > 0 && int64(body.Len()) > d.limits.Body {
+		if i > 0 && int64(body.Len()) > d.limits.MaxBodyBytes {
 			return body.Bytes()[:whole], i
 		}
 	}
 	return body.Bytes(), len(due)
 }
 
-func (d *Desk) send(ctx context.Context, at *place, body []byte, patience time.Duration) error {
+func (d *Notifier) send(ctx context.Context, at *place, body []byte, patience time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
 	defer context.AfterFunc(at.here, cancel)()
@@ -181,7 +181,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	io.Copy(io.Discard, io.LimitReader(resp.Body, d.limits.Body))
+	io.Copy(io.Discard, io.LimitReader(resp.Body, d.limits.MaxBodyBytes))
 	if resp.StatusCode != http.StatusNoContent {
 		return fmt.Errorf("the platform answered %s", resp.Status)
 	}
--- a/internal/delivery/notices/notices_test.go
+++ b/internal/delivery/notices/notices_test.go
@@ -14,13 +14,13 @@
 	"emberquay/internal/delivery/ledger"
 )
 
-func desk(t *testing.T, texts int, platform http.HandlerFunc) (*Desk, <-chan []string) {
+func desk(t *testing.T, texts int, platform http.HandlerFunc) (*Notifier, <-chan []string) {
 	t.Helper()
 	s := httptest.NewServer(platform)
 	t.Cleanup(s.Close)
 	told := make(chan []string, 99)
-	return New(s.Listener.Addr().String(), config.Limits{Texts: texts, Mailbox: 4, Body: 1024, Notice: time.Second,
-		RetryLeast: time.Millisecond, RetryMost: 5 * time.Millisecond}, func(all []*ledger.Notice) {
+	return New(s.Listener.Addr().String(), config.Limits{MaxTexts: texts, MailboxSize: 4, MaxBodyBytes: 1024, NoticeTimeout: time.Second,
+		MinRetryDelay: time.Millisecond, MaxRetryDelay: 5 * time.Millisecond}, func(all []*ledger.Notice) {
 		var ids []string
 		for _, n := range all {
 			ids = append(ids, n.ID)
@@ -29,7 +29,7 @@
 	}), told
 }
 
-func run(t *testing.T, d *Desk) {
+func run(t *testing.T, d *Notifier) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan bool)
 	go func() { d.Run(ctx); close(done) }()
@@ -45,7 +45,7 @@
 	})
 	d.Post(&ledger.Notice{ID: "a<1"})
 	d.Post(&ledger.Notice{ID: "b", Nack: true})
-	d.Post(&ledger.Notice{ID: "c", Nack: true, Delay: 4991})
+	d.Post(&ledger.Notice{ID: "c", Nack: true, RetryAfter: 4991})
 	run(t, d)
 	want := `POST/v2/finals {"message":"a<1","outcome":"given_up"}` + "\n" + `{"message":"b","outcome":"handed_back"}` +
 		"\n" + `{"message":"c","outcome":"handed_back","retry_in_ms":500}` + "\n"
@@ -91,8 +91,8 @@
 		t.Fatal(err)
 	}
 	d.limits = conf.Limits
-	first, second, last := d.patience(d.limits.RetryLeast), d.patience(2*d.limits.RetryLeast), d.patience(d.limits.RetryMost)
-	if late := 300 * time.Millisecond; first+d.limits.RetryLeast+second/2 > late || last < late {
+	first, second, last := d.patience(d.limits.MinRetryDelay), d.patience(2*d.limits.MinRetryDelay), d.patience(d.limits.MaxRetryDelay)
+	if late := 300 * time.Millisecond; first+d.limits.MinRetryDelay+second/2 > late || last < late {
 		t.Errorf("%s, then %s, at last %s", first, second, last)
 	}
 }
--- a/internal/delivery/protocol/message.go
+++ b/internal/delivery/protocol/message.go
@@ -6,25 +6,25 @@
 	"strings"
 )
 
-// Part says which part of a message comes next.
-type Part int
+// Section says which part of a message comes next.
+type Section int
 
 // The parts.
 const (
-	Head Part = iota
+	Head Section = iota
 	Body
-	ToEnd // the body ends with the connection, or its pieces tell their own lengths
-	Over
+	UncountedBody // the body ends with the connection, or its pieces tell their own lengths
+	Complete
 )
 
 // Message follows one HTTP/1.1 message through the bytes of its connection. Net/http does not show its users
 // where one ended, what was left out of its head, or the first line of one that it could not read.
 type Message struct {
-	Request bool // else an answer
-	Part    Part
-	Begun   bool // some of it has come
-	Status  int  // of an answer; 0 before a first line that can be read
-	Paired  bool // it has a length and pieces, so that two readers may see two bodies
+	IsRequest      bool // else an answer
+	Section        Section
+	Started        bool // some of it has come
+	Status         int  // of an answer; 0 before a first line that can be read
+	LengthConflict bool // it has a length and pieces, so that two readers may see two bodies
 
 	line   []byte // of the head, the present one, as far as it matters
 	first  bool   // the first line has come
@@ -36,13 +36,13 @@
 // mostLine is as much of a line as is looked at.
 const mostLine = 128
 
-// Take follows the next bytes and says how many of them belong to the message.
-func (m *Message) Take(b []byte) int {
+// Feed follows the next bytes and says how many of them belong to the message.
+func (m *Message) Feed(b []byte) int {
 	at := 0
 	for at < len(b) {
-		switch m.Part {
+		switch m.Section {
 		case Head:
-			m.Begun = true
+			m.Started = true
 			line, _, whole := bytes.Cut(b[at:], []byte("\n"))
 			at += len(line)
 			m.line = append(m.line, line[:min(len(line), mostLine-len(m.line))]...)
@@ -55,9 +55,9 @@
 			here := min(int64(len(b)-at), m.left)
 			at += int(here)
 			if m.left -= here; m.left == 0 {
-				m.Part = Over
+				m.Section = Complete
 			}
-		case ToEnd:
+		case UncountedBody:
 			return len(b)
 		default:
 			return at
@@ -86,17 +86,17 @@
 }
 
 func (m *Message) headOver() {
-	m.Paired = m.length && m.pieces
+	m.LengthConflict = m.length && m.pieces
 	bodiless := m.Status >= 100 && m.Status < 200 && m.Status != 101 || m.Status == 204 || m.Status == 304
 	switch {
 	case bodiless:
-		m.Part = Over
-	case m.pieces, !m.length && !m.Request:
-		m.Part = ToEnd
+		m.Section = Complete
+	case m.pieces, !m.length && !m.IsRequest:
+		m.Section = UncountedBody
 	case m.left == 0:
-		m.Part = Over
+		m.Section = Complete
 	default:
-		m.Part = Body
+		m.Section = Body
 	}
 }
 
--- a/internal/delivery/protocol/protocol.go
+++ b/internal/delivery/protocol/protocol.go
@@ -9,9 +9,9 @@
 
 // The headers that clients send and receivers get.
 const (
-	ID     = "X-Call-Id"
-	Mark   = "Idempotency-Key" // by which a repeat is known
-	Budget = "X-Budget"        // seconds, with decimals
+	IDHeader             = "X-Call-Id"
+	IdempotencyKeyHeader = "Idempotency-Key" // by which a repeat is known
+	BudgetHeader         = "X-Budget"        // seconds, with decimals
 )
 
 // Tick is the module's unit of time.
@@ -20,8 +20,8 @@
 // Ticks counts the whole ticks of a span, rounded down.
 func Ticks(d time.Duration) control.Time { return control.Time(d / Tick) }
 
-// Span is the time that so many ticks take.
-func Span(t control.Time) time.Duration { return time.Duration(t) * Tick }
+// Duration is the time that so many ticks take.
+func Duration(t control.Time) time.Duration { return time.Duration(t) * Tick }
 
-// At is an instant in whole ticks, rounded down.
-func At(t time.Time) control.Time { return control.Time(t.UnixNano() / int64(Tick)) }
+// UnixTicks is an instant in whole ticks, rounded down.
+func UnixTicks(t time.Time) control.Time { return control.Time(t.UnixNano() / int64(Tick)) }
--- a/internal/delivery/receivers/call.go
+++ b/internal/delivery/receivers/call.go
@@ -126,11 +126,11 @@
 func (c *Call) request() *http.Request {
 	req := &http.Request{
 		Method: http.MethodPost, URL: &url.URL{Scheme: "http", Host: c.addr, Path: callPath},
-		Host: c.addr, Header: http.Header{protocol.ID: {c.TextID}, protocol.Budget: {seconds(c.Timeout)}},
+		Host: c.addr, Header: http.Header{protocol.IDHeader: {c.TextID}, protocol.BudgetHeader: {seconds(c.Timeout)}},
 		Body: io.NopCloser(bytes.NewReader(c.Body)), ContentLength: int64(len(c.Body)),
 	}
 	if c.IdempotencyKey != "" {
-		req.Header[protocol.Mark] = []string{c.IdempotencyKey}
+		req.Header[protocol.IdempotencyKeyHeader] = []string{c.IdempotencyKey}
 	}
 	return req
 }
@@ -143,7 +143,7 @@
 	defer c.cancel(nil)
 	t, resp, err := p.round(c, true)
 	// To a connection that was found dead nothing of the call was written: it goes on the next one.
-	for tries := 0; err != nil && c.ctx.Err() == nil && tries < p.fleet.limits.Slots; tries++ {
+	for tries := 0; err != nil && c.ctx.Err() == nil && tries < p.fleet.limits.MaxCalls; tries++ {
 		if _, stop := t.on.state(); stop != errDead {
 			break
 		}
@@ -200,9 +200,9 @@
 	if resp.ContentLength < 0 {
 		return true
 	}
-	timer := time.AfterFunc(limits.Drain, func() { c.cancel(nil) })
+	timer := time.AfterFunc(limits.DrainTimeout, func() { c.cancel(nil) })
 	defer timer.Stop()
-	n, err := io.CopyN(io.Discard, resp.Body, min(resp.ContentLength, limits.Body)+1)
+	n, err := io.CopyN(io.Discard, resp.Body, min(resp.ContentLength, limits.MaxBodyBytes)+1)
 	return err == io.EOF && n == resp.ContentLength
 }
 
@@ -292,10 +292,10 @@
 // dial opens a connection within the limits.
 func (p *peer) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	if !p.fleet.take(p) {
-		return nil, fmt.Errorf("%w: %d", errTooMany, p.fleet.limits.ReceiverConns)
+		return nil, fmt.Errorf("%w: %d", errTooMany, p.fleet.limits.MaxReceiverConns)
 	}
 	p.fleet.dials.Add(1)
-	d := net.Dialer{Timeout: p.fleet.limits.Dial, KeepAlive: -1}
+	d := net.Dialer{Timeout: p.fleet.limits.DialTimeout, KeepAlive: -1}
 	c, err := d.DialContext(ctx, network, addr)
 	if err != nil {
 		p.fleet.open.Add(-1)
--- a/internal/delivery/receivers/call_test.go
+++ b/internal/delivery/receivers/call_test.go
@@ -20,8 +20,8 @@
 	"emberquay/internal/delivery/protocol"
 )
 
-var limits = config.Limits{ReceiverConns: 8, Slots: 4, Body: 64 << 10, Header: 16 << 10,
-	Dial: time.Second, ReceiverIdle: time.Second, Drain: 50 * time.Millisecond}
+var limits = config.Limits{MaxReceiverConns: 8, MaxCalls: 4, MaxBodyBytes: 64 << 10, MaxHeaderBytes: 16 << 10,
+	DialTimeout: time.Second, ReceiverIdleTimeout: time.Second, DrainTimeout: 50 * time.Millisecond}
 
 // standIn is a receiver that answers each request as told; an empty answer breaks the connection.
 func standIn(t *testing.T, answer func(r *http.Request, body []byte) string) (string, *atomic.Int64) {
@@ -248,7 +248,7 @@
 	release := make(chan bool)
 	addr, _ := standIn(t, func(*http.Request, []byte) string { <-release; return "200 OK\r\n" })
 	f := fleet(addr)
-	f.limits.ReceiverConns = 2
+	f.limits.MaxReceiverConns = 2
 	done := make(chan control.Result, 3)
 	for range 2 {
 		f.Submit(1, NewCall("t", "", nil, time.Minute, func(r control.Result) { done <- r }))
@@ -278,7 +278,7 @@
 	a, _ := standIn(t, func(*http.Request, []byte) string { return "200 OK\r\n" })
 	b, _ := standIn(t, func(*http.Request, []byte) string { return "200 OK\r\n" })
 	f := fleet(a)
-	f.limits.ReceiverConns = 1
+	f.limits.MaxReceiverConns = 1
 	f.SetAddress(2, b)
 	submit(t, f, nil, time.Second)
 	done := make(chan control.Result, 1)
--- a/internal/delivery/receivers/conn.go
+++ b/internal/delivery/receivers/conn.go
@@ -76,17 +76,17 @@
 	c.dead = c.dead || !c.asked && (n > 0 || err != nil) // the transport may have given it out already
 	own := 0
 	for c.asked && own < n {
-		if c.answer.Part == protocol.Over && c.answer.Status >= http.StatusOK {
+		if c.answer.Section == protocol.Complete && c.answer.Status >= http.StatusOK {
 			break
 		}
-		if c.answer.Part == protocol.Over { // only an answer in front of the answer
+		if c.answer.Section == protocol.Complete { // only an answer in front of the answer
 			c.answer = protocol.Message{}
 		}
-		own += c.answer.Take(b[own:n])
+		own += c.answer.Feed(b[own:n])
 	}
-	switch part := c.answer.Part == protocol.Head && c.answer.Begun; {
+	switch part := c.answer.Section == protocol.Head && c.answer.Started; {
 	case part && c.late == nil:
-		c.late = time.AfterFunc(c.fleet.limits.Drain, c.spoilt)
+		c.late = time.AfterFunc(c.fleet.limits.DrainTimeout, c.spoilt)
 	case !part && c.late != nil:
 		c.late.Stop()
 		c.late = nil
@@ -129,5 +129,5 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.answer.Status, c.answer.Begun
+	return c.answer.Status, c.answer.Started
 }
--- a/internal/delivery/receivers/crossing_test.go
+++ b/internal/delivery/receivers/crossing_test.go
@@ -94,7 +94,7 @@
 		}
 	})
 	many := limits
-	many.ReceiverConns, many.Slots = 64, 64
+	many.MaxReceiverConns, many.MaxCalls = 64, 64
 	f := New(many, nil)
 	f.SetAddress(1, l.Addr().String())
 	const calls = 600
--- a/internal/delivery/receivers/receivers.go
+++ b/internal/delivery/receivers/receivers.go
@@ -73,7 +73,7 @@
 // were called longest ago: what is idle elsewhere must not keep a call from going, and each one closed is
 // opened again.
 func (f *Pool) take(p *peer) bool {
-	if f.open.Add(1) <= int64(f.limits.ReceiverConns) {
+	if f.open.Add(1) <= int64(f.limits.MaxReceiverConns) {
 		return true
 	}
 	f.mu.Lock()
@@ -81,14 +81,14 @@
 	f.mu.Unlock()
 	slices.SortFunc(others, func(a, b *peer) int { return cmp.Compare(a.used.Load(), b.used.Load()) })
 	for _, o := range others {
-		if f.OpenConns() <= f.limits.ReceiverConns {
+		if f.OpenConns() <= f.limits.MaxReceiverConns {
 			return true
 		}
 		if o != p {
 			o.transport.CloseIdleConnections()
 		}
 	}
-	if f.OpenConns() <= f.limits.ReceiverConns {
+	if f.OpenConns() <= f.limits.MaxReceiverConns {
 		return true
 	}
 	f.open.Add(-1)
@@ -120,13 +120,13 @@
 }
 
 func (f *Pool) newPeer(addr string) *peer {
-	p := &peer{fleet: f, addr: addr, mail: make(chan func(), 2*f.limits.Slots+8)}
+	p := &peer{fleet: f, addr: addr, mail: make(chan func(), 2*f.limits.MaxCalls+8)}
 	p.transport = &http.Transport{
 		DialContext:            p.dial,
 		DisableCompression:     true, // the bytes stay as they came
-		MaxIdleConnsPerHost:    f.limits.Slots,
-		IdleConnTimeout:        f.limits.ReceiverIdle,
-		MaxResponseHeaderBytes: int64(f.limits.Header),
+		MaxIdleConnsPerHost:    f.limits.MaxCalls,
+		IdleConnTimeout:        f.limits.ReceiverIdleTimeout,
+		MaxResponseHeaderBytes: int64(f.limits.MaxHeaderBytes),
 	}
 	go func() {
 		for do := range p.mail {
--- a/internal/delivery/sender/listing.go
+++ b/internal/delivery/sender/listing.go
@@ -13,15 +13,15 @@
 // The list of receivers: who is where, and what was learnt of them.
 
 // UpdateReceivers posts news of the list.
-func (s *Sender) UpdateReceivers(news directory.News) { s.Enqueue(func() { s.hear(news) }) }
+func (s *Sender) UpdateReceivers(news directory.Update) { s.Enqueue(func() { s.hear(news) }) }
 
 // LoadReceivers tells the list as it was last known, before Run.
-func (s *Sender) LoadReceivers(news directory.News) { s.hear(news) }
+func (s *Sender) LoadReceivers(news directory.Update) { s.hear(news) }
 
-func (s *Sender) hear(news directory.News) {
+func (s *Sender) hear(news directory.Update) {
 	named := map[control.ReceiverID]bool{}
-	entries := make([]control.ReceiverEntry, 0, len(news.Hosts))
-	for _, h := range news.Hosts {
+	entries := make([]control.ReceiverEntry, 0, len(news.Entries))
+	for _, h := range news.Entries {
 		before, taken := s.at[h.Addr]
 		switch taken = taken && before != h.Receiver; {
 		case h.State == control.Removed:
@@ -41,15 +41,15 @@
 		}
 		entries = append(entries, h.ReceiverEntry)
 	}
-	if news.Whole {
+	if news.Complete {
 		for id := range s.listed {
 			if !named[id] {
 				s.drop(id)
 			}
 		}
 	}
-	s.module.UpdateReceivers(news.Whole, entries)
-	for _, h := range news.Hosts {
+	s.module.UpdateReceivers(news.Complete, entries)
+	for _, h := range news.Entries {
 		if l, ok := s.recall[h.Addr]; ok && s.at[h.Addr] == h.Receiver {
 			delete(s.recall, h.Addr)
 			if l.Destination == h.Destination && l.Kind == h.Kind {
@@ -85,7 +85,7 @@
 }
 
 // place keeps where a receiver is.
-func (s *Sender) place(h directory.Host) {
+func (s *Sender) place(h directory.Entry) {
 	s.vacate(h.Receiver)
 	s.listed[h.Receiver], s.at[h.Addr] = h.ReceiverEntry, h.Receiver
 	s.fleet.SetAddress(h.Receiver, h.Addr)
--- a/internal/delivery/sender/outlet.go
+++ b/internal/delivery/sender/outlet.go
@@ -26,11 +26,11 @@
 	if timeout > 0 {
 		wait = min(wait, timeout)
 	}
-	if h.RanSince > 0 { // whether a repeat was in time is asked afterwards
-		slog.Info("repeat", "part", "sender", "text", id, "no", h.Submits+1, "to", to, "after", protocol.Span(now-h.RanSince))
+	if h.FirstRunAt > 0 { // whether a repeat was in time is asked afterwards
+		slog.Info("repeat", "part", "sender", "text", id, "no", h.Attempts+1, "to", to, "after", protocol.Duration(now-h.FirstRunAt))
 	}
 	// A submit that the ledger does not know of could be made once more after a restart.
-	if err := s.ledger.Submitted(id, now, s.listed[to].Zone); err != nil {
+	if err := s.ledger.RecordAttempt(id, now, s.listed[to].Zone); err != nil {
 		slog.Error("not_submitted", "part", "sender", "text", id, "err", err)
 		s.unsent(id, no)
 		return
@@ -41,7 +41,7 @@
 			s.answered(id, no, r)
 		})
 	}
-	call := receivers.NewCall(id, h.Mark, h.Body, protocol.Span(wait), done)
+	call := receivers.NewCall(id, h.IdempotencyKey, h.Body, protocol.Duration(wait), done)
 	call.MaySend = func(ctx context.Context) bool { return s.still(ctx, id, no) }
 	h.call = call
 	s.leave(func() {
@@ -84,7 +84,7 @@
 
 // Nack ends a text: the client may hand it in again.
 func (s *Sender) Nack(id string, comeBack control.Time) {
-	s.end(&ledger.Notice{ID: id, Nack: true, Delay: comeBack}, Answer{Nacked, comeBack})
+	s.end(&ledger.Notice{ID: id, Nack: true, RetryAfter: comeBack}, Answer{Nacked, comeBack})
 }
 
 // MarkUndeliverable ends a text for good.
@@ -109,11 +109,11 @@
 			s.counts.Undeliverable++
 		}
 		delete(s.texts, n.ID)
-		s.over.add(n.ID, s.limits.Texts)
+		s.over.add(n.ID, s.limits.MaxTexts)
 		if n.Key = h.Key; n.Key != "" { // at once: the module may let the next of the key go in this very batch
 			s.module.NoticePending(n.Key)
 		}
-		s.noted(n.ID, s.ledger.Untold(n))
+		s.noted(n.ID, s.ledger.RecordEndOwingNotice(n))
 		s.leave(func() { s.post(n) }, nil)
 	}
 }
@@ -131,7 +131,7 @@
 func (s *Sender) WakeAt(at control.Time, _ int64) {
 	if now := s.now(); s.wakeAt <= now || at < s.wakeAt {
 		s.wakeAt = at
-		s.timer.Reset(protocol.Span(max(0, at-now)))
+		s.timer.Reset(protocol.Duration(max(0, at-now)))
 	}
 }
 
--- a/internal/delivery/sender/sender.go
+++ b/internal/delivery/sender/sender.go
@@ -93,7 +93,7 @@
 // New makes the actor, takes over what the ledger owes and tells the module. Run then lets it act.
 func New(c *config.Config, l *ledger.Ledger, f *receivers.Pool) (*Sender, error) {
 	s := &Sender{
-		limits: c.Limits, began: time.Now(), mail: make(chan func(), c.Limits.Mailbox),
+		limits: c.Limits, began: time.Now(), mail: make(chan func(), c.Limits.MailboxSize),
 		timer: time.NewTimer(time.Hour), ledger: l, fleet: f,
 		texts: map[string]*held{}, left: map[string]*held{}, listed: map[control.ReceiverID]control.ReceiverEntry{},
 		at: map[string]control.ReceiverID{}, idle: make(chan struct{}),
@@ -108,21 +108,21 @@
 
 // now is the clock in whole tenths of a millisecond, rounded down.
 func (s *Sender) now() control.Time {
-	return protocol.At(s.began) + protocol.Ticks(time.Since(s.began))
+	return protocol.UnixTicks(s.began) + protocol.Ticks(time.Since(s.began))
 }
 
 // Recover takes over what is owed from before, once the list as last known has been told. Notices that are
 // due go to the desk.
 func (s *Sender) Recover(desk Notifier) {
 	s.desk = desk
-	s.ledger.Now(s.now())
-	texts, due := s.ledger.Owed()
+	s.ledger.CheckClock(s.now())
+	texts, due := s.ledger.Unfinished()
 	for _, t := range texts {
 		s.texts[t.ID] = heldOf(t)
 		s.take(t, true)
 	}
 	for _, n := range due {
-		s.over.add(n.ID, s.limits.Texts)
+		s.over.add(n.ID, s.limits.MaxTexts)
 		if n.Key != "" {
 			s.module.NoticePending(n.Key)
 		}
@@ -204,7 +204,7 @@
 // leave lets something leave once what it rests on is kept: at once where the process is all that may end, else after
 // the sync that everything of this batch shares.
 func (s *Sender) leave(do, instead func()) {
-	if !s.ledger.Durable() {
+	if !s.ledger.RequiresSync() {
 		do()
 		return
 	}
@@ -237,7 +237,7 @@
 	s.Enqueue(func() {
 		for _, n := range all {
 			s.owed--
-			s.noted(n.ID, s.ledger.Ended(n.ID))
+			s.noted(n.ID, s.ledger.RecordEnd(n.ID))
 			if n.Key != "" {
 				s.module.NoticeDelivered(n.Key)
 			}
@@ -257,10 +257,10 @@
 			s.counts.Delivered++
 		}
 		if r.Final {
-			s.over.add(id, s.limits.Texts)
+			s.over.add(id, s.limits.MaxTexts)
 			s.forget(id)
 		} else {
-			s.noted(id, s.ledger.Answered(id, r.Outcome.MayHaveRun()))
+			s.noted(id, s.ledger.RecordResult(id, r.Outcome.MayHaveRun()))
 		}
 	}
 	s.module.HandleResult(id, no, r)
--- a/internal/delivery/sender/sender_test.go
+++ b/internal/delivery/sender/sender_test.go
@@ -92,17 +92,17 @@
 // start starts a sender on what the folder holds, as after a restart.
 func (g *rig) start() {
 	g.t.Helper()
-	conf := &config.Config{Settings: g.set, Limits: config.Limits{Slots: 8, Texts: 50, Mailbox: 64, Body: 64 << 10,
-		Header: 16 << 10, ReceiverConns: 64, Dial: g.dial, ReceiverIdle: time.Second, Answer: 300 * time.Millisecond,
-		Drain: 50 * time.Millisecond}}
-	l, err := ledger.Open(g.files, g.dir, ledger.Options{Room: g.disk, Power: g.power})
+	conf := &config.Config{Settings: g.set, Limits: config.Limits{MaxCalls: 8, MaxTexts: 50, MailboxSize: 64, MaxBodyBytes: 64 << 10,
+		MaxHeaderBytes: 16 << 10, MaxReceiverConns: 64, DialTimeout: g.dial, ReceiverIdleTimeout: time.Second, AnswerTimeout: 300 * time.Millisecond,
+		DrainTimeout: 50 * time.Millisecond}}
+	l, err := ledger.Open(g.files, g.dir, ledger.Options{MaxBytes: g.disk, PowerLossSafe: g.power})
 	if err != nil {
 		g.t.Fatal(err)
 	}
 	if g.Sender, err = New(conf, l, receivers.New(conf.Limits, nil)); err != nil {
 		g.t.Fatal(err)
 	}
-	g.LoadReceivers(directory.News{Whole: true, Hosts: []directory.Host{{Addr: g.addr,
+	g.LoadReceivers(directory.Update{Complete: true, Entries: []directory.Entry{{Addr: g.addr,
 		ReceiverEntry: control.ReceiverEntry{Receiver: 1, Rate: 1000, Destination: 3, Kind: "one"}}}})
 	g.Recover(g)
 	g.stop, g.stopped = make(chan struct{}), make(chan struct{})
@@ -135,7 +135,7 @@
 
 func (g *rig) hand(id, product string, left time.Duration) Verdict {
 	g.t.Helper()
-	x := &ledger.Text{ID: id, Product: product, Destination: 3, Mark: id, Body: []byte(id),
+	x := &ledger.Text{ID: id, Product: product, Destination: 3, IdempotencyKey: id, Body: []byte(id),
 		ValidUntil: g.now() + protocol.Ticks(left)}
 	if product == "queued" {
 		x.Key = "k"
@@ -315,7 +315,7 @@
 		w.WriteHeader(http.StatusOK)
 	})
 	g.start()
-	g.UpdateReceivers(directory.News{Whole: true}) // none is listed, so all are held
+	g.UpdateReceivers(directory.Update{Complete: true}) // none is listed, so all are held
 	for i := range 9 {
 		g.hand(fmt.Sprint(i), "once", 2*time.Second)
 	}
@@ -381,7 +381,7 @@
 	g.until("out", func() bool { return g.called("t1") == 1 })
 	before := g.still(t.Context(), "t1", 0)
 	drains := control.ReceiverEntry{Receiver: 1, Rate: 1000, Destination: 3, Kind: "one", State: control.Draining}
-	g.UpdateReceivers(directory.News{Hosts: []directory.Host{{Addr: g.addr, ReceiverEntry: drains}}})
+	g.UpdateReceivers(directory.Update{Entries: []directory.Entry{{Addr: g.addr, ReceiverEntry: drains}}})
 	if after := g.still(t.Context(), "t1", 0); !before || after {
 		t.Errorf("it may leave: %v, and for a receiver that drains: %v", before, after)
 	}
@@ -548,11 +548,11 @@
 func TestAReusedAddressIsTheNewOnes(t *testing.T) {
 	g := newRig(t, ok)
 	g.start()
-	list := func(hosts ...directory.Host) {
-		g.UpdateReceivers(directory.News{Hosts: hosts})
+	list := func(hosts ...directory.Entry) {
+		g.UpdateReceivers(directory.Update{Entries: hosts})
 	}
-	entry := func(id control.ReceiverID, dest int64, l control.ReceiverState, addr string) directory.Host {
-		return directory.Host{Addr: addr, ReceiverEntry: control.ReceiverEntry{Receiver: id, Rate: 1000, Destination: dest, Kind: "one", State: l}}
+	entry := func(id control.ReceiverID, dest int64, l control.ReceiverState, addr string) directory.Entry {
+		return directory.Entry{Addr: addr, ReceiverEntry: control.ReceiverEntry{Receiver: id, Rate: 1000, Destination: dest, Kind: "one", State: l}}
 	}
 	list(entry(2, 4, control.Up, g.addr))
 	list(entry(1, 3, control.Draining, g.addr)) // late news of the old one
@@ -650,14 +650,14 @@
 // past its window is not sent again, and nothing is held for longer than its client waits.
 func TestClockPutBack(t *testing.T) {
 	g := newRig(t, ok)
-	l, err := ledger.Open(vfs.OS{}, g.dir, ledger.Options{Room: 3e6})
+	l, err := ledger.Open(vfs.OS{}, g.dir, ledger.Options{MaxBytes: 3e6})
 	if err != nil {
 		t.Fatal(err)
 	}
-	later := protocol.At(time.Now()) + 3600*control.Second
+	later := protocol.UnixTicks(time.Now()) + 3600*control.Second
 	for id, product := range map[string]string{"a": "marked", "b": "free"} {
-		l.Taken(&ledger.Text{ID: id, Product: product, Destination: 3, TakenAt: later, ValidUntil: later + 2*control.Second})
-		l.Submitted(id, later, "")
+		l.RecordAccepted(&ledger.Text{ID: id, Product: product, Destination: 3, AcceptedAt: later, ValidUntil: later + 2*control.Second})
+		l.RecordAttempt(id, later, "")
 	}
 	l.Close()
 	g.start()
@@ -674,12 +674,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &Sender{began: time.Now(), timer: time.NewTimer(time.Hour)}
 		s.WakeAt(s.now()+control.Second, 1)
-		time.Sleep(protocol.Span(control.Second))
+		time.Sleep(protocol.Duration(control.Second))
 		next := s.now() + control.Second
 		s.WakeAt(next, 2)
 		s.WakeAt(next+control.Second, 3) // a later one changes nothing
 		if <-s.timer.C; s.now() != next {
-			t.Errorf("woken %s from the wake that was asked for", protocol.Span(s.now()-next))
+			t.Errorf("woken %s from the wake that was asked for", protocol.Duration(s.now()-next))
 		}
 	})
 }
@@ -716,19 +716,19 @@
 	moved := maps.Clone(settings)
 	maps.Copy(moved, control.Settings{"Instances": "200", "RegistryMode": "ask", "Contract.FallUs": "1500000", "Contract.RampTimeUs": "12000000",
 		"RequestClasses.0.Name": "status-update", "RequestClasses.0.ObjectiveUs": "1000000", "RequestClasses.0.HardLimitUs": "5000000"})
-	at := func(addr string, id control.ReceiverID, dest int64) directory.Host {
-		return directory.Host{Addr: addr, ReceiverEntry: control.ReceiverEntry{Receiver: id, Rate: 5, Destination: dest, Kind: "one"}}
+	at := func(addr string, id control.ReceiverID, dest int64) directory.Entry {
+		return directory.Entry{Addr: addr, ReceiverEntry: control.ReceiverEntry{Receiver: id, Rate: 5, Destination: dest, Kind: "one"}}
 	}
 	host := at("127.0.0.1:9", 1, 3)
-	start := func(set control.Settings, kept []warmstart.Receiver, h directory.Host) *Sender {
-		conf := &config.Config{Settings: set, Limits: config.Limits{Slots: 8, Texts: 50, Mailbox: 64}}
-		l, err1 := ledger.Open(memfs.New(), "d", ledger.Options{Room: 3e6})
+	start := func(set control.Settings, kept []warmstart.Receiver, h directory.Entry) *Sender {
+		conf := &config.Config{Settings: set, Limits: config.Limits{MaxCalls: 8, MaxTexts: 50, MailboxSize: 64}}
+		l, err1 := ledger.Open(memfs.New(), "d", ledger.Options{MaxBytes: 3e6})
 		s, err2 := New(conf, l, receivers.New(conf.Limits, nil))
 		if err := errors.Join(err1, err2); err != nil {
 			t.Fatal(err)
 		}
 		s.RestoreHistory(kept)
-		s.LoadReceivers(directory.News{Whole: true, Hosts: []directory.Host{h}})
+		s.LoadReceivers(directory.Update{Complete: true, Entries: []directory.Entry{h}})
 		return s
 	}
 	before := start(settings, nil, host)
@@ -744,7 +744,7 @@
 
 	for _, c := range []struct {
 		name string
-		host directory.Host
+		host directory.Entry
 		told bool
 	}{
 		{"the same under another number", at(host.Addr, 8, 3), true},
--- a/internal/delivery/sender/texts.go
+++ b/internal/delivery/sender/texts.go
@@ -25,7 +25,7 @@
 const mostFrom = 8
 
 // heldOf makes what is kept of a text; a process before may have taken it on.
-func heldOf(t *ledger.Text) *held { return &held{Text: t, no: t.Submits, from: []*ledger.Text{t}} }
+func heldOf(t *ledger.Text) *held { return &held{Text: t, no: t.Attempts, from: []*ledger.Text{t}} }
 
 // tell answers the clients that wait.
 func (h *held) tell(a Answer) {
@@ -62,7 +62,7 @@
 		return true
 	default:
 	}
-	timer := time.NewTimer(s.limits.Answer / 2)
+	timer := time.NewTimer(s.limits.AnswerTimeout / 2)
 	defer timer.Stop()
 	select {
 	case s.mail <- do:
@@ -96,13 +96,13 @@
 	h := heldOf(t)
 	h.waits = []chan<- Answer{reply}
 	s.texts[t.ID] = h
-	t.TakenAt = s.now()
-	full := len(s.texts) > s.limits.Texts || s.owed >= s.limits.Texts
+	t.AcceptedAt = s.now()
+	full := len(s.texts) > s.limits.MaxTexts || s.owed >= s.limits.MaxTexts
 	if !full {
 		if s.take(t, false); s.texts[t.ID] != h {
 			return // refused before it cost anything
 		}
-		if err := s.ledger.Taken(t); err != nil {
+		if err := s.ledger.RecordAccepted(t); err != nil {
 			slog.Error("not_kept", "part", "sender", "text", t.ID, "err", err)
 			s.module.Withdraw(t.ID)
 			full = true
@@ -121,7 +121,7 @@
 func (s *Sender) take(t *ledger.Text, owed bool) {
 	s.module.HandleArrival(control.Arrival{
 		ID: t.ID, Product: t.Product, Destination: t.Destination, TimeLeft: t.ValidUntil - s.now(), Key: t.Key, Brand: t.Brand,
-		Retry: t.Retry, Returned: t.Returned, Recovered: owed, Attempts: t.Submits, FirstRunAt: t.RanSince, FirstRunZone: t.RanZone,
+		Retry: t.Retry, Returned: t.Returned, Recovered: owed, Attempts: t.Attempts, FirstRunAt: t.FirstRunAt, FirstRunZone: t.FirstRunZone,
 	})
 }
 
@@ -149,7 +149,7 @@
 // forget: nothing more is owed for a text.
 func (s *Sender) forget(id string) {
 	delete(s.texts, id)
-	s.noted(id, s.ledger.Ended(id))
+	s.noted(id, s.ledger.RecordEnd(id))
 }
 
 // noted logs what the ledger could not keep. At worst a text is looked at again after a restart.
--- a/internal/delivery/simwire/simwire.go
+++ b/internal/delivery/simwire/simwire.go
@@ -36,7 +36,7 @@
 // Line is one message; its getters note the first fault, which Err returns.
 type Line struct {
 	Name   string
-	No     int
+	Number int
 	Fields []Field
 	err    error
 }
@@ -46,7 +46,7 @@
 
 func parse(raw string, no int) (*Line, error) {
 	parts := strings.Split(raw, " ")
-	l := &Line{Name: parts[0], No: no, Fields: make([]Field, 0, len(parts)-1)}
+	l := &Line{Name: parts[0], Number: no, Fields: make([]Field, 0, len(parts)-1)}
 	if l.Name == "" {
 		return nil, fmt.Errorf("line %d: no message name", no)
 	}
@@ -69,86 +69,86 @@
 	return "", false
 }
 
-// Fault records what is wrong with a field, unless something already was.
-func (l *Line) Fault(field, what string) {
+// RecordError records what is wrong with a field, unless something already was.
+func (l *Line) RecordError(field, what string) {
 	if l.err == nil {
-		l.err = fmt.Errorf("line %d: %s: field %s: %s", l.No, l.Name, field, what)
+		l.err = fmt.Errorf("line %d: %s: field %s: %s", l.Number, l.Name, field, what)
 	}
 }
 
 // Err is the first fault found in the line.
 func (l *Line) Err() error { return l.err }
 
-// Word gives a field that must be there.
-func (l *Line) Word(name string) string {
+// Required gives a field that must be there.
+func (l *Line) Required(name string) string {
 	v, ok := l.find(name)
 	if !ok || v == "" {
-		l.Fault(name, "missing")
+		l.RecordError(name, "missing")
 	}
 	return v
 }
 
-// Opt gives a field that may be absent.
-func (l *Line) Opt(name string) string {
+// Optional gives a field that may be absent.
+func (l *Line) Optional(name string) string {
 	v, _ := l.find(name)
 	return v
 }
 
-// Whole gives a whole number that must be there, within [low, high].
-func (l *Line) Whole(name string, low, high int64) int64 {
-	v := l.Word(name)
+// Int gives a whole number that must be there, within [low, high].
+func (l *Line) Int(name string, low, high int64) int64 {
+	v := l.Required(name)
 	if l.err != nil {
 		return 0
 	}
 	n, err := strconv.ParseInt(v, 10, 64)
 	if err != nil || n < low || n > high {
-		l.Fault(name, fmt.Sprintf("%q is no whole number from %d to %d", v, low, high))
+		l.RecordError(name, fmt.Sprintf("%q is no whole number from %d to %d", v, low, high))
 	}
 	return n
 }
 
-// OptWhole is Whole with nought for an absent field.
-func (l *Line) OptWhole(name string, low, high int64) int64 {
-	if l.Opt(name) == "" {
+// OptionalInt is Whole with nought for an absent field.
+func (l *Line) OptionalInt(name string, low, high int64) int64 {
+	if l.Optional(name) == "" {
 		return 0
 	}
-	return l.Whole(name, low, high)
+	return l.Int(name, low, high)
 }
 
-// Seed gives an unsigned whole number that must be there.
-func (l *Line) Seed(name string) uint64 {
-	n, err := strconv.ParseUint(l.Word(name), 10, 64)
+// Uint gives an unsigned whole number that must be there.
+func (l *Line) Uint(name string) uint64 {
+	n, err := strconv.ParseUint(l.Required(name), 10, 64)
 	if err != nil {
-		l.Fault(name, "no whole number")
+		l.RecordError(name, "no whole number")
 	}
 	return n
 }
 
-// Flag gives a bool; an absent one is false.
-func (l *Line) Flag(name string) bool {
-	switch v := l.Opt(name); v {
+// Bool gives a bool; an absent one is false.
+func (l *Line) Bool(name string) bool {
+	switch v := l.Optional(name); v {
 	case "1":
 		return true
 	case "", "0":
 		return false
 	default:
-		l.Fault(name, fmt.Sprintf("%q is neither 1 nor 0", v))
+		l.RecordError(name, fmt.Sprintf("%q is neither 1 nor 0", v))
 		return false
 	}
 }
 
-// OptNumber gives a finite number of nought or more; an absent one is nought.
-func (l *Line) OptNumber(name string) float64 {
-	v := l.Opt(name)
+// OptionalFloat gives a finite number of nought or more; an absent one is nought.
+func (l *Line) OptionalFloat(name string) float64 {
+	v := l.Optional(name)
 	if v == "" {
 		return 0
 	}
 	return l.number(name, v)
 }
 
-// Numbers gives a comma-joined row; what is left empty is NaN.
-func (l *Line) Numbers(name string) []float64 {
-	v := l.Opt(name)
+// Floats gives a comma-joined row; what is left empty is NaN.
+func (l *Line) Floats(name string) []float64 {
+	v := l.Optional(name)
 	if v == "" {
 		return nil
 	}
@@ -166,7 +166,7 @@
 func (l *Line) number(name, v string) float64 {
 	n, err := strconv.ParseFloat(v, 64)
 	if err != nil || n < 0 || math.IsInf(n, 0) || math.IsNaN(n) {
-		l.Fault(name, fmt.Sprintf("%q is no number of nought or more", v))
+		l.RecordError(name, fmt.Sprintf("%q is no number of nought or more", v))
 	}
 	return n
 }
--- a/internal/delivery/simwire/simwire_test.go
+++ b/internal/delivery/simwire/simwire_test.go
@@ -14,8 +14,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	row := l.Numbers("HealthInfo")
-	if l.Name != "ATTEMPT_END" || l.Whole("Who", 0, 9) != 3 || !l.Flag("Final") || l.Opt("Odd") != "a=b" ||
+	row := l.Floats("HealthInfo")
+	if l.Name != "ATTEMPT_END" || l.Int("Who", 0, 9) != 3 || !l.Bool("Final") || l.Optional("Odd") != "a=b" ||
 		len(row) != 3 || row[0] != 0.4 || !math.IsNaN(row[1]) || row[2] != 1.25 || l.Err() != nil {
 		t.Errorf("read %+v, row %v", l, row)
 	}
@@ -29,14 +29,14 @@
 
 func TestFaultsNameLineAndField(t *testing.T) {
 	for raw, use := range map[string]func(*Line){
-		"X A=x":   func(l *Line) { l.Whole("A", 0, 9) },
-		"X A=10":  func(l *Line) { l.Whole("A", 0, 9) },
-		"X":       func(l *Line) { l.Word("A") },
-		"X A=":    func(l *Line) { l.Word("A") },
-		"X A=2":   func(l *Line) { l.Flag("A") },
-		"X A=-1":  func(l *Line) { l.OptNumber("A") },
-		"X A=Inf": func(l *Line) { l.Numbers("A") },
-		"X A=-3":  func(l *Line) { l.Seed("A") },
+		"X A=x":   func(l *Line) { l.Int("A", 0, 9) },
+		"X A=10":  func(l *Line) { l.Int("A", 0, 9) },
+		"X":       func(l *Line) { l.Required("A") },
+		"X A=":    func(l *Line) { l.Required("A") },
+		"X A=2":   func(l *Line) { l.Bool("A") },
+		"X A=-1":  func(l *Line) { l.OptionalFloat("A") },
+		"X A=Inf": func(l *Line) { l.Floats("A") },
+		"X A=-3":  func(l *Line) { l.Uint("A") },
 	} {
 		l, err := NewReader(strings.NewReader(raw + "\n")).Next()
 		if err != nil {
--- a/internal/lab/fleet/node.go
+++ b/internal/lab/fleet/node.go
@@ -166,7 +166,7 @@
 	p.at(p.now+hop, func() { n.arrive(h, c, no) })
 	end := h.text.Validity()
 	if timeout > 0 {
-		end = min(end, p.now+protocol.Span(timeout))
+		end = min(end, p.now+protocol.Duration(timeout))
 	}
 	p.at(end, func() {
 		if h.out == c && n.life == c.life {
@@ -265,7 +265,7 @@
 
 // Nack ends a text that may be handed in again.
 func (n *node) Nack(id string, comeBack control.Time) {
-	n.end(id, world.Nacked, protocol.Span(comeBack))
+	n.end(id, world.Nacked, protocol.Duration(comeBack))
 }
 
 // MarkUndeliverable ends a text for good.
@@ -289,7 +289,7 @@
 // WakeAt has the module called again.
 func (n *node) WakeAt(at control.Time, _ int64) {
 	life := n.life
-	n.play.at(protocol.Span(at-epoch), func() {
+	n.play.at(protocol.Duration(at-epoch), func() {
 		if n.life == life && !n.down {
 			n.step(func() {})
 		}
