--- a/cmd/emberquay/main.go
+++ b/cmd/emberquay/main.go
@@ -64,7 +64,7 @@
 func main() {
 	ctx := kong.Parse(&cli, kong.Name("emberquay"), kong.Description("A delivery service for outbound texts."))
 	if !serves(ctx) {
-		signals.Release()
+		signals.RestoreDefaults()
 	}
 	ctx.FatalIfErrorf(ctx.Run())
 }
--- a/cmd/emberquay/serve.go
+++ b/cmd/emberquay/serve.go
@@ -32,7 +32,7 @@
 
 // Run puts the parts together and serves until SIGTERM or SIGINT.
 func (c *serveCmd) Run() error {
-	told := signals.Stop()
+	told := signals.StopRequested()
 	conf, own, err := c.read()
 	if err != nil {
 		return err
@@ -52,7 +52,7 @@
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	s.LogCounts(time.Duration(own.Log.CountS * float64(time.Second)))
+	s.LogCounts(time.Duration(own.Log.CountIntervalSeconds * float64(time.Second)))
 	recall(s, own.Handover.HistoryFile)
 	// The list as last known goes in before anything that is owed is looked at.
 	tell := s.LoadReceivers
@@ -76,7 +76,7 @@
 	go list.Run(ctx)
 	go desk.Run(ctx)
 	go func(now *config.Config) {
-		for range signals.Reload() {
+		for range signals.ReloadRequested() {
 			now = c.reload(now, list.SetAddr, desk.SetAddr)
 		}
 	}(conf)
--- a/internal/delivery/clients/clients.go
+++ b/internal/delivery/clients/clients.go
@@ -68,7 +68,7 @@
 	s.http = &http.Server{
 		Handler: s.unpaired(mux), ReadHeaderTimeout: c.Limits.RequestReadTimeout, ReadTimeout: c.Limits.RequestReadTimeout,
 		IdleTimeout: c.Limits.ClientIdleTimeout, MaxHeaderBytes: c.Limits.MaxHeaderBytes,
-		ConnState: s.conns.changed, ErrorLog: logs.ForLibrary("clients"),
+		ConnState: s.conns.changed, ErrorLog: logs.NewLibraryLogger("clients"),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
 	}
 	return s
--- a/internal/delivery/config/options.go
+++ b/internal/delivery/config/options.go
@@ -33,7 +33,7 @@
 
 // DefaultOptions are what counts where the file says nothing.
 func DefaultOptions() *Options {
-	return &Options{Log: logs.Defaults(), Ledger: LedgerOptions{Durability: "process"}}
+	return &Options{Log: logs.DefaultOptions(), Ledger: LedgerOptions{Durability: "process"}}
 }
 
 // ReadOptions reads the file at a path; no path gives the defaults.
--- a/internal/delivery/ledger/ledger_test.go
+++ b/internal/delivery/ledger/ledger_test.go
@@ -26,7 +26,7 @@
 )
 
 func TestMain(m *testing.M) {
-	rapidseed.Fix()
+	rapidseed.SetSeed()
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	os.Exit(m.Run())
 }
@@ -222,7 +222,7 @@
 			t.Parallel()
 			var calls []memfs.Call
 			m := memfs.New()
-			m.Hook = func(c memfs.Call) memfs.Verdict { calls = append(calls, c); return memfs.Verdict{} }
+			m.Hook = func(c memfs.Call) memfs.Fault { calls = append(calls, c); return memfs.Fault{} }
 			l := open(t, m, power)
 			if err := newStory(power).play(l, scripted); err != nil {
 				t.Fatal(err)
@@ -232,7 +232,7 @@
 			}
 			points := 0
 			for _, c := range calls {
-				if c.No%2 != part%2 {
+				if c.Index%2 != part%2 {
 					continue
 				}
 				cuts := []int{0}
@@ -241,7 +241,7 @@
 				}
 				for _, cut := range cuts {
 					points++
-					crashAt(t, c.No, cut, power)
+					crashAt(t, c.Index, cut, power)
 				}
 			}
 			t.Logf("%d points of crash in %d calls", points, len(calls))
@@ -255,27 +255,27 @@
 func crashAt(t *testing.T, call, cut int, power bool) {
 	t.Helper()
 	m := memfs.New()
-	m.Hook = func(c memfs.Call) memfs.Verdict { return memfs.Verdict{Crash: c.No == call, Partly: cut} }
+	m.Hook = func(c memfs.Call) memfs.Fault { return memfs.Fault{Crash: c.Index == call, PartialBytes: cut} }
 	s := newStory(power)
 	l, err := Open(m, dir, Options{MaxBytes: room, PowerLossSafe: power})
 	if err == nil {
 		s.play(l, scripted)
 	}
-	mode := memfs.Process
+	mode := memfs.ProcessCrash
 	if power {
-		mode = memfs.Power
+		mode = memfs.PowerLoss
 	}
 	what := fmt.Sprintf("crash at call %d, byte %d", call, cut)
-	after := m.After(mode, rand.New(rand.NewPCG(uint64(call), uint64(cut))))
+	after := m.AfterCrash(mode, rand.New(rand.NewPCG(uint64(call), uint64(cut))))
 	l = open(t, after, power)
 	s.check(t, l, what)
-	if used := after.Used(); used > room {
+	if used := after.UsedBytes(); used > room {
 		t.Fatalf("%s: %d bytes in the folder, %d may be", what, used, room)
 	}
 	// What was found is kept from now on, and a second start finds the same.
 	texts, notices := l.Unfinished()
 	l.Close()
-	l = open(t, after.After(memfs.Process, nil), power)
+	l = open(t, after.AfterCrash(memfs.ProcessCrash, nil), power)
 	texts2, notices2 := l.Unfinished()
 	if fmt.Sprint(ids(texts)) != fmt.Sprint(ids(texts2)) || len(notices) != len(notices2) {
 		t.Fatalf("%s: the second start finds %v, the first %v", what, ids(texts2), ids(texts))
@@ -298,16 +298,16 @@
 		l := open(t, m, power)
 		var known []string
 		broken := syscall.Errno(0)
-		hook := func(c memfs.Call) memfs.Verdict {
+		hook := func(c memfs.Call) memfs.Fault {
 			if broken != 0 && (c.Op == "write" || c.Op == "create" || c.Op == "sync") {
-				return memfs.Verdict{Err: broken, Partly: c.Bytes / 3}
+				return memfs.Fault{Err: broken, PartialBytes: c.Bytes / 3}
 			}
-			return memfs.Verdict{}
+			return memfs.Fault{}
 		}
 		m.Hook = hook
-		again := func(mode memfs.Mode) {
+		again := func(mode memfs.CrashMode) {
 			broken = 0
-			m = m.After(mode, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
+			m = m.AfterCrash(mode, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
 			m.Hook = hook
 			l = open(t, m, power)
 			s.check(t, l, "start")
@@ -369,20 +369,20 @@
 			case 8:
 				broken = rapid.SampledFrom([]syscall.Errno{0, 0, syscall.ENOSPC, syscall.EIO, syscall.EROFS}).Draw(t, "error")
 			case 9:
-				mode := memfs.Process
+				mode := memfs.ProcessCrash
 				if power && rapid.Bool().Draw(t, "power lost") {
-					mode = memfs.Power
+					mode = memfs.PowerLoss
 				}
 				again(mode)
 			}
 			if bad := l.lay.CheckInvariants(); bad != "" {
 				t.Fatalf("%s", bad)
 			}
-			if used := m.Used(); used > room {
+			if used := m.UsedBytes(); used > room {
 				t.Fatalf("%d bytes in the folder, %d may be", used, room)
 			}
 		}
-		again(memfs.Process)
+		again(memfs.ProcessCrash)
 	})
 }
 
@@ -400,10 +400,10 @@
 		}
 	}
 	used := int64(0)
-	for _, n := range m.Names() {
+	for _, n := range m.FileNames() {
 		used += int64(len(m.Data(n)))
 	}
-	m.Room = used // not a byte more
+	m.CapacityBytes = used // not a byte more
 	if err := l.RecordAccepted(&Text{ID: "new"}); !vfs.IsFull(err) {
 		t.Fatalf("a new text: %v", err)
 	}
@@ -417,19 +417,19 @@
 		t.Fatal(err)
 	}
 	// Now really nothing is left: the end is kept in mind until there is room.
-	m.Room = 1
+	m.CapacityBytes = 1
 	if err := l.RecordEnd("2"); !vfs.IsFull(err) {
 		t.Fatalf("%v", err)
 	}
 	if err := l.RecordAccepted(&Text{ID: "new"}); !vfs.IsFull(err) {
 		t.Fatalf("a new text: %v", err)
 	}
-	m.Room = 0
+	m.CapacityBytes = 0
 	l.Sync()
 	if err := l.RecordAccepted(&Text{ID: "new"}); err != nil {
 		t.Fatal(err)
 	}
-	if l, err = Open(m.After(memfs.Process, nil), dir, Options{MaxBytes: 3e6}); err != nil {
+	if l, err = Open(m.AfterCrash(memfs.ProcessCrash, nil), dir, Options{MaxBytes: 3e6}); err != nil {
 		t.Fatal(err)
 	}
 	texts, notices := l.Unfinished()
@@ -445,11 +445,11 @@
 	l.RecordAccepted(&Text{ID: "a"})
 	l.RecordAccepted(&Text{ID: "b"})
 	l.Sync()
-	m.Hook = func(c memfs.Call) memfs.Verdict {
+	m.Hook = func(c memfs.Call) memfs.Fault {
 		if slices.Contains([]string{"write", "create", "remove", "sync"}, c.Op) {
-			return memfs.Verdict{Err: syscall.EROFS}
+			return memfs.Fault{Err: syscall.EROFS}
 		}
-		return memfs.Verdict{}
+		return memfs.Fault{}
 	}
 	if l.RecordAccepted(&Text{ID: "c"}) == nil || l.RecordAttempt("a", 1, "") == nil || l.RecordEnd("b") == nil {
 		t.Error("something was written")
@@ -458,7 +458,7 @@
 	if err := l.Sync(); err != nil {
 		t.Fatal(err)
 	}
-	l = open(t, m.After(memfs.Power, rand.New(rand.NewPCG(1, 1))), true)
+	l = open(t, m.AfterCrash(memfs.PowerLoss, rand.New(rand.NewPCG(1, 1))), true)
 	if texts, _ := l.Unfinished(); fmt.Sprint(ids(texts)) != "[a]" || texts[0].Attempts != 0 {
 		t.Errorf("%+v", *texts[0])
 	}
@@ -487,7 +487,7 @@
 }
 
 // damaged makes a folder of several segments, and gives the name of one in the middle.
-func damaged(t *testing.T, power bool) (m *memfs.Mem, middle string) {
+func damaged(t *testing.T, power bool) (m *memfs.FS, middle string) {
 	m = memfs.New()
 	l := open(t, m, power)
 	for i := range 14 {
@@ -500,7 +500,7 @@
 	l.Sync()
 	l.Close()
 	var segs []string
-	for _, n := range m.Names() {
+	for _, n := range m.FileNames() {
 		if _, ok := segNumber(filepath.Base(n)); ok {
 			segs = append(segs, n)
 		}
@@ -518,7 +518,7 @@
 		m, middle := damaged(t, power)
 		data := m.Data(middle)
 		data[segHead+40] ^= 4 // one bit, in the first record
-		l := open(t, m.After(memfs.Process, nil), power)
+		l := open(t, m.AfterCrash(memfs.ProcessCrash, nil), power)
 		texts, _ := l.Unfinished()
 		if len(texts) != 12 {
 			t.Errorf("%d texts are left: %v", len(texts), ids(texts))
@@ -529,9 +529,9 @@
 				t.Errorf("%+v", x)
 			}
 		}
-		m = l.files.(*memfs.Mem)
-		if !slices.Contains(m.Names(), "state/bad-"+filepath.Base(middle)) {
-			t.Errorf("%v", m.Names())
+		m = l.files.(*memfs.FS)
+		if !slices.Contains(m.FileNames(), "state/bad-"+filepath.Base(middle)) {
+			t.Errorf("%v", m.FileNames())
 		}
 		l.Close()
 		// Once it is set aside all is well again, and the same.
@@ -552,7 +552,7 @@
 	}
 	m, middle = damaged(t, false)
 	copy(m.Data(middle), "nonsense")
-	l = open(t, m.After(memfs.Process, nil), false)
+	l = open(t, m.AfterCrash(memfs.ProcessCrash, nil), false)
 	if texts, _ := l.Unfinished(); len(texts) != 13 || texts[0].FirstRunAt != 0 {
 		t.Errorf("with a spoilt head %v", ids(texts))
 	}
@@ -571,17 +571,17 @@
 	for crash := range 60 {
 		m := memfs.New()
 		m.Put("state/ledger", raw)
-		m.Hook = func(c memfs.Call) memfs.Verdict { return memfs.Verdict{Crash: c.No == crash, Partly: c.Bytes / 2} }
+		m.Hook = func(c memfs.Call) memfs.Fault { return memfs.Fault{Crash: c.Index == crash, PartialBytes: c.Bytes / 2} }
 		Open(m, dir, Options{MaxBytes: room})
-		m = m.After(memfs.Power, rand.New(rand.NewPCG(uint64(crash), 2)))
+		m = m.AfterCrash(memfs.PowerLoss, rand.New(rand.NewPCG(uint64(crash), 2)))
 		l := open(t, m, false)
 		texts, notices := l.Unfinished()
 		if fmt.Sprint(ids(texts)) != "[a d]" || string(texts[0].Body) != "one\x00" || texts[0].Attempts != 1 || texts[0].FirstRunAt != 77 ||
 			texts[0].FirstRunZone != "z" || len(notices) != 1 || notices[0].RetryAfter != 5 {
 			t.Fatalf("crash at call %d: %+v %+v", crash, texts, notices)
 		}
-		if slices.Contains(m.Names(), "state/ledger") {
-			t.Fatalf("crash at call %d: %v", crash, m.Names())
+		if slices.Contains(m.FileNames(), "state/ledger") {
+			t.Fatalf("crash at call %d: %v", crash, m.FileNames())
 		}
 	}
 }
@@ -599,7 +599,7 @@
 			t.Fatal(err)
 		}
 	}
-	if l, err = Open(m.After(memfs.Process, nil), dir, opt); err != nil {
+	if l, err = Open(m.AfterCrash(memfs.ProcessCrash, nil), dir, opt); err != nil {
 		t.Fatal(err)
 	}
 	texts, _ := l.Unfinished()
@@ -621,14 +621,14 @@
 		t.Fatal(err)
 	}
 	texts, notices := l.Unfinished()
-	before := len(m.Names())
+	before := len(m.FileNames())
 	if err := l.Compact(); err != nil {
 		t.Fatal(err)
 	}
 	l.Close()
 	f, texts2, notices2, err := Inspect(m, dir)
-	if err != nil || !f.Intact() || len(m.Names()) >= before {
-		t.Errorf("%v %+v %v", err, f, m.Names())
+	if err != nil || !f.Intact() || len(m.FileNames()) >= before {
+		t.Errorf("%v %+v %v", err, f, m.FileNames())
 	}
 	for i, x := range texts {
 		y := texts2[i]
--- a/internal/delivery/ledger/old_test.go
+++ b/internal/delivery/ledger/old_test.go
@@ -74,8 +74,8 @@
 			}
 		}
 		l.Close()
-		if kept := m.Data("state/bad-ledger"); !bytes.Equal(kept, x.raw) || slices.Contains(m.Names(), "state/ledger") {
-			t.Errorf("%s: %d bytes set aside of %d, %v", x.name, len(kept), len(x.raw), m.Names())
+		if kept := m.Data("state/bad-ledger"); !bytes.Equal(kept, x.raw) || slices.Contains(m.FileNames(), "state/ledger") {
+			t.Errorf("%s: %d bytes set aside of %d, %v", x.name, len(kept), len(x.raw), m.FileNames())
 		}
 		if l, err = Open(m, dir, Options{MaxBytes: room}); err != nil || l.LegacyDamage() != "" {
 			t.Errorf("%s: the next start %v %q", x.name, err, l.LegacyDamage())
@@ -107,15 +107,15 @@
 	for crash := range 60 {
 		m := memfs.New()
 		m.Put("state/ledger", raw)
-		m.Hook = func(c memfs.Call) memfs.Verdict { return memfs.Verdict{Crash: c.No == crash, Partly: c.Bytes / 2} }
+		m.Hook = func(c memfs.Call) memfs.Fault { return memfs.Fault{Crash: c.Index == crash, PartialBytes: c.Bytes / 2} }
 		Open(m, dir, Options{MaxBytes: room})
-		m = m.After(memfs.Power, rand.New(rand.NewPCG(uint64(crash), 2)))
+		m = m.AfterCrash(memfs.PowerLoss, rand.New(rand.NewPCG(uint64(crash), 2)))
 		l := open(t, m, false)
 		if texts, _ := l.Unfinished(); fmt.Sprint(ids(texts)) != "[a]" || texts[0].FirstRunAt == 0 {
 			t.Fatalf("crash at call %d: %+v", crash, texts)
 		}
-		if kept := m.Data("state/bad-ledger"); !bytes.Equal(kept, raw) || slices.Contains(m.Names(), "state/ledger") {
-			t.Fatalf("crash at call %d: %d bytes set aside, %v", crash, len(kept), m.Names())
+		if kept := m.Data("state/bad-ledger"); !bytes.Equal(kept, raw) || slices.Contains(m.FileNames(), "state/ledger") {
+			t.Fatalf("crash at call %d: %d bytes set aside, %v", crash, len(kept), m.FileNames())
 		}
 	}
 }
--- a/internal/delivery/sender/sender.go
+++ b/internal/delivery/sender/sender.go
@@ -133,7 +133,7 @@
 // Run makes calls on the module until stop is closed. Nothing new goes out then, but what has come by then is heard:
 // a text whose delivery lies in the mailbox would else be sent again after the start.
 func (s *Sender) Run(stop <-chan struct{}) {
-	s.lateness = lateness.Watch(stop)
+	s.lateness = lateness.StartMonitor(stop)
 	s.settle()
 	for {
 		select {
@@ -172,7 +172,7 @@
 			do()
 		}
 		if !s.frozen {
-			s.module.SetProcessLateness(protocol.Ticks(wakeUps * s.lateness.Worst()))
+			s.module.SetProcessLateness(protocol.Ticks(wakeUps * s.lateness.Max()))
 			s.module.Schedule()
 		}
 		s.commit()
--- a/internal/delivery/sender/sender_test.go
+++ b/internal/delivery/sender/sender_test.go
@@ -603,15 +603,15 @@
 	g := newRig(t, ok)
 	m := memfs.New()
 	var broken, syncs atomic.Int64
-	m.Hook = func(c memfs.Call) memfs.Verdict {
+	m.Hook = func(c memfs.Call) memfs.Fault {
 		if c.Op == "sync" {
 			syncs.Add(1)
 			if broken.Load() == 1 {
 				time.Sleep(50 * time.Millisecond) // what leaves too early would get through
-				return memfs.Verdict{Err: syscall.EIO}
+				return memfs.Fault{Err: syscall.EIO}
 			}
 		}
-		return memfs.Verdict{}
+		return memfs.Fault{}
 	}
 	g.files, g.power = m, true
 	g.start()
--- a/internal/lateness/lateness.go
+++ b/internal/lateness/lateness.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// Interval is how often the monitor looks: 50 wake-ups a second, some 0.05% of a core.
-	Interval = 20 * time.Millisecond
+	// SampleInterval is how often the monitor looks: 50 wake-ups a second, some 0.05% of a core.
+	SampleInterval = 20 * time.Millisecond
 	// Window is how long an observation counts: at least this, at most twice this.
 	Window = 10 * time.Second
-	// Unobserved is what counts as the worst until the first window is full, as a few looks show little: a scheduler's
+	// InitialMax is what counts as the worst until the first window is full, as a few looks show little: a scheduler's
 	// round of eight threads at 3 ms each, the default slice of Linux.
-	Unobserved = 25 * time.Millisecond
+	InitialMax = 25 * time.Millisecond
 )
 
 // Monitor keeps the worst lateness of late. Its zero value has observed nothing.
@@ -30,21 +30,21 @@
 	worst   atomic.Int64 // of windows, as a time.Duration
 }
 
-// Watch starts a monitor, which observes until stop is closed.
-func Watch(stop <-chan struct{}) *Monitor {
+// StartMonitor starts a monitor, which observes until stop is closed.
+func StartMonitor(stop <-chan struct{}) *Monitor {
 	m := &Monitor{windows: windows{began: time.Now()}}
-	m.worst.Store(int64(Unobserved))
+	m.worst.Store(int64(InitialMax))
 	go m.run(stop)
 	return m
 }
 
-// Worst is the worst lateness observed within the last one to two windows; Unobserved or more until the first is full.
-func (m *Monitor) Worst() time.Duration { return time.Duration(m.worst.Load()) }
+// Max is the worst lateness observed within the last one to two windows; Unobserved or more until the first is full.
+func (m *Monitor) Max() time.Duration { return time.Duration(m.worst.Load()) }
 
 func (m *Monitor) run(stop <-chan struct{}) {
-	timer := time.NewTimer(Interval)
+	timer := time.NewTimer(SampleInterval)
 	defer timer.Stop()
-	for due := time.Now().Add(Interval); ; {
+	for due := time.Now().Add(SampleInterval); ; {
 		select {
 		case <-stop:
 			return
@@ -52,8 +52,8 @@
 		}
 		now := time.Now()
 		m.worst.Store(int64(m.windows.observe(now, now.Sub(due))))
-		due = now.Add(Interval)
-		timer.Reset(Interval)
+		due = now.Add(SampleInterval)
+		timer.Reset(SampleInterval)
 	}
 }
 
@@ -72,7 +72,7 @@
 	}
 	w.present = max(w.present, late)
 	if !w.full {
-		return max(Unobserved, w.present)
+		return max(InitialMax, w.present)
 	}
 	return max(w.present, w.last)
 }
--- a/internal/lateness/lateness_test.go
+++ b/internal/lateness/lateness_test.go
@@ -11,7 +11,7 @@
 	start := time.Unix(1, 0)
 	w := windows{began: start}
 	for _, c := range []struct{ at, late, want time.Duration }{
-		{0, time.Millisecond, Unobserved}, // a few looks show little
+		{0, time.Millisecond, InitialMax}, // a few looks show little
 		{time.Second, 40 * time.Millisecond, 40 * time.Millisecond},
 		{9 * time.Second, 0, 40 * time.Millisecond},
 		{10 * time.Second, time.Millisecond, 40 * time.Millisecond}, // the window before
@@ -29,12 +29,12 @@
 func TestWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		stop := make(chan struct{})
-		m := Watch(stop)
-		first := m.Worst()
-		<-time.After(Window + 2*Interval)
+		m := StartMonitor(stop)
+		first := m.Max()
+		<-time.After(Window + 2*SampleInterval)
 		synctest.Wait()
-		if first != Unobserved || m.Worst() != 0 {
-			t.Errorf("worst %v at first, %v after a window", first, m.Worst())
+		if first != InitialMax || m.Max() != 0 {
+			t.Errorf("worst %v at first, %v after a window", first, m.Max())
 		}
 		close(stop)
 	})
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -20,17 +20,17 @@
 
 // Options say how logs are written; the zero value is key=value text from level info on.
 type Options struct {
-	Format string  `toml:"format" oneof:"text json" comment:"text: key=value; json: one object a line"`
-	Level  string  `toml:"level" oneof:"debug info warn error" comment:"the least that is written"`
-	CountS float64 `toml:"count_s" range:"0 3600" comment:"a line of what was done each so many seconds; 0: none"`
+	Format               string  `toml:"format" oneof:"text json" comment:"text: key=value; json: one object a line"`
+	Level                string  `toml:"level" oneof:"debug info warn error" comment:"the least that is written"`
+	CountIntervalSeconds float64 `toml:"count_s" range:"0 3600" comment:"a line of what was done each so many seconds; 0: none"`
 }
 
-// Defaults are the options where no file says otherwise.
-func Defaults() Options { return Options{Format: "text", Level: "info"} }
+// DefaultOptions are the options where no file says otherwise.
+func DefaultOptions() Options { return Options{Format: "text", Level: "info"} }
 
 // Setup makes the default logger write to w, so many lines a second at most.
 func Setup(w io.Writer, most int, o Options) {
-	b := &Bounded{to: w, most: most, now: time.Now, json: o.Format == "json"}
+	b := &RateLimitedWriter{to: w, most: most, now: time.Now, json: o.Format == "json"}
 	slog.SetDefault(slog.New(handler(b, o)))
 }
 
@@ -51,8 +51,8 @@
 	return slog.NewTextHandler(w, opts)
 }
 
-// ForLibrary gives a logger for a library that writes lines of its own, as net/http does; each becomes one event.
-func ForLibrary(part string) *log.Logger { return log.New(lines(part), "", 0) }
+// NewLibraryLogger gives a logger for a library that writes lines of its own, as net/http does; each becomes one event.
+func NewLibraryLogger(part string) *log.Logger { return log.New(lines(part), "", 0) }
 
 type lines string
 
@@ -61,9 +61,9 @@
 	return len(line), nil
 }
 
-// Bounded writes log lines, so many a second at most: peers that misbehave must not have the sender write all
+// RateLimitedWriter writes log lines, so many a second at most: peers that misbehave must not have the sender write all
 // day. What is left out is counted and told.
-type Bounded struct {
+type RateLimitedWriter struct {
 	to   io.Writer
 	most int
 	json bool
@@ -75,7 +75,7 @@
 	dropped int
 }
 
-func (b *Bounded) Write(line []byte) (int, error) {
+func (b *RateLimitedWriter) Write(line []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if now := b.now(); now.Sub(b.second) >= time.Second {
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -15,7 +15,7 @@
 	for _, json := range []bool{false, true} {
 		var out bytes.Buffer
 		now := time.Unix(100, 0)
-		b := &Bounded{to: &out, most: 2, json: json, now: func() time.Time { return now }}
+		b := &RateLimitedWriter{to: &out, most: 2, json: json, now: func() time.Time { return now }}
 		for range 5 {
 			fmt.Fprintln(b, "line")
 		}
@@ -40,7 +40,7 @@
 		l.Warn("call_failed", "part", "receivers", "err", "a b")
 		return out.String()
 	}
-	text := say(Defaults())
+	text := say(DefaultOptions())
 	if !strings.Contains(text, `level=INFO event=ready part=serve`) || !strings.Contains(text, `event=call_failed part=receivers err="a b"`) {
 		t.Error(text)
 	}
--- a/internal/rapidseed/rapidseed.go
+++ b/internal/rapidseed/rapidseed.go
@@ -13,12 +13,12 @@
 
 // Main runs the tests with seed 7, unless the command line names another, and leaves no files of failures behind.
 func Main(m *testing.M) {
-	Fix()
+	SetSeed()
 	os.Exit(m.Run())
 }
 
-// Fix sets the seed, for packages whose TestMain does more.
-func Fix() {
+// SetSeed sets the seed, for packages whose TestMain does more.
+func SetSeed() {
 	flag.Parse()
 	given := false
 	flag.Visit(func(f *flag.Flag) { given = given || f.Name == "rapid.seed" })
--- a/internal/signals/signals.go
+++ b/internal/signals/signals.go
@@ -27,11 +27,11 @@
 	return came
 }
 
-// Reload tells of each SIGHUP.
-func Reload() <-chan os.Signal { return reload }
+// ReloadRequested tells of each SIGHUP.
+func ReloadRequested() <-chan os.Signal { return reload }
 
-// Stop gives the instant at which the first SIGTERM or SIGINT came, whatever its reader does meanwhile. It is called once.
-func Stop() <-chan time.Time { return instant(stop) }
+// StopRequested gives the instant at which the first SIGTERM or SIGINT came, whatever its reader does meanwhile. It is called once.
+func StopRequested() <-chan time.Time { return instant(stop) }
 
 // instant notes when the first signal comes.
 func instant(came <-chan os.Signal) <-chan time.Time {
@@ -43,8 +43,8 @@
 	return at
 }
 
-// Release gives the signals their usual action back; one that has come already takes it now.
-func Release() {
+// RestoreDefaults gives the signals their usual action back; one that has come already takes it now.
+func RestoreDefaults() {
 	signal.Reset(syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	restoreEarly()
 	select {
--- a/internal/signals/signals_test.go
+++ b/internal/signals/signals_test.go
@@ -22,9 +22,9 @@
 	switch os.Getenv(childVariable) {
 	case "serve":
 		raise(syscall.SIGHUP) // as if it came in the midst of the start
-		<-Reload()
+		<-ReloadRequested()
 		os.Stdout.WriteString("reloads\n")
-		<-Stop()
+		<-StopRequested()
 		os.Stdout.WriteString("stops\n")
 	case "unread":
 		signal.Reset(syscall.SIGHUP) // back to what the runtime found
@@ -35,7 +35,7 @@
 		for len(reload) == 0 { // it is told by the runtime a moment later
 			runtime.Gosched()
 		}
-		Release()
+		RestoreDefaults()
 		select {} // SIGHUP ends it
 	default:
 		os.Exit(m.Run())
--- a/internal/tier/controlplane/inspect_test.go
+++ b/internal/tier/controlplane/inspect_test.go
@@ -28,7 +28,7 @@
 )
 
 // writeControlDisk returns the disk of a control plane that executed commands and stopped.
-func writeControlDisk(ctx SpecContext, commands ...controlstate.Command) *memfs.Mem {
+func writeControlDisk(ctx SpecContext, commands ...controlstate.Command) *memfs.FS {
 	GinkgoHelper()
 	disk := memfs.New()
 	client := transport.NewClient()
@@ -77,7 +77,7 @@
 	}, NodeTimeout(time.Minute))
 
 	DescribeTable("finds damaged files",
-		func(ctx SpecContext, spoil func(*memfs.Mem), file string, problem string) {
+		func(ctx SpecContext, spoil func(*memfs.FS), file string, problem string) {
 			disk := writeControlDisk(ctx, replaceCommand, registerCommand)
 			Expect(snapshot.File{FS: disk, Dir: inspectDir}.Save(nil)).To(Succeed())
 			spoil(disk)
@@ -88,13 +88,13 @@
 			Expect(first.File).To(Equal(file))
 			Expect(first.Problem).To(ContainSubstring(problem))
 		},
-		Entry("a byte of a record", func(m *memfs.Mem) { m.Data("control/ring-0000")[70] ^= 1 },
+		Entry("a byte of a record", func(m *memfs.FS) { m.Data("control/ring-0000")[70] ^= 1 },
 			"ring-0000", "unreadable record", NodeTimeout(time.Minute)),
-		Entry("a header", func(m *memfs.Mem) { m.Data("control/ring-0000")[9] ^= 1 },
+		Entry("a header", func(m *memfs.FS) { m.Data("control/ring-0000")[9] ^= 1 },
 			"ring-0000", "invalid header", NodeTimeout(time.Minute)),
-		Entry("the saved entries", func(m *memfs.Mem) { m.Data("control/known")[0] ^= 1 },
+		Entry("the saved entries", func(m *memfs.FS) { m.Data("control/known")[0] ^= 1 },
 			"known", "not a whole list", NodeTimeout(time.Minute)),
-		Entry("truncated saved entries", func(m *memfs.Mem) { m.Put("control/known", []byte("abc")) },
+		Entry("truncated saved entries", func(m *memfs.FS) { m.Put("control/known", []byte("abc")) },
 			"known", "not a whole list", NodeTimeout(time.Minute)),
 	)
 
--- a/internal/tier/controlplane/keep_test.go
+++ b/internal/tier/controlplane/keep_test.go
@@ -38,7 +38,7 @@
 
 var _ = Describe("an entry saver", func() {
 	var (
-		disk       *memfs.Mem
+		disk       *memfs.FS
 		table      *entryTable
 		saver      *entrySaver
 		diskErrors []error
@@ -59,7 +59,7 @@
 	// loadAfterPowerLoss returns the saved entries that survive a loss of power.
 	loadAfterPowerLoss := func() []cluster.Entry {
 		GinkgoHelper()
-		entries, err := snapshot.File{FS: disk.After(memfs.Power, rand.New(rand.NewPCG(1, 2))), Dir: "/data"}.Load()
+		entries, err := snapshot.File{FS: disk.AfterCrash(memfs.PowerLoss, rand.New(rand.NewPCG(1, 2))), Dir: "/data"}.Load()
 		Expect(err).NotTo(HaveOccurred())
 		return entries
 	}
@@ -74,19 +74,19 @@
 	It("does not save entries again that the file has", func(ctx SpecContext) {
 		stamp := table.add(1, "receiver/a", "receiver/b")
 		Expect(saver.waitSaved(ctx, "receiver/a", stamp)).To(Succeed())
-		calls := disk.Calls()
+		calls := disk.CallCount()
 		Expect(saver.waitSaved(ctx, "receiver/b", stamp)).To(Succeed())
 		Expect(saver.waitSaved(ctx, "receiver/a", cluster.Stamp{Epoch: 1})).To(Succeed())
-		Expect(disk.Calls()).To(Equal(calls))
+		Expect(disk.CallCount()).To(Equal(calls))
 	})
 	It("saves changes without a waiting caller", func(ctx SpecContext) {
 		table.add(1, "receiver/a")
 		saver.markChanged()
-		Eventually(ctx, func() []string { return disk.Names() }).Should(ContainElement("/data/" + snapshot.FileName))
+		Eventually(ctx, func() []string { return disk.FileNames() }).Should(ContainElement("/data/" + snapshot.FileName))
 	})
 	It("returns and reports the error of the disk", func(ctx SpecContext) {
 		full := errors.New("no room")
-		disk.Hook = func(c memfs.Call) memfs.Verdict { return memfs.Verdict{Err: full} }
+		disk.Hook = func(c memfs.Call) memfs.Fault { return memfs.Fault{Err: full} }
 		Expect(saver.waitSaved(ctx, "receiver/a", table.add(1, "receiver/a"))).To(MatchError(full))
 		stop()
 		<-saver.done
@@ -94,11 +94,11 @@
 	})
 	It("stops waiting when the context or the saver ends", func(ctx SpecContext) {
 		stall := make(chan struct{})
-		disk.Hook = func(c memfs.Call) memfs.Verdict {
+		disk.Hook = func(c memfs.Call) memfs.Fault {
 			if c.Op == "sync" {
-				return memfs.Verdict{Stall: stall}
+				return memfs.Fault{StallUntil: stall}
 			}
-			return memfs.Verdict{}
+			return memfs.Fault{}
 		}
 		waitCtx, cancel := context.WithCancel(ctx)
 		result := make(chan error, 1)
--- a/internal/tier/journal/crash_test.go
+++ b/internal/tier/journal/crash_test.go
@@ -52,19 +52,19 @@
 })
 
 // losePowerAndAppend appends two records, loses power, reopens and appends one of random length.
-func losePowerAndAppend(files *memfs.Mem, random *rand.Rand, n uint64) *memfs.Mem {
+func losePowerAndAppend(files *memfs.FS, random *rand.Rand, n uint64) *memfs.FS {
 	j, _ := mustOpen(splitWrites{files, random})
 	mustAppend(j, n, 16)
 	mustAppend(j, n+1, 16)
 	calls := random.IntN(16)
-	files.Hook = func(memfs.Call) memfs.Verdict {
+	files.Hook = func(memfs.Call) memfs.Fault {
 		calls--
-		return memfs.Verdict{Crash: calls < 0}
+		return memfs.Fault{Crash: calls < 0}
 	}
 	if j.Sync() == nil {
 		files.Hook = nil
 	}
-	files = files.After(memfs.Power, random)
+	files = files.AfterCrash(memfs.PowerLoss, random)
 	j, _ = mustOpen(files)
 	mustAppend(j, n+2, 4+pieceBytes*random.IntN(4))
 	Expect(j.Sync()).To(Succeed())
@@ -109,11 +109,11 @@
 	m := &model{appended: map[uint64][]byte{}}
 	for range 6 {
 		calls := random.IntN(150)
-		files.Hook = func(c memfs.Call) memfs.Verdict {
+		files.Hook = func(c memfs.Call) memfs.Fault {
 			if calls--; calls < 0 {
-				return memfs.Verdict{Crash: true, Partly: random.IntN(c.Bytes + 1)}
+				return memfs.Fault{Crash: true, PartialBytes: random.IntN(c.Bytes + 1)}
 			}
-			return memfs.Verdict{}
+			return memfs.Fault{}
 		}
 		j, found, err := m.open(splitWrites{files, random})
 		if err == nil {
@@ -122,11 +122,11 @@
 			}
 			m.write(j, random)
 		}
-		mode := memfs.Process
+		mode := memfs.ProcessCrash
 		if random.IntN(2) == 0 {
-			mode = memfs.Power
+			mode = memfs.PowerLoss
 		}
-		files = files.After(mode, random)
+		files = files.AfterCrash(mode, random)
 	}
 	j, found, err := m.open(splitWrites{files, random})
 	if err != nil {
--- a/internal/tier/journal/fuzz_test.go
+++ b/internal/tier/journal/fuzz_test.go
@@ -18,7 +18,7 @@
 	f.Fuzz(func(t *testing.T, fileIndex uint8, offset uint16, replacement []byte) {
 		files := memfs.New()
 		writeRecords(t, files)
-		names := files.Names()
+		names := files.FileNames()
 		name := names[int(fileIndex)%len(names)]
 		data := bytes.Clone(files.Data(name))
 		start := min(int(offset), len(data))
@@ -46,7 +46,7 @@
 }
 
 // writeRecords fills the ring for several laps, syncing each record.
-func writeRecords(t *testing.T, files *memfs.Mem) {
+func writeRecords(t *testing.T, files *memfs.FS) {
 	j, err := journal.Open(options(files), func(journal.Position, []byte) error { return nil })
 	if err != nil {
 		t.Fatal(err)
--- a/internal/tier/journal/inspect_test.go
+++ b/internal/tier/journal/inspect_test.go
@@ -26,7 +26,7 @@
 )
 
 // newRing returns a journal with records of equal length, each synced on its own.
-func newRing(records uint64) *memfs.Mem {
+func newRing(records uint64) *memfs.FS {
 	files := memfs.New()
 	j, _ := mustOpen(files)
 	for n := range records {
@@ -38,7 +38,7 @@
 }
 
 // reopenAndAppend appends records in a new generation of the ring.
-func reopenAndAppend(files *memfs.Mem, first, last uint64) {
+func reopenAndAppend(files *memfs.FS, first, last uint64) {
 	j, _ := mustOpen(files)
 	for n := first; n <= last; n++ {
 		mustAppend(j, n, recordBytes-8)
@@ -48,10 +48,10 @@
 }
 
 // mustInspect inspects the ring and fails the test on any call to the disk other than reading.
-func mustInspect(files *memfs.Mem) (*journal.Inspection, []uint64) {
-	files.Hook = func(c memfs.Call) memfs.Verdict {
+func mustInspect(files *memfs.FS) (*journal.Inspection, []uint64) {
+	files.Hook = func(c memfs.Call) memfs.Fault {
 		Expect(c.Op).To(BeElementOf("list", "open", "read", "size", "close"))
-		return memfs.Verdict{}
+		return memfs.Fault{}
 	}
 	defer func() { files.Hook = nil }()
 	var found []uint64
@@ -72,7 +72,7 @@
 func frameOffset(n int) int64 { return headerBytes + int64(n)*frameBytes }
 
 // flipBit flips one bit of a byte.
-func flipBit(files *memfs.Mem, file int, offset int64) { files.Data(ringFile(file))[offset] ^= 0x20 }
+func flipBit(files *memfs.FS, file int, offset int64) { files.Data(ringFile(file))[offset] ^= 0x20 }
 
 // expectation is what the tables expect of the inspection of a corrupted ring.
 type expectation struct {
@@ -108,7 +108,7 @@
 	})
 
 	DescribeTable("finds damage that Open detects and damage that it cannot",
-		func(corrupt func(*memfs.Mem), expected expectation) {
+		func(corrupt func(*memfs.FS), expected expectation) {
 			files := newRing(20) // 6, 6, 6 and 2
 			corrupt(files)
 			i, found := mustInspect(files)
@@ -126,56 +126,56 @@
 			Expect(first.Offset).To(Equal(expected.offset))
 			Expect(first.Problem).To(ContainSubstring(expected.problem))
 		},
-		Entry("no damage", func(*memfs.Mem) {}, expectation{recordCount: 20}),
+		Entry("no damage", func(*memfs.FS) {}, expectation{recordCount: 20}),
 		Entry("a byte of a record in a closed segment",
-			func(m *memfs.Mem) { flipBit(m, 1, frameOffset(2)+frameHeaderBytes+50) },
+			func(m *memfs.FS) { flipBit(m, 1, frameOffset(2)+frameHeaderBytes+50) },
 			expectation{recordCount: 16, findingCount: 1, file: "ring-0001", offset: frameOffset(2), problem: "segment 2", lost: true}),
-		Entry("the length of a record in a closed segment", func(m *memfs.Mem) { flipBit(m, 0, frameOffset(0)) },
+		Entry("the length of a record in a closed segment", func(m *memfs.FS) { flipBit(m, 0, frameOffset(0)) },
 			expectation{recordCount: 14, findingCount: 1, file: "ring-0000", offset: frameOffset(0),
 				problem: "it went on to 1012", lost: true}),
-		Entry("the checksum of a record in a closed segment", func(m *memfs.Mem) { flipBit(m, 2, frameOffset(5)+8) },
+		Entry("the checksum of a record in a closed segment", func(m *memfs.FS) { flipBit(m, 2, frameOffset(5)+8) },
 			expectation{recordCount: 19, findingCount: 1, file: "ring-0002", offset: frameOffset(5), problem: "segment 3", lost: true}),
-		Entry("two closed segments", func(m *memfs.Mem) { flipBit(m, 0, frameOffset(5)+20); flipBit(m, 1, frameOffset(5)+20) },
+		Entry("two closed segments", func(m *memfs.FS) { flipBit(m, 0, frameOffset(5)+20); flipBit(m, 1, frameOffset(5)+20) },
 			expectation{recordCount: 18, findingCount: 2, file: "ring-0000", offset: frameOffset(5), problem: "segment 1", lost: true}),
 		Entry("a byte of the newest segment, with records after it",
-			func(m *memfs.Mem) { flipBit(m, 3, frameOffset(0)+frameHeaderBytes+9) },
+			func(m *memfs.FS) { flipBit(m, 3, frameOffset(0)+frameHeaderBytes+9) },
 			expectation{recordCount: 18, findingCount: 1, file: "ring-0003", offset: frameOffset(0), problem: oneRecordAfter}),
 		Entry("a length in the newest segment, with records after it",
-			func(m *memfs.Mem) { flipBit(m, 3, frameOffset(0)) },
+			func(m *memfs.FS) { flipBit(m, 3, frameOffset(0)) },
 			expectation{recordCount: 18, findingCount: 1, file: "ring-0003", offset: frameOffset(0), problem: oneRecordAfter}),
 		Entry("a generation in the newest segment, with records after it",
-			func(m *memfs.Mem) { flipBit(m, 3, frameOffset(0)+4) },
+			func(m *memfs.FS) { flipBit(m, 3, frameOffset(0)+4) },
 			expectation{recordCount: 18, findingCount: 1, file: "ring-0003", offset: frameOffset(0), problem: oneRecordAfter}),
-		Entry("zeros over a record of the newest segment", func(m *memfs.Mem) {
+		Entry("zeros over a record of the newest segment", func(m *memfs.FS) {
 			clear(m.Data(ringFile(3))[frameOffset(0):frameOffset(1)])
 		}, expectation{recordCount: 18, findingCount: 1, file: "ring-0003", offset: frameOffset(0),
 			problem: "valid records after it: 1,"}),
-		Entry("the header of the oldest segment, which may be missing", func(m *memfs.Mem) { flipBit(m, 0, 3) },
+		Entry("the header of the oldest segment, which may be missing", func(m *memfs.FS) { flipBit(m, 0, 3) },
 			expectation{recordCount: 14, findingCount: 1, file: "ring-0000", offset: 0, problem: "valid records after it: 6 of segment 1"}),
-		Entry("the header of a segment between others", func(m *memfs.Mem) { flipBit(m, 1, 9) },
+		Entry("the header of a segment between others", func(m *memfs.FS) { flipBit(m, 1, 9) },
 			expectation{recordCount: 14, findingCount: 1, file: "ring-0001", offset: 0,
 				problem: "valid records after it: 6 of segment 2", lost: true}),
-		Entry("the header of the newest segment", func(m *memfs.Mem) { flipBit(m, 3, 30) },
+		Entry("the header of the newest segment", func(m *memfs.FS) { flipBit(m, 3, 30) },
 			expectation{recordCount: 18, findingCount: 1, file: "ring-0003", offset: 0, problem: "valid records after it: 2 of segment 4"}),
 		Entry("the file of a segment between others missing",
-			func(m *memfs.Mem) { Expect(m.Remove(ringFile(2))).To(Succeed()) },
+			func(m *memfs.FS) { Expect(m.Remove(ringFile(2))).To(Succeed()) },
 			expectation{recordCount: 14, findingCount: 1, file: "ring-*", problem: "segment 3 is in no file", lost: true}),
-		Entry("the file of the oldest segment missing, as if about to be overwritten", func(m *memfs.Mem) {
+		Entry("the file of the oldest segment missing, as if about to be overwritten", func(m *memfs.FS) {
 			Expect(m.Remove(ringFile(0))).To(Succeed())
 		}, expectation{recordCount: 14}),
-		Entry("a torn tail: the last record partly written", func(m *memfs.Mem) {
+		Entry("a torn tail: the last record partly written", func(m *memfs.FS) {
 			clear(m.Data(ringFile(3))[frameOffset(1)+60 : frameOffset(2)])
 		}, expectation{recordCount: 19}),
-		Entry("the file of the newest segment truncated within a record", func(m *memfs.Mem) {
+		Entry("the file of the newest segment truncated within a record", func(m *memfs.FS) {
 			m.Put(ringFile(3), slices.Clone(m.Data(ringFile(3))[:frameOffset(1)+60]))
 		}, expectation{recordCount: 19, findingCount: 1, file: "ring-0003", offset: frameOffset(1), problem: "the file ends at 262"}),
-		Entry("the file of a closed segment truncated", func(m *memfs.Mem) {
+		Entry("the file of a closed segment truncated", func(m *memfs.FS) {
 			m.Put(ringFile(1), slices.Clone(m.Data(ringFile(1))[:frameOffset(3)]))
 		}, expectation{recordCount: 17, findingCount: 1, file: "ring-0001", offset: frameOffset(3),
 			problem: "segment 2", lost: true}),
-		Entry("the file of a closed segment truncated to zero", func(m *memfs.Mem) { m.Put(ringFile(1), nil) },
+		Entry("the file of a closed segment truncated to zero", func(m *memfs.FS) { m.Put(ringFile(1), nil) },
 			expectation{recordCount: 14, findingCount: 1, file: "ring-*", problem: "segment 2 is in no file", lost: true}),
-		Entry("all headers", func(m *memfs.Mem) {
+		Entry("all headers", func(m *memfs.FS) {
 			for index := range 4 {
 				flipBit(m, index, 0)
 			}
@@ -207,14 +207,14 @@
 					Expect(j.Sync()).To(Succeed())
 				}
 			}
-			files.Hook = func(c memfs.Call) memfs.Verdict {
+			files.Hook = func(c memfs.Call) memfs.Fault {
 				if c.Op == "sync" {
-					return memfs.Verdict{Err: syscall.EIO}
+					return memfs.Fault{Err: syscall.EIO}
 				}
-				return memfs.Verdict{}
+				return memfs.Fault{}
 			}
 			_ = j.Sync() // it writes the pending records, and the machine loses power before they are on the disk
-			files = files.After(memfs.Power, random)
+			files = files.AfterCrash(memfs.PowerLoss, random)
 			i, found := mustInspect(files)
 			Expect(i.Lost).To(BeFalse())
 			for _, d := range i.Findings.Listed { // a write of several records of which only a later one reached the disk
@@ -229,7 +229,7 @@
 		random := rand.New(rand.NewPCG(7, 8))
 		for seed := range 300 {
 			files := newRing(1 + random.Uint64N(22))
-			names := files.Names()
+			names := files.FileNames()
 			for range 1 + random.IntN(4) {
 				data := files.Data(names[random.IntN(len(names))])
 				offset := random.IntN(len(data))
--- a/internal/tier/journal/journal_test.go
+++ b/internal/tier/journal/journal_test.go
@@ -157,7 +157,7 @@
 			Expect(j.Scan(oldest, nil)).To(MatchError(journal.ErrNotFound))
 		}
 		Expect(j.Sync()).To(Succeed())
-		Expect(files.Used()).To(BeNumerically("<=", segments*segmentBytes))
+		Expect(files.UsedBytes()).To(BeNumerically("<=", segments*segmentBytes))
 		j.Close()
 		_, found := mustOpen(files)
 		// The segment reclaimed last may be replayed once more, before the rest, if it is not overwritten yet.
@@ -178,31 +178,31 @@
 		Expect(j.Sync()).To(Succeed())
 		for n, op := range []string{"write", "sync"} {
 			mustAppend(j, uint64(n+1), 10)
-			files.Hook = func(c memfs.Call) memfs.Verdict {
+			files.Hook = func(c memfs.Call) memfs.Fault {
 				if c.Op == op {
-					return memfs.Verdict{Err: syscall.EIO, Partly: 5}
+					return memfs.Fault{Err: syscall.EIO, PartialBytes: 5}
 				}
-				return memfs.Verdict{}
+				return memfs.Fault{}
 			}
 			Expect(j.Sync()).To(MatchError(syscall.EIO))
 			files.Hook = nil
 			Expect(j.Sync()).To(Succeed())
 		}
-		_, found := mustOpen(files.After(memfs.Power, rand.New(rand.NewPCG(1, 1))))
+		_, found := mustOpen(files.AfterCrash(memfs.PowerLoss, rand.New(rand.NewPCG(1, 1))))
 		Expect(found).To(Equal(numbersBetween(0, 2)))
 	})
 
 	It("reports a full disk, and continues once it has space", func() {
 		files := memfs.New()
 		j, _ := mustOpen(files)
-		files.Room = segmentBytes
+		files.CapacityBytes = segmentBytes
 		for n := range uint64(20) {
 			mustAppend(j, n, 90)
 		}
 		Expect(vfs.IsFull(j.Sync())).To(BeTrue())
-		files.Room = 0
+		files.CapacityBytes = 0
 		Expect(j.Sync()).To(Succeed())
-		_, found := mustOpen(files.After(memfs.Power, rand.New(rand.NewPCG(1, 1))))
+		_, found := mustOpen(files.AfterCrash(memfs.PowerLoss, rand.New(rand.NewPCG(1, 1))))
 		Expect(found).To(Equal(numbersBetween(0, 19)))
 	})
 
@@ -225,7 +225,7 @@
 		Expect(j.Damaged()).To(BeFalse())
 		mustAppend(j, 100, 5)
 		Expect(j.Sync()).To(Succeed())
-		j, found = mustOpen(files.After(memfs.Power, rand.New(rand.NewPCG(1, 1))))
+		j, found = mustOpen(files.AfterCrash(memfs.PowerLoss, rand.New(rand.NewPCG(1, 1))))
 		Expect(j.Damaged()).To(BeFalse())
 		Expect(found).To(Equal([]uint64{100}))
 	})
--- a/internal/tier/lifecycle/lifecycle.go
+++ b/internal/tier/lifecycle/lifecycle.go
@@ -50,7 +50,7 @@
 func Run(path string, node *settings.Node, logger log.Interface, start func() (Plane, error)) error {
 	debug.SetGCPercent(collectPercent)
 	debug.SetMemoryLimit(int64(memoryShare * float64(node.Limits.MemoryMB<<20)))
-	return run(path, node, logger, start, signals.Stop(), signals.Reload())
+	return run(path, node, logger, start, signals.StopRequested(), signals.ReloadRequested())
 }
 
 // run is Run with what the signals tell.
--- a/internal/tier/metrics/collector.go
+++ b/internal/tier/metrics/collector.go
@@ -74,7 +74,7 @@
 	status, err := c.collect(ctx)
 	out := sink{metrics}
 	out.gauge(up, flag(err == nil))
-	out.gauge(timerLateness, c.lateness.Worst().Seconds())
+	out.gauge(timerLateness, c.lateness.Max().Seconds())
 	if err != nil {
 		return
 	}
--- a/internal/tier/metrics/metrics.go
+++ b/internal/tier/metrics/metrics.go
@@ -58,7 +58,7 @@
 	registry.MustRegister(
 		collectors.NewGoCollector(),
 		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}),
-		newCollector(collect, lateness.Watch(s.stop)),
+		newCollector(collect, lateness.StartMonitor(s.stop)),
 	)
 	mux := http.NewServeMux()
 	mux.Handle("GET "+at.Path, promhttp.HandlerFor(registry, promhttp.HandlerOpts{MaxRequestsInFlight: mostAtOnce}))
--- a/internal/tier/registration/snapshot/snapshot_test.go
+++ b/internal/tier/registration/snapshot/snapshot_test.go
@@ -56,7 +56,7 @@
 		file := snapshot.File{FS: disk, Dir: "/data"}
 		Expect(disk.MkdirAll("/data")).To(Succeed())
 		Expect(file.Save(entries())).To(Succeed())
-		Expect(snapshot.File{FS: disk.After(memfs.Power, rand.New(rand.NewPCG(1, 2))), Dir: "/data"}.Load()).To(Equal(entries()))
+		Expect(snapshot.File{FS: disk.AfterCrash(memfs.PowerLoss, rand.New(rand.NewPCG(1, 2))), Dir: "/data"}.Load()).To(Equal(entries()))
 	})
 })
 
--- a/internal/tier/replica/first_minute_test.go
+++ b/internal/tier/replica/first_minute_test.go
@@ -32,7 +32,7 @@
 // steppedReplica is a replica on a failing disk, without goroutines: the test provides its clock and network.
 type steppedReplica struct {
 	*Replica
-	disk *memfs.Mem
+	disk *memfs.FS
 }
 
 // steppedCluster is the three replicas, their messages and the registrations proposed to them.
@@ -52,16 +52,16 @@
 }
 
 // hook counts the calls on all disks and cuts the power within one of them.
-func (c *steppedCluster) hook(call memfs.Call) memfs.Verdict {
+func (c *steppedCluster) hook(call memfs.Call) memfs.Fault {
 	if c.powerLost = c.powerLost || c.diskCalls == c.crashAtCall; c.powerLost {
-		return memfs.Verdict{Crash: true, Partly: call.Bytes / 2}
+		return memfs.Fault{Crash: true, PartialBytes: call.Bytes / 2}
 	}
 	c.diskCalls++
-	return memfs.Verdict{}
+	return memfs.Fault{}
 }
 
 // startReplica starts a replica on a disk; it returns false if power was lost meanwhile.
-func (c *steppedCluster) startReplica(address string, disk *memfs.Mem, bootstrap bool) bool {
+func (c *steppedCluster) startReplica(address string, disk *memfs.FS, bootstrap bool) bool {
 	disk.Hook = c.hook
 	closing := make(chan struct{})
 	close(closing) // no retries after a disk failure: power is lost
@@ -145,19 +145,19 @@
 }
 
 // disksAfterPowerLoss returns the disks as the power loss leaves them.
-func (c *steppedCluster) disksAfterPowerLoss(variant int) map[string]*memfs.Mem {
-	disks := map[string]*memfs.Mem{}
+func (c *steppedCluster) disksAfterPowerLoss(variant int) map[string]*memfs.FS {
+	disks := map[string]*memfs.FS{}
 	for i, address := range seedAddresses {
 		disks[address] = memfs.New()
 		if m := c.replicas[address]; m != nil {
-			disks[address] = m.disk.After(memfs.Power, rand.New(rand.NewPCG(uint64(c.crashAtCall), uint64(3*variant+i))))
+			disks[address] = m.disk.AfterCrash(memfs.PowerLoss, rand.New(rand.NewPCG(uint64(c.crashAtCall), uint64(3*variant+i))))
 		}
 	}
 	return disks
 }
 
 // hasFirstMember reports whether a disk holds the identity of an initial member. The disk cannot be used afterwards.
-func hasFirstMember(disk *memfs.Mem) bool {
+func hasFirstMember(disk *memfs.FS) bool {
 	r := &Replica{options: Options{Voter: true, Files: disk, Dir: "d", JournalBytes: journalBytes},
 		log: &log.Logger{Handler: discard.New()}}
 	durable, _, err := r.openJournal()
@@ -167,7 +167,7 @@
 
 // restartAndPropose restarts all replicas on the disks and reports whether a new change is committed. All acknowledged
 // changes must be in the state.
-func restartAndPropose(disks map[string]*memfs.Mem, bootstrap bool, acknowledged map[int64]string) bool {
+func restartAndPropose(disks map[string]*memfs.FS, bootstrap bool, acknowledged map[int64]string) bool {
 	c := newSteppedCluster(-1)
 	c.now = 2 * runDuration
 	for _, address := range seedAddresses {
@@ -223,7 +223,7 @@
 		for _, first := range starts {
 			for _, second := range starts {
 				for _, third := range starts {
-					disks := map[string]*memfs.Mem{"a": first("a"), "b": second("b"), "c": third("c")}
+					disks := map[string]*memfs.FS{"a": first("a"), "b": second("b"), "c": third("c")}
 					started := hasFirstMember(first("a")) || hasFirstMember(second("b")) || hasFirstMember(third("c"))
 					Expect(restartAndPropose(disks, !started, nil)).To(BeTrue())
 					runs++
@@ -236,15 +236,15 @@
 
 // interruptedStarts returns functions that make the disk of an initial member whose first start lost power, one function
 // for each disk call of a start.
-func interruptedStarts() []func(address string) *memfs.Mem {
+func interruptedStarts() []func(address string) *memfs.FS {
 	uninterrupted := newSteppedCluster(-1)
 	uninterrupted.startReplica("a", memfs.New(), true)
-	var starts []func(string) *memfs.Mem
+	var starts []func(string) *memfs.FS
 	for call := range uninterrupted.diskCalls + 1 {
-		starts = append(starts, func(address string) *memfs.Mem {
+		starts = append(starts, func(address string) *memfs.FS {
 			c, disk := newSteppedCluster(call), memfs.New()
 			c.startReplica(address, disk, true)
-			return disk.After(memfs.Power, rand.New(rand.NewPCG(uint64(call), uint64(address[0]))))
+			return disk.AfterCrash(memfs.PowerLoss, rand.New(rand.NewPCG(uint64(call), uint64(address[0]))))
 		})
 	}
 	return starts
--- a/internal/tier/replica/inspect_test.go
+++ b/internal/tier/replica/inspect_test.go
@@ -18,7 +18,7 @@
 const segmentBytes = 8 << 10
 
 // singleReplicaDisk returns the disk of a single-member system after the given number of commands.
-func singleReplicaDisk(ctx context.Context, commands uint64) *memfs.Mem {
+func singleReplicaDisk(ctx context.Context, commands uint64) *memfs.FS {
 	GinkgoHelper()
 	m := startCounterReplicas(1)[0]
 	for i := range commands {
@@ -29,7 +29,7 @@
 }
 
 // appendFragment appends an intact journal record with any bytes as its fragment.
-func appendFragment(disk *memfs.Mem, fragment string) journal.Position {
+func appendFragment(disk *memfs.FS, fragment string) journal.Position {
 	GinkgoHelper()
 	options := journal.Options{Files: disk, Dir: "control", SegmentBytes: segmentBytes, Segments: 6}
 	j, err := journal.Open(options, func(journal.Position, []byte) error { return nil })
@@ -41,7 +41,7 @@
 	return p
 }
 
-func mustInspect(disk *memfs.Mem) *replica.Inspection {
+func mustInspect(disk *memfs.FS) *replica.Inspection {
 	GinkgoHelper()
 	found, err := replica.Inspect(disk, "control")
 	Expect(err).NotTo(HaveOccurred())
@@ -61,7 +61,7 @@
 	}, NodeTimeout(time.Minute))
 
 	It("finds all acknowledged commands after a power loss, over several laps of the journal", func(ctx SpecContext) {
-		disk := singleReplicaDisk(ctx, 1500).After(memfs.Power, rand.New(rand.NewPCG(1, 2)))
+		disk := singleReplicaDisk(ctx, 1500).AfterCrash(memfs.PowerLoss, rand.New(rand.NewPCG(1, 2)))
 		found := mustInspect(disk)
 		Expect(found.Findings.Count).To(BeZero(), "%+v", found.Findings)
 		Expect(found.Ring.Segments[0].Sequence).To(BeNumerically(">", 1))
--- a/internal/tier/replica/large_test.go
+++ b/internal/tier/replica/large_test.go
@@ -77,7 +77,7 @@
 // A member is stopped until the journals of the others have wrapped around. It rejoins with its disk, with a disk after a
 // power loss, or with an empty one. The others must bring it up to date, and it must not become head before that.
 var _ = Describe("a member that missed hundreds of changes", func() {
-	DescribeTable("catches up", func(ctx SpecContext, size, changes int, restartDisk func(*memfs.Mem) *memfs.Mem) {
+	DescribeTable("catches up", func(ctx SpecContext, size, changes int, restartDisk func(*memfs.FS) *memfs.FS) {
 		members := startControlReplicas(3)
 		stopped, others := members[0], members[1:] // the head
 		version := uint64(0)
@@ -113,10 +113,10 @@
 	)
 })
 
-func afterKill(disk *memfs.Mem) *memfs.Mem { return disk.After(memfs.Process, nil) }
+func afterKill(disk *memfs.FS) *memfs.FS { return disk.AfterCrash(memfs.ProcessCrash, nil) }
 
-func afterPowerLoss(disk *memfs.Mem) *memfs.Mem {
-	return disk.After(memfs.Power, rand.New(rand.NewPCG(5, 6)))
+func afterPowerLoss(disk *memfs.FS) *memfs.FS {
+	return disk.AfterCrash(memfs.PowerLoss, rand.New(rand.NewPCG(5, 6)))
 }
 
-func replaced(*memfs.Mem) *memfs.Mem { return memfs.New() }
+func replaced(*memfs.FS) *memfs.FS { return memfs.New() }
--- a/internal/tier/replica/replica_test.go
+++ b/internal/tier/replica/replica_test.go
@@ -53,7 +53,7 @@
 	address string
 	seeds   []string
 	voter   bool
-	disk    *memfs.Mem
+	disk    *memfs.FS
 	replica *replica.Replica
 	server  *transport.Server
 	client  *transport.Client
@@ -114,11 +114,11 @@
 	if m.disk == nil {
 		m.disk = memfs.New()
 	}
-	m.disk.Hook = func(c memfs.Call) memfs.Verdict {
+	m.disk.Hook = func(c memfs.Call) memfs.Fault {
 		if c.Op == "sync" && m.diskFails.Load() {
-			return memfs.Verdict{Err: syscall.EIO}
+			return memfs.Fault{Err: syscall.EIO}
 		}
-		return memfs.Verdict{}
+		return memfs.Fault{}
 	}
 	m.open(replica.Options{
 		Bootstrap: bootstrap, JournalBytes: 48 << 10,
@@ -202,7 +202,7 @@
 		mustIncrement(ctx, running[1], 10)
 		Expect(readVersion(ctx, running[1])).To(Equal(uint64(11)))
 
-		killed.disk = killed.disk.After(memfs.Process, nil)
+		killed.disk = killed.disk.AfterCrash(memfs.ProcessCrash, nil)
 		killed.start(false)
 		Expect(readVersion(ctx, killed)).To(Equal(uint64(11)))
 		Eventually(ctx, func() int { return len(running[0].replica.View().Chain) }).Should(Equal(3))
@@ -220,7 +220,7 @@
 		random := rand.New(rand.NewPCG(1, 2))
 		for _, m := range replicas {
 			m.kill()
-			m.disk = m.disk.After(memfs.Power, random)
+			m.disk = m.disk.AfterCrash(memfs.PowerLoss, random)
 		}
 		replicas[1].disk = memfs.New()
 		for _, m := range replicas {
@@ -274,7 +274,7 @@
 		}
 		for _, m := range replicas {
 			m.kill()
-			m.disk = m.disk.After(memfs.Process, nil)
+			m.disk = m.disk.AfterCrash(memfs.ProcessCrash, nil)
 		}
 		for _, m := range replicas {
 			m.start(false)
--- a/internal/tier/store/budgets_test.go
+++ b/internal/tier/store/budgets_test.go
@@ -121,7 +121,7 @@
 		Expect(client.Reserve(ctx, reservation("1"))).To(Equal(storeclient.Granted))
 		Expect(client.Reserve(ctx, reservation("2"))).To(Equal(storeclient.Granted))
 		for _, n := range c.nodes {
-			n.restart(memfs.Process, nil)
+			n.restart(memfs.ProcessCrash, nil)
 		}
 		Expect(client.Reserve(ctx, reservation("3"))).To(Equal(storeclient.Undecided))
 	})
@@ -205,7 +205,7 @@
 		_, err := n.store.History(ctx, storewire.HistoryRequest{Header: newer, Turn: "x"})
 		Expect(err).NotTo(HaveOccurred())
 		Eventually(n.newerEpoch.Load, eventuallyTimeout).Should(Equal(uint64(newer.Epoch)), "OnNewerView is called")
-		n.restart(memfs.Power, rand.New(rand.NewPCG(3, 1)))
+		n.restart(memfs.PowerLoss, rand.New(rand.NewPCG(3, 1)))
 		older := storewire.Header{Epoch: newer.Epoch - 1, StoreID: n.store.ID()}
 		answer, err := n.store.Commit(ctx, storewire.CommitRequest{Header: older, Turn: storewire.Turn{ID: "x", Root: "x"}})
 		Expect(err).NotTo(HaveOccurred())
@@ -234,7 +234,7 @@
 		id := first.ID()
 		Expect(first.Complete()).To(BeTrue())
 		Expect(first.Close()).To(Succeed())
-		options.Files = disk.After(memfs.Power, rand.New(rand.NewPCG(3, 1)))
+		options.Files = disk.AfterCrash(memfs.PowerLoss, rand.New(rand.NewPCG(3, 1)))
 		options.Bootstrap = false
 		again, err := store.Start(options)
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/tier/store/cluster_test.go
+++ b/internal/tier/store/cluster_test.go
@@ -45,7 +45,7 @@
 	name         string
 	zone         string
 	address      string
-	disk         *memfs.Mem
+	disk         *memfs.FS
 	store        *store.Store
 	diskBytes    int64
 	retiredCalls atomic.Int32
@@ -94,9 +94,9 @@
 }
 
 // restart stops the store and starts it again with the disk contents that survive a stop of this mode.
-func (n *node) restart(mode memfs.Mode, rng *rand.Rand) {
+func (n *node) restart(mode memfs.CrashMode, rng *rand.Rand) {
 	Expect(n.store.Close()).To(Succeed())
-	n.disk = n.disk.After(mode, rng)
+	n.disk = n.disk.AfterCrash(mode, rng)
 	n.start(false)
 	n.store.SetView(n.cluster.view)
 }
--- a/internal/tier/store/crash_test.go
+++ b/internal/tier/store/crash_test.go
@@ -118,10 +118,10 @@
 func (c *crashTest) step() {
 	switch draw := c.rng.IntN(100); {
 	case draw == 0:
-		c.node.restart(memfs.Power, c.rng)
+		c.node.restart(memfs.PowerLoss, c.rng)
 		c.check()
 	case draw == 1:
-		c.node.restart(memfs.Process, nil)
+		c.node.restart(memfs.ProcessCrash, nil)
 		c.check()
 	case draw < 15:
 		c.cluster.advanceClock(time.Duration(c.rng.IntN(8000)) * time.Millisecond)
@@ -143,7 +143,7 @@
 		}
 		c.check()
 		Expect(c.node.store.OldestSegment()).To(BeNumerically(">", 8), "half of the ring has been overwritten")
-		Expect(c.node.disk.Used()).To(BeNumerically("<=", 16<<20))
+		Expect(c.node.disk.UsedBytes()).To(BeNumerically("<=", 16<<20))
 	},
 	Entry("seed 1", uint64(1)), Entry("seed 2", uint64(2)), Entry("seed 3", uint64(3)), Entry("seed 4", uint64(4)),
 )
--- a/internal/tier/store/inspect_test.go
+++ b/internal/tier/store/inspect_test.go
@@ -25,7 +25,7 @@
 }
 
 // diskAfter returns the disk and node of a store that was closed after the given function filled it.
-func diskAfter(commit func(*cluster, *node)) (*memfs.Mem, *node) {
+func diskAfter(commit func(*cluster, *node)) (*memfs.FS, *node) {
 	c := newCluster(0, "a")
 	n := c.nodes[0]
 	commit(c, n)
@@ -34,7 +34,7 @@
 }
 
 // appendRecord appends a record with arbitrary contents to the ring.
-func appendRecord(disk *memfs.Mem, record string) journal.Position {
+func appendRecord(disk *memfs.FS, record string) journal.Position {
 	GinkgoHelper()
 	j, err := journal.Open(journal.Options{Files: disk, Dir: "data", SegmentBytes: 1 << 20, Segments: 16},
 		func(journal.Position, []byte) error { return nil })
@@ -46,7 +46,7 @@
 	return p
 }
 
-func inspectDisk(disk *memfs.Mem) *store.Inspection {
+func inspectDisk(disk *memfs.FS) *store.Inspection {
 	GinkgoHelper()
 	found, err := store.Inspect(disk, "data")
 	Expect(err).NotTo(HaveOccurred())
@@ -93,7 +93,7 @@
 		for range 400 {
 			c.step()
 		}
-		disk := c.node.disk.After(memfs.Power, rand.New(rand.NewPCG(1, 1)))
+		disk := c.node.disk.AfterCrash(memfs.PowerLoss, rand.New(rand.NewPCG(1, 1)))
 		found := inspectDisk(disk)
 		Expect(found.Findings.Count).To(BeZero(), "%+v", found.Findings)
 		for id, until := range c.retainedUntil {
--- a/internal/tier/store/turns_test.go
+++ b/internal/tier/store/turns_test.go
@@ -176,7 +176,7 @@
 		ids := commitChain(c.client("a"), "talk", 5)
 		for _, n := range c.nodes {
 			id := n.store.ID()
-			n.restart(memfs.Process, nil)
+			n.restart(memfs.ProcessCrash, nil)
 			Expect(n.store.ID()).To(Equal(id))
 			Expect(n.store.Complete()).To(BeTrue())
 		}
@@ -194,7 +194,7 @@
 				Expect(client.Reserve(ctx, storeclient.Reservation{Program: "p", Turn: fmt.Sprint("t", round), BudgetTokens: 100, MaxTokens: 30})).
 					To(Equal(storeclient.Granted))
 				for _, n := range c.nodes {
-					n.restart(memfs.Power, rng)
+					n.restart(memfs.PowerLoss, rng)
 				}
 			}
 			for _, ids := range all {
@@ -219,9 +219,9 @@
 			c.advanceClock(time.Second)
 			c.nodes[0].store.RepairRound(0)
 		}
-		Expect(c.nodes[0].disk.Used()).To(BeNumerically("<=", 16<<20))
+		Expect(c.nodes[0].disk.UsedBytes()).To(BeNumerically("<=", 16<<20))
 		c.expectFound([]string{"keep"})
-		c.nodes[0].restart(memfs.Power, rand.New(rand.NewPCG(1, 1)))
+		c.nodes[0].restart(memfs.PowerLoss, rand.New(rand.NewPCG(1, 1)))
 		c.expectFound([]string{"keep"})
 		Expect(c.lookUp("big399")).To(Equal(storeclient.Found))
 	})
@@ -263,7 +263,7 @@
 		n := c.nodes[0]
 		entered := make(chan struct{}, 1)
 		release := make(chan struct{})
-		n.disk.Hook = func(call memfs.Call) memfs.Verdict {
+		n.disk.Hook = func(call memfs.Call) memfs.Fault {
 			if call.Op == "sync" {
 				select {
 				case entered <- struct{}{}:
@@ -271,7 +271,7 @@
 				}
 				<-release
 			}
-			return memfs.Verdict{}
+			return memfs.Fault{}
 		}
 		header := storewire.Header{Epoch: int64(c.view.Epoch), StoreID: n.store.ID()}
 		stalled := make(chan storewire.Acknowledgement, 1)
@@ -321,7 +321,7 @@
 		c := newCluster(1, "a", "b", "c")
 		commitChain(c.client("a"), "talk", 2)
 		c.advanceClock(60 * time.Second)
-		c.nodes[0].restart(memfs.Process, nil)
+		c.nodes[0].restart(memfs.ProcessCrash, nil)
 		c.advanceClock(60 * time.Second)
 		c.repairRounds(4)
 		Expect(c.nodes[0].store.TurnCount()).To(Equal(2))
--- a/internal/vfs/memfs/memfs.go
+++ b/internal/vfs/memfs/memfs.go
@@ -3,10 +3,10 @@
 // run full, stall, and give errors. How to use it:
 //
 //	m := memfs.New()
-//	m.Hook = func(c memfs.Call) memfs.Verdict { return memfs.Verdict{Crash: c.No == 7, Partly: c.Bytes / 2} }
+//	m.Hook = func(c memfs.Call) memfs.Fault { return memfs.Fault{Crash: c.Index == 7, PartialBytes: c.Bytes / 2} }
 //	... use m as a vfs.FS until it has crashed ...
-//	again := m.After(memfs.Process, nil)    // as a killed process leaves it
-//	again = m.After(memfs.Power, chance)    // as a machine that lost power may
+//	again := m.AfterCrash(memfs.ProcessCrash, nil) // as a killed process leaves it
+//	again = m.AfterCrash(memfs.PowerLoss, chance) // as a machine that lost power may
 //
 // All files are in one folder as far as syncing names goes. It is safe for use by several goroutines.
 package memfs
@@ -31,35 +31,35 @@
 
 // Call is one call on the file system, before it is made.
 type Call struct {
-	No    int // from 0
+	Index int // from 0
 	Op    string
 	Name  string
 	Bytes int // of a write
 }
 
-// Verdict says what becomes of a call.
-type Verdict struct {
-	Crash  bool  // the process ends within it
-	Partly int   // of a write that crashes or fails: so many bytes are written
-	Err    error // it fails with this
-	// Stall, of a sync: it returns only once this is closed; other calls go on meanwhile. What was written
+// Fault says what becomes of a call.
+type Fault struct {
+	Crash        bool  // the process ends within it
+	PartialBytes int   // of a write that crashes or fails: so many bytes are written
+	Err          error // it fails with this
+	// StallUntil, of a sync: it returns only once this is closed; other calls go on meanwhile. What was written
 	// after the sync began is not covered by it.
-	Stall <-chan struct{}
+	StallUntil <-chan struct{}
 }
 
-// Mode is how much a crash loses.
-type Mode int
+// CrashMode is how much a crash loses.
+type CrashMode int
 
 // The modes.
 const (
-	Process Mode = iota // all that was written stays
-	Power               // what was not synced may be lost, in any order
+	ProcessCrash CrashMode = iota // all that was written stays
+	PowerLoss                     // what was not synced may be lost, in any order
 )
 
-// Mem is the file system.
-type Mem struct {
-	Hook func(Call) Verdict // asked before each call that changes or reads; nil: all goes well
-	Room int64              // bytes of all files together; 0: any
+// FS is the file system.
+type FS struct {
+	Hook          func(Call) Fault // asked before each call that changes or reads; nil: all goes well
+	CapacityBytes int64            // bytes of all files together; 0: any
 
 	mu      sync.Mutex
 	names   map[string]*inode
@@ -89,26 +89,26 @@
 }
 
 // New makes an empty one.
-func New() *Mem {
-	return &Mem{names: map[string]*inode{}, durable: map[string]*inode{}, locks: map[string]bool{}}
+func New() *FS {
+	return &FS{names: map[string]*inode{}, durable: map[string]*inode{}, locks: map[string]bool{}}
 }
 
-// Calls counts the calls so far.
-func (m *Mem) Calls() int {
+// CallCount counts the calls so far.
+func (m *FS) CallCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.calls
 }
 
-// Names lists what is there.
-func (m *Mem) Names() []string {
+// FileNames lists what is there.
+func (m *FS) FileNames() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Sorted(maps.Keys(m.names))
 }
 
-// Used counts the bytes of all files, each in whole blocks of 512.
-func (m *Mem) Used() (sum int64) {
+// UsedBytes counts the bytes of all files, each in whole blocks of 512.
+func (m *FS) UsedBytes() (sum int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, n := range m.names {
@@ -118,7 +118,7 @@
 }
 
 // Data gives the bytes of a file; they may be changed, as a bad disk does.
-func (m *Mem) Data(name string) []byte {
+func (m *FS) Data(name string) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if n := m.names[name]; n != nil {
@@ -128,21 +128,21 @@
 }
 
 // Put lays a file down, as if it had always been there.
-func (m *Mem) Put(name string, data []byte) {
+func (m *FS) Put(name string, data []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := &inode{data: slices.Clone(data), synced: slices.Clone(data)}
 	m.names[name], m.durable[name] = n, n
 }
 
-// After gives the file system as it is found after a crash; nothing of the old one can be used any more.
-func (m *Mem) After(mode Mode, chance *rand.Rand) *Mem {
+// AfterCrash gives the file system as it is found after a crash; nothing of the old one can be used any more.
+func (m *FS) AfterCrash(mode CrashMode, chance *rand.Rand) *FS {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.dead = true
 	next := New()
 	found := maps.Clone(m.names)
-	if mode == Power {
+	if mode == PowerLoss {
 		found = maps.Clone(m.durable)
 		all, none := chance.IntN(4) == 0, chance.IntN(4) == 0
 		for _, op := range m.unsaid { // each may have got through by itself
@@ -160,7 +160,7 @@
 	for _, name := range slices.Sorted(maps.Keys(found)) {
 		n := found[name]
 		data := slices.Clone(n.data)
-		if mode == Power {
+		if mode == PowerLoss {
 			data = n.survives(chance)
 		}
 		next.Put(name, data)
@@ -197,13 +197,13 @@
 }
 
 // call asks the hook; the lock is held.
-func (m *Mem) call(op, name string, bytes int) (Verdict, error) {
+func (m *FS) call(op, name string, bytes int) (Fault, error) {
 	if m.dead {
-		return Verdict{}, ErrCrashed
+		return Fault{}, ErrCrashed
 	}
 	c := Call{m.calls, op, name, bytes}
 	m.calls++
-	var v Verdict
+	var v Fault
 	if m.Hook != nil {
 		v = m.Hook(c)
 	}
@@ -218,7 +218,7 @@
 }
 
 // MkdirAll makes nothing: there is one folder.
-func (m *Mem) MkdirAll(dir string) error {
+func (m *FS) MkdirAll(dir string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	_, err := m.call("mkdir", dir, 0)
@@ -226,14 +226,14 @@
 }
 
 type file struct {
-	m    *Mem
+	m    *FS
 	n    *inode
 	name string
 	ro   bool
 }
 
 // Create makes a file, or empties it.
-func (m *Mem) Create(name string) (vfs.File, error) {
+func (m *FS) Create(name string) (vfs.File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if _, err := m.call("create", name, 0); err != nil {
@@ -246,7 +246,7 @@
 }
 
 // Open opens a file for reading.
-func (m *Mem) Open(name string) (vfs.File, error) {
+func (m *FS) Open(name string) (vfs.File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if _, err := m.call("open", name, 0); err != nil {
@@ -260,7 +260,7 @@
 }
 
 // OpenReadWrite opens a file that is there for reading and writing, as it is.
-func (m *Mem) OpenReadWrite(name string) (vfs.File, error) {
+func (m *FS) OpenReadWrite(name string) (vfs.File, error) {
 	f, err := m.Open(name)
 	if err != nil {
 		return nil, err
@@ -271,7 +271,7 @@
 }
 
 // Remove removes a file.
-func (m *Mem) Remove(name string) error {
+func (m *FS) Remove(name string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if _, err := m.call("remove", name, 0); err != nil {
@@ -286,7 +286,7 @@
 }
 
 // Rename gives a file another name.
-func (m *Mem) Rename(from, to string) error {
+func (m *FS) Rename(from, to string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if _, err := m.call("rename", from, 0); err != nil {
@@ -303,7 +303,7 @@
 }
 
 // List names the files of a folder.
-func (m *Mem) List(dir string) ([]string, error) {
+func (m *FS) List(dir string) ([]string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if _, err := m.call("list", dir, 0); err != nil {
@@ -320,7 +320,7 @@
 }
 
 // SyncDir has the names on the disk.
-func (m *Mem) SyncDir(dir string) error {
+func (m *FS) SyncDir(dir string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if _, err := m.call("syncdir", dir, 0); err != nil {
@@ -331,7 +331,7 @@
 }
 
 type lock struct {
-	m    *Mem
+	m    *FS
 	name string
 }
 
@@ -343,7 +343,7 @@
 }
 
 // Lock takes a name.
-func (m *Mem) Lock(name string) (io.Closer, error) {
+func (m *FS) Lock(name string) (io.Closer, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if _, err := m.call("lock", name, 0); err != nil {
@@ -384,14 +384,14 @@
 	if err != nil {
 		n = 0
 		if v.Crash || v.Err != nil {
-			n = max(0, min(v.Partly, len(p)))
+			n = max(0, min(v.PartialBytes, len(p)))
 		}
-	} else if m.Room > 0 {
+	} else if m.CapacityBytes > 0 {
 		used := int64(0)
 		for _, o := range m.names {
 			used += int64(len(o.data))
 		}
-		if free := m.Room - used; at+int64(n)-int64(len(f.n.data)) > free {
+		if free := m.CapacityBytes - used; at+int64(n)-int64(len(f.n.data)) > free {
 			n = int(max(0, min(int64(n), free+int64(len(f.n.data))-at)))
 			err = &fs.PathError{Op: "write", Path: f.name, Err: syscall.ENOSPC}
 		}
@@ -412,9 +412,9 @@
 		return err
 	}
 	data, through := slices.Clone(f.n.data), f.n.writes
-	if v.Stall != nil {
+	if v.StallUntil != nil {
 		f.m.mu.Unlock()
-		<-v.Stall
+		<-v.StallUntil
 		f.m.mu.Lock()
 		if f.m.dead {
 			return ErrCrashed
--- a/internal/vfs/memfs/memfs_test.go
+++ b/internal/vfs/memfs/memfs_test.go
@@ -21,7 +21,7 @@
 const name = "dir/file"
 
 // written is a file system with a file whose name is on the disk.
-func written(bytes string) (*memfs.Mem, vfs.File) {
+func written(bytes string) (*memfs.FS, vfs.File) {
 	m := memfs.New()
 	f, err := m.Create(name)
 	Expect(err).NotTo(HaveOccurred())
@@ -36,10 +36,10 @@
 }
 
 // worst is what is certain to be there after power was lost: the shortest of many draws.
-func worst(m *memfs.Mem) string {
+func worst(m *memfs.FS) string {
 	shortest := "more than was written"
 	for seed := range uint64(200) {
-		left := string(m.After(memfs.Power, rand.New(rand.NewPCG(seed, 1))).Data(name))
+		left := string(m.AfterCrash(memfs.PowerLoss, rand.New(rand.NewPCG(seed, 1))).Data(name))
 		if len(left) < len(shortest) {
 			shortest = left
 		}
@@ -48,7 +48,7 @@
 }
 
 var _ = Describe("a sync that stalls", func() {
-	var m *memfs.Mem
+	var m *memfs.FS
 	var f vfs.File
 	var release chan struct{}
 	var ended chan error
@@ -57,12 +57,12 @@
 		m, f = written("one")
 		release, ended = make(chan struct{}), make(chan error, 1)
 		asked := make(chan struct{})
-		m.Hook = func(c memfs.Call) memfs.Verdict {
+		m.Hook = func(c memfs.Call) memfs.Fault {
 			if c.Op != "sync" {
-				return memfs.Verdict{}
+				return memfs.Fault{}
 			}
 			close(asked)
-			return memfs.Verdict{Stall: release}
+			return memfs.Fault{StallUntil: release}
 		}
 		go func() { ended <- f.Sync() }()
 		<-asked
@@ -88,12 +88,12 @@
 var _ = Describe("a full disk", func() {
 	It("takes a part, says so, and takes the rest once there is room", func() {
 		m, f := written("one")
-		m.Room = 4
+		m.CapacityBytes = 4
 		n, err := f.WriteAt([]byte("two"), 3)
 		Expect(n).To(Equal(1))
 		Expect(vfs.IsFull(err)).To(BeTrue())
 		Expect(errors.Is(err, syscall.ENOSPC)).To(BeTrue())
-		m.Room = 6
+		m.CapacityBytes = 6
 		write(f, "two", 3)
 		Expect(f.Sync()).To(Succeed())
 		Expect(worst(m)).To(Equal("onetwo"))
