--- a/internal/delivery/clients/conns.go
+++ b/internal/delivery/clients/conns.go
@@ -19,33 +19,33 @@
 	"emberquay/internal/delivery/protocol"
 )
 
-// stage is how far a connection has come with its present request.
+// stage is the progress of a connection with its current request.
 type stage int
 
-// The stages, and what they mean at the cap.
+// The stages, and what each means for eviction at the connection limit.
 const (
-	refused stage = iota // its last answer is given: it goes first
-	silent               // nothing has come: it goes once a usual client would have spoken
-	partial              // not all of a request has come: likewise
-	idle                 // between requests: the longest idle goes
-	working              // an answer is owed: it stays
+	refused stage = iota // its last response has been sent: evicted first
+	silent               // nothing received: evicted once a normal client would have sent something
+	partial              // part of a request received: evicted once overdue
+	idle                 // between requests: the longest idle is evicted
+	working              // a response is due: never evicted
 )
 
 func (s stage) String() string {
 	return [...]string{"refused", "silent", "partial", "idle", "working"}[s]
 }
 
-// conns counts the clients' connections. At the cap one makes room for a new one; if none can the new one
+// conns holds the clients' connections. At the limit one is evicted for a new one; if none can be, the new one
 // waits.
 type conns struct {
 	limits config.Limits
 
-	stopping atomic.Bool // none is kept between requests
+	stopping atomic.Bool // no connection is kept open between requests
 
-	mu      sync.Mutex
-	open    map[*conn]bool
-	waiting bool      // a new one waits
-	told    time.Time // when the log last had that room was made
+	mu         sync.Mutex
+	open       map[*conn]bool
+	waiting    bool      // a new connection waits for a place
+	lastLogged time.Time // when an eviction was last logged
 }
 
 func newConns(limits config.Limits) *conns { return &conns{limits: limits, open: map[*conn]bool{}} }
@@ -56,125 +56,126 @@
 	return len(c.open)
 }
 
-// changed is the server's hook.
-func (c *conns) changed(raw net.Conn, state http.ConnState) {
-	to := map[http.ConnState]stage{http.StateNew: silent, http.StateActive: partial, http.StateIdle: idle}
-	at, ok := to[state]
+// onStateChange is the server's ConnState hook.
+func (c *conns) onStateChange(raw net.Conn, state http.ConnState) {
+	stages := map[http.ConnState]stage{http.StateNew: silent, http.StateActive: partial, http.StateIdle: idle}
+	next, ok := stages[state]
 	if !ok {
 		return
 	}
 	o := raw.(*conn)
-	if at == idle && o.ahead.Load() {
-		at = partial // some of its next request was read beside the answer
+	if next == idle && o.requestPending.Load() {
+		next = partial // some of its next request was read before the response was complete
 	}
-	o.reached(at)
+	o.setStage(next)
 	if c.stopping.Load() {
-		c.rest()
+		c.closeIdle()
 	}
 }
 
-// wanted says whether a new connection waits for this one's place; it is asked before an answer, so that the
-// client is told and no request of its crosses the close.
-func (c *conns) wanted() bool {
+// consumeWaiting reports whether a new connection waits for this one's place, and resets the mark. It is called before a
+// response is written, so that the client is told of the close and sends no further request on the connection.
+func (c *conns) consumeWaiting() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	wanted := c.waiting
+	waiting := c.waiting
 	c.waiting = false
-	return wanted
+	return waiting
 }
 
-// admit lets a connection in if there is room, or if room can be made.
+// admit adds a connection if there is room, or if another can be evicted.
 func (c *conns) admit(n *conn) bool {
 	c.mu.Lock()
-	var goes *conn
+	var evicted *conn
 	if len(c.open) >= c.limits.MaxClientConns {
-		goes = c.makeRoom()
+		evicted = c.makeRoom()
 	}
 	if c.waiting = len(c.open) >= c.limits.MaxClientConns; !c.waiting {
 		c.open[n] = true
 	}
 	admitted := !c.waiting
 	c.mu.Unlock()
-	goes.hangUp()
+	evicted.closeEvicted()
 	return admitted
 }
 
-// makeRoom gives up the connection that is worth least; nil if none may go. It is closed once the lock is free. Those
-// that say nothing, or never end what they say, may have a quarter of the places: with more, what is idle would go for
-// them, and with fewer the next client that asks would wait behind them to be let in, as each has a moment to speak.
+// makeRoom evicts the least valuable connection and returns it, to be closed without the lock; nil if none can be evicted.
+// Idle connections are evicted only while those without a complete request hold at most a quarter of the places. With a
+// higher bound, idle connections would be evicted for them; with a lower one, the next client with a request would wait
+// behind them to be admitted, since each gets a moment to send something.
 func (c *conns) makeRoom() *conn {
 	now := time.Now()
-	var over, between, unheard, ripe []*conn
+	var evictable, idleConns, incomplete, overdue []*conn
 	for _, o := range slices.SortedFunc(maps.Keys(c.open), func(a, b *conn) int { return a.since.Compare(b.since) }) {
-		switch o.at {
+		switch o.stage {
 		case refused:
-			over = append(over, o)
+			evictable = append(evictable, o)
 		case idle:
-			between = append(between, o)
+			idleConns = append(idleConns, o)
 		case silent, partial:
-			unheard = append(unheard, o)
-			if o.at == silent && now.Sub(o.since) >= c.limits.FirstRequestTimeout || now.Sub(o.since) >= c.limits.AnswerTimeout {
-				ripe = append(ripe, o)
+			incomplete = append(incomplete, o)
+			if o.stage == silent && now.Sub(o.since) >= c.limits.FirstRequestTimeout || now.Sub(o.since) >= c.limits.AnswerTimeout {
+				overdue = append(overdue, o)
 			}
 		}
 	}
-	if len(unheard) <= c.limits.MaxClientConns/4 {
-		over = append(over, between...)
+	if len(incomplete) <= c.limits.MaxClientConns/4 {
+		evictable = append(evictable, idleConns...)
 	}
-	for _, o := range append(over, ripe...) {
-		if !c.giveUp(o) {
-			continue // its request has just come
+	for _, o := range append(evictable, overdue...) {
+		if !c.evict(o) {
+			continue // a request has just arrived on it
 		}
-		if now.Sub(c.told) >= time.Second { // it may be every connection
-			c.told = now
-			slog.Info("made_room", "part", "clients", "from", o.RemoteAddr(), "at", o.at, "for", now.Sub(o.since))
+		if now.Sub(c.lastLogged) >= time.Second { // at most one line per second: it may be every connection
+			c.lastLogged = now
+			slog.Info("made_room", "part", "clients", "from", o.RemoteAddr(), "at", o.stage, "for", now.Sub(o.since))
 		}
 		return o
 	}
 	return nil
 }
 
-// giveUp takes the place of a connection, unless a request has just come on it. What comes from here on is never
-// read, so its client hands it in once more: what was read on a connection that is closed under it would be sent
-// on, and nobody would hear of it. Under the lock.
-func (c *conns) giveUp(o *conn) bool {
-	if unread, _ := protocol.Peek(o.Conn); unread && (o.at == silent || o.at == idle) {
+// evict removes a connection, unless a request has just arrived on it. Nothing that arrives from here on is read, so
+// that the client hands it in again: a text read on a connection that is then closed would be delivered without its
+// client being told. Call it with the lock held.
+func (c *conns) evict(o *conn) bool {
+	if unread, _ := protocol.Peek(o.Conn); unread && (o.stage == silent || o.stage == idle) {
 		return false
 	}
 	delete(c.open, o)
-	o.over = true
+	o.evicted = true
 	return true
 }
 
-// rest closes the connections on which nothing is asked.
-func (c *conns) rest() {
+// closeIdle closes the connections that are between requests.
+func (c *conns) closeIdle() {
 	c.mu.Lock()
-	var over []*conn
+	var evicted []*conn
 	for o := range c.open {
-		if o.at == idle && c.giveUp(o) {
-			over = append(over, o)
+		if o.stage == idle && c.evict(o) {
+			evicted = append(evicted, o)
 		}
 	}
 	c.mu.Unlock()
-	for _, o := range over {
-		o.hangUp()
+	for _, o := range evicted {
+		o.closeEvicted()
 	}
 }
 
-func (c *conns) listen(l net.Listener) net.Listener { return &listener{l, c} }
+func (c *conns) limitListener(l net.Listener) net.Listener { return &listener{l, c} }
 
 type listener struct {
 	net.Listener
 	conns *conns
 }
 
-// Accept takes a connection once there is room for it.
+// Accept returns a connection once there is room for it.
 func (l *listener) Accept() (net.Conn, error) {
 	raw, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	n := &conn{Conn: raw, conns: l.conns, at: silent, since: time.Now()}
+	n := &conn{Conn: raw, conns: l.conns, stage: silent, since: time.Now()}
 	for full := false; !l.conns.admit(n); time.Sleep(l.conns.limits.FirstRequestTimeout / 4) {
 		if !full {
 			full = true
@@ -184,31 +185,31 @@
 	return n, nil
 }
 
-// conn is one client's connection. It reads along what comes: net/http hides a length that stands beside
-// pieces, by which a body may conceal another request.
+// conn is one client's connection. It parses the requests as they are read: net/http hides a Content-Length beside
+// Transfer-Encoding: chunked, with which a body can smuggle another request.
 type conn struct {
 	net.Conn
 	conns *conns
 
-	at    stage     // under the lock of conns
-	since time.Time // likewise
-	over  bool      // likewise: it has lost its place, nothing is read on it any more
+	stage   stage // guarded by conns.mu, as the next two
+	since   time.Time
+	evicted bool // nothing is read on it any more
 
-	request protocol.Message // the reader's alone
-	paired  atomic.Bool      // a length stood beside pieces; it never has a further request
-	ahead   atomic.Bool      // a request has begun and not all of it was read
+	request         protocol.Message // used only by the reader
+	ambiguousLength atomic.Bool      // a request had both Content-Length and chunked encoding; no further request is served
+	requestPending  atomic.Bool      // a request has been read in part
 }
 
-// reached notes how far the connection has come.
-func (c *conn) reached(at stage) {
+// setStage records the stage of the connection.
+func (c *conn) setStage(next stage) {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
-	c.at, c.since = at, time.Now()
+	c.stage, c.since = next, time.Now()
 }
 
-// take reads what has come and notes it in one step: whoever gives up an idle connection sees a request of which
-// nothing was read, or one that is under way. Between a read and its note it could be closed under a request.
-func (c *conn) take(b []byte) (n int, err error) {
+// readAndMark reads and records the new stage in one step under the lock, so that an eviction sees either a request that
+// is still unread or the stage partial. With two steps an idle connection could be closed after a request was read from it.
+func (c *conn) readAndMark(b []byte) (n int, err error) {
 	tcp, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return 0, errors.ErrUnsupported
@@ -221,7 +222,7 @@
 	err = raw.Read(func(fd uintptr) bool {
 		c.conns.mu.Lock()
 		defer c.conns.mu.Unlock()
-		if c.over {
+		if c.evicted {
 			n, fault = 0, net.ErrClosed
 			return true
 		}
@@ -231,8 +232,8 @@
 		if fault == syscall.EAGAIN {
 			return false
 		}
-		if n > 0 && (c.at == silent || c.at == idle) {
-			c.at, c.since = partial, time.Now()
+		if n > 0 && (c.stage == silent || c.stage == idle) {
+			c.stage, c.since = partial, time.Now()
 		}
 		return true
 	})
@@ -243,7 +244,7 @@
 	case err == nil && fault == nil:
 		return n, nil
 	}
-	// As a read of the connection would tell it, which net/http knows.
+	// The error has the form that a read of the connection returns, which net/http expects.
 	if wrapped := (*net.OpError)(nil); errors.As(err, &wrapped) {
 		err = wrapped.Err
 	}
@@ -251,21 +252,21 @@
 }
 
 func (c *conn) Read(b []byte) (int, error) {
-	n, err := c.take(b)
+	n, err := c.readAndMark(b)
 	for rest := b[:n]; len(rest) > 0; {
 		if c.request.Section == protocol.Complete || !c.request.IsRequest {
 			c.request = protocol.Message{IsRequest: true}
 		}
 		rest = rest[c.request.Feed(rest):]
 		if c.request.LengthConflict {
-			c.paired.Store(true)
+			c.ambiguousLength.Store(true)
 		}
 	}
-	c.ahead.Store(c.request.Started && c.request.Section != protocol.Complete)
+	c.requestPending.Store(c.request.Started && c.request.Section != protocol.Complete)
 	return n, err
 }
 
-// CloseWrite lets net/http end its side first, so that an answer to what was not read is not lost.
+// CloseWrite lets net/http close its side first, so that the response to a request not read in full is not lost.
 func (c *conn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
@@ -273,31 +274,32 @@
 	return nil
 }
 
-// Close gives the place back.
+// Close closes the connection and frees its place.
 func (c *conn) Close() error {
 	c.conns.mu.Lock()
 	delete(c.conns.open, c)
-	c.over = true
+	c.evicted = true
 	c.conns.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// hangUp closes what was given up: without the lock, as a close waits for whoever reads.
-func (c *conn) hangUp() {
+// closeEvicted closes an evicted connection. Call it without the lock, since a close waits for the reader, which takes it.
+func (c *conn) closeEvicted() {
 	if c != nil {
 		c.Conn.Close()
 	}
 }
 
-// DisableKeepAlives: the process is to end. Idle connections close, others after their next answer; new ones still come.
-// The server's own ways to close idle ones are not used: they close some on which a request has been read already.
+// DisableKeepAlives prepares the end of the process: idle connections are closed, others after their next response; new
+// ones are still accepted. The methods of http.Server for this are not used: they also close connections from which a
+// request has already been read.
 func (s *Server) DisableKeepAlives() {
 	s.conns.stopping.Store(true)
-	s.conns.rest() // one that goes idle from now on closes then
+	s.conns.closeIdle() // a connection that becomes idle later is closed then
 }
 
-// Shutdown takes no new connections and waits until those that are open have had their answers. The server's own
-// shutdown leaves a request unanswered whose connection is accepted at that moment.
+// Shutdown stops accepting connections and waits until the open ones have had their responses. http.Server.Shutdown
+// leaves a request unanswered if its connection is accepted at that moment.
 func (s *Server) Shutdown(ctx context.Context) error {
 	if l := s.listener.Load(); l != nil {
 		(*l).Close()
--- a/internal/delivery/receivers/call.go
+++ b/internal/delivery/receivers/call.go
@@ -23,94 +23,94 @@
 	"emberquay/internal/delivery/protocol"
 )
 
-// The path of a call and the headers that only its answers have.
+// The path of a call and the headers of its responses.
 const (
-	callPath     = "/events"
-	waitHeader   = "X-Retry-In-Ms"
-	noSlotHeader = "X-No-Slot"
-	reportHeader = "X-Load-Report"
+	callPath         = "/events"
+	retryAfterHeader = "X-Retry-In-Ms"
+	unsentHeader     = "X-No-Slot"
+	reportHeader     = "X-Load-Report"
 )
 
-// Call is one submit of a text.
+// Call is one attempt to deliver a text.
 type Call struct {
 	TextID         string
-	IdempotencyKey string // by which the receiver knows a repeat; may be empty
+	IdempotencyKey string // by which the receiver recognizes a repeat; may be empty
 	Body           []byte
-	Timeout        time.Duration // for the answer
+	Timeout        time.Duration // for the response
 	Done           func(control.Result)
 
-	// MaySend says whether a call that had to wait for its connection may leave; nil: it may.
+	// MaySend reports whether a call that had to wait for its connection may still be sent; nil: it may.
 	MaySend func(context.Context) bool
 
-	addr   string
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	stage  atomic.Int32 // waiting, leaving or kept back
+	addr      string
+	ctx       context.Context
+	cancel    context.CancelCauseFunc
+	sendState atomic.Int32 // notStarted, sending or withheld
 }
 
-// Until a call leaves it can be kept back: then nothing of it is ever written.
+// The send states. A call that is withheld before sending starts is never written.
 const (
-	waiting int32 = iota
-	leaving
-	keptBack
+	notStarted int32 = iota
+	sending
+	withheld
 )
 
-// NewCall makes a call that Cancel can call off from the start.
-func NewCall(text, mark string, body []byte, wait time.Duration, done func(control.Result)) *Call {
-	c := &Call{TextID: text, IdempotencyKey: mark, Body: body, Timeout: wait, Done: done}
+// NewCall returns a call; Cancel works from here on.
+func NewCall(textID, idempotencyKey string, body []byte, timeout time.Duration, done func(control.Result)) *Call {
+	c := &Call{TextID: textID, IdempotencyKey: idempotencyKey, Body: body, Timeout: timeout, Done: done}
 	c.ctx, c.cancel = context.WithCancelCause(context.Background())
 	return c
 }
 
 var (
-	errCancelled = errors.New("called off")
-	errTooLong   = errors.New("no answer in time")
-	errTooMany   = errors.New("too many connections")
-	errDead      = errors.New("the receiver has ended the connection")
-	errSpoilt    = errors.New("the head of the answer does not end")
-	errOverdue   = errors.New("it had its connection too late to leave")
+	errCancelled   = errors.New("call cancelled")
+	errTimeout     = errors.New("no response within the timeout")
+	errConnLimit   = errors.New("too many connections")
+	errConnDead    = errors.New("receiver closed the connection or sent unsolicited bytes before the call")
+	errHeadTimeout = errors.New("the head of the answer does not end")
+	errTooLate     = errors.New("it had its connection too late to leave")
 )
 
-// Cancel gives the call up; its connection is closed.
+// Cancel cancels the call and closes its connection.
 func (c *Call) Cancel() { c.cancel(errCancelled) }
 
-// CancelUnsent gives the call up if it still waits for its connection, so that it surely never runs.
+// CancelUnsent cancels the call if it still waits for its connection, so that it is certain not to run.
 func (c *Call) CancelUnsent() {
-	if c.stage.CompareAndSwap(waiting, keptBack) {
+	if c.sendState.CompareAndSwap(notStarted, withheld) {
 		c.cancel(errCancelled)
 	}
 }
 
-// leave notes that some of the call may be written from now on; false: it was kept back.
-func (c *Call) leave() bool {
-	return c.stage.CompareAndSwap(waiting, leaving) || c.stage.Load() == leaving
+// startSending records that the call may be written from now on; false: it was withheld.
+func (c *Call) startSending() bool {
+	return c.sendState.CompareAndSwap(notStarted, sending) || c.sendState.Load() == sending
 }
 
-// trip is one way of a call over one connection.
-type trip struct {
-	on         *conn // nil before there is one
-	wrote, cut atomic.Bool
+// roundTrip is the state of one try to send a call over one connection.
+type roundTrip struct {
+	conn                 *conn // nil until the transport has assigned one
+	written, writeFailed atomic.Bool
 }
 
-// round makes one trip.
-func (p *peer) round(c *Call, first bool) (*trip, *http.Response, error) {
-	t := &trip{}
+// tryRoundTrip sends the call over one connection.
+func (p *peer) tryRoundTrip(c *Call, first bool) (*roundTrip, *http.Response, error) {
+	t := &roundTrip{}
 	ctx := httptrace.WithClientTrace(c.ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
-			t.on, _ = info.Conn.(*conn)
-			// While a connection was made, by a network that says nothing for a second, say, a wait may have been
-			// told or the time for a repeat have passed: what is written now counts as sent now.
-			var stop error
-			if !(first && info.WasIdle) && c.MaySend != nil && !c.MaySend(c.ctx) || !c.leave() {
-				stop = errOverdue
+			t.conn, _ = info.Conn.(*conn)
+			// While the connection was being made, which may take a second on a lossy network, a Retry-After delay may
+			// have been announced or the repeat window have ended: a call written now counts as sent now.
+			var writeErr error
+			if !(first && info.WasIdle) && c.MaySend != nil && !c.MaySend(c.ctx) || !c.startSending() {
+				writeErr = errTooLate
 			}
-			t.on.begin(stop, func() { c.cancel(errSpoilt) })
+			t.conn.startCall(writeErr, func() { c.cancel(errHeadTimeout) })
 		},
 		WroteRequest: func(w httptrace.WroteRequestInfo) {
 			if w.Err == nil {
-				t.wrote.Store(true)
+				t.written.Store(true)
 			} else {
-				t.cut.Store(true)
+				t.writeFailed.Store(true)
 			}
 		},
 	})
@@ -118,15 +118,15 @@
 	return t, resp, err
 }
 
-// request is the call as it is written. Its body has no GetBody: http.Transport else sends a request with an idempotency key
-// a second time by itself when its connection breaks, and the receiver counts that as a second submit; of an empty body,
-// too, as it is not http.NoBody. It is one that http.Transport knows to be in memory: head and body then leave in one
-// write where they fit its buffer. Of any other the head leaves first, and a call that is given up in between has been
-// begun at its receiver and not been written whole.
+// request returns the HTTP request of the call. It has no GetBody: otherwise http.Transport resends a request with an
+// idempotency key by itself when its connection breaks, and the receiver counts that as a second call. An empty body is
+// not http.NoBody for the same reason. The body's type is one that http.Transport knows to be in memory: head and
+// body then go out in one write if they fit its buffer. With any other type the head is written first, and a call
+// cancelled in between has begun at the receiver without being complete.
 func (c *Call) request() *http.Request {
 	req := &http.Request{
 		Method: http.MethodPost, URL: &url.URL{Scheme: "http", Host: c.addr, Path: callPath},
-		Host: c.addr, Header: http.Header{protocol.IDHeader: {c.TextID}, protocol.BudgetHeader: {seconds(c.Timeout)}},
+		Host: c.addr, Header: http.Header{protocol.IDHeader: {c.TextID}, protocol.BudgetHeader: {formatSeconds(c.Timeout)}},
 		Body: io.NopCloser(bytes.NewReader(c.Body)), ContentLength: int64(len(c.Body)),
 	}
 	if c.IdempotencyKey != "" {
@@ -135,55 +135,55 @@
 	return req
 }
 
-// call makes the call and tells its result once.
-func (p *peer) call(c *Call) {
+// runCall makes the call and reports its result once.
+func (p *peer) runCall(c *Call) {
 	began := time.Now()
-	timer := time.AfterFunc(c.Timeout, func() { c.cancel(errTooLong) })
+	timer := time.AfterFunc(c.Timeout, func() { c.cancel(errTimeout) })
 	defer timer.Stop()
 	defer c.cancel(nil)
-	t, resp, err := p.round(c, true)
-	// To a connection that was found dead nothing of the call was written: it goes on the next one.
-	for tries := 0; err != nil && c.ctx.Err() == nil && tries < p.fleet.limits.MaxCalls; tries++ {
-		if _, stop := t.on.state(); stop != errDead {
+	t, resp, err := p.tryRoundTrip(c, true)
+	// Nothing of the call was written to a connection found dead: the next connection is tried.
+	for tries := 0; err != nil && c.ctx.Err() == nil && tries < p.pool.limits.MaxCalls; tries++ {
+		if _, writeErr := t.conn.callState(); writeErr != errConnDead {
 			break
 		}
-		t, resp, err = p.round(c, false)
+		t, resp, err = p.tryRoundTrip(c, false)
 	}
 	took := time.Since(began)
 	var r control.Result
 	if err != nil {
-		r = p.failed(c, t, err)
+		r = p.failedResult(c, t, err)
 	} else {
-		kept, _ := t.on.state()
-		r = p.read(resp, kept)
-		// An answer that does not fit its length is spoilt: whatever it says but for a delivery, the call may
-		// have run.
-		if !c.drain(resp, p.fleet.limits) && r.Outcome != control.Delivered {
+		reused, _ := t.conn.callState()
+		r = p.readResponse(resp, reused)
+		// A response whose body does not match its length is not trusted: unless it reports a delivery, the call
+		// counts as possibly run.
+		if !c.discardBody(resp, p.pool.limits) && r.Outcome != control.Delivered {
 			r = control.Result{Outcome: control.ConnectionLost, Report: r.Report}
 		}
 	}
-	if p.gone.Load() {
+	if p.removed.Load() {
 		p.transport.CloseIdleConnections()
 	}
 	r.Took = protocol.Ticks(took)
 	c.Done(r)
 }
 
-// failed says what a call came to that has no answer which can be read.
-func (p *peer) failed(c *Call, t *trip, err error) control.Result {
+// failedResult returns the result of a call without a readable response.
+func (p *peer) failedResult(c *Call, t *roundTrip, err error) control.Result {
 	var r control.Result
-	kept, stop := t.on.state()
-	status, answered := t.on.heard()
+	reused, writeErr := t.conn.callState()
+	status, answered := t.conn.responseStatus()
 	switch {
-	case status == http.StatusOK: // true, whatever comes after that line
+	case status == http.StatusOK: // the status line counts, whatever follows it
 		r.Outcome, r.Final = control.Delivered, true
-	case errors.Is(err, errTooMany), stop != nil, gaveUp(context.Cause(c.ctx)) && t.on.seal():
+	case errors.Is(err, errConnLimit), writeErr != nil, endedLocally(context.Cause(c.ctx)) && t.conn.preventWrites():
 		r.Outcome = control.Unsent
 	default:
-		r.Outcome = failure(context.Cause(c.ctx), t.on != nil, t.wrote.Load() || answered, t.cut.Load())
+		r.Outcome = failureOutcome(context.Cause(c.ctx), t.conn != nil, t.written.Load() || answered, t.writeFailed.Load())
 		broke := r.Outcome == control.ConnectionLost || r.Outcome == control.NoConnection
-		r.StaleConn = kept && broke && !answered
-		// One whose places are all taken says so in an answer.
+		r.StaleConn = reused && broke && !answered
+		// A receiver that is only out of connections accepts and says so in a response.
 		r.NotListening = r.Outcome == control.NoConnection && errors.Is(err, syscall.ECONNREFUSED)
 	}
 	if !errors.Is(err, errCancelled) {
@@ -192,10 +192,10 @@
 	return r
 }
 
-// drain reads the rest of an answer, so that the connection is free for whoever is let go by the result. It
-// says whether all came, in little time and room; if not, or where the length was not told, so that more could
-// follow unseen, the connection is dropped.
-func (c *Call) drain(resp *http.Response, limits config.Limits) bool {
+// discardBody reads the rest of a response, so that the connection is free for the call that the result allows to be sent.
+// It reports whether the body was complete within the limits of time and size. If not, the connection is dropped; so it
+// is if the length was not given, since surplus bytes could then follow undetected.
+func (c *Call) discardBody(resp *http.Response, limits config.Limits) bool {
 	defer resp.Body.Close()
 	if resp.ContentLength < 0 {
 		return true
@@ -206,18 +206,20 @@
 	return err == io.EOF && n == resp.ContentLength
 }
 
-// gaveUp says whether this side ended the call, rather than its connection.
-func gaveUp(cause error) bool { return errors.Is(cause, errTooLong) || errors.Is(cause, errCancelled) }
+// endedLocally reports whether the call was ended by a timeout or a cancellation on this side.
+func endedLocally(cause error) bool {
+	return errors.Is(cause, errTimeout) || errors.Is(cause, errCancelled)
+}
 
-// failure says what an answer that never came means. Only a request that was surely not written whole is
-// sure not to have run.
-func failure(cause error, connected, wrote, cut bool) control.Outcome {
+// failureOutcome returns the outcome of a call without a response. Only a request that is certain to be incomplete is
+// certain not to have run.
+func failureOutcome(cause error, connected, written, writeFailed bool) control.Outcome {
 	switch {
-	case !connected, cut && !wrote:
+	case !connected, writeFailed && !written:
 		return control.NoConnection
-	case !wrote && !gaveUp(cause): // the transport ends its writing before it tells of a broken connection
+	case !written && !endedLocally(cause): // the transport finishes writing before it reports a broken connection
 		return control.NoConnection
-	case errors.Is(cause, errTooLong):
+	case errors.Is(cause, errTimeout):
 		return control.NoAnswer
 	case errors.Is(cause, errCancelled):
 		return control.Cancelled
@@ -225,18 +227,18 @@
 	return control.ConnectionLost
 }
 
-// read takes from an answer what the module needs; kept: it came on a connection kept from an earlier call.
-func (p *peer) read(resp *http.Response, kept bool) control.Result {
-	r := control.Result{Report: p.report(resp.Header.Get(reportHeader))}
+// readResponse returns the result that a response reports; reused: it came on a connection reused from an earlier call.
+func (p *peer) readResponse(resp *http.Response, reused bool) control.Result {
+	r := control.Result{Report: p.parseReport(resp.Header.Get(reportHeader))}
 	switch resp.StatusCode {
 	case http.StatusOK:
 		r.Outcome, r.Final = control.Delivered, true
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		r.Outcome = control.Refused
-		if resp.Header.Get(noSlotHeader) == "1" {
+		if resp.Header.Get(unsentHeader) == "1" {
 			r.Outcome = control.Unsent
 		}
-		if v := resp.Header.Get(waitHeader); v != "" && r.Outcome == control.Refused {
+		if v := resp.Header.Get(retryAfterHeader); v != "" && r.Outcome == control.Refused {
 			ms, err := strconv.ParseFloat(v, 64)
 			if err != nil || !(ms >= 0) || ms > 1e9 {
 				slog.Warn("bad_wait", "part", "receivers", "addr", resp.Request.URL.Host, "value", v)
@@ -254,52 +256,52 @@
 			slog.Warn("odd_answer", "part", "receivers", "addr", resp.Request.URL.Host, "status", resp.StatusCode)
 		}
 	}
-	// One that has no place for a connection says so on it, without a report, and closes it.
-	r.ConnLimitReached = r.Outcome == control.Refused && !kept && resp.Close && r.RetryAfter == 0 && r.Report == nil
+	// A receiver at its connection limit refuses on the new connection, without a load report, and closes it.
+	r.ConnLimitReached = r.Outcome == control.Refused && !reused && resp.Close && r.RetryAfter == 0 && r.Report == nil
 	return r
 }
 
-// report reads "name=value,..." into the order of the settings; what is left out is NaN.
-func (p *peer) report(text string) []float64 {
-	if text == "" {
+// parseReport parses "name=value,..." into the order of reportNames; a missing value is NaN.
+func (p *peer) parseReport(header string) []float64 {
+	if header == "" {
 		return nil
 	}
-	row := make([]float64, len(p.fleet.names))
-	for i := range row {
-		row[i] = math.NaN()
+	values := make([]float64, len(p.pool.reportNames))
+	for i := range values {
+		values[i] = math.NaN()
 	}
-	for _, pair := range strings.Split(text, ",") {
+	for _, pair := range strings.Split(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		v, err := strconv.ParseFloat(value, 64)
 		if err != nil || !(v >= 0) || math.IsInf(v, 0) {
-			slog.Warn("bad_report", "part", "receivers", "value", text)
+			slog.Warn("bad_report", "part", "receivers", "value", header)
 			return nil
 		}
-		for i, n := range p.fleet.names {
+		for i, n := range p.pool.reportNames {
 			if n == name {
-				row[i] = v
+				values[i] = v
 			}
 		}
 	}
-	return row
+	return values
 }
 
-// seconds writes a time as the protocol does, rounded down.
-func seconds(d time.Duration) string {
+// formatSeconds formats a duration in seconds with four decimals, rounded down.
+func formatSeconds(d time.Duration) string {
 	return strconv.FormatFloat(math.Floor(max(0, d).Seconds()*1e4)/1e4, 'f', 4, 64)
 }
 
-// dial opens a connection within the limits.
+// dial opens a connection if the limit allows one more.
 func (p *peer) dial(ctx context.Context, network, addr string) (net.Conn, error) {
-	if !p.fleet.take(p) {
-		return nil, fmt.Errorf("%w: %d", errTooMany, p.fleet.limits.MaxReceiverConns)
+	if !p.pool.reserveConn(p) {
+		return nil, fmt.Errorf("%w: %d", errConnLimit, p.pool.limits.MaxReceiverConns)
 	}
-	p.fleet.dials.Add(1)
-	d := net.Dialer{Timeout: p.fleet.limits.DialTimeout, KeepAlive: -1}
+	p.pool.dials.Add(1)
+	d := net.Dialer{Timeout: p.pool.limits.DialTimeout, KeepAlive: -1}
 	c, err := d.DialContext(ctx, network, addr)
 	if err != nil {
-		p.fleet.open.Add(-1)
+		p.pool.openConns.Add(-1)
 		return nil, err
 	}
-	return &conn{Conn: c, fleet: p.fleet}, nil
+	return &conn{Conn: c, pool: p.pool}, nil
 }
--- a/internal/delivery/receivers/call_test.go
+++ b/internal/delivery/receivers/call_test.go
@@ -23,15 +23,16 @@
 var limits = config.Limits{MaxReceiverConns: 8, MaxCalls: 4, MaxBodyBytes: 64 << 10, MaxHeaderBytes: 16 << 10,
 	DialTimeout: time.Second, ReceiverIdleTimeout: time.Second, DrainTimeout: 50 * time.Millisecond}
 
-// standIn is a receiver that answers each request as told; an empty answer breaks the connection.
-func standIn(t *testing.T, answer func(r *http.Request, body []byte) string) (string, *atomic.Int64) {
+// fakeReceiver starts a receiver that answers each request with what respond returns; an empty response closes the
+// connection.
+func fakeReceiver(t *testing.T, respond func(r *http.Request, body []byte) string) (string, *atomic.Int64) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	var came atomic.Int64
+	var requests atomic.Int64
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -47,8 +48,8 @@
 						return
 					}
 					body, _ := io.ReadAll(r.Body)
-					came.Add(1)
-					a := answer(r, body)
+					requests.Add(1)
+					a := respond(r, body)
 					if a == "" {
 						return
 					}
@@ -57,14 +58,14 @@
 			}()
 		}
 	}()
-	return l.Addr().String(), &came
+	return l.Addr().String(), &requests
 }
 
 // submit makes one call and waits for its result.
-func submit(t *testing.T, f *Pool, body []byte, wait time.Duration) control.Result {
+func submit(t *testing.T, pool *Pool, body []byte, wait time.Duration) control.Result {
 	t.Helper()
 	done := make(chan control.Result, 2)
-	if !f.Submit(1, NewCall("t1", "mark", body, wait, func(r control.Result) { done <- r })) {
+	if !pool.Submit(1, NewCall("t1", "mark", body, wait, func(r control.Result) { done <- r })) {
 		t.Fatal("not submitted")
 	}
 	select {
@@ -76,10 +77,10 @@
 	panic("unreachable")
 }
 
-func fleet(addr string) *Pool {
-	f := New(limits, []string{"x0", "x1"})
-	f.SetAddress(1, addr)
-	return f
+func newPool(addr string) *Pool {
+	pool := New(limits, []string{"x0", "x1"})
+	pool.SetAddress(1, addr)
+	return pool
 }
 
 func TestAnswers(t *testing.T) {
@@ -101,37 +102,37 @@
 		"503 No\r\nConnection: close\r\nX-Retry-In-Ms: 1\r\n":         {Outcome: control.Refused, RetryAfter: 10},
 		"503 No\r\nConnection: close\r\nX-Load-Report: x0=0,x1=2\r\n": {Outcome: control.Refused, Report: []float64{0, 2}},
 	} {
-		addr, came := standIn(t, func(*http.Request, []byte) string { return answer })
-		got := submit(t, fleet(addr), []byte("x"), time.Second)
+		addr, requests := fakeReceiver(t, func(*http.Request, []byte) string { return answer })
+		got := submit(t, newPool(addr), []byte("x"), time.Second)
 		got.Took = 0
-		if fmt.Sprint(got) != fmt.Sprint(want) || came.Load() != 1 {
-			t.Errorf("%q: %v after %d requests, want %v", answer, got, came.Load(), want)
+		if fmt.Sprint(got) != fmt.Sprint(want) || requests.Load() != 1 {
+			t.Errorf("%q: %v after %d requests, want %v", answer, got, requests.Load(), want)
 		}
 	}
 }
 
-// http.Transport sends a request again by itself when a connection that was used before breaks, if it has an
-// idempotency key and a body that can be had again. The receiver would count a second submit.
+// http.Transport resends a request by itself when a reused connection breaks, if the request has an idempotency key and a
+// body that can be read again. The receiver would count a second call.
 func TestNothingIsSentTwice(t *testing.T) {
 	for _, body := range [][]byte{nil, []byte("body")} {
 		var n atomic.Int64
-		addr, came := standIn(t, func(*http.Request, []byte) string {
+		addr, requests := fakeReceiver(t, func(*http.Request, []byte) string {
 			if n.Add(1) == 1 {
 				return "200 OK\r\n"
 			}
 			return ""
 		})
-		f := fleet(addr)
-		if r := submit(t, f, body, time.Second); r.Outcome != control.Delivered {
+		pool := newPool(addr)
+		if r := submit(t, pool, body, time.Second); r.Outcome != control.Delivered {
 			t.Fatal(r)
 		}
-		if r := submit(t, f, body, time.Second); r.Outcome != control.ConnectionLost || came.Load() != 2 {
-			t.Errorf("%v after %d requests", r, came.Load())
+		if r := submit(t, pool, body, time.Second); r.Outcome != control.ConnectionLost || requests.Load() != 2 {
+			t.Errorf("%v after %d requests", r, requests.Load())
 		}
 	}
 }
 
-// A connection that the receiver closed while it was idle: nothing of the call was written.
+// The receiver closed the connection while it was idle: nothing of the call is written to it.
 func TestClosedWhileIdle(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -145,17 +146,17 @@
 		c.Close()
 		l.Close()
 	}()
-	f := fleet(l.Addr().String())
-	submit(t, f, nil, time.Second)
-	for f.OpenConns() > 0 {
+	pool := newPool(l.Addr().String())
+	submit(t, pool, nil, time.Second)
+	for pool.OpenConns() > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	if r := submit(t, f, nil, time.Second); r.Outcome != control.NoConnection {
+	if r := submit(t, pool, nil, time.Second); r.Outcome != control.NoConnection {
 		t.Error(r)
 	}
 }
 
-func TestGivingUp(t *testing.T) {
+func TestTimeoutAndCancelCloseTheConnection(t *testing.T) {
 	closed, read := make(chan error, 2), make(chan bool, 2)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -168,7 +169,7 @@
 			if err != nil {
 				return
 			}
-			go func() { // reads for ever and says nothing
+			go func() { // reads until the end and never responds
 				c.Read(make([]byte, 1))
 				read <- true
 				_, err := io.Copy(io.Discard, c)
@@ -176,41 +177,41 @@
 			}()
 		}
 	}()
-	f := fleet(l.Addr().String())
-	if r := submit(t, f, []byte("x"), 50*time.Millisecond); r.Outcome != control.NoAnswer || r.Took < 500 {
+	pool := newPool(l.Addr().String())
+	if r := submit(t, pool, []byte("x"), 50*time.Millisecond); r.Outcome != control.NoAnswer || r.Took < 500 {
 		t.Error(r)
 	}
 	done := make(chan control.Result, 1)
 	c := NewCall("t1", "", nil, time.Minute, func(r control.Result) { done <- r })
-	f.Submit(1, c)
+	pool.Submit(1, c)
 	<-read
 	<-read
 	c.Cancel()
 	if r := <-done; r.Outcome != control.Cancelled {
 		t.Error(r)
 	}
-	for range 2 { // a call that was given up holds its slot until its connection ends
+	for range 2 { // an abandoned call occupies its slot until its connection is closed
 		select {
 		case <-closed:
 		case <-time.After(time.Second):
-			t.Fatal("the connection stays open")
+			t.Fatal("the connection was not closed")
 		}
 	}
 }
 
-func TestNoConnection(t *testing.T) {
+func TestConnectionRefused(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	l.Close()
-	if r := submit(t, fleet(l.Addr().String()), []byte("x"), time.Second); r.Outcome != control.NoConnection || !r.NotListening {
+	if r := submit(t, newPool(l.Addr().String()), []byte("x"), time.Second); r.Outcome != control.NoConnection || !r.NotListening {
 		t.Error(r)
 	}
 }
 
-// A body that breaks off on the way was not read whole, so the call cannot have run.
-func TestNotWrittenWhole(t *testing.T) {
+// A request whose body was cut off in transit is incomplete, so the call cannot have run.
+func TestIncompleteRequestIsNoConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -222,75 +223,75 @@
 		c.(*net.TCPConn).SetLinger(0)
 		c.Close()
 	}()
-	body := make([]byte, 32<<20) // more than the sockets hold
-	if r := submit(t, fleet(l.Addr().String()), body, 5*time.Second); r.Outcome != control.NoConnection {
+	body := make([]byte, 32<<20) // more than the socket buffers hold
+	if r := submit(t, newPool(l.Addr().String()), body, 5*time.Second); r.Outcome != control.NoConnection {
 		t.Error(r)
 	}
 }
 
-func TestBytesStayAsTheyCame(t *testing.T) {
+func TestRequestBytesAreUnchanged(t *testing.T) {
 	want := []byte("a\x00b\r\n\xff")
 	var got []byte
 	var head http.Header
-	addr, _ := standIn(t, func(r *http.Request, body []byte) string {
+	addr, _ := fakeReceiver(t, func(r *http.Request, body []byte) string {
 		got, head = slices.Clone(body), r.Header
 		return "200 OK\r\n"
 	})
-	submit(t, fleet(addr), want, 1500*time.Millisecond)
+	submit(t, newPool(addr), want, 1500*time.Millisecond)
 	if !bytes.Equal(got, want) || head.Get("X-Call-Id") != "t1" || head.Get("Idempotency-Key") != "mark" ||
 		head.Get("X-Budget") != "1.5000" || head.Get("Accept-Encoding") != "" {
 		t.Errorf("%q %v", got, head)
 	}
 }
 
-// Connections are counted, with those in use, and closed when the module or the cap says so.
-func TestConnections(t *testing.T) {
+// Idle connections and those in use are counted, limited, and closed by CloseIdle.
+func TestConnectionLimit(t *testing.T) {
 	release := make(chan bool)
-	addr, _ := standIn(t, func(*http.Request, []byte) string { <-release; return "200 OK\r\n" })
-	f := fleet(addr)
-	f.limits.MaxReceiverConns = 2
+	addr, _ := fakeReceiver(t, func(*http.Request, []byte) string { <-release; return "200 OK\r\n" })
+	pool := newPool(addr)
+	pool.limits.MaxReceiverConns = 2
 	done := make(chan control.Result, 3)
 	for range 2 {
-		f.Submit(1, NewCall("t", "", nil, time.Minute, func(r control.Result) { done <- r }))
+		pool.Submit(1, NewCall("t", "", nil, time.Minute, func(r control.Result) { done <- r }))
 	}
-	for f.OpenConns() < 2 {
+	for pool.OpenConns() < 2 {
 		time.Sleep(time.Millisecond)
 	}
-	if r := submit(t, f, nil, time.Second); r.Outcome != control.Unsent {
+	if r := submit(t, pool, nil, time.Second); r.Outcome != control.Unsent {
 		t.Error(r)
 	}
 	close(release)
 	<-done
 	<-done
-	f.CloseIdle(1)
-	for end := time.Now().Add(time.Second); f.OpenConns() > 0; time.Sleep(time.Millisecond) {
+	pool.CloseIdle(1)
+	for end := time.Now().Add(time.Second); pool.OpenConns() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d connections stay open", f.OpenConns())
+			t.Fatalf("%d connections were not closed", pool.OpenConns())
 		}
 	}
-	if f.Remove(1); f.Submit(1, NewCall("t", "", nil, time.Second, nil)) {
-		t.Error("a call to a receiver that is gone")
+	if pool.Remove(1); pool.Submit(1, NewCall("t", "", nil, time.Second, nil)) {
+		t.Error("a call to a removed receiver was accepted")
 	}
 }
 
-// Idle connections to one receiver must not use up the cap that another needs.
-func TestIdleConnectionsMakeRoom(t *testing.T) {
-	a, _ := standIn(t, func(*http.Request, []byte) string { return "200 OK\r\n" })
-	b, _ := standIn(t, func(*http.Request, []byte) string { return "200 OK\r\n" })
-	f := fleet(a)
-	f.limits.MaxReceiverConns = 1
-	f.SetAddress(2, b)
-	submit(t, f, nil, time.Second)
+// Idle connections to one receiver must not exhaust the limit that another needs.
+func TestIdleConnectionsFreeTheLimit(t *testing.T) {
+	a, _ := fakeReceiver(t, func(*http.Request, []byte) string { return "200 OK\r\n" })
+	b, _ := fakeReceiver(t, func(*http.Request, []byte) string { return "200 OK\r\n" })
+	pool := newPool(a)
+	pool.limits.MaxReceiverConns = 1
+	pool.SetAddress(2, b)
+	submit(t, pool, nil, time.Second)
 	done := make(chan control.Result, 1)
-	f.Submit(2, NewCall("t2", "", nil, time.Second, func(r control.Result) { done <- r }))
-	if r := <-done; r.Outcome != control.Delivered || f.OpenConns() != 1 {
-		t.Errorf("%v with %d connections", r, f.OpenConns())
+	pool.Submit(2, NewCall("t2", "", nil, time.Second, func(r control.Result) { done <- r }))
+	if r := <-done; r.Outcome != control.Delivered || pool.OpenConns() != 1 {
+		t.Errorf("%v with %d connections", r, pool.OpenConns())
 	}
 }
 
-// raw is a receiver that writes just these bytes in answer to each call and keeps the connection; it counts
-// connections.
-func raw(t *testing.T, answer func(n int64) string) (string, *atomic.Int64) {
+// rawReceiver starts a receiver that answers each call with exactly the bytes of respond and keeps the connection open; it
+// counts connections.
+func rawReceiver(t *testing.T, respond func(n int64) string) (string, *atomic.Int64) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -314,7 +315,7 @@
 						return
 					}
 					io.Copy(io.Discard, r.Body)
-					io.WriteString(c, answer(calls.Add(1)))
+					io.WriteString(c, respond(calls.Add(1)))
 				}
 			}()
 		}
@@ -322,8 +323,8 @@
 	return l.Addr().String(), &conns
 }
 
-// An answer that cannot be read may have run, and was delivered if its first line says so; either is told in
-// little time, and the connection is dropped.
+// A call with an unreadable response may have run, and was delivered if the status line says so; either result comes
+// quickly, and the connection is dropped.
 func TestSpoiltAnswers(t *testing.T) {
 	long := strings.Repeat("x", 1<<20)
 	for answer, want := range map[string]control.Outcome{
@@ -342,11 +343,11 @@
 		"noise without an end":                                   control.ConnectionLost,
 		"HTTP/1.1 2000 OK\r\nContent-Length: 0\r\n\r\n":          control.ConnectionLost,
 	} {
-		addr, conns := raw(t, func(int64) string { return answer })
-		f := fleet(addr)
+		addr, conns := rawReceiver(t, func(int64) string { return answer })
+		pool := newPool(addr)
 		began := time.Now()
 		for range 2 {
-			if r := submit(t, f, []byte("x"), 5*time.Second); r.Outcome != want || r.Final != (want == control.Delivered) {
+			if r := submit(t, pool, []byte("x"), 5*time.Second); r.Outcome != want || r.Final != (want == control.Delivered) {
 				t.Errorf("%.60q: %v, want %v", answer, r.Outcome, want)
 			}
 		}
@@ -356,8 +357,8 @@
 	}
 }
 
-// A good answer stands with whatever comes before or after it; what comes after is nobody's answer.
-func TestMoreThanTheAnswer(t *testing.T) {
+// A complete response counts whatever precedes or follows it; what follows is never taken for another response.
+func TestBytesAroundTheResponse(t *testing.T) {
 	const good = "HTTP/1.1 200 OK\r\nX-Load-Report: x0=1,x1=2\r\nContent-Length: 2\r\n\r\nok"
 	for _, c := range []struct {
 		first string
@@ -370,24 +371,25 @@
 		{"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", 2},
 		{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + good, 2},
 	} {
-		addr, conns := raw(t, func(n int64) string {
+		addr, conns := rawReceiver(t, func(n int64) string {
 			if n == 1 {
 				return c.first
 			}
 			return "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
 		})
-		f := fleet(addr)
-		if r := submit(t, f, nil, time.Second); r.Outcome != control.Delivered {
+		pool := newPool(addr)
+		if r := submit(t, pool, nil, time.Second); r.Outcome != control.Delivered {
 			t.Errorf("%q: %v", c.first, r)
 		}
-		if r := submit(t, f, nil, time.Second); r.Outcome != control.Errored || conns.Load() != c.conns {
+		if r := submit(t, pool, nil, time.Second); r.Outcome != control.Errored || conns.Load() != c.conns {
 			t.Errorf("after %q: %v on %d connections", c.first, r, conns.Load())
 		}
 	}
 }
 
-// A receiver ends a kept connection, or sends what nobody asked for, after a call got the connection and before anything
-// of it is written. What nobody reads must not count as a call that may have run: nothing is written, whoever hears first.
+// A receiver closes a reused connection, or sends unsolicited bytes, after a call was assigned the connection and before
+// any of it is written. A call that nobody reads must not count as possibly run: nothing is written, whether the
+// transport or Write notices first.
 func TestADeadConnectionGetsNothing(t *testing.T) {
 	for _, more := range []string{"", "more"} {
 		for _, heard := range []bool{false, true} {
@@ -401,13 +403,13 @@
 				t.Fatal(err)
 			}
 			far, _ := l.Accept()
-			c := &conn{Conn: near, fleet: fleet("127.0.0.1:1")}
+			c := &conn{Conn: near, pool: newPool("127.0.0.1:1")}
 			defer c.Close()
-			c.begin(nil, nil)
+			c.startCall(nil, nil)
 			if _, err := c.Write([]byte("first")); err != nil {
 				t.Fatal(err)
 			}
-			c.begin(nil, nil)
+			c.startCall(nil, nil)
 			if io.WriteString(far, more); more == "" {
 				far.Close()
 			}
@@ -415,48 +417,48 @@
 				unread, ended := protocol.Peek(near)
 				over = unread || ended
 			}
-			if heard { // by the transport, which waits for answers all the time
+			if heard { // by the transport, which reads all the time
 				c.Read(make([]byte, 9))
 			}
 			n, err := c.Write([]byte("second"))
-			if _, stop := c.state(); n != 0 || err != errDead || stop != errDead {
-				t.Errorf("%q, heard %v: %d bytes are written, %v, %v", more, heard, n, err, stop)
+			if _, stop := c.callState(); n != 0 || err != errConnDead || stop != errConnDead {
+				t.Errorf("%q, read by the transport %v: %d bytes written, %v, %v", more, heard, n, err, stop)
 			}
 		}
 	}
 }
 
-// A call that had to wait for its connection is asked about once more, and leaves nothing if it may not: by then a
-// repeat may be known no more, or a wait may have been told. One that a kept connection takes at once is not.
+// A call that had to wait for its connection is checked once more before it is sent: by then the repeat window may have
+// ended or a Retry-After delay may have been announced. A call that gets an idle connection at once is not checked.
 func TestACallThatWaitedIsAskedAgain(t *testing.T) {
-	addr, came := standIn(t, func(*http.Request, []byte) string { return "200 OK\r\n" })
-	f, asked := fleet(addr), 0
-	for i, want := range []string{"unsent, asked 1, came 0", "delivered, asked 2, came 1", "delivered, asked 2, came 2"} {
+	addr, requests := fakeReceiver(t, func(*http.Request, []byte) string { return "200 OK\r\n" })
+	pool, asked := newPool(addr), 0
+	for i, want := range []string{"unsent, asked 1, requests 0", "delivered, asked 2, requests 1", "delivered, asked 2, requests 2"} {
 		done := make(chan control.Result, 1)
 		call := NewCall("t1", "mark", []byte("x"), time.Second, func(r control.Result) { done <- r })
 		call.MaySend = func(context.Context) bool { asked++; return i == 1 }
-		f.Submit(1, call)
-		if got := fmt.Sprintf("%v, asked %d, came %d", (<-done).Outcome, asked, came.Load()); got != want {
+		pool.Submit(1, call)
+		if got := fmt.Sprintf("%v, asked %d, requests %d", (<-done).Outcome, asked, requests.Load()); got != want {
 			t.Errorf("call %d: %s, want %s", i, got, want)
 		}
 	}
 }
 
-// A kept connection that breaks under its next call says so; a new one does not.
-func TestKeptConnectionsThatBreak(t *testing.T) {
+// StaleConn is set if a reused connection breaks during the call, but not if a new one does.
+func TestStaleConnection(t *testing.T) {
 	for answers, kept := range map[int64]bool{0: false, 1: true} {
 		var n atomic.Int64
-		addr, _ := standIn(t, func(*http.Request, []byte) string {
+		addr, _ := fakeReceiver(t, func(*http.Request, []byte) string {
 			if n.Add(1) <= answers {
 				return "200 OK\r\n"
 			}
 			return ""
 		})
-		f := fleet(addr)
+		pool := newPool(addr)
 		for range answers {
-			submit(t, f, nil, time.Second)
+			submit(t, pool, nil, time.Second)
 		}
-		if r := submit(t, f, nil, time.Second); r.Outcome != control.ConnectionLost || r.StaleConn != kept {
+		if r := submit(t, pool, nil, time.Second); r.Outcome != control.ConnectionLost || r.StaleConn != kept {
 			t.Errorf("%v after %d answers", r, answers)
 		}
 	}
--- a/internal/delivery/receivers/conn.go
+++ b/internal/delivery/receivers/conn.go
@@ -11,123 +11,123 @@
 	"emberquay/internal/delivery/protocol"
 )
 
-// conn is one connection to a receiver. It reads along what comes, since http.Transport gives only an error
-// for an answer that it cannot read, waits on for the rest of a head, and would take what is left over from
-// one answer for the next call's.
+// conn is one connection to a receiver. It parses the responses as they are read, since http.Transport returns only
+// an error for a response that it cannot parse, has no time limit for the rest of a response head, and would take
+// surplus bytes after one response for the response to the next call.
 type conn struct {
 	net.Conn
-	fleet  *Pool
+	pool   *Pool
 	closed atomic.Bool
 
-	mu     sync.Mutex
-	calls  int   // that it was given
-	stop   error // why nothing of the present one may be written; nil: it may
-	asked  bool  // some of a call is written
-	dead   bool  // it ended, or more came, while nothing was asked
-	answer protocol.Message
-	late   *time.Timer // runs while a head has begun and not ended
-	spoilt func()      // tells the call that its head does not end
+	mu             sync.Mutex
+	callCount      int   // started on it
+	writeErr       error // why the current call must not be written; nil: it may be
+	requestStarted bool  // some of the current call has been written
+	dead           bool  // it was closed, or bytes arrived, while no request was outstanding
+	response       protocol.Message
+	headTimer      *time.Timer // runs while a response head is incomplete
+	onHeadTimeout  func()      // called when the head is not complete in time
 }
 
-// Close takes the connection out of the fleet's count, once.
+// Close closes the connection and, the first time, takes it out of the pool's count.
 func (c *conn) Close() error {
 	if c.closed.CompareAndSwap(false, true) {
-		c.fleet.open.Add(-1)
+		c.pool.openConns.Add(-1)
 	}
 	return c.Conn.Close()
 }
 
-// begin makes the connection ready for a call, of which nothing leaves if there is a reason to stop it; spoilt is
-// called if the head of its answer does not end.
-func (c *conn) begin(stop error, spoilt func()) {
+// startCall prepares the connection for a call. If writeErr is not nil, nothing of the call is written; onHeadTimeout is
+// called if the head of its response is not complete in time.
+func (c *conn) startCall(writeErr error, onHeadTimeout func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.calls++
-	c.stop = stop
-	c.asked, c.answer, c.spoilt = false, protocol.Message{}, spoilt
+	c.callCount++
+	c.writeErr = writeErr
+	c.requestStarted, c.response, c.onHeadTimeout = false, protocol.Message{}, onHeadTimeout
 }
 
-// Write sends some of a call; from here on an answer may come. The transport may give out a kept connection before it
-// sees that the receiver has ended it, or sent what nobody asked for: nothing is written to such a one. It is looked at
-// in the last moment, as what is written to a connection that is over counts as a call that may have run.
+// Write sends some of a call; from then on bytes that arrive are its response. The transport may reuse an idle connection
+// before it notices that the receiver has closed it or has sent unsolicited bytes: nothing is written to such a
+// connection. It is checked at the last moment, since a call written to a closed connection counts as possibly run.
 func (c *conn) Write(b []byte) (int, error) {
 	c.mu.Lock()
-	if c.stop == nil && !c.asked {
+	if c.writeErr == nil && !c.requestStarted {
 		unread, ended := protocol.Peek(c.Conn)
 		if c.dead = c.dead || unread || ended; c.dead {
-			c.stop = errDead
+			c.writeErr = errConnDead
 		}
 	}
-	stop := c.stop
-	c.asked = c.asked || stop == nil
+	writeErr := c.writeErr
+	c.requestStarted = c.requestStarted || writeErr == nil
 	c.mu.Unlock()
-	if stop != nil {
-		return 0, stop
+	if writeErr != nil {
+		return 0, writeErr
 	}
 	return c.Conn.Write(b)
 }
 
-// Read hands on what belongs to the answer of the call under way. Anything else ends the connection for the
-// transport: a second copy must never stand for the answer to the next call.
+// Read returns only the bytes of the response to the current call. Any further byte ends the connection for the
+// transport: a duplicate response must never be taken for the response to the next call.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.dead = c.dead || !c.asked && (n > 0 || err != nil) // the transport may have given it out already
-	own := 0
-	for c.asked && own < n {
-		if c.answer.Section == protocol.Complete && c.answer.Status >= http.StatusOK {
+	c.dead = c.dead || !c.requestStarted && (n > 0 || err != nil) // the transport may already have assigned it to a call
+	consumed := 0
+	for c.requestStarted && consumed < n {
+		if c.response.Section == protocol.Complete && c.response.Status >= http.StatusOK {
 			break
 		}
-		if c.answer.Section == protocol.Complete { // only an answer in front of the answer
-			c.answer = protocol.Message{}
+		if c.response.Section == protocol.Complete { // a 1xx response; the final one follows
+			c.response = protocol.Message{}
 		}
-		own += c.answer.Feed(b[own:n])
+		consumed += c.response.Feed(b[consumed:n])
 	}
-	switch part := c.answer.Section == protocol.Head && c.answer.Started; {
-	case part && c.late == nil:
-		c.late = time.AfterFunc(c.fleet.limits.DrainTimeout, c.spoilt)
-	case !part && c.late != nil:
-		c.late.Stop()
-		c.late = nil
+	switch inHead := c.response.Section == protocol.Head && c.response.Started; {
+	case inHead && c.headTimer == nil:
+		c.headTimer = time.AfterFunc(c.pool.limits.DrainTimeout, c.onHeadTimeout)
+	case !inHead && c.headTimer != nil:
+		c.headTimer.Stop()
+		c.headTimer = nil
 	}
-	if own < n {
-		return own, io.EOF
+	if consumed < n {
+		return consumed, io.EOF
 	}
 	return n, err
 }
 
-// seal lets nothing of the present call be written any more; false: some of it was, or there is no connection. The
-// transport may tell of the end of a call while its writing has yet to begin.
-func (c *conn) seal() bool {
+// preventWrites ensures that nothing of the current call is written; false: some of it was, or there is no connection.
+// It is needed because the transport may report the end of a call before it has begun to write it.
+func (c *conn) preventWrites() bool {
 	if c == nil {
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.asked {
+	if c.requestStarted {
 		return false
 	}
-	c.stop = errOverdue
+	c.writeErr = errTooLate
 	return true
 }
 
-// state says whether the connection was kept from an earlier call, and why nothing of the present one may be written.
-func (c *conn) state() (kept bool, stop error) {
+// callState returns whether the connection was reused from an earlier call, and why the current one must not be written.
+func (c *conn) callState() (reused bool, writeErr error) {
 	if c == nil {
 		return false, nil
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.calls > 1, c.stop
+	return c.callCount > 1, c.writeErr
 }
 
-// heard says what the first line of the answer reads, 0 if none came, and whether any byte came.
-func (c *conn) heard() (status int, any bool) {
+// responseStatus returns the status code of the response, 0 if none has arrived, and whether any byte has.
+func (c *conn) responseStatus() (status int, begun bool) {
 	if c == nil {
 		return 0, false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.answer.Status, c.answer.Started
+	return c.response.Status, c.response.Started
 }
--- a/internal/delivery/receivers/crossing_test.go
+++ b/internal/delivery/receivers/crossing_test.go
@@ -12,22 +12,22 @@
 	"emberquay/control"
 )
 
-// writes counts what is written to it, call by call.
-type writes struct{ sizes []int }
+// writeRecorder records the size of each write.
+type writeRecorder struct{ sizes []int }
 
-func (w *writes) Write(b []byte) (int, error) {
+func (w *writeRecorder) Write(b []byte) (int, error) {
 	w.sizes = append(w.sizes, len(b))
 	return len(b), nil
 }
 
-// An order was called twice: its head had gone out, and its body had not when the call was given up. Head and body of a
-// usual text go in one write, so that a receiver sees all of it or nothing.
-func TestHeadAndBodyGoTogether(t *testing.T) {
+// A text was delivered twice because a call was cancelled after its head was written and before its body was. Head and body
+// of a text of usual size go out in one write, so that a receiver sees all of it or nothing.
+func TestHeadAndBodyAreOneWrite(t *testing.T) {
 	for _, size := range []int{0, 1, 2000} {
 		call := NewCall("t1", "mark", bytes.Repeat([]byte("x"), size), time.Second, nil)
 		call.addr = "127.0.0.1:1"
-		var w writes
-		buffer := bufio.NewWriter(&w) // as http.Transport has one for each connection
+		var w writeRecorder
+		buffer := bufio.NewWriter(&w) // like the one that http.Transport has for each connection
 		if err := call.request().Write(buffer); err != nil {
 			t.Fatal(err)
 		}
@@ -38,32 +38,32 @@
 	}
 }
 
-// Of a call that is given up before any of it is written nothing is written later, and it says so. One of which some was
-// written may have run.
-func TestASealedConnectionWritesNothing(t *testing.T) {
+// After preventWrites nothing of a call that has not been written is written later. A call that was written in part may
+// have run.
+func TestPreventWrites(t *testing.T) {
 	far, near := net.Pipe()
 	defer far.Close()
-	c := &conn{Conn: near, fleet: fleet("127.0.0.1:1")}
+	c := &conn{Conn: near, pool: newPool("127.0.0.1:1")}
 	defer c.Close()
-	c.begin(nil, nil)
-	if !c.seal() {
-		t.Error("nothing was written")
+	c.startCall(nil, nil)
+	if !c.preventWrites() {
+		t.Error("false although nothing was written")
 	}
-	if n, err := c.Write([]byte("late")); n != 0 || err != errOverdue {
-		t.Errorf("%d bytes are written, %v", n, err)
+	if n, err := c.Write([]byte("late")); n != 0 || err != errTooLate {
+		t.Errorf("%d bytes written, %v", n, err)
 	}
-	c.begin(nil, nil)
+	c.startCall(nil, nil)
 	go far.Read(make([]byte, 9))
 	if _, err := c.Write([]byte("some")); err != nil {
 		t.Fatal(err)
 	}
-	if c.seal() {
-		t.Error("some was written")
+	if c.preventWrites() {
+		t.Error("true although some was written")
 	}
 }
 
-// Calls whose time is over at any moment of their way: what is said never to have run was not even begun at the receiver.
-func TestGivenUpAtAnyMoment(t *testing.T) {
+// Calls time out at every stage: a call whose outcome says that it cannot have run must not have reached the receiver.
+func TestTimeoutAtAnyMoment(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -71,14 +71,14 @@
 	defer l.Close()
 	var mu sync.Mutex
 	seen := map[string]bool{}
-	var reading sync.WaitGroup
-	reading.Go(func() {
+	var readers sync.WaitGroup
+	readers.Go(func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			reading.Go(func() { // says nothing; the first bytes name the text
+			readers.Go(func() { // sends no response; the first bytes contain the text ID
 				defer c.Close()
 				head := make([]byte, 4096)
 				n, _ := c.Read(head)
@@ -89,40 +89,40 @@
 						mu.Unlock()
 					}
 				}
-				c.Read(head) // until the call is given up
+				c.Read(head) // until the call ends
 			})
 		}
 	})
-	many := limits
-	many.MaxReceiverConns, many.MaxCalls = 64, 64
-	f := New(many, nil)
-	f.SetAddress(1, l.Addr().String())
+	manyLimits := limits
+	manyLimits.MaxReceiverConns, manyLimits.MaxCalls = 64, 64
+	pool := New(manyLimits, nil)
+	pool.SetAddress(1, l.Addr().String())
 	const calls = 600
-	var mine sync.WaitGroup
+	var pending sync.WaitGroup
 	outcomes := make([]control.Outcome, calls)
-	places := make(chan bool, 32)
+	slots := make(chan bool, 32)
 	for i := range calls {
-		places <- true
-		mine.Add(1)
+		slots <- true
+		pending.Add(1)
 		wait := time.Duration(i%100) * 5 * time.Microsecond
 		call := NewCall(fmt.Sprint(i), "mark", []byte("body"), wait, func(r control.Result) {
 			outcomes[i] = r.Outcome
-			<-places
-			mine.Done()
+			<-slots
+			pending.Done()
 		})
-		if !f.Submit(1, call) {
+		if !pool.Submit(1, call) {
 			t.Fatal("not submitted")
 		}
 	}
-	mine.Wait()
+	pending.Wait()
 	l.Close()
-	reading.Wait()
-	told := map[control.Outcome]int{}
+	readers.Wait()
+	counts := map[control.Outcome]int{}
 	for i, o := range outcomes {
-		told[o]++
+		counts[o]++
 		if !o.MayHaveRun() && seen[fmt.Sprint(i)] {
-			t.Errorf("call %d is said not to have run (%v), and reached the receiver", i, o)
+			t.Errorf("call %d reached the receiver, but its outcome %v says that it cannot have run", i, o)
 		}
 	}
-	t.Log(told)
+	t.Log(counts)
 }
--- a/internal/delivery/receivers/receivers.go
+++ b/internal/delivery/receivers/receivers.go
@@ -1,5 +1,5 @@
-// Package receivers speaks with the destinations' endpoints: one actor for each, and one call for each
-// submit, over http.Transport.
+// Package receivers makes the calls to the destinations' endpoints over http.Transport: an actor for each
+// receiver and a call for each attempt.
 package receivers
 
 import (
@@ -15,121 +15,121 @@
 	"emberquay/internal/delivery/config"
 )
 
-// Pool holds the receivers that the list names. One goroutine uses it, the module's actor.
+// Pool holds the listed receivers. Only the sender's actor goroutine uses it.
 type Pool struct {
-	limits config.Limits
-	names  []string // of the values of a report, in order
-	calls  atomic.Int64
-	open   atomic.Int64 // connections, all receivers together
-	dials  atomic.Int64 // asked for so far
+	limits      config.Limits
+	reportNames []string // of the values of a load report, in order
+	callCount   atomic.Int64
+	openConns   atomic.Int64 // connections to all receivers
+	dials       atomic.Int64 // attempted since the start
 
-	mu    sync.Mutex // only the module's actor writes; a call that makes room reads
+	mu    sync.Mutex // guards peers: only the sender's actor writes, calls that free connections read
 	peers map[control.ReceiverID]*peer
 }
 
-// New makes a fleet that knows no receiver. Names are those of the values that a report may hold.
-func New(limits config.Limits, names []string) *Pool {
-	return &Pool{limits: limits, names: names, peers: map[control.ReceiverID]*peer{}}
+// New returns a pool without receivers. The names are those of the values that a load report may hold.
+func New(limits config.Limits, reportNames []string) *Pool {
+	return &Pool{limits: limits, reportNames: reportNames, peers: map[control.ReceiverID]*peer{}}
 }
 
-// SetAddress tells where a receiver is.
-func (f *Pool) SetAddress(id control.ReceiverID, addr string) {
-	p := f.peers[id]
+// SetAddress adds a receiver or changes its address.
+func (pool *Pool) SetAddress(id control.ReceiverID, addr string) {
+	p := pool.peers[id]
 	if p == nil {
-		p = f.newPeer(addr)
-		f.mu.Lock()
-		f.peers[id] = p
-		f.mu.Unlock()
+		p = pool.newPeer(addr)
+		pool.mu.Lock()
+		pool.peers[id] = p
+		pool.mu.Unlock()
 	}
 	if p.addr != addr {
 		p.addr = addr
-		p.post(p.transport.CloseIdleConnections)
+		p.enqueue(p.transport.CloseIdleConnections)
 	}
 }
 
-// Remove: the list does not name the receiver any more. Calls that are out end by themselves.
-func (f *Pool) Remove(id control.ReceiverID) {
-	if p := f.peers[id]; p != nil {
-		f.mu.Lock()
-		delete(f.peers, id)
-		f.mu.Unlock()
-		p.gone.Store(true)
-		close(p.mail)
+// Remove removes a receiver that is no longer listed. Calls in flight are completed.
+func (pool *Pool) Remove(id control.ReceiverID) {
+	if p := pool.peers[id]; p != nil {
+		pool.mu.Lock()
+		delete(pool.peers, id)
+		pool.mu.Unlock()
+		p.removed.Store(true)
+		close(p.mailbox)
 	}
 }
 
-// Submit hands a call to a receiver's actor; false if the receiver is unknown or its mailbox is full.
-func (f *Pool) Submit(to control.ReceiverID, c *Call) bool {
-	p := f.peers[to]
+// Submit passes a call to the receiver's actor; false if the receiver is unknown or the mailbox is full.
+func (pool *Pool) Submit(id control.ReceiverID, c *Call) bool {
+	p := pool.peers[id]
 	if p == nil {
 		return false
 	}
-	p.used.Store(f.calls.Add(1))
+	p.lastCall.Store(pool.callCount.Add(1))
 	c.addr = p.addr
-	return p.post(func() { go p.call(c) })
+	return p.enqueue(func() { go p.runCall(c) })
 }
 
-// take counts one more connection to a receiver. At the cap idle ones are closed first, of the receivers that
-// were called longest ago: what is idle elsewhere must not keep a call from going, and each one closed is
-// opened again.
-func (f *Pool) take(p *peer) bool {
-	if f.open.Add(1) <= int64(f.limits.MaxReceiverConns) {
+// reserveConn counts one more connection to a receiver. At the limit it first closes idle connections to other receivers,
+// least recently called first: idle connections must not block a call, but closing one means that the next call to
+// its receiver has to dial.
+func (pool *Pool) reserveConn(p *peer) bool {
+	if pool.openConns.Add(1) <= int64(pool.limits.MaxReceiverConns) {
 		return true
 	}
-	f.mu.Lock()
-	others := slices.Collect(maps.Values(f.peers))
-	f.mu.Unlock()
-	slices.SortFunc(others, func(a, b *peer) int { return cmp.Compare(a.used.Load(), b.used.Load()) })
+	pool.mu.Lock()
+	others := slices.Collect(maps.Values(pool.peers))
+	pool.mu.Unlock()
+	slices.SortFunc(others, func(a, b *peer) int { return cmp.Compare(a.lastCall.Load(), b.lastCall.Load()) })
 	for _, o := range others {
-		if f.OpenConns() <= f.limits.MaxReceiverConns {
+		if pool.OpenConns() <= pool.limits.MaxReceiverConns {
 			return true
 		}
 		if o != p {
 			o.transport.CloseIdleConnections()
 		}
 	}
-	if f.OpenConns() <= f.limits.MaxReceiverConns {
+	if pool.OpenConns() <= pool.limits.MaxReceiverConns {
 		return true
 	}
-	f.open.Add(-1)
+	pool.openConns.Add(-1)
 	return false
 }
 
 // CloseIdle closes the idle connections to a receiver.
-func (f *Pool) CloseIdle(to control.ReceiverID) {
-	if p := f.peers[to]; p != nil {
-		p.post(p.transport.CloseIdleConnections)
+func (pool *Pool) CloseIdle(id control.ReceiverID) {
+	if p := pool.peers[id]; p != nil {
+		p.enqueue(p.transport.CloseIdleConnections)
 	}
 }
 
 // OpenConns counts the connections to all receivers.
-func (f *Pool) OpenConns() int { return int(f.open.Load()) }
+func (pool *Pool) OpenConns() int { return int(pool.openConns.Load()) }
 
-// Dials counts the connections that were asked for so far.
-func (f *Pool) Dials() int { return int(f.dials.Load()) }
+// Dials counts the connections attempted since the start.
+func (pool *Pool) Dials() int { return int(pool.dials.Load()) }
 
-// peer is one receiver. Its actor takes what is posted in order; each call then has a goroutine, which the
-// module's slots bound.
+// peer is one receiver. Its actor runs the functions of its mailbox in order; each call has its own goroutine, and
+// control bounds their number by its limit on calls in flight.
 type peer struct {
-	fleet     *Pool
-	addr      string       // the fleet's goroutine's alone
-	used      atomic.Int64 // the number of the last call
-	gone      atomic.Bool  // the last of its calls closes their connections
-	mail      chan func()
+	pool      *Pool
+	addr      string       // used only by the goroutine that uses the pool
+	lastCall  atomic.Int64 // the sequence number of its last call
+	removed   atomic.Bool  // calls then close the idle connections when they end
+	mailbox   chan func()
 	transport *http.Transport
 }
 
-func (f *Pool) newPeer(addr string) *peer {
-	p := &peer{fleet: f, addr: addr, mail: make(chan func(), 2*f.limits.MaxCalls+8)}
+func (pool *Pool) newPeer(addr string) *peer {
+	p := &peer{pool: pool, addr: addr, mailbox: make(chan func(), 2*pool.limits.MaxCalls+8)}
 	p.transport = &http.Transport{
 		DialContext:            p.dial,
-		DisableCompression:     true, // the bytes stay as they came
-		MaxIdleConnsPerHost:    f.limits.MaxCalls,
-		IdleConnTimeout:        f.limits.ReceiverIdleTimeout,
-		MaxResponseHeaderBytes: int64(f.limits.MaxHeaderBytes),
+		DisableCompression:     true, // bytes are passed on unchanged
+		MaxIdleConnsPerHost:    pool.limits.MaxCalls,
+		IdleConnTimeout:        pool.limits.ReceiverIdleTimeout,
+		MaxResponseHeaderBytes: int64(pool.limits.MaxHeaderBytes),
 	}
 	go func() {
-		for do := range p.mail {
+		for do := range p.mailbox {
 			do()
 		}
 		p.transport.CloseIdleConnections()
@@ -137,10 +137,10 @@
 	return p
 }
 
-// post never waits: the module's actor must not hang on one receiver.
-func (p *peer) post(do func()) bool {
+// enqueue never blocks: one receiver must not stall the sender's actor.
+func (p *peer) enqueue(do func()) bool {
 	select {
-	case p.mail <- do:
+	case p.mailbox <- do:
 		return true
 	default:
 		slog.Error("mailbox_full", "part", "receivers", "addr", p.addr)
--- a/internal/delivery/sender/count.go
+++ b/internal/delivery/sender/count.go
@@ -7,18 +7,18 @@
 	"emberquay/control"
 )
 
-// AttemptCounts is what became of submits, by why they did not deliver.
+// AttemptCounts counts the attempts that did not deliver, by reason, and the dials.
 type AttemptCounts struct {
-	Refused          int `json:"full"`          // turned away, for whatever reason
-	ConnLimitReached int `json:"crowded"`       // of these, for want of a connection
-	NoConnection     int `json:"no_connection"` // none could be made
-	NoAnswer         int `json:"no_answer"`     // none in time, or the connection broke
+	Refused          int `json:"full"`          // for any reason
+	ConnLimitReached int `json:"crowded"`       // of the refused: the receiver had no connection left
+	NoConnection     int `json:"no_connection"` // no connection could be made
+	NoAnswer         int `json:"no_answer"`     // no response in time, or the connection broke
 	Errored          int `json:"errored"`
-	Unsent           int `json:"unsent"` // never left
-	Dials            int `json:"dials"`  // connections that were asked for
+	Unsent           int `json:"unsent"` // never left this sender
+	Dials            int `json:"dials"`  // connections opened or attempted
 }
 
-func (c *AttemptCounts) add(r control.Result) {
+func (c *AttemptCounts) record(r control.Result) {
 	switch r.Outcome {
 	case control.Refused:
 		c.Refused++
@@ -36,40 +36,42 @@
 	}
 }
 
-// tally writes a line of what was done since the last one, each so often, if anything was.
-type tally struct {
-	every time.Duration // 0: never
-	last  time.Time
-	told  Counts
+// countLog logs the counts since its last line, once per interval, if any changed.
+type countLog struct {
+	interval   time.Duration // 0: never
+	lastTime   time.Time
+	lastCounts Counts
 }
 
-// LogCounts has the sender log what it does, before Run; see quaylab count for whole fleets of such logs.
-func (s *Sender) LogCounts(every time.Duration) { s.tally = tally{every: every, last: time.Now()} }
+// LogCounts makes the sender log its counts; call it before Run. `quaylab count` sums the logs of a fleet.
+func (s *Sender) LogCounts(interval time.Duration) {
+	s.countLog = countLog{interval: interval, lastTime: time.Now()}
+}
 
-func (s *Sender) count() {
-	t := &s.tally
-	if t.every == 0 || time.Since(t.last) < t.every {
+func (s *Sender) logCountsIfDue() {
+	t := &s.countLog
+	if t.interval == 0 || time.Since(t.lastTime) < t.interval {
 		return
 	}
-	now, was := s.counted(), t.told
-	if now.Accepted == was.Accepted && now.Attempts == was.Attempts && now.Rejected == was.Rejected && now.ended() == was.ended() {
+	current, previous := s.currentCounts(), t.lastCounts
+	if current.Accepted == previous.Accepted && current.Attempts == previous.Attempts && current.Rejected == previous.Rejected && current.finalAnswers() == previous.finalAnswers() {
 		return
 	}
-	slog.Info("counted", "part", "sender", "over", time.Since(t.last).Round(time.Millisecond),
-		"taken", now.Accepted-was.Accepted, "refused", now.Rejected-was.Rejected, "delivered", now.Delivered-was.Delivered,
-		"nacked", now.Nacked-was.Nacked, "undeliverable", now.Undeliverable-was.Undeliverable, "submits", now.Attempts-was.Attempts,
-		"full", now.Refused-was.Refused, "crowded", now.ConnLimitReached-was.ConnLimitReached, "no_connection", now.NoConnection-was.NoConnection,
-		"no_answer", now.NoAnswer-was.NoAnswer, "errored", now.Errored-was.Errored, "unsent", now.Unsent-was.Unsent,
-		"dials", now.Dials-was.Dials, "held", now.Held, "out", now.InFlight, "conns", now.ReceiverConns)
-	t.last, t.told = time.Now(), now
+	slog.Info("counted", "part", "sender", "over", time.Since(t.lastTime).Round(time.Millisecond),
+		"taken", current.Accepted-previous.Accepted, "refused", current.Rejected-previous.Rejected, "delivered", current.Delivered-previous.Delivered,
+		"nacked", current.Nacked-previous.Nacked, "undeliverable", current.Undeliverable-previous.Undeliverable, "submits", current.Attempts-previous.Attempts,
+		"full", current.Refused-previous.Refused, "crowded", current.ConnLimitReached-previous.ConnLimitReached, "no_connection", current.NoConnection-previous.NoConnection,
+		"no_answer", current.NoAnswer-previous.NoAnswer, "errored", current.Errored-previous.Errored, "unsent", current.Unsent-previous.Unsent,
+		"dials", current.Dials-previous.Dials, "held", current.Held, "out", current.InFlight, "conns", current.ReceiverConns)
+	t.lastTime, t.lastCounts = time.Now(), current
 }
 
-// ended is how many texts have their final answer.
-func (c Counts) ended() int { return c.Delivered + c.Nacked + c.Undeliverable }
+// finalAnswers returns how many texts have their final answer.
+func (c Counts) finalAnswers() int { return c.Delivered + c.Nacked + c.Undeliverable }
 
-// counted is what was done and what is in hand.
-func (s *Sender) counted() Counts {
+// currentCounts returns the totals and the current state.
+func (s *Sender) currentCounts() Counts {
 	c := s.counts
-	c.Held, c.PendingNotices, c.Receivers, c.ReceiverConns, c.Dials = len(s.texts), s.owed, len(s.listed), s.fleet.OpenConns(), s.fleet.Dials()
+	c.Held, c.PendingNotices, c.Receivers, c.ReceiverConns, c.Dials = len(s.texts), s.pendingNotices, len(s.entries), s.receivers.OpenConns(), s.receivers.Dials()
 	return c
 }
--- a/internal/delivery/sender/crossing_test.go
+++ b/internal/delivery/sender/crossing_test.go
@@ -14,71 +14,71 @@
 	"emberquay/internal/delivery/ledger"
 )
 
-// again is the same hand-in once more, as a client sends it whose connection ended under its request.
-func again(x *ledger.Text) *ledger.Text {
+// duplicate returns the same hand-in again, as a client repeats it whose connection ended during its request.
+func duplicate(x *ledger.Text) *ledger.Text {
 	return &ledger.Text{ID: x.ID, Product: x.Product, Destination: 3, Body: []byte("b"), ValidUntil: x.ValidUntil}
 }
 
-func (g *rig) text(id, product string) *ledger.Text {
+func (g *harness) newText(id, product string) *ledger.Text {
 	return &ledger.Text{ID: id, Product: product, Destination: 3, Body: []byte("b"), ValidUntil: g.now() + 2*control.Second}
 }
 
-// A hand-in comes once more on a new connection and is told that the text is taken on; only then is the first found to
-// have had no answer. The text was owed to the second, and was withdrawn with the first.
+// A client repeats a hand-in on a new connection and is told that the text is accepted; only then does the first
+// connection turn out to have ended without an answer. Withdrawing the first hand-in must not withdraw the text.
 func TestWithdrawnAfterItCameAgain(t *testing.T) {
 	release := make(chan bool)
-	g := newRig(t, func(_ string, w http.ResponseWriter, _ *http.Request) { <-release })
+	g := newHarness(t, func(_ string, w http.ResponseWriter, _ *http.Request) { <-release })
 	g.start()
-	first := g.text("a", "once")
-	second, third := again(first), again(first)
+	first := g.newText("a", "unsafe")
+	second, third := duplicate(first), duplicate(first)
 	for _, x := range []*ledger.Text{first, second, third} {
-		if v := g.handed(x); v != Accepted {
+		if v := g.handInAndWait(x); v != Accepted {
 			t.Fatal(v)
 		}
 	}
 	g.Withdraw(first)
 	g.Withdraw(third)
-	if g.holds() != 1 {
-		t.Error("the text is gone")
+	if g.heldCount() != 1 {
+		t.Error("the text is no longer held")
 	}
-	g.until("no call", func() bool { return g.called("a") == 1 })
+	g.waitFor("no call", func() bool { return g.callCount("a") == 1 })
 	close(release)
-	g.until("it stays held", func() bool { return g.holds() == 0 })
-	if g.called("a") != 1 || len(g.notices) > 0 {
-		t.Errorf("%d calls, %d notices", g.called("a"), len(g.notices))
+	g.waitFor("the text is still held", func() bool { return g.heldCount() == 0 })
+	if g.callCount("a") != 1 || len(g.notices) > 0 {
+		t.Errorf("%d calls, %d notices", g.callCount("a"), len(g.notices))
 	}
-	// Where none has heard, nobody owns it.
-	fourth := g.text("b", "free")
-	fifth := again(fourth)
-	g.Enqueue(func() { g.Sender.hand(fourth, make(chan Answer, 1)); g.Sender.hand(fifth, make(chan Answer, 1)) })
+	// If no hand-in was answered, the last withdrawal removes the text.
+	fourth := g.newText("b", "safe")
+	fifth := duplicate(fourth)
+	g.Enqueue(func() { g.Sender.handIn(fourth, make(chan Answer, 1)); g.Sender.handIn(fifth, make(chan Answer, 1)) })
 	g.Withdraw(fourth)
 	g.Withdraw(fifth)
-	g.until("a text is kept that nobody wants", func() bool { return g.holds() == 0 })
+	g.waitFor("a text is held after all its hand-ins were withdrawn", func() bool { return g.heldCount() == 0 })
 }
 
-// A process that stops knows that a call has not left: what must not run twice is still sent after the start.
+// A stopping process records that a call was never sent: a text that must not run twice is then sent after the restart.
 func TestStoppedWhileAConnectionIsMade(t *testing.T) {
-	g := newRig(t, ok)
-	there := g.addr
-	g.addr, g.dial = fullListener(t), time.Minute
-	g.set = maps.Clone(settings) // calls may take long
-	g.set["RequestClasses.2.ObjectiveUs"], g.set["RequestClasses.2.HardLimitUs"] = "100000000", "200000000"
+	g := newHarness(t, respondOK)
+	listening := g.addr
+	g.addr, g.dialTimeout = fullListener(t), time.Minute
+	g.settings = maps.Clone(settings) // long time limits
+	g.settings["RequestClasses.2.ObjectiveUs"], g.settings["RequestClasses.2.HardLimitUs"] = "100000000", "200000000"
 	g.start()
-	g.hand("a", "once", time.Minute)
-	out := func() int { return g.asks(func() int { return g.counts.InFlight }) }
-	g.until("no call", func() bool { return out() == 1 })
+	g.handInText("a", "unsafe", time.Minute)
+	inFlight := func() int { return g.query(func() int { return g.counts.InFlight }) }
+	g.waitFor("no call", func() bool { return inFlight() == 1 })
 	g.StopSending()
-	g.until("a call that cannot leave stays out", func() bool { return out() == 0 })
+	g.waitFor("a call that cannot be sent stays in flight", func() bool { return inFlight() == 0 })
 	g.kill()
-	g.addr = there
+	g.addr = listening
 	g.start()
-	g.until("it is not sent after the start", func() bool { return g.called("a") == 1 })
+	g.waitFor("it is not sent after the restart", func() bool { return g.callCount("a") == 1 })
 	if len(g.notices) > 0 {
 		t.Errorf("%+v", <-g.notices)
 	}
 }
 
-// fullListener is a place to which no further connection comes up, and none is refused.
+// fullListener returns an address at which new connections are neither established nor refused.
 func fullListener(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -101,80 +101,81 @@
 		}
 		t.Cleanup(func() { c.Close() })
 	}
-	t.Fatal("it takes every connection")
+	t.Fatal("the listener accepts every connection")
 	return ""
 }
 
-// A process ends while the answer to a call stands in the actor's mailbox: it is heard, and nothing is sent again.
+// A process stops while the result of a call is in the actor's mailbox: it is processed, and nothing is sent again.
 func TestStoppedWithAnAnswerInTheMailbox(t *testing.T) {
 	release := make(chan bool)
-	g := newRig(t, func(_ string, w http.ResponseWriter, _ *http.Request) { <-release })
+	g := newHarness(t, func(_ string, w http.ResponseWriter, _ *http.Request) { <-release })
 	g.start()
-	g.hand("a", "free", time.Minute)
-	g.until("no call", func() bool { return g.called("a") == 1 })
-	s, stand, on := g.Sender, make(chan bool), make(chan bool)
-	g.Enqueue(func() { s.later = append(s.later, func() { stand <- true; <-on }) }) // within a settle, after the mailbox was read
-	<-stand
+	g.handInText("a", "safe", time.Minute)
+	g.waitFor("no call", func() bool { return g.callCount("a") == 1 })
+	s, paused, resume := g.Sender, make(chan bool), make(chan bool)
+	g.Enqueue(func() { s.deferred = append(s.deferred, func() { paused <- true; <-resume }) }) // in finishBatch, after the mailbox was read
+	<-paused
 	close(release)
-	g.until("no answer", func() bool { return len(s.mail) > 0 })
+	g.waitFor("no result", func() bool { return len(s.mailbox) > 0 })
 	close(g.stop)
-	on <- true
+	resume <- true
 	<-g.stopped
 	g.CloseLedger()
 	g.Sender = nil
 	g.start()
-	if g.holds() != 0 || g.called("a") != 1 {
-		t.Errorf("%d held, %d calls", g.holds(), g.called("a"))
+	if g.heldCount() != 0 || g.callCount("a") != 1 {
+		t.Errorf("%d held, %d calls", g.heldCount(), g.callCount("a"))
 	}
 }
 
-// A text is withdrawn and its id comes again while its call is still out: that call's end was taken for the new one's.
+// A text is withdrawn and its ID is handed in again while its call is in flight: the result of that call must not be taken
+// for one of the new text.
 func TestTheIDOfACallThatIsOut(t *testing.T) {
-	g := newRig(t, silent)
+	g := newHarness(t, neverRespond)
 	g.start()
-	first := g.text("a", "once")
-	if v := g.handed(first); v != Accepted {
+	first := g.newText("a", "unsafe")
+	if v := g.handInAndWait(first); v != Accepted {
 		t.Fatal(v)
 	}
-	g.until("no call", func() bool { return g.called("a") == 1 })
+	g.waitFor("no call", func() bool { return g.callCount("a") == 1 })
 	reply := make(chan Answer, 1)
-	g.Enqueue(func() { // in one step, so that the end of the call comes after it
+	g.Enqueue(func() { // in one step, so that the call ends after it
 		g.Sender.withdraw(g.texts["a"])
-		g.Sender.hand(again(first), reply)
+		g.Sender.handIn(duplicate(first), reply)
 	})
 	if a := <-reply; a.Verdict != Nacked {
-		t.Errorf("%v while a call of that id is out", a)
+		t.Errorf("%v while a call of that ID is in flight", a)
 	}
-	left := func() int { return len(g.left) }
-	g.until("the call that was called off is not over", func() bool { return g.asks(left) == 0 })
-	if g.called("a") != 1 || len(g.notices) > 0 || g.holds() > 0 {
-		t.Errorf("%d calls, %d notices, %d held", g.called("a"), len(g.notices), g.holds())
+	withdrawnInFlight := func() int { return len(g.withdrawnInFlight) }
+	g.waitFor("the cancelled call has not ended", func() bool { return g.query(withdrawnInFlight) == 0 })
+	if g.callCount("a") != 1 || len(g.notices) > 0 || g.heldCount() > 0 {
+		t.Errorf("%d calls, %d notices, %d held", g.callCount("a"), len(g.notices), g.heldCount())
 	}
-	if v := g.handed(again(first)); v != Accepted { // all of it is over
+	if v := g.handInAndWait(duplicate(first)); v != Accepted { // the call has ended
 		t.Error(v)
 	}
 }
 
-// The id of a text that has its end comes once more: nothing is sent for it again, and its notice ends nothing else.
+// The ID of a text with a final answer is handed in again: nothing is sent again, and its notice does not end another text.
 func TestTheIDOfATextThatIsOver(t *testing.T) {
-	g := newRig(t, ok)
+	g := newHarness(t, respondOK)
 	g.start()
-	x := g.text("a", "once")
-	g.handed(x)
-	g.until("it stays held", func() bool { return g.holds() == 0 })
-	if v := g.handed(again(x)); v != Accepted || g.holds() > 0 || g.called("a") != 1 {
-		t.Errorf("%v, %d held, %d calls", v, g.holds(), g.called("a"))
+	x := g.newText("a", "unsafe")
+	g.handInAndWait(x)
+	g.waitFor("the text is still held", func() bool { return g.heldCount() == 0 })
+	if v := g.handInAndWait(duplicate(x)); v != Accepted || g.heldCount() > 0 || g.callCount("a") != 1 {
+		t.Errorf("%v, %d held, %d calls", v, g.heldCount(), g.callCount("a"))
 	}
 	g.mu.Lock()
-	g.answer = silent
+	g.respond = neverRespond
 	g.mu.Unlock()
-	y := g.text("b", "once")
+	y := g.newText("b", "unsafe")
 	y.ValidUntil = g.now() + control.Second/5
-	g.handed(y)
-	g.notice() // it is owed, over a restart too
+	g.handInAndWait(y)
+	g.nextNotice() // it stays pending, also over a restart
 	for range 2 {
-		if v := g.handed(again(y)); v != Accepted || g.holds() > 0 || g.called("b") != 1 {
-			t.Errorf("%v, %d held, %d calls", v, g.holds(), g.called("b"))
+		if v := g.handInAndWait(duplicate(y)); v != Accepted || g.heldCount() > 0 || g.callCount("b") != 1 {
+			t.Errorf("%v, %d held, %d calls", v, g.heldCount(), g.callCount("b"))
 		}
 		g.kill()
 		g.start()
--- a/internal/delivery/sender/listing.go
+++ b/internal/delivery/sender/listing.go
@@ -10,94 +10,97 @@
 	"emberquay/internal/delivery/warmstart"
 )
 
-// The list of receivers: who is where, and what was learnt of them.
+// The list of receivers: their addresses and their history.
 
-// UpdateReceivers posts news of the list.
-func (s *Sender) UpdateReceivers(news directory.Update) { s.Enqueue(func() { s.hear(news) }) }
+// UpdateReceivers enqueues an update of the list.
+func (s *Sender) UpdateReceivers(update directory.Update) {
+	s.Enqueue(func() { s.updateReceivers(update) })
+}
 
-// LoadReceivers tells the list as it was last known, before Run.
-func (s *Sender) LoadReceivers(news directory.Update) { s.hear(news) }
+// LoadReceivers applies the last known list; call it before Run.
+func (s *Sender) LoadReceivers(update directory.Update) { s.updateReceivers(update) }
 
-func (s *Sender) hear(news directory.Update) {
-	named := map[control.ReceiverID]bool{}
-	entries := make([]control.ReceiverEntry, 0, len(news.Entries))
-	for _, h := range news.Entries {
-		before, taken := s.at[h.Addr]
-		switch taken = taken && before != h.Receiver; {
+func (s *Sender) updateReceivers(update directory.Update) {
+	listed := map[control.ReceiverID]bool{}
+	entries := make([]control.ReceiverEntry, 0, len(update.Entries))
+	for _, h := range update.Entries {
+		previous, occupied := s.receiverAt[h.Addr]
+		switch occupied = occupied && previous != h.Receiver; {
 		case h.State == control.Removed:
-			s.drop(h.Receiver)
-		case taken && h.State == control.Draining: // another has its place already
+			s.removeReceiver(h.Receiver)
+		case occupied && h.State == control.Draining: // its address already belongs to another receiver
 			h.State = control.Removed
-			s.drop(h.Receiver)
+			s.removeReceiver(h.Receiver)
 		default:
-			// An address is that of whoever came there last. What is sent to one that was there before would reach
-			// the new one, perhaps of another destination.
-			if taken {
-				s.drop(before)
-				entries = append(entries, control.ReceiverEntry{Receiver: before, State: control.Removed})
+			// An address belongs to the receiver listed there last. Calls meant for the previous one would reach
+			// the new one, perhaps at another destination.
+			if occupied {
+				s.removeReceiver(previous)
+				entries = append(entries, control.ReceiverEntry{Receiver: previous, State: control.Removed})
 			}
-			named[h.Receiver] = true
-			s.place(h)
+			listed[h.Receiver] = true
+			s.addReceiver(h)
 		}
 		entries = append(entries, h.ReceiverEntry)
 	}
-	if news.Complete {
-		for id := range s.listed {
-			if !named[id] {
-				s.drop(id)
+	if update.Complete {
+		for id := range s.entries {
+			if !listed[id] {
+				s.removeReceiver(id)
 			}
 		}
 	}
-	s.module.UpdateReceivers(news.Complete, entries)
-	for _, h := range news.Entries {
-		if l, ok := s.recall[h.Addr]; ok && s.at[h.Addr] == h.Receiver {
-			delete(s.recall, h.Addr)
-			if l.Destination == h.Destination && l.Kind == h.Kind {
-				l.ReceiverHistory.Receiver = h.Receiver
-				s.module.Restore(l.ReceiverHistory)
+	s.control.UpdateReceivers(update.Complete, entries)
+	for _, h := range update.Entries {
+		if history, ok := s.pendingHistory[h.Addr]; ok && s.receiverAt[h.Addr] == h.Receiver {
+			delete(s.pendingHistory, h.Addr)
+			if history.Destination == h.Destination && history.Kind == h.Kind {
+				history.ReceiverHistory.Receiver = h.Receiver
+				s.control.Restore(history.ReceiverHistory)
 			}
 		}
 	}
 }
 
-// RestoreHistory takes over what a process before has learnt, as its receivers are listed; before the list is told.
-func (s *Sender) RestoreHistory(all []warmstart.Receiver) {
-	s.recall = map[string]warmstart.Receiver{}
-	for _, l := range all {
-		s.recall[l.Addr] = l
+// RestoreHistory keeps the history of the previous process and restores it as receivers are listed; call it before
+// LoadReceivers.
+func (s *Sender) RestoreHistory(histories []warmstart.Receiver) {
+	s.pendingHistory = map[string]warmstart.Receiver{}
+	for _, history := range histories {
+		s.pendingHistory[history.Addr] = history
 	}
 }
 
-// History gives what the module has learnt, for the process after this one; after Run. What was taken over of
-// receivers that were not listed yet goes on.
+// History returns the history of the receivers for the next process, including what was restored for receivers that
+// have not been listed yet. Call it after Run has returned.
 func (s *Sender) History() (control.Time, []warmstart.Receiver) {
-	addr := map[control.ReceiverID]string{}
-	for a, id := range s.at {
-		addr[id] = a
+	addrOf := map[control.ReceiverID]string{}
+	for a, id := range s.receiverAt {
+		addrOf[id] = a
 	}
-	all := slices.SortedFunc(maps.Values(s.recall), func(a, b warmstart.Receiver) int { return cmp.Compare(a.Addr, b.Addr) })
-	for _, l := range s.module.History() {
-		if e, ok := s.listed[l.Receiver]; ok && addr[l.Receiver] != "" {
-			all = append(all, warmstart.Receiver{Addr: addr[l.Receiver], Destination: e.Destination, Kind: e.Kind, ReceiverHistory: l})
+	histories := slices.SortedFunc(maps.Values(s.pendingHistory), func(a, b warmstart.Receiver) int { return cmp.Compare(a.Addr, b.Addr) })
+	for _, history := range s.control.History() {
+		if e, ok := s.entries[history.Receiver]; ok && addrOf[history.Receiver] != "" {
+			histories = append(histories, warmstart.Receiver{Addr: addrOf[history.Receiver], Destination: e.Destination, Kind: e.Kind, ReceiverHistory: history})
 		}
 	}
-	return s.now(), all
+	return s.now(), histories
 }
 
-// place keeps where a receiver is.
-func (s *Sender) place(h directory.Entry) {
-	s.vacate(h.Receiver)
-	s.listed[h.Receiver], s.at[h.Addr] = h.ReceiverEntry, h.Receiver
-	s.fleet.SetAddress(h.Receiver, h.Addr)
+// addReceiver records the entry and address of a receiver.
+func (s *Sender) addReceiver(h directory.Entry) {
+	s.freeAddress(h.Receiver)
+	s.entries[h.Receiver], s.receiverAt[h.Addr] = h.ReceiverEntry, h.Receiver
+	s.receivers.SetAddress(h.Receiver, h.Addr)
 }
 
-// vacate frees the address of a receiver.
-func (s *Sender) vacate(id control.ReceiverID) {
-	maps.DeleteFunc(s.at, func(_ string, at control.ReceiverID) bool { return at == id })
+// freeAddress removes the address of a receiver.
+func (s *Sender) freeAddress(id control.ReceiverID) {
+	maps.DeleteFunc(s.receiverAt, func(_ string, occupant control.ReceiverID) bool { return occupant == id })
 }
 
-func (s *Sender) drop(id control.ReceiverID) {
-	s.vacate(id)
-	delete(s.listed, id)
-	s.fleet.Remove(id)
+func (s *Sender) removeReceiver(id control.ReceiverID) {
+	s.freeAddress(id)
+	delete(s.entries, id)
+	s.receivers.Remove(id)
 }
--- a/internal/delivery/sender/outlet.go
+++ b/internal/delivery/sender/outlet.go
@@ -10,98 +10,99 @@
 	"emberquay/internal/delivery/receivers"
 )
 
-// The outlet: what the module wants done, as messages.
+// The implementation of control.Actions: decisions become calls, notices and log lines.
 
-// Submit keeps that a submit goes out and hands its call to the receiver.
-func (s *Sender) Submit(id string, to control.ReceiverID, timeout control.Time) {
+// Submit records an attempt in the ledger and passes its call to the receiver.
+func (s *Sender) Submit(id string, receiver control.ReceiverID, timeout control.Time) {
 	h := s.texts[id]
 	if h == nil {
 		slog.Error("unknown_text", "part", "sender", "text", id)
 		return
 	}
-	no := h.no
-	h.no++
+	number := h.nextNumber
+	h.nextNumber++
 	now := s.now()
-	wait := max(0, h.ValidUntil-now)
+	timeLeft := max(0, h.ValidUntil-now)
 	if timeout > 0 {
-		wait = min(wait, timeout)
+		timeLeft = min(timeLeft, timeout)
 	}
-	if h.FirstRunAt > 0 { // whether a repeat was in time is asked afterwards
-		slog.Info("repeat", "part", "sender", "text", id, "no", h.Attempts+1, "to", to, "after", protocol.Duration(now-h.FirstRunAt))
+	if h.FirstRunAt > 0 { // so that it can be checked later whether the repeat was in time
+		slog.Info("repeat", "part", "sender", "text", id, "no", h.Attempts+1, "to", receiver, "after", protocol.Duration(now-h.FirstRunAt))
 	}
-	// A submit that the ledger does not know of could be made once more after a restart.
-	if err := s.ledger.RecordAttempt(id, now, s.listed[to].Zone); err != nil {
+	// An attempt that the ledger does not hold could be made again after a restart.
+	if err := s.ledger.RecordAttempt(id, now, s.entries[receiver].Zone); err != nil {
 		slog.Error("not_submitted", "part", "sender", "text", id, "err", err)
-		s.unsent(id, no)
+		s.reportUnsent(id, number)
 		return
 	}
 	done := func(r control.Result) {
 		s.Enqueue(func() {
 			s.counts.InFlight--
-			s.answered(id, no, r)
+			s.handleResult(id, number, r)
 		})
 	}
-	call := receivers.NewCall(id, h.IdempotencyKey, h.Body, protocol.Duration(wait), done)
-	call.MaySend = func(ctx context.Context) bool { return s.still(ctx, id, no) }
+	call := receivers.NewCall(id, h.IdempotencyKey, h.Body, protocol.Duration(timeLeft), done)
+	call.MaySend = func(ctx context.Context) bool { return s.maySend(ctx, id, number) }
 	h.call = call
-	s.leave(func() {
-		if !s.fleet.Submit(to, call) {
-			s.unsent(id, no)
+	s.runAfterSync(func() {
+		if !s.receivers.Submit(receiver, call) {
+			s.reportUnsent(id, number)
 			return
 		}
 		s.counts.InFlight++
 		s.counts.Attempts++
-	}, func() { s.unsent(id, no) })
+	}, func() { s.reportUnsent(id, number) })
 }
 
-// still asks whether a submit that got its connection late may leave; a process that stops lets none.
-func (s *Sender) still(ctx context.Context, id string, no int) bool {
+// maySend asks whether an attempt that waited for its connection may still be sent; once sending has stopped, none may.
+func (s *Sender) maySend(ctx context.Context, id string, number int) bool {
 	answer := make(chan bool, 1)
 	select {
-	case s.mail <- func() { answer <- !s.frozen && s.module.MayStillSend(id, no) }:
+	case s.mailbox <- func() { answer <- !s.sendingStopped && s.control.MayStillSend(id, number) }:
 	case <-ctx.Done():
 		return false
 	}
 	select {
-	case may := <-answer:
-		return may
+	case allowed := <-answer:
+		return allowed
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// unsent tells the module, after the call it makes just now, that a submit never left.
-func (s *Sender) unsent(id string, no int) {
-	s.later = append(s.later, func() { s.answered(id, no, control.Result{Outcome: control.Unsent}) })
+// reportUnsent tells control that an attempt was never sent. It is deferred: control may be in the middle of a call.
+func (s *Sender) reportUnsent(id string, number int) {
+	s.deferred = append(s.deferred, func() { s.handleResult(id, number, control.Result{Outcome: control.Unsent}) })
 }
 
-// Cancel gives up the call that is out.
-func (s *Sender) Cancel(id string, no int) {
-	if h := s.texts[id]; h != nil && h.call != nil && h.no == no+1 {
+// Cancel cancels the call in flight.
+func (s *Sender) Cancel(id string, number int) {
+	if h := s.texts[id]; h != nil && h.call != nil && h.nextNumber == number+1 {
 		h.call.Cancel()
 	}
 }
 
-// Nack ends a text: the client may hand it in again.
-func (s *Sender) Nack(id string, comeBack control.Time) {
-	s.end(&ledger.Notice{ID: id, Nack: true, RetryAfter: comeBack}, Answer{Nacked, comeBack})
+// Nack rejects a text: the client may hand it in again.
+func (s *Sender) Nack(id string, retryAfter control.Time) {
+	s.endText(&ledger.Notice{ID: id, Nack: true, RetryAfter: retryAfter}, Answer{Nacked, retryAfter})
 }
 
-// MarkUndeliverable ends a text for good.
+// MarkUndeliverable ends a text permanently.
 func (s *Sender) MarkUndeliverable(id string) {
-	s.end(&ledger.Notice{ID: id}, Answer{Verdict: Undeliverable})
+	s.endText(&ledger.Notice{ID: id}, Answer{Verdict: Undeliverable})
 }
 
-// end tells the client where it still waits, else the platform.
-func (s *Sender) end(n *ledger.Notice, a Answer) {
+// endText gives the final answer to the client if it still waits, else to the platform in a notice.
+func (s *Sender) endText(n *ledger.Notice, answer Answer) {
 	h := s.texts[n.ID]
 	switch {
 	case h == nil:
-	case h.waits != nil:
-		// Written before it is said: a process killed in between would else send what its client had back.
+	case h.waiting != nil:
+		// Recorded before the client is answered: a process killed in between would otherwise send, after its restart,
+		// a text that the client has been given back.
 		s.counts.Rejected++
 		s.forget(n.ID)
-		s.leave(func() { h.tell(a) }, nil) // an end goes in any case
+		s.runAfterSync(func() { h.reply(answer) }, nil) // a rejection is sent even if the sync fails
 	default:
 		if n.Nack {
 			s.counts.Nacked++
@@ -109,40 +110,40 @@
 			s.counts.Undeliverable++
 		}
 		delete(s.texts, n.ID)
-		s.over.add(n.ID, s.limits.MaxTexts)
-		if n.Key = h.Key; n.Key != "" { // at once: the module may let the next of the key go in this very batch
-			s.module.NoticePending(n.Key)
+		s.ended.add(n.ID, s.limits.MaxTexts)
+		if n.Key = h.Key; n.Key != "" { // at once: control may send the next text of the key in this same batch
+			s.control.NoticePending(n.Key)
 		}
-		s.noted(n.ID, s.ledger.RecordEndOwingNotice(n))
-		s.leave(func() { s.post(n) }, nil)
+		s.logUnrecorded(n.ID, s.ledger.RecordEndOwingNotice(n))
+		s.runAfterSync(func() { s.postNotice(n) }, nil)
 	}
 }
 
-func (s *Sender) post(n *ledger.Notice) {
-	s.owed++
-	if !s.desk.Post(n) { // it stays in the ledger
+func (s *Sender) postNotice(n *ledger.Notice) {
+	s.pendingNotices++
+	if !s.notifier.Post(n) { // the ledger keeps it for the next start
 		slog.Warn("notice_left", "part", "sender", "text", n.ID)
 	}
 }
 
-// WakeAt sets the timer, if nothing earlier is waited for. The module needs no more than one wake. One whose time has come
-// is waited for no more, even if the timer has not been heard: what came in with it has had the module plan anew, and
-// it would not ask a second time.
+// WakeAt sets the timer, unless an earlier wake is pending; control needs only one. A wake that is due no longer counts
+// as pending, even if the timer's channel has not been read: events of the same moment have made control plan again,
+// and it does not ask for that next wake a second time.
 func (s *Sender) WakeAt(at control.Time, _ int64) {
 	if now := s.now(); s.wakeAt <= now || at < s.wakeAt {
 		s.wakeAt = at
-		s.timer.Reset(protocol.Duration(max(0, at-now)))
+		s.wakeTimer.Reset(protocol.Duration(max(0, at-now)))
 	}
 }
 
 // CloseIdle closes the idle connections to a receiver.
-func (s *Sender) CloseIdle(to control.ReceiverID) { s.fleet.CloseIdle(to) }
+func (s *Sender) CloseIdle(receiver control.ReceiverID) { s.receivers.CloseIdle(receiver) }
 
-// WatchReceivers has nothing to do here: internal/delivery/directory keeps a watch open from the start, asked for or not.
+// WatchReceivers does nothing: internal/delivery/directory keeps a watch open from the start.
 func (s *Sender) WatchReceivers() {}
 
-// Broadcast has no way to other senders here; the module sends none.
+// Broadcast does nothing: there is no channel to other senders, and control sends no broadcasts.
 func (s *Sender) Broadcast([]byte) {}
 
-// Log writes a line of the module.
+// Log logs a line of control.
 func (s *Sender) Log(line string) { slog.Info("said", "part", "module", "line", line) }
--- a/internal/delivery/sender/sender.go
+++ b/internal/delivery/sender/sender.go
@@ -1,6 +1,6 @@
-// Package sender is the module's actor. Whatever happens becomes a call on the module, made by one
-// goroutine; what the module wants done becomes messages to the receivers, the platform and the clients.
-// It decides nothing about texts itself.
+// Package sender runs a control.Sender as an actor: one goroutine turns events into calls on it, and its
+// decisions into calls to receivers, notices to the platform and answers to clients.
+// The package makes no delivery decisions itself.
 package sender
 
 import (
@@ -16,264 +16,264 @@
 	"emberquay/internal/lateness"
 )
 
-// Verdict is what a client hears of the text that it hands in.
+// Verdict tells a client what became of the text that it handed in.
 type Verdict int
 
 // The verdicts.
 const (
 	Accepted Verdict = iota
-	Nacked           // handing it in again is harmless
+	Nacked           // rejected; handing it in again is safe
 	Undeliverable
 )
 
-// Answer is a verdict and, with a nack, advice when to come back; 0: none.
+// Answer is a verdict and, with a nack, an optional Retry-After delay; 0: none.
 type Answer struct {
 	Verdict    Verdict
 	RetryAfter control.Time
 }
 
-// Notifier takes notices to the platform.
+// Notifier delivers notices to the platform.
 type Notifier interface{ Post(*ledger.Notice) bool }
 
-// wakeUps is how many times a call waits for a processor from its release until its answer is read, each as late as the
-// process is observed to be: the receiver's actor, the call, its dial, the connection's writer, the receiver's reader and
-// its handler (which may share the machine), the connection's reader, the call again.
-const wakeUps = 8
+// wakeUpsPerCall is how many times a goroutine has to be scheduled from the decision to send a call until its response is
+// read, each with the observed lateness of the process: the receiver's actor, the call, its dial, the connection's writer,
+// the receiver's reader and its handler (which may share the machine), the connection's reader, the call again.
+const wakeUpsPerCall = 8
 
-// Sender runs one instance of the module.
+// Sender runs one control.Sender.
 type Sender struct {
-	limits config.Limits
-	began  time.Time // with a monotonic reading, so that the module's time never steps
-	mail   chan func()
-	timer  *time.Timer
-	wakeAt control.Time // 0: no wake is asked for
+	limits    config.Limits
+	startedAt time.Time // with a monotonic reading, so that the time given to control never steps
+	mailbox   chan func()
+	wakeTimer *time.Timer
+	wakeAt    control.Time // 0: no wake is pending
 
-	module *control.Sender
-	ledger *ledger.Ledger
-	fleet  *receivers.Pool
-	desk   Notifier
+	control   *control.Sender
+	ledger    *ledger.Ledger
+	receivers *receivers.Pool
+	notifier  Notifier
 
-	lateness *lateness.Monitor // from Run on
+	lateness *lateness.Monitor // set by Run
 
-	texts    map[string]*held
-	left     map[string]*held // withdrawn, and a call of theirs is out
-	over     recent           // ids of texts that were taken on and have their end
-	listed   map[control.ReceiverID]control.ReceiverEntry
-	at       map[string]control.ReceiverID // by address, those listed
-	recall   map[string]warmstart.Receiver // of a process before, by address; until the list names them
-	fresh    []*held                       // their clients have yet to hear
-	later    []func()                      // calls on the module that came up during one
-	leaving  []effect                      // what may leave once the ledger is synced
-	unsynced bool                          // it was not: the fresh ones must not be taken on
-	owed     int                           // notices
-	counts   Counts
-	tally    tally
-	stopping bool
-	frozen   bool // nothing new goes out
-	idle     chan struct{}
+	texts             map[string]*heldText
+	withdrawnInFlight map[string]*heldText // withdrawn while a call is in flight
+	ended             recentIDs            // IDs of accepted texts that have their final answer
+	entries           map[control.ReceiverID]control.ReceiverEntry
+	receiverAt        map[string]control.ReceiverID // by address, of listed receivers
+	pendingHistory    map[string]warmstart.Receiver // from the previous process, by address; until the receiver is listed
+	newTexts          []*heldText                   // not answered yet
+	deferred          []func()                      // calls on control that arose during another one
+	pendingEffects    []effect                      // to run once the ledger is synced
+	syncFailed        bool                          // newTexts must not be accepted
+	pendingNotices    int
+	counts            Counts
+	countLog          countLog
+	stopping          bool
+	sendingStopped    bool // no new attempts
+	idle              chan struct{}
 }
 
-// Counts is what a sender has done since its start, and what it has in hand.
+// Counts holds totals since the start, then the current state.
 type Counts struct {
 	Accepted      int `json:"taken"`
-	Rejected      int `json:"refused"` // at once
+	Rejected      int `json:"refused"` // in the answer to the client
 	Delivered     int `json:"delivered"`
-	Nacked        int `json:"nacked"` // later
+	Nacked        int `json:"nacked"` // by a notice, after acceptance
 	Undeliverable int `json:"undeliverable"`
 	Attempts      int `json:"submits"`
 	AttemptCounts
 
 	Held           int `json:"held"`
-	InFlight       int `json:"out"`  // submits
-	PendingNotices int `json:"owed"` // notices
+	InFlight       int `json:"out"`  // attempts
+	PendingNotices int `json:"owed"` // to the platform
 	Receivers      int `json:"receivers"`
 	ReceiverConns  int `json:"receiver_conns"`
 }
 
-// New makes the actor, takes over what the ledger owes and tells the module. Run then lets it act.
-func New(c *config.Config, l *ledger.Ledger, f *receivers.Pool) (*Sender, error) {
+// New returns a sender that holds no texts yet; Recover adds those of the ledger, Run starts the actor.
+func New(c *config.Config, l *ledger.Ledger, pool *receivers.Pool) (*Sender, error) {
 	s := &Sender{
-		limits: c.Limits, began: time.Now(), mail: make(chan func(), c.Limits.MailboxSize),
-		timer: time.NewTimer(time.Hour), ledger: l, fleet: f,
-		texts: map[string]*held{}, left: map[string]*held{}, listed: map[control.ReceiverID]control.ReceiverEntry{},
-		at: map[string]control.ReceiverID{}, idle: make(chan struct{}),
+		limits: c.Limits, startedAt: time.Now(), mailbox: make(chan func(), c.Limits.MailboxSize),
+		wakeTimer: time.NewTimer(time.Hour), ledger: l, receivers: pool,
+		texts: map[string]*heldText{}, withdrawnInFlight: map[string]*heldText{}, entries: map[control.ReceiverID]control.ReceiverEntry{},
+		receiverAt: map[string]control.ReceiverID{}, idle: make(chan struct{}),
 	}
 	var err error
-	if s.module, err = control.New(c.Seed, c.Settings, s); err != nil {
+	if s.control, err = control.New(c.Seed, c.Settings, s); err != nil {
 		return nil, err
 	}
-	s.module.SetTime(s.now())
+	s.control.SetTime(s.now())
 	return s, nil
 }
 
-// now is the clock in whole tenths of a millisecond, rounded down.
+// now returns the time in ticks of a tenth of a millisecond, rounded down.
 func (s *Sender) now() control.Time {
-	return protocol.UnixTicks(s.began) + protocol.Ticks(time.Since(s.began))
+	return protocol.UnixTicks(s.startedAt) + protocol.Ticks(time.Since(s.startedAt))
 }
 
-// Recover takes over what is owed from before, once the list as last known has been told. Notices that are
-// due go to the desk.
-func (s *Sender) Recover(desk Notifier) {
-	s.desk = desk
+// Recover passes the texts that the ledger holds to control and the pending notices to the notifier. Call it after
+// LoadReceivers and before Run.
+func (s *Sender) Recover(notifier Notifier) {
+	s.notifier = notifier
 	s.ledger.CheckClock(s.now())
 	texts, due := s.ledger.Unfinished()
 	for _, t := range texts {
-		s.texts[t.ID] = heldOf(t)
-		s.take(t, true)
+		s.texts[t.ID] = newHeldText(t)
+		s.handleArrival(t, true)
 	}
 	for _, n := range due {
-		s.over.add(n.ID, s.limits.MaxTexts)
+		s.ended.add(n.ID, s.limits.MaxTexts)
 		if n.Key != "" {
-			s.module.NoticePending(n.Key)
+			s.control.NoticePending(n.Key)
 		}
-		s.post(n)
+		s.postNotice(n)
 	}
 }
 
-// Run makes calls on the module until stop is closed. Nothing new goes out then, but what has come by then is heard:
-// a text whose delivery lies in the mailbox would else be sent again after the start.
+// Run processes events until stop is closed. Then no attempt is sent any more, but events already in the mailbox are
+// processed: a text whose delivery is among them would otherwise be sent again after the restart.
 func (s *Sender) Run(stop <-chan struct{}) {
 	s.lateness = lateness.StartMonitor(stop)
-	s.settle()
+	s.finishBatch()
 	for {
 		select {
 		case <-stop:
-			s.frozen = true
-			for len(s.mail) > 0 {
-				s.step(<-s.mail)
+			s.sendingStopped = true
+			for len(s.mailbox) > 0 {
+				s.execute(<-s.mailbox)
 			}
-			s.settle()
+			s.finishBatch()
 			return
-		case do := <-s.mail:
-			s.step(do)
-			for more := len(s.mail); more > 0; more-- { // what has gathered settles together
-				s.step(<-s.mail)
+		case do := <-s.mailbox:
+			s.execute(do)
+			for more := len(s.mailbox); more > 0; more-- { // queued events form one batch
+				s.execute(<-s.mailbox)
 			}
-		case <-s.timer.C:
+		case <-s.wakeTimer.C:
 			s.wakeAt = 0
 		}
-		s.settle()
-		s.count()
+		s.finishBatch()
+		s.logCountsIfDue()
 	}
 }
 
-func (s *Sender) step(do func()) {
-	s.module.SetTime(s.now())
+func (s *Sender) execute(do func()) {
+	s.control.SetTime(s.now())
 	do()
 }
 
-// settle lets the module release what may go, and answers the clients that wait.
-func (s *Sender) settle() {
-	for again := true; again; again = len(s.later) > 0 {
-		s.module.SetTime(s.now())
-		todo := s.later
-		s.later = nil
-		for _, do := range todo {
+// finishBatch lets control send what may go, syncs the ledger and answers the waiting clients.
+func (s *Sender) finishBatch() {
+	for again := true; again; again = len(s.deferred) > 0 {
+		s.control.SetTime(s.now())
+		calls := s.deferred
+		s.deferred = nil
+		for _, do := range calls {
 			do()
 		}
-		if !s.frozen {
-			s.module.SetProcessLateness(protocol.Ticks(wakeUps * s.lateness.Max()))
-			s.module.Schedule()
+		if !s.sendingStopped {
+			s.control.SetProcessLateness(protocol.Ticks(wakeUpsPerCall * s.lateness.Max()))
+			s.control.Schedule()
 		}
-		s.commit()
+		s.syncLedger()
 	}
-	for _, h := range s.fresh {
+	for _, h := range s.newTexts {
 		switch {
-		case h.waits == nil:
-		case s.texts[h.ID] != h: // withdrawn since
-			h.tell(Answer{Verdict: Nacked})
-		case s.unsynced: // it might be forgotten
+		case h.waiting == nil:
+		case s.texts[h.ID] != h: // withdrawn in the meantime
+			h.reply(Answer{Verdict: Nacked})
+		case s.syncFailed: // a power loss might lose it
 			s.withdraw(h)
 			s.counts.Rejected++
-			h.tell(Answer{Verdict: Nacked})
+			h.reply(Answer{Verdict: Nacked})
 		default:
-			h.tell(Answer{Verdict: Accepted})
+			h.reply(Answer{Verdict: Accepted})
 			s.counts.Accepted++
 		}
 	}
-	s.fresh, s.unsynced = s.fresh[:0], false
-	if s.stopping && s.counts.InFlight == 0 && (s.frozen || len(s.texts)+s.owed == 0) {
+	s.newTexts, s.syncFailed = s.newTexts[:0], false
+	if s.stopping && s.counts.InFlight == 0 && (s.sendingStopped || len(s.texts)+s.pendingNotices == 0) {
 		s.stopping = false
 		close(s.idle)
 	}
 }
 
-// effect is something that leaves the sender, and what is done if it must not.
-type effect struct{ do, instead func() }
+// effect is an action visible outside the process; onSyncFailure, if not nil, runs instead if the sync failed.
+type effect struct{ run, onSyncFailure func() }
 
-// leave lets something leave once what it rests on is kept: at once where the process is all that may end, else after
-// the sync that everything of this batch shares.
-func (s *Sender) leave(do, instead func()) {
+// runAfterSync runs an effect once the records it depends on are durable: at once if the ledger only has to survive the
+// process, else after the sync at the end of the batch.
+func (s *Sender) runAfterSync(run, onSyncFailure func()) {
 	if !s.ledger.RequiresSync() {
-		do()
+		run()
 		return
 	}
-	s.leaving = append(s.leaving, effect{do, instead})
+	s.pendingEffects = append(s.pendingEffects, effect{run, onSyncFailure})
 }
 
-// commit has what was written on the disk, and lets go what waited for it.
-func (s *Sender) commit() {
+// syncLedger syncs the records of the batch and runs the effects that waited for that.
+func (s *Sender) syncLedger() {
 	err := s.ledger.Sync()
 	if err != nil {
 		slog.Error("not_synced", "part", "sender", "err", err)
-		s.unsynced = true
+		s.syncFailed = true
 	}
-	todo := s.leaving
-	s.leaving = nil
-	for _, e := range todo {
-		if err != nil && e.instead != nil {
-			e.instead()
+	effects := s.pendingEffects
+	s.pendingEffects = nil
+	for _, e := range effects {
+		if err != nil && e.onSyncFailure != nil {
+			e.onSyncFailure()
 		} else {
-			e.do()
+			e.run()
 		}
 	}
 }
 
-// Enqueue posts a call on the module; it waits while the mailbox is full.
-func (s *Sender) Enqueue(do func()) { s.mail <- do }
+// Enqueue adds a call for the actor to the mailbox; it blocks while the mailbox is full.
+func (s *Sender) Enqueue(do func()) { s.mailbox <- do }
 
-// NoticesDelivered posts that notices have arrived.
-func (s *Sender) NoticesDelivered(all []*ledger.Notice) {
+// NoticesDelivered records that the platform has received notices.
+func (s *Sender) NoticesDelivered(notices []*ledger.Notice) {
 	s.Enqueue(func() {
-		for _, n := range all {
-			s.owed--
-			s.noted(n.ID, s.ledger.RecordEnd(n.ID))
+		for _, n := range notices {
+			s.pendingNotices--
+			s.logUnrecorded(n.ID, s.ledger.RecordEnd(n.ID))
 			if n.Key != "" {
-				s.module.NoticeDelivered(n.Key)
+				s.control.NoticeDelivered(n.Key)
 			}
 		}
 	})
 }
 
-// answered hands the result of a submit to the module.
-func (s *Sender) answered(id string, no int, r control.Result) {
-	s.counts.add(r)
-	if h := s.left[id]; h != nil && h.no == no+1 {
-		delete(s.left, id)
+// handleResult records the result of an attempt and passes it to control.
+func (s *Sender) handleResult(id string, number int, r control.Result) {
+	s.counts.record(r)
+	if h := s.withdrawnInFlight[id]; h != nil && h.nextNumber == number+1 {
+		delete(s.withdrawnInFlight, id)
 	}
-	if h := s.texts[id]; h != nil && h.call != nil && h.no == no+1 {
+	if h := s.texts[id]; h != nil && h.call != nil && h.nextNumber == number+1 {
 		h.call = nil
 		if r.Outcome == control.Delivered {
 			s.counts.Delivered++
 		}
 		if r.Final {
-			s.over.add(id, s.limits.MaxTexts)
+			s.ended.add(id, s.limits.MaxTexts)
 			s.forget(id)
 		} else {
-			s.noted(id, s.ledger.RecordResult(id, r.Outcome.MayHaveRun()))
+			s.logUnrecorded(id, s.ledger.RecordResult(id, r.Outcome.MayHaveRun()))
 		}
 	}
-	s.module.HandleResult(id, no, r)
+	s.control.HandleResult(id, number, r)
 }
 
-// Stop posts that the process is to end: what is owed is worked on, and Idle tells once nothing is left.
+// Stop announces the end of the process: delivery goes on, and Idle is closed once no texts or notices are left.
 func (s *Sender) Stop() { s.Enqueue(func() { s.stopping = true }) }
 
-// StopSending posts that nothing new goes out; Idle then tells once no call is out. Calls that wait for their connections are
-// kept back: out at the end they would count as such that may have run.
+// StopSending stops new attempts; after Stop, Idle is then closed once no call is in flight. Calls that wait for their
+// connection are cancelled unsent: if still in flight at the end of the process, they would count as possibly run.
 func (s *Sender) StopSending() {
 	s.Enqueue(func() {
-		s.frozen = true
+		s.sendingStopped = true
 		for _, h := range s.texts {
 			if h.call != nil {
 				h.call.CancelUnsent()
@@ -282,15 +282,15 @@
 	})
 }
 
-// Idle is closed once a sender that stops has nothing left to do.
+// Idle returns a channel that is closed once a stopping sender has nothing left to do.
 func (s *Sender) Idle() <-chan struct{} { return s.idle }
 
-// Status asks for the counts; false if the actor has no time.
+// Status returns the counts; false if the mailbox is full.
 func (s *Sender) Status() (Counts, bool) {
 	counts := make(chan Counts, 1)
 	select {
-	case s.mail <- func() {
-		counts <- s.counted()
+	case s.mailbox <- func() {
+		counts <- s.currentCounts()
 	}:
 		return <-counts, true
 	default:
@@ -298,7 +298,7 @@
 	}
 }
 
-// CloseLedger ends the use of the ledger, after Run.
+// CloseLedger closes the ledger; call it after Run has returned.
 func (s *Sender) CloseLedger() error {
 	return s.ledger.Close()
 }
