--- a/internal/delivery/receivers/call.go
+++ b/internal/delivery/receivers/call.go
@@ -193,8 +193,8 @@
 }
 
 // discardBody reads the rest of a response, so that the connection is free for the call that the result allows to be sent.
-// It reports whether the body was complete within the limits of time and size. If not, the connection is dropped; so it
-// is if the length was not given, since surplus bytes could then follow undetected.
+// It reports whether the body was complete within the limits of time and size; if not, the connection is dropped. With an
+// unknown length it returns true and drops the connection, since surplus bytes could follow undetected.
 func (c *Call) discardBody(resp *http.Response, limits config.Limits) bool {
 	defer resp.Body.Close()
 	if resp.ContentLength < 0 {
