--- a/internal/tier/dataplane/assignment.go
+++ b/internal/tier/dataplane/assignment.go
@@ -20,18 +20,18 @@
 	mutex     sync.Mutex
 	proxies   map[string]string          // guarded by mutex; the zone of each live proxy, by name
 	byZone    map[string]map[string]bool // guarded by mutex; names of the live proxies of a zone
-	receivers map[string]choice          // guarded by mutex
+	receivers map[string]assignedProxy   // guarded by mutex
 }
 
-// choice is the proxy that asks for a receiver's reports, and what it was chosen by.
-type choice struct {
-	zone  string // of the receiver
-	proxy string // empty: none
-	hash  uint64
+// assignedProxy is the proxy that asks for a receiver's reports, and what it was chosen by.
+type assignedProxy struct {
+	receiverZone string // of the receiver
+	name         string // empty: none
+	hash         uint64
 }
 
 func newAssignment(self string) *assignment {
-	return &assignment{self: self, proxies: map[string]string{}, byZone: map[string]map[string]bool{}, receivers: map[string]choice{}}
+	return &assignment{self: self, proxies: map[string]string{}, byZone: map[string]map[string]bool{}, receivers: map[string]assignedProxy{}}
 }
 
 // assigned tells whether this proxy asks for a receiver's reports.
@@ -39,11 +39,11 @@
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	chosen, known := a.receivers[string(id)]
-	return known && chosen.proxy == a.self
+	return known && chosen.name == a.self
 }
 
-// live is the number of live proxies.
-func (a *assignment) live() int {
+// liveCount is the number of live proxies.
+func (a *assignment) liveCount() int {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return len(a.proxies)
@@ -53,12 +53,12 @@
 func (a *assignment) setProxy(name, zone string, live bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	known, there := a.proxies[name]
-	if there && (!live || known != zone) {
-		a.dropProxy(name, known)
-		there = false
+	oldZone, found := a.proxies[name]
+	if found && (!live || oldZone != zone) {
+		a.removeProxy(name, oldZone)
+		found = false
 	}
-	if live && !there {
+	if live && !found {
 		a.addProxy(name, zone)
 	}
 }
@@ -72,23 +72,23 @@
 	a.byZone[zone][name] = true
 	for id, c := range a.receivers {
 		switch {
-		case c.zone == zone && first: // until now those of other zones stood in
-			a.receivers[id] = choice{zone: zone}.offer(id, name)
-		case c.zone == zone || len(a.byZone[c.zone]) == 0:
-			a.receivers[id] = c.offer(id, name)
+		case c.receiverZone == zone && first: // until now those of other zones stood in
+			a.receivers[id] = assignedProxy{receiverZone: zone}.withCandidate(id, name)
+		case c.receiverZone == zone || len(a.byZone[c.receiverZone]) == 0:
+			a.receivers[id] = c.withCandidate(id, name)
 		}
 	}
 }
 
-func (a *assignment) dropProxy(name, zone string) {
+func (a *assignment) removeProxy(name, zone string) {
 	delete(a.proxies, name)
 	delete(a.byZone[zone], name)
 	if len(a.byZone[zone]) == 0 {
 		delete(a.byZone, zone)
 	}
 	for id, c := range a.receivers {
-		if c.proxy == name {
-			a.receivers[id] = a.choose(id, c.zone)
+		if c.name == name {
+			a.receivers[id] = a.choose(id, c.receiverZone)
 		}
 	}
 }
@@ -97,34 +97,34 @@
 func (a *assignment) setReceiver(id, zone string, gone bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	known, there := a.receivers[id]
+	previous, found := a.receivers[id]
 	switch {
 	case gone:
 		delete(a.receivers, id)
-	case !there || known.zone != zone:
+	case !found || previous.receiverZone != zone:
 		a.receivers[id] = a.choose(id, zone)
 	}
 }
 
-func (a *assignment) choose(id, zone string) choice {
-	chosen := choice{zone: zone}
-	if near := a.byZone[zone]; len(near) > 0 {
-		for name := range near {
-			chosen = chosen.offer(id, name)
+func (a *assignment) choose(id, zone string) assignedProxy {
+	chosen := assignedProxy{receiverZone: zone}
+	if sameZone := a.byZone[zone]; len(sameZone) > 0 {
+		for name := range sameZone {
+			chosen = chosen.withCandidate(id, name)
 		}
 		return chosen
 	}
 	for name := range a.proxies {
-		chosen = chosen.offer(id, name)
+		chosen = chosen.withCandidate(id, name)
 	}
 	return chosen
 }
 
-// offer gives the choice between the present proxy and another.
-func (c choice) offer(id, name string) choice {
-	hash := xxhash.Sum64String(id + "/" + name)
-	if c.proxy == "" || hash > c.hash || hash == c.hash && name < c.proxy {
-		c.proxy, c.hash = name, hash
+// withCandidate gives the choice between the present proxy and another.
+func (c assignedProxy) withCandidate(id, candidate string) assignedProxy {
+	hash := xxhash.Sum64String(id + "/" + candidate)
+	if c.name == "" || hash > c.hash || hash == c.hash && candidate < c.name {
+		c.name, c.hash = candidate, hash
 	}
 	return c
 }
--- a/internal/tier/dataplane/assignment_test.go
+++ b/internal/tier/dataplane/assignment_test.go
@@ -46,7 +46,7 @@
 				fresh.setReceiver(id, z, false)
 			}
 			Expect(a.receivers).To(Equal(fresh.receivers))
-			Expect(a.live()).To(Equal(len(proxies)))
+			Expect(a.liveCount()).To(Equal(len(proxies)))
 		}
 	})
 
--- a/internal/tier/dataplane/feed.go
+++ b/internal/tier/dataplane/feed.go
@@ -5,57 +5,57 @@
 	"time"
 )
 
-// feedInterval is the least time between two hand-overs of the receivers' list. Each costs the proxy a step for
+// minUpdateInterval is the least time between two hand-overs of the receivers' list. Each costs the proxy a step for
 // every receiver: where hundreds change together, as when the fleet starts or a zone comes back, one hand-over
 // for each would cost the square of their number. It is far below the time within which a drain has to be heeded.
-const feedInterval = 50 * time.Millisecond
-
-// feed hands something over after each change: the first at once, those that follow soon after it together.
-type feed struct {
-	handOver func()
-	stale    chan struct{}
-	end      chan struct{}
-	once     sync.Once
-	mutex    sync.Mutex // held while it is handed over: an older state must not come after a newer one
+const minUpdateInterval = 50 * time.Millisecond
+
+// throttledUpdate hands something over after each change: the first at once, those that follow soon after it together.
+type throttledUpdate struct {
+	update    func()
+	pending   chan struct{}
+	closed    chan struct{}
+	closeOnce sync.Once
+	mutex     sync.Mutex // held while it is handed over: an older state must not come after a newer one
 }
 
-func newFeed(handOver func()) *feed {
-	return &feed{handOver: handOver, stale: make(chan struct{}, 1), end: make(chan struct{})}
+func newThrottledUpdate(update func()) *throttledUpdate {
+	return &throttledUpdate{update: update, pending: make(chan struct{}, 1), closed: make(chan struct{})}
 }
 
-// changed has the present state handed over soon. It doesn't wait.
-func (f *feed) changed() {
+// trigger has the present state handed over soon. It doesn't wait.
+func (f *throttledUpdate) trigger() {
 	select {
-	case f.stale <- struct{}{}:
+	case f.pending <- struct{}{}:
 	default:
 	}
 }
 
-// now hands the present state over at once.
-func (f *feed) now() {
+// updateNow hands the present state over at once.
+func (f *throttledUpdate) updateNow() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.handOver()
+	f.update()
 }
 
 // run works until close.
-func (f *feed) run() {
-	pause := time.NewTimer(0)
-	defer pause.Stop()
+func (f *throttledUpdate) run() {
+	timer := time.NewTimer(0)
+	defer timer.Stop()
 	for {
 		select {
-		case <-pause.C:
-		case <-f.end:
+		case <-timer.C:
+		case <-f.closed:
 			return
 		}
 		select {
-		case <-f.stale:
-			f.now()
-			pause.Reset(feedInterval)
-		case <-f.end:
+		case <-f.pending:
+			f.updateNow()
+			timer.Reset(minUpdateInterval)
+		case <-f.closed:
 			return
 		}
 	}
 }
 
-func (f *feed) close() { f.once.Do(func() { close(f.end) }) }
+func (f *throttledUpdate) close() { f.closeOnce.Do(func() { close(f.closed) }) }
--- a/internal/tier/dataplane/feed_test.go
+++ b/internal/tier/dataplane/feed_test.go
@@ -6,40 +6,40 @@
 	"time"
 )
 
-// TestFeed runs in a bubble with a clock of its own.
-func TestFeed(t *testing.T) {
+// TestThrottledUpdate runs in a bubble with a clock of its own.
+func TestThrottledUpdate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		state := 0
-		var handed []int
-		f := newFeed(func() { handed = append(handed, state) })
-		go f.run()
+		var updates []int
+		u := newThrottledUpdate(func() { updates = append(updates, state) })
+		go u.run()
 		synctest.Wait()
 
 		state = 1
-		f.changed()
+		u.trigger()
 		synctest.Wait()
-		if len(handed) != 1 || handed[0] != 1 {
-			t.Fatalf("a change after a pause is not handed over at once: %v", handed)
+		if len(updates) != 1 || updates[0] != 1 {
+			t.Fatalf("a change after a pause is not handed over at once: %v", updates)
 		}
 
 		for state < 600 {
 			state++
-			f.changed()
+			u.trigger()
 			synctest.Wait()
 		}
-		time.Sleep(feedInterval)
+		time.Sleep(minUpdateInterval)
 		synctest.Wait()
-		if len(handed) != 2 || handed[1] != 600 {
-			t.Fatalf("changes that follow each other are not handed over together, the last among them: %v", handed)
+		if len(updates) != 2 || updates[1] != 600 {
+			t.Fatalf("changes that follow each other are not handed over together, the last among them: %v", updates)
 		}
 
-		f.close()
+		u.close()
 		synctest.Wait()
-		f.changed()
-		time.Sleep(10 * feedInterval)
+		u.trigger()
+		time.Sleep(10 * minUpdateInterval)
 		synctest.Wait()
-		if len(handed) != 2 {
-			t.Fatalf("handed over after the end: %v", handed)
+		if len(updates) != 2 {
+			t.Fatalf("handed over after the end: %v", updates)
 		}
 	})
 }
--- a/internal/tier/dataplane/plane.go
+++ b/internal/tier/dataplane/plane.go
@@ -34,42 +34,42 @@
 // The shares of the machine's limits that the proxy may take. What is left is for the other process of the machine,
 // internal connections, files and the heap.
 const (
-	bodyShare     = 0.15 // of the memory, for bodies in hand
-	clientShare   = 0.4  // of the descriptors, for connections of clients
-	receiverShare = 0.25 // of the descriptors, for connections to receivers
+	bodyMemoryShare         = 0.15 // of the memory, for bodies in hand
+	clientConnectionShare   = 0.4  // of the descriptors, for connections of clients
+	receiverConnectionShare = 0.25 // of the descriptors, for connections to receivers
 )
 
 // Plane is a running data plane.
 type Plane struct {
-	base    *planes.Base
-	stores  *storeclient.Client
-	proxy   *proxy.Proxy
-	reports *reportSpreader
-	stop    context.CancelFunc
-	stopped context.Context // done once the process is told to stop
-	end     context.CancelFunc
-	ended   context.Context // done once nothing is served any more
-
-	receivers  *receiverList
-	assignment *assignment
-	snapshot   atomic.Pointer[routing.Snapshot] // written by the watchers' goroutine; nil until one is known
-	feed       *feed                            // of receivers to the proxy
+	base       *planes.Base
+	stores     *storeclient.Client
+	proxy      *proxy.Proxy
+	reports    *reportPublisher
+	beginStop  context.CancelFunc
+	stopping   context.Context // done once the process is told to stop
+	markClosed context.CancelFunc
+	closed     context.Context // done once nothing is served any more
+
+	receivers      *receiverList
+	assignment     *assignment
+	snapshot       atomic.Pointer[routing.Snapshot] // written by the watchers' goroutine; nil until one is known
+	receiverUpdate *throttledUpdate                 // of receivers to the proxy
 
 	reportsReceived atomic.Int64
 }
 
 // Start joins the others and serves; the plane is ready once it knows the configuration and the receivers.
 func Start(node *settings.Node, logger log.Interface) (*Plane, error) {
-	stopped, stop := context.WithCancel(context.Background())
-	ended, end := context.WithCancel(context.Background())
-	p := &Plane{base: planes.NewBase(node, settings.Proxy, logger), stop: stop, stopped: stopped, end: end, ended: ended,
+	stopping, beginStop := context.WithCancel(context.Background())
+	closed, markClosed := context.WithCancel(context.Background())
+	p := &Plane{base: planes.NewBase(node, settings.Proxy, logger), beginStop: beginStop, stopping: stopping, markClosed: markClosed, closed: closed,
 		receivers: newReceiverList(), assignment: newAssignment(node.Name)}
-	p.feed = newFeed(p.feedReceivers)
+	p.receiverUpdate = newThrottledUpdate(p.updateReceivers)
 	if err := p.open(); err != nil {
 		p.close()
 		return nil, err
 	}
-	go p.feed.run()
+	go p.receiverUpdate.run()
 	p.watch()
 	go func() {
 		if err := p.proxy.Run(); err != nil {
@@ -87,34 +87,34 @@
 	node := p.base.Settings
 	p.stores = storeclient.New(storeclient.Options{Caller: storewire.NewCaller(p.base.Client), Zone: node.Zone})
 	var err error
-	p.reports = newReportSpreader(p.base.Client, p.base.Cluster, p.ended)
+	p.reports = newReportPublisher(p.base.Client, p.base.Cluster, p.closed)
 	p.proxy, err = proxy.New(proxy.Options{
 		ClientAddress: node.Listen.Front, ReadinessAddress: node.Listen.Readiness,
 		Store: p.stores, Logger: p.base.Log, Zone: node.Zone,
 		Seed:                   maphash.Comparable(maphash.MakeSeed(), node.Name),
-		LiveProxyCount:         func() int { return max(1, p.assignment.live()) },
+		LiveProxyCount:         func() int { return max(1, p.assignment.liveCount()) },
 		PollAssigned:           p.assignment.assigned,
-		PublishReport:          p.reports.spread,
-		MaxBodyMemoryBytes:     int64(bodyShare * float64(node.Limits.MemoryMB<<20)),
-		MaxClientConnections:   int(clientShare * float64(node.Limits.MaxFDs)),
-		MaxReceiverConnections: int(receiverShare * float64(node.Limits.MaxFDs)),
+		PublishReport:          p.reports.publish,
+		MaxBodyMemoryBytes:     int64(bodyMemoryShare * float64(node.Limits.MemoryMB<<20)),
+		MaxClientConnections:   int(clientConnectionShare * float64(node.Limits.MaxFDs)),
+		MaxReceiverConnections: int(receiverConnectionShare * float64(node.Limits.MaxFDs)),
 	})
 	if err != nil {
 		return err
 	}
-	transport.HandleOneWay(p.base.Mux, reportMethod, reportCodec, func(_ context.Context, r records.ReportRecord) { p.takeReport(r) })
+	transport.HandleOneWay(p.base.Mux, reportMethod, reportCodec, func(_ context.Context, r records.ReportRecord) { p.handleReport(r) })
 	return p.base.Serve(p.addStatus)
 }
 
 // watch hands what the cluster tells to those who work by it.
 func (p *Plane) watch() {
-	p.base.Cluster.Watch(cluster.ConfigurationKey, p.takeConfiguration)
-	p.base.Cluster.Watch(cluster.StoresKey, p.takeStores)
-	p.base.Cluster.Watch(cluster.ReceiverPrefix, p.takeReceiver)
-	p.base.Cluster.WatchNodes(p.takeNode)
+	p.base.Cluster.Watch(cluster.ConfigurationKey, p.applyConfiguration)
+	p.base.Cluster.Watch(cluster.StoresKey, p.applyStoreView)
+	p.base.Cluster.Watch(cluster.ReceiverPrefix, p.applyReceiver)
+	p.base.Cluster.WatchNodes(p.applyNode)
 }
 
-func (p *Plane) takeConfiguration(entry cluster.Entry) {
+func (p *Plane) applyConfiguration(entry cluster.Entry) {
 	record, err := records.ConfigurationCodec.Decode(entry.Value)
 	if err != nil {
 		p.base.Log.WithError(err).Error("configuration cannot be read")
@@ -125,16 +125,16 @@
 		p.base.Log.WithError(err).WithField("version", record.Version).Error("configuration is not valid")
 		return
 	}
-	if present := p.snapshot.Load(); present != nil && present.Version >= snapshot.Version {
+	if current := p.snapshot.Load(); current != nil && current.Version >= snapshot.Version {
 		return
 	}
 	p.snapshot.Store(snapshot)
 	p.proxy.SetConfiguration(snapshot)
-	p.feed.changed()
+	p.receiverUpdate.trigger()
 	p.base.Log.WithField("version", snapshot.Version).Info("configuration in force")
 }
 
-func (p *Plane) takeStores(entry cluster.Entry) {
+func (p *Plane) applyStoreView(entry cluster.Entry) {
 	view, err := storewire.DecodeViewEntry(entry)
 	if err != nil {
 		p.base.Log.WithError(err).Error("store view cannot be read")
@@ -143,25 +143,27 @@
 	p.stores.SetView(view)
 }
 
-func (p *Plane) takeReceiver(entry cluster.Entry) {
+func (p *Plane) applyReceiver(entry cluster.Entry) {
 	record, err := records.ReceiverCodec.Decode(entry.Value)
 	if err != nil {
 		p.base.Log.WithError(err).Error("receiver's record cannot be read")
 		return
 	}
-	p.receivers.take(record)
+	p.receivers.apply(record)
 	p.assignment.setReceiver(record.ID, record.Zone, record.State == records.ReceiverGone)
-	p.feed.changed()
+	p.receiverUpdate.trigger()
 }
 
-// feedReceivers hands the proxy what is known of the receivers.
-func (p *Plane) feedReceivers() { p.proxy.SetReceivers(p.receivers.dispatchable(p.snapshot.Load())) }
+// updateReceivers hands the proxy what is known of the receivers.
+func (p *Plane) updateReceivers() {
+	p.proxy.SetReceivers(p.receivers.dispatchReceivers(p.snapshot.Load()))
+}
 
-// takeNode counts the live proxies and shares the receivers' reports out among them.
-func (p *Plane) takeNode(n cluster.Node) {
+// applyNode counts the live proxies and shares the receivers' reports out among them.
+func (p *Plane) applyNode(n cluster.Node) {
 	if n.Role == cluster.Proxy {
 		p.assignment.setProxy(n.Name, n.Zone, n.Live())
-		p.feed.changed() // each proxy's part of the receivers' connections is another one now
+		p.receiverUpdate.trigger() // each proxy's part of the receivers' connections is another one now
 	}
 }
 
@@ -170,33 +172,33 @@
 func (p *Plane) becomeReady() {
 	select {
 	case <-p.base.Cluster.Ready():
-	case <-p.stopped.Done():
+	case <-p.stopping.Done():
 		return
 	}
 	ticker := time.NewTicker(readyPollInterval)
 	defer ticker.Stop()
-	for !p.knowsEnough() {
+	for !p.hasConfiguration() {
 		select {
 		case <-ticker.C:
-		case <-p.stopped.Done():
+		case <-p.stopping.Done():
 			return
 		}
 	}
-	p.feed.now()
+	p.receiverUpdate.updateNow()
 	p.proxy.SetReady(true)
 	p.base.Log.Info("ready")
 }
 
-func (p *Plane) knowsEnough() bool {
+func (p *Plane) hasConfiguration() bool {
 	_, known := p.base.Cluster.Get(cluster.ConfigurationKey)
 	return known
 }
 
 // Shutdown lets the platform notice, serves what has been read and ends, when ctx ends at the latest. Until the others know
 // that this proxy leaves, it is the one that asks some receivers for their reports, and goes on telling them.
-func (p *Plane) Shutdown(ctx context.Context, signalled time.Time) {
-	p.stop()
-	p.proxy.Shutdown(ctx, signalled)
+func (p *Plane) Shutdown(ctx context.Context, signalledAt time.Time) {
+	p.beginStop()
+	p.proxy.Shutdown(ctx, signalledAt)
 	p.base.Leave(ctx)
 	p.close()
 }
@@ -206,9 +208,9 @@
 func (p *Plane) Cluster() *cluster.Cluster { return p.base.Cluster }
 
 func (p *Plane) close() {
-	p.stop()
-	p.end()
-	p.feed.close()
+	p.beginStop()
+	p.markClosed()
+	p.receiverUpdate.close()
 	if p.stores != nil {
 		p.stores.Close()
 	}
--- a/internal/tier/dataplane/receivers.go
+++ b/internal/tier/dataplane/receivers.go
@@ -12,47 +12,47 @@
 // receiverList holds what is known of each receiver. It is written by the goroutine of the cluster's watchers.
 type receiverList struct {
 	mutex sync.Mutex
-	known map[string]records.ReceiverRecord // guarded by mutex
+	byID  map[string]records.ReceiverRecord // guarded by mutex
 }
 
 func newReceiverList() *receiverList {
-	return &receiverList{known: map[string]records.ReceiverRecord{}}
+	return &receiverList{byID: map[string]records.ReceiverRecord{}}
 }
 
-// take notes a record. One that is gone takes nothing any more.
-func (l *receiverList) take(record records.ReceiverRecord) {
+// apply notes a record. One that is gone takes nothing any more.
+func (l *receiverList) apply(record records.ReceiverRecord) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if record.State == records.ReceiverGone {
-		delete(l.known, record.ID)
+		delete(l.byID, record.ID)
 		return
 	}
-	l.known[record.ID] = record
+	l.byID[record.ID] = record
 }
 
 // all gives the receivers that are not gone.
 func (l *receiverList) all() []records.ReceiverRecord {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	list := make([]records.ReceiverRecord, 0, len(l.known))
-	for _, r := range l.known {
+	list := make([]records.ReceiverRecord, 0, len(l.byID))
+	for _, r := range l.byID {
 		list = append(list, r)
 	}
 	return list
 }
 
-// dispatchable gives the receivers as the dispatcher has them, with what the configuration tells of their
+// dispatchReceivers gives the receivers as the dispatcher has them, with what the configuration tells of their
 // services; a service that it does not name has none of that.
-func (l *receiverList) dispatchable(snapshot *routing.Snapshot) []dispatch.Receiver {
+func (l *receiverList) dispatchReceivers(snapshot *routing.Snapshot) []dispatch.Receiver {
 	all := l.all()
 	list := make([]dispatch.Receiver, 0, len(all))
 	for _, r := range all {
-		list = append(list, dispatchReceiver(r, snapshot))
+		list = append(list, toDispatchReceiver(r, snapshot))
 	}
 	return list
 }
 
-func dispatchReceiver(r records.ReceiverRecord, snapshot *routing.Snapshot) dispatch.Receiver {
+func toDispatchReceiver(r records.ReceiverRecord, snapshot *routing.Snapshot) dispatch.Receiver {
 	receiver := dispatch.Receiver{
 		ID: dispatch.InstanceID(r.ID), Service: r.Service, Address: r.Address, Zone: r.Zone, Slots: r.Slots,
 		Draining: r.State == records.ReceiverDraining, Silent: r.State == records.ReceiverSilent,
--- a/internal/tier/dataplane/reports.go
+++ b/internal/tier/dataplane/reports.go
@@ -13,36 +13,36 @@
 
 const (
 	reportMethod transport.Method = "proxy.report"
-	// fleetReports is up to how many other proxies a report is sent to each of them. Where there are more, it goes to
+	// fleetFanoutLimit is up to how many other proxies a report is sent to each of them. Where there are more, it goes to
 	// those of the asker's zone, whose programs have their homes there. Proxies elsewhere take a receiver without a
 	// report for one of mean load. Every message costs a small proxy some of its processor, and so this bound is one
 	// on what reports cost a fleet without many proxies in any zone.
-	fleetReports = 40
-	// zoneReports bounds the proxies of a zone that one report is sent to. Where there are more, each report goes to a
+	fleetFanoutLimit = 40
+	// zoneFanoutLimit bounds the proxies of a zone that one report is sent to. Where there are more, each report goes to a
 	// part of them, drawn anew: each proxy gets fewer reports then, none gets none.
-	zoneReports = 96
-	// reportTimeout bounds the sending of a report: an older one is of no use.
-	reportTimeout = 300 * time.Millisecond
-	// reportSends bounds the sends under way, two reports' worth; those beyond are dropped, as the next report comes soon.
-	reportSends = 2 * zoneReports
+	zoneFanoutLimit = 96
+	// reportSendTimeout bounds the sending of a report: an older one is of no use.
+	reportSendTimeout = 300 * time.Millisecond
+	// maxReportSends bounds the sends under way, two reports' worth; those beyond are dropped, as the next report comes soon.
+	maxReportSends = 2 * zoneFanoutLimit
 )
 
 var reportCodec = transport.MustCodec[records.ReportRecord](records.ReportSchema)
 
-// reportSpreader sends the reports that this proxy has asked for to the others.
-type reportSpreader struct {
-	client  *transport.Client
-	cluster *cluster.Cluster
-	slots   chan struct{}
-	closed  context.Context
+// reportPublisher sends the reports that this proxy has asked for to the others.
+type reportPublisher struct {
+	client    *transport.Client
+	cluster   *cluster.Cluster
+	sendSlots chan struct{}
+	closed    context.Context
 }
 
-func newReportSpreader(client *transport.Client, c *cluster.Cluster, closed context.Context) *reportSpreader {
-	return &reportSpreader{client: client, cluster: c, slots: make(chan struct{}, reportSends), closed: closed}
+func newReportPublisher(client *transport.Client, c *cluster.Cluster, closed context.Context) *reportPublisher {
+	return &reportPublisher{client: client, cluster: c, sendSlots: make(chan struct{}, maxReportSends), closed: closed}
 }
 
-// spread sends a report to other live proxies. It does not wait for them.
-func (s *reportSpreader) spread(id dispatch.InstanceID, report dispatch.Report) {
+// publish sends a report to other live proxies. It does not wait for them.
+func (s *reportPublisher) publish(id dispatch.InstanceID, report dispatch.Report) {
 	record := records.ReportRecord{
 		Instance: string(id), Running: report.Running, Queued: report.Queued, KVUsed: int64(report.KVUsedTokens),
 		KVTotal: int64(report.KVTotalTokens), AgeMillis: report.Age.Milliseconds(), Sequence: int64(report.Sequence),
@@ -54,43 +54,43 @@
 
 // reportAddresses gives the proxies that a report is sent to: all others where they are few, else those of the own
 // zone, zoneReports of them at most. The draw says with which of them the list begins: any number will do.
-func reportAddresses(nodes []cluster.Node, self cluster.Node, draw uint64) []string {
-	var all, near []string
+func reportAddresses(nodes []cluster.Node, self cluster.Node, offset uint64) []string {
+	var others, sameZone []string
 	for _, n := range nodes {
 		if n.Role != cluster.Proxy || !n.Live() || n.Address == self.Address {
 			continue
 		}
-		all = append(all, n.Address)
+		others = append(others, n.Address)
 		if n.Zone == self.Zone {
-			near = append(near, n.Address)
+			sameZone = append(sameZone, n.Address)
 		}
 	}
-	if len(all) <= fleetReports {
-		return rotated(all, draw)
+	if len(others) <= fleetFanoutLimit {
+		return rotated(others, offset)
 	}
-	addresses := rotated(near, draw)
-	return addresses[:min(len(addresses), zoneReports)]
+	addresses := rotated(sameZone, offset)
+	return addresses[:min(len(addresses), zoneFanoutLimit)]
 }
 
 // rotated begins a list at a drawn place. Without it the same proxies would be last in every list, and so those whose
 // reports are dropped when too many sends are under way.
-func rotated(list []string, draw uint64) []string {
+func rotated(list []string, offset uint64) []string {
 	if len(list) == 0 {
 		return nil
 	}
-	first := int(draw % uint64(len(list)))
+	first := int(offset % uint64(len(list)))
 	return append(list[first:len(list):len(list)], list[:first]...)
 }
 
-func (s *reportSpreader) send(address string, record records.ReportRecord) {
+func (s *reportPublisher) send(address string, record records.ReportRecord) {
 	select {
-	case s.slots <- struct{}{}:
+	case s.sendSlots <- struct{}{}:
 	default:
 		return
 	}
 	go func() {
-		defer func() { <-s.slots }()
-		ctx, cancel := context.WithTimeout(s.closed, reportTimeout)
+		defer func() { <-s.sendSlots }()
+		ctx, cancel := context.WithTimeout(s.closed, reportSendTimeout)
 		defer cancel()
 		_ = transport.Send(ctx, s.client, address, reportMethod, reportCodec, record)
 	}()
@@ -99,14 +99,14 @@
 // PublishReport sends a receiver's report to the other proxies, as those are that this proxy has asked for. It neither
 // takes the report itself nor waits for the others.
 func (p *Plane) PublishReport(id dispatch.InstanceID, report dispatch.Report) {
-	p.reports.spread(id, report)
+	p.reports.publish(id, report)
 }
 
 // ReportsReceived counts the reports that other proxies have sent here since the start.
 func (p *Plane) ReportsReceived() int64 { return p.reportsReceived.Load() }
 
-// takeReport hands a report of another proxy to the dispatcher.
-func (p *Plane) takeReport(record records.ReportRecord) {
+// handleReport hands a report of another proxy to the dispatcher.
+func (p *Plane) handleReport(record records.ReportRecord) {
 	p.reportsReceived.Add(1)
 	if record.CheckBounds() != nil || p.assignment.assigned(dispatch.InstanceID(record.Instance)) {
 		return
--- a/internal/tier/dataplane/reports_test.go
+++ b/internal/tier/dataplane/reports_test.go
@@ -21,8 +21,8 @@
 	"emberquay/internal/tier/transport"
 )
 
-// patience bounds a test that waits for other goroutines.
-const patience = 20 * time.Second
+// waitTimeout bounds a test that waits for other goroutines.
+const waitTimeout = 20 * time.Second
 
 // freePort is a port of the address that nobody listens on.
 func freePort(t *testing.T, ip string) int {
@@ -35,26 +35,26 @@
 	return l.Addr().(*net.TCPAddr).Port
 }
 
-// neighbour is a proxy's place in the cluster that tells of the reports which come to it. It finds the plane by its seed.
-func neighbour(t *testing.T, plane *settings.Node) <-chan records.ReportRecord {
+// startNeighbour is a proxy's place in the cluster that tells of the reports which come to it. It finds the plane by its seed.
+func startNeighbour(t *testing.T, plane *settings.Node) <-chan records.ReportRecord {
 	t.Helper()
 	port := plane.InternalPorts[0] - int(settings.ControlPlane)
 	node := &settings.Node{Name: "neighbour", IP: "127.0.0.2", Zone: "a", InternalPorts: [2]int{port, port + 2}, Seeds: []string{plane.IP + ":1"}}
 	base := planes.NewBase(node, settings.Proxy, &log.Logger{Handler: discard.Default})
 	t.Cleanup(base.Close)
-	came := make(chan records.ReportRecord, 1)
-	transport.HandleOneWay(base.Mux, reportMethod, reportCodec, func(_ context.Context, r records.ReportRecord) { came <- r })
+	received := make(chan records.ReportRecord, 1)
+	transport.HandleOneWay(base.Mux, reportMethod, reportCodec, func(_ context.Context, r records.ReportRecord) { received <- r })
 	if err := base.Join(); err != nil {
 		t.Fatal(err)
 	}
 	if err := base.Serve(func(context.Context, *nodestatus.Status) error { return nil }); err != nil {
 		t.Fatal(err)
 	}
-	return came
+	return received
 }
 
-// knows waits until a plane knows another live proxy.
-func knows(t *testing.T, p *Plane) {
+// waitForNeighbour waits until a plane knows another live proxy.
+func waitForNeighbour(t *testing.T, p *Plane) {
 	t.Helper()
 	found := make(chan struct{}, 1)
 	p.Cluster().WatchNodes(func(n cluster.Node) {
@@ -67,13 +67,13 @@
 	})
 	select {
 	case <-found:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("the neighbour is not known")
 	}
 }
 
 // A proxy that stopped went on being the one that asks receivers for reports, and told them to nobody from the signal on.
-func TestAStoppingProxyGoesOnTellingReports(t *testing.T) {
+func TestStoppingProxyKeepsPublishingReports(t *testing.T) {
 	port := freePort(t, "127.0.0.1")
 	node := &settings.Node{Name: "stopping", IP: "127.0.0.1", Zone: "a", InternalPorts: [2]int{port, port + 2}}
 	node.Listen.Front, node.Listen.Readiness = "127.0.0.1:0", "127.0.0.1:0"
@@ -82,15 +82,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	reports := neighbour(t, node)
-	knows(t, plane)
+	reports := startNeighbour(t, node)
+	waitForNeighbour(t, plane)
 	ctx, cancel := context.WithCancel(t.Context())
 	gone := make(chan struct{})
 	go func() {
 		defer close(gone)
 		plane.Shutdown(ctx, time.Now())
 	}()
-	<-plane.stopped.Done()
+	<-plane.stopping.Done()
 	plane.PublishReport("r1", dispatch.Report{Running: 3})
 	select {
 	case r := <-reports:
@@ -104,7 +104,7 @@
 	<-gone
 }
 
-func TestReportsGoToTheOtherLiveProxiesOnly(t *testing.T) {
+func TestReportsGoToOtherLiveProxiesOnly(t *testing.T) {
 	nodes := []cluster.Node{
 		{Name: "self", Role: cluster.Proxy, Address: "10.1.0.1:1", State: cluster.Alive},
 		{Name: "near", Role: cluster.Proxy, Address: "10.1.0.2:1", State: cluster.Alive},
@@ -120,11 +120,11 @@
 	}
 }
 
-// fleetOf is some zones of as many proxies each.
-func fleetOf(zones, each int) []cluster.Node {
+// proxiesInZones is some zones of as many proxies each.
+func proxiesInZones(zones, perZone int) []cluster.Node {
 	var nodes []cluster.Node
 	for zone := range zones {
-		for i := range each {
+		for i := range perZone {
 			nodes = append(nodes, cluster.Node{Role: cluster.Proxy, Zone: fmt.Sprint("zone-", zone),
 				Address: fmt.Sprintf("10.1.%d.%d:1", zone, i), State: cluster.Alive})
 		}
@@ -136,34 +136,34 @@
 // other node any.
 func TestReportsStayInTheZoneOfALargeFleet(t *testing.T) {
 	for _, c := range []struct {
-		zones, each int
-		sent        int
+		zones, perZone int
+		wantSends      int
 	}{
 		{1, 1, 0},
-		{1, fleetReports + 1, fleetReports},
-		{2, fleetReports/2 + 1, fleetReports / 2},
+		{1, fleetFanoutLimit + 1, fleetFanoutLimit},
+		{2, fleetFanoutLimit/2 + 1, fleetFanoutLimit / 2},
 		{4, 10, 39},
 		{5, 16, 15},
 		{50, 1, 0},
-		{2, fleetReports + 2, fleetReports + 1},
+		{2, fleetFanoutLimit + 2, fleetFanoutLimit + 1},
 		{5, 68, 67},
-		{1, zoneReports + 1, zoneReports},
-		{1, zoneReports + 2, zoneReports},
-		{2, 3 * zoneReports, zoneReports},
+		{1, zoneFanoutLimit + 1, zoneFanoutLimit},
+		{1, zoneFanoutLimit + 2, zoneFanoutLimit},
+		{2, 3 * zoneFanoutLimit, zoneFanoutLimit},
 	} {
-		nodes := fleetOf(c.zones, c.each)
-		for _, draw := range []uint64{0, 1, zoneReports, math.MaxUint64} {
-			got := reportAddresses(nodes, nodes[0], draw)
-			if len(got) != c.sent {
-				t.Errorf("%d zones of %d: sent to %d, not %d", c.zones, c.each, len(got), c.sent)
+		nodes := proxiesInZones(c.zones, c.perZone)
+		for _, offset := range []uint64{0, 1, zoneFanoutLimit, math.MaxUint64} {
+			got := reportAddresses(nodes, nodes[0], offset)
+			if len(got) != c.wantSends {
+				t.Errorf("%d zones of %d: sent to %d, not %d", c.zones, c.perZone, len(got), c.wantSends)
 			}
 			slices.Sort(got)
 			if distinct := slices.Compact(slices.Clone(got)); len(distinct) != len(got) || slices.Contains(got, nodes[0].Address) {
-				t.Errorf("%d zones of %d: twice to the same, or to itself: %v", c.zones, c.each, got)
+				t.Errorf("%d zones of %d: twice to the same, or to itself: %v", c.zones, c.perZone, got)
 			}
-			outside := slices.ContainsFunc(nodes[c.each:], func(n cluster.Node) bool { return slices.Contains(got, n.Address) })
-			if outside && c.zones*c.each > fleetReports+1 {
-				t.Errorf("%d zones of %d: sent to other zones: %v", c.zones, c.each, got)
+			reachesOtherZone := slices.ContainsFunc(nodes[c.perZone:], func(n cluster.Node) bool { return slices.Contains(got, n.Address) })
+			if reachesOtherZone && c.zones*c.perZone > fleetFanoutLimit+1 {
+				t.Errorf("%d zones of %d: sent to other zones: %v", c.zones, c.perZone, got)
 			}
 		}
 	}
@@ -171,20 +171,20 @@
 
 // Over all draws each proxy of a zone gets the same share of the reports.
 func TestReportsReachEveryProxyOfALargeZone(t *testing.T) {
-	const others = 2*zoneReports + 17
-	nodes := fleetOf(1, others+1)
-	times := map[string]int{}
-	for draw := range uint64(others) {
-		for _, address := range reportAddresses(nodes, nodes[0], draw) {
-			times[address]++
+	const others = 2*zoneFanoutLimit + 17
+	nodes := proxiesInZones(1, others+1)
+	sends := map[string]int{}
+	for offset := range uint64(others) {
+		for _, address := range reportAddresses(nodes, nodes[0], offset) {
+			sends[address]++
 		}
 	}
-	if len(times) != others {
-		t.Errorf("%d of %d proxies are sent to", len(times), others)
+	if len(sends) != others {
+		t.Errorf("%d of %d proxies are sent to", len(sends), others)
 	}
-	for address, count := range times {
-		if count != zoneReports {
-			t.Errorf("%s: %d of %d reports, not %d", address, count, others, zoneReports)
+	for address, count := range sends {
+		if count != zoneFanoutLimit {
+			t.Errorf("%s: %d of %d reports, not %d", address, count, others, zoneFanoutLimit)
 		}
 	}
 }
--- a/internal/tier/dataplane/status.go
+++ b/internal/tier/dataplane/status.go
@@ -10,26 +10,26 @@
 
 // addStatus adds what an operator is told of this plane.
 func (p *Plane) addStatus(ctx context.Context, status *nodestatus.Status) error {
-	now, err := p.proxy.Status(ctx)
+	current, err := p.proxy.Status(ctx)
 	if err != nil {
 		return err
 	}
-	status.ConfigurationVersion = int64(now.Configuration)
+	status.ConfigurationVersion = int64(current.Configuration)
 	status.Proxy = &nodestatus.Proxy{
-		Ready: now.Ready, InFlight: now.InFlight, Arrived: int64(now.Arrived), Refused: int64(now.Refused),
-		Admission: figures(now),
+		Ready: current.Ready, InFlight: current.InFlight, Arrived: int64(current.Arrived), Refused: int64(current.Refused),
+		Admission: admissionStats(current),
 	}
 	return nil
 }
 
-func figures(now proxy.Status) *nodestatus.AdmissionStats {
-	figures := &nodestatus.AdmissionStats{
-		Attempts: int64(now.Admission.Attempts), Queued: now.Dispatch.Queued, InFlight: now.Dispatch.InFlight,
-		Allowance: now.Dispatch.Allowance, ShutdownPhase: int(now.Phase),
+func admissionStats(current proxy.Status) *nodestatus.AdmissionStats {
+	stats := &nodestatus.AdmissionStats{
+		Attempts: int64(current.Admission.Attempts), Queued: current.Dispatch.Queued, InFlight: current.Dispatch.InFlight,
+		Allowance: current.Dispatch.Allowance, ShutdownPhase: int(current.Phase),
 	}
-	for reason, count := range now.Admission.Refused {
+	for reason, count := range current.Admission.Refused {
 		refusals := nodestatus.RefusalCount{Reason: dispatch.Reason(reason).String(), Count: int64(count)}
-		figures.Refusals = append(figures.Refusals, refusals)
+		stats.Refusals = append(stats.Refusals, refusals)
 	}
-	return figures
+	return stats
 }
--- a/internal/tier/lifecycle/lifecycle_test.go
+++ b/internal/tier/lifecycle/lifecycle_test.go
@@ -23,14 +23,14 @@
 
 // recordingPlane notes when it was told to stop, and until when it may take to end.
 type recordingPlane struct {
-	deadline  time.Time
-	bounded   bool
-	signalled time.Time
+	deadline    time.Time
+	hasDeadline bool
+	signalledAt time.Time
 }
 
-func (p *recordingPlane) Shutdown(ctx context.Context, signalled time.Time) {
-	p.deadline, p.bounded = ctx.Deadline()
-	p.signalled = signalled
+func (p *recordingPlane) Shutdown(ctx context.Context, signalledAt time.Time) {
+	p.deadline, p.hasDeadline = ctx.Deadline()
+	p.signalledAt = signalledAt
 }
 
 func (p *recordingPlane) SetSeeds([]string) {}
@@ -51,9 +51,9 @@
 			stop := make(chan time.Time, 1)
 			stop <- signalled
 			Expect(run(nowhere(), node(grace), quiet, func() (Plane, error) { return plane, nil }, stop, nil)).To(Succeed())
-			Expect(plane.bounded).To(BeTrue())
+			Expect(plane.hasDeadline).To(BeTrue())
 			Expect(plane.deadline).To(Equal(signalled.Add(allowed)))
-			Expect(plane.signalled).To(Equal(signalled))
+			Expect(plane.signalledAt).To(Equal(signalled))
 		},
 		Entry("of eight seconds", 8*time.Second, 7500*time.Millisecond),
 		Entry("of a short one, of which a reserve of half a second would be too much", 3*time.Second, 2750*time.Millisecond),
@@ -68,7 +68,7 @@
 func (p endingPlane) SetSeeds([]string) {}
 
 // A settings file on a disk that answers nothing is a pipe that nobody writes to here.
-func TestAStopDoesNotWaitForSettings(t *testing.T) {
+func TestStopDoesNotWaitForSettings(t *testing.T) {
 	g := NewWithT(t)
 	path := filepath.Join(t.TempDir(), "settings.toml")
 	g.Expect(syscall.Mkfifo(path, 0o600)).To(Succeed())
--- a/internal/tier/lifecycle/settings_test.go
+++ b/internal/tier/lifecycle/settings_test.go
@@ -64,7 +64,7 @@
 
 func (p seedsPlane) SetSeeds(seeds []string) { p.seeds <- seeds }
 
-func TestSettingsAreFollowedUntilTheStop(t *testing.T) {
+func TestSettingsAreReloadedUntilTheStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		path := filepath.Join(t.TempDir(), "settings.toml")
@@ -90,8 +90,8 @@
 		synctest.Wait()
 		g.Expect(plane.seeds).NotTo(Receive())
 
-		write("10.1.0.4444444")        // nor without a signal
-		<-time.After(2 * fileInterval) // on the clock of the bubble
+		write("10.1.0.4444444")                // nor without a signal
+		<-time.After(2 * settingsPollInterval) // on the clock of the bubble
 		g.Expect(plane.seeds).NotTo(Receive())
 		write("10.1.0.5")
 		g.Expect(<-plane.seeds).To(ConsistOf(ContainSubstring("10.1.0.5:")))
@@ -99,7 +99,7 @@
 		stop <- time.Now()
 		g.Expect(<-ended).To(Succeed())
 		write("10.1.0.66")
-		<-time.After(2 * fileInterval) // on the clock of the bubble
+		<-time.After(2 * settingsPollInterval) // on the clock of the bubble
 		g.Expect(plane.seeds).NotTo(Receive())
 	})
 }
--- a/internal/tier/metrics/collector.go
+++ b/internal/tier/metrics/collector.go
@@ -21,47 +21,47 @@
 	return collector{collect: collect, lateness: monitor}
 }
 
-// describe makes the description of a metric; its name has the parts that are not empty.
-func describe(subsystem, name, help string, labels ...string) *prometheus.Desc {
+// newDesc makes the description of a metric; its name has the parts that are not empty.
+func newDesc(subsystem, name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc(prometheus.BuildFQName(namespace, subsystem, name), help, labels, nil)
 }
 
 // The metrics. Of those with a subsystem only the process's own role has any.
 var (
-	up                   = describe("", "up", "Whether the process could look at itself in time.")
-	uptime               = describe("", "uptime_seconds", "Time since the start.")
-	timerLateness        = describe("", "timer_lateness_seconds", "By how much the process's timers were late at the worst, over the last 10 to 20 s.")
-	configurationVersion = describe("", "configuration_version", "Version of the operator's configuration that is in force here; 0: none yet.")
-	nodes                = describe("", "nodes", "Processes of the tier that are known here.", "role", "state")
-	receivers            = describe("", "receivers", "Receivers that are known here.", "state")
-
-	controlMember     = describe("control", "member", "Whether this replica is a member of the view.")
-	controlEpoch      = describe("control", "view_epoch", "Epoch of the view.")
-	controlMembers    = describe("control", "view_members", "Members that vote.")
-	controlChain      = describe("control", "chain_length", "Members of the chain: the disks on which a change is before it is acknowledged.")
-	controlStoreEpoch = describe("control", "store_view_epoch", "Epoch of the store view as known here; 0: none.")
-
-	storeComplete     = describe("store", "complete", "Whether the store lacks nothing that was acknowledged as far as it knows.")
-	storeRetiring     = describe("store", "retiring", "Whether the store is being emptied.")
-	storeMember       = describe("store", "member", "Whether the store is a member of the view by which it works.")
-	storeEpoch        = describe("store", "view_epoch", "Epoch of that view; 0: none.")
-	storeMembers      = describe("store", "view_members", "Stores of that view.")
-	storeTurns        = describe("store", "turns", "Turns that are kept.")
-	storeTurnBytes    = describe("store", "turn_bytes", "Size of the turns that are kept, on the disk.")
-	storePrograms     = describe("store", "programs", "Programs of which budgets are kept.")
-	storeReservations = describe("store", "reservations", "Reservations of all programs, settled ones too.")
-	storeRingBytes    = describe("store", "ring_bytes", "Size of all segments that the ring may have.")
-	storeFreeBytes    = describe("store", "ring_free_bytes", "Size of the segments that hold nothing.")
-
-	proxyReady     = describe("proxy", "ready", "Whether clients may come.")
-	proxyInHand    = describe("proxy", "requests_in_hand", "Requests that were read and are not answered.")
-	proxyRequests  = describe("proxy", "requests_total", "Requests that came to admission.")
-	proxyRefusals  = describe("proxy", "refusals_total", "Requests that admission refused with the wait, or ended after a call that failed.", "reason")
-	proxyAttempts  = describe("proxy", "attempts_total", "Calls to receivers that admission let go.")
-	proxyQueue     = describe("proxy", "queue_length", "Requests that are held.")
-	proxyOut       = describe("proxy", "calls_out", "Calls to receivers that are out.")
-	proxyAllowance = describe("proxy", "allowance", "Calls that all receivers together may get now, as learnt here.")
-	proxyStopPhase = describe("proxy", "stop_phase", "0: serving; 1: told to stop and accepting; 2: serving what has been read.")
+	up                   = newDesc("", "up", "Whether the process could look at itself in time.")
+	uptime               = newDesc("", "uptime_seconds", "Time since the start.")
+	timerLateness        = newDesc("", "timer_lateness_seconds", "By how much the process's timers were late at the worst, over the last 10 to 20 s.")
+	configurationVersion = newDesc("", "configuration_version", "Version of the operator's configuration that is in force here; 0: none yet.")
+	nodes                = newDesc("", "nodes", "Processes of the tier that are known here.", "role", "state")
+	receivers            = newDesc("", "receivers", "Receivers that are known here.", "state")
+
+	controlMember      = newDesc("control", "member", "Whether this replica is a member of the view.")
+	controlEpoch       = newDesc("control", "view_epoch", "Epoch of the view.")
+	controlMembers     = newDesc("control", "view_members", "Members that vote.")
+	controlChainLength = newDesc("control", "chain_length", "Members of the chain: the disks on which a change is before it is acknowledged.")
+	controlStoreEpoch  = newDesc("control", "store_view_epoch", "Epoch of the store view as known here; 0: none.")
+
+	storeComplete     = newDesc("store", "complete", "Whether the store lacks nothing that was acknowledged as far as it knows.")
+	storeRetiring     = newDesc("store", "retiring", "Whether the store is being emptied.")
+	storeMember       = newDesc("store", "member", "Whether the store is a member of the view by which it works.")
+	storeEpoch        = newDesc("store", "view_epoch", "Epoch of that view; 0: none.")
+	storeMembers      = newDesc("store", "view_members", "Stores of that view.")
+	storeTurns        = newDesc("store", "turns", "Turns that are kept.")
+	storeTurnBytes    = newDesc("store", "turn_bytes", "Size of the turns that are kept, on the disk.")
+	storePrograms     = newDesc("store", "programs", "Programs of which budgets are kept.")
+	storeReservations = newDesc("store", "reservations", "Reservations of all programs, settled ones too.")
+	storeRingBytes    = newDesc("store", "ring_bytes", "Size of all segments that the ring may have.")
+	storeFreeBytes    = newDesc("store", "ring_free_bytes", "Size of the segments that hold nothing.")
+
+	proxyReady         = newDesc("proxy", "ready", "Whether clients may come.")
+	proxyInFlight      = newDesc("proxy", "requests_in_hand", "Requests that were read and are not answered.")
+	proxyRequests      = newDesc("proxy", "requests_total", "Requests that came to admission.")
+	proxyRefusals      = newDesc("proxy", "refusals_total", "Requests that admission refused with the wait, or ended after a call that failed.", "reason")
+	proxyAttempts      = newDesc("proxy", "attempts_total", "Calls to receivers that admission let go.")
+	proxyQueueLength   = newDesc("proxy", "queue_length", "Requests that are held.")
+	proxyCallsInFlight = newDesc("proxy", "calls_out", "Calls to receivers that are out.")
+	proxyAllowance     = newDesc("proxy", "allowance", "Calls that all receivers together may get now, as learnt here.")
+	proxyShutdownPhase = newDesc("proxy", "stop_phase", "0: serving; 1: told to stop and accepting; 2: serving what has been read.")
 )
 
 // Describe tells nothing: which metrics there are depends on the role.
@@ -73,7 +73,7 @@
 	defer cancel()
 	status, err := c.collect(ctx)
 	out := sink{metrics}
-	out.gauge(up, flag(err == nil))
+	out.gauge(up, boolValue(err == nil))
 	out.gauge(timerLateness, c.lateness.Max().Seconds())
 	if err != nil {
 		return
@@ -101,7 +101,7 @@
 	s.metrics <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, value, labels...)
 }
 
-func flag(is bool) float64 {
+func boolValue(is bool) float64 {
 	if is {
 		return 1
 	}
@@ -121,41 +121,41 @@
 }
 
 func (s sink) control(c nodestatus.Control) {
-	s.gauge(controlMember, flag(c.Member))
+	s.gauge(controlMember, boolValue(c.Member))
 	s.gauge(controlEpoch, float64(c.Epoch))
 	s.gauge(controlMembers, float64(len(c.Members)))
-	s.gauge(controlChain, float64(len(c.Chain)))
+	s.gauge(controlChainLength, float64(len(c.Chain)))
 	s.gauge(controlStoreEpoch, float64(c.StoreEpoch))
 }
 
-func (s sink) store(now nodestatus.Store) {
-	s.gauge(storeComplete, flag(now.Complete))
-	s.gauge(storeRetiring, flag(now.Retiring))
-	s.gauge(storeMember, flag(now.Member))
-	s.gauge(storeEpoch, float64(now.Epoch))
-	s.gauge(storeMembers, float64(now.Members))
-	s.gauge(storeTurns, float64(now.Turns))
-	s.gauge(storeTurnBytes, float64(now.TurnBytes))
-	s.gauge(storePrograms, float64(now.Programs))
-	s.gauge(storeReservations, float64(now.Reservations))
-	s.gauge(storeRingBytes, float64(now.RingBytes))
-	s.gauge(storeFreeBytes, float64(now.FreeBytes))
+func (s sink) store(store nodestatus.Store) {
+	s.gauge(storeComplete, boolValue(store.Complete))
+	s.gauge(storeRetiring, boolValue(store.Retiring))
+	s.gauge(storeMember, boolValue(store.Member))
+	s.gauge(storeEpoch, float64(store.Epoch))
+	s.gauge(storeMembers, float64(store.Members))
+	s.gauge(storeTurns, float64(store.Turns))
+	s.gauge(storeTurnBytes, float64(store.TurnBytes))
+	s.gauge(storePrograms, float64(store.Programs))
+	s.gauge(storeReservations, float64(store.Reservations))
+	s.gauge(storeRingBytes, float64(store.RingBytes))
+	s.gauge(storeFreeBytes, float64(store.FreeBytes))
 }
 
 func (s sink) proxy(p nodestatus.Proxy) {
-	s.gauge(proxyReady, flag(p.Ready))
-	s.gauge(proxyInHand, float64(p.InFlight))
+	s.gauge(proxyReady, boolValue(p.Ready))
+	s.gauge(proxyInFlight, float64(p.InFlight))
 	s.counter(proxyRequests, float64(p.Arrived))
-	figures := p.Admission
-	if figures == nil {
+	admission := p.Admission
+	if admission == nil {
 		return
 	}
-	for _, refused := range figures.Refusals {
+	for _, refused := range admission.Refusals {
 		s.counter(proxyRefusals, float64(refused.Count), refused.Reason)
 	}
-	s.counter(proxyAttempts, float64(figures.Attempts))
-	s.gauge(proxyQueue, float64(figures.Queued))
-	s.gauge(proxyOut, float64(figures.InFlight))
-	s.gauge(proxyAllowance, float64(figures.Allowance))
-	s.gauge(proxyStopPhase, float64(figures.ShutdownPhase))
+	s.counter(proxyAttempts, float64(admission.Attempts))
+	s.gauge(proxyQueueLength, float64(admission.Queued))
+	s.gauge(proxyCallsInFlight, float64(admission.InFlight))
+	s.gauge(proxyAllowance, float64(admission.Allowance))
+	s.gauge(proxyShutdownPhase, float64(admission.ShutdownPhase))
 }
--- a/internal/tier/metrics/metrics.go
+++ b/internal/tier/metrics/metrics.go
@@ -30,8 +30,8 @@
 	collectTimeout = time.Second
 	// requestTimeout bounds the reading of a question and the writing of its answer.
 	requestTimeout = 5 * time.Second
-	// mostAtOnce bounds the answers under way; more are refused with 503.
-	mostAtOnce = 2
+	// maxConcurrentRequests bounds the answers under way; more are refused with 503.
+	maxConcurrentRequests = 2
 )
 
 // Collect looks at the process.
@@ -45,11 +45,11 @@
 
 // Serve begins to answer at the settings' address; where that is empty it does nothing. Errors: the address can't be
 // listened on; they name the key of the settings.
-func Serve(at settings.MetricsEndpoint, collect Collect, logger log.Interface) (*Server, error) {
-	if at.Address == "" {
+func Serve(config settings.MetricsEndpoint, collect Collect, logger log.Interface) (*Server, error) {
+	if config.Address == "" {
 		return &Server{}, nil
 	}
-	listener, err := net.Listen("tcp4", at.Address)
+	listener, err := net.Listen("tcp4", config.Address)
 	if err != nil {
 		return nil, eris.Wrap(err, "metrics")
 	}
@@ -61,7 +61,7 @@
 		newCollector(collect, lateness.StartMonitor(s.stop)),
 	)
 	mux := http.NewServeMux()
-	mux.Handle("GET "+at.Path, promhttp.HandlerFor(registry, promhttp.HandlerOpts{MaxRequestsInFlight: mostAtOnce}))
+	mux.Handle("GET "+config.Path, promhttp.HandlerFor(registry, promhttp.HandlerOpts{MaxRequestsInFlight: maxConcurrentRequests}))
 	server := &http.Server{Handler: mux, ReadTimeout: requestTimeout, WriteTimeout: requestTimeout}
 	s.server = server
 	go func() {
--- a/internal/tier/metrics/metrics_test.go
+++ b/internal/tier/metrics/metrics_test.go
@@ -35,18 +35,18 @@
 	return l.Addr().String()
 }
 
-func serve(at settings.MetricsEndpoint, status nodestatus.Status, fault error) error {
-	server, err := metrics.Serve(at, func(context.Context) (nodestatus.Status, error) { return status, fault }, &log.Logger{Handler: discard.Default})
+func serve(config settings.MetricsEndpoint, status nodestatus.Status, collectErr error) error {
+	server, err := metrics.Serve(config, func(context.Context) (nodestatus.Status, error) { return status, collectErr }, &log.Logger{Handler: discard.Default})
 	DeferCleanup(server.Close)
 	return err
 }
 
-// told serves a status and gives what is told of it.
-func told(status nodestatus.Status, fault error) string {
+// scrape serves a status and gives what is told of it.
+func scrape(status nodestatus.Status, collectErr error) string {
 	GinkgoHelper()
-	at := settings.MetricsEndpoint{Address: freeAddress(), Path: "/figures"}
-	Expect(serve(at, status, fault)).To(Succeed())
-	answer, err := http.Get("http://" + at.Address + at.Path)
+	config := settings.MetricsEndpoint{Address: freeAddress(), Path: "/figures"}
+	Expect(serve(config, status, collectErr)).To(Succeed())
+	answer, err := http.Get("http://" + config.Address + config.Path)
 	Expect(err).NotTo(HaveOccurred())
 	defer answer.Body.Close()
 	Expect(answer.StatusCode).To(Equal(http.StatusOK))
@@ -55,8 +55,8 @@
 	return string(text)
 }
 
-// whole has something of each role; a process has one of them only.
-func whole() nodestatus.Status {
+// allRoles has something of each role; a process has one of them only.
+func allRoles() nodestatus.Status {
 	return nodestatus.Status{
 		Name: "front-1", UptimeMillis: 2500, ConfigurationVersion: 14, Nodes: []nodestatus.NodeCounts{{Role: "proxy", Known: 5, Alive: 4}},
 		Receivers: nodestatus.ReceiverCounts{Ready: 8, Draining: 1},
@@ -70,7 +70,7 @@
 
 var _ = Describe("the metrics of a process", func() {
 	It("are told at the address and path of the settings", func() {
-		text := told(whole(), nil)
+		text := scrape(allRoles(), nil)
 		for _, line := range []string{
 			"emberquay_up 1", "emberquay_uptime_seconds 2.5", "emberquay_configuration_version 14", "emberquay_timer_lateness_seconds 0.025",
 			`emberquay_nodes{role="proxy",state="alive"} 4`, `emberquay_nodes{role="proxy",state="gone"} 1`, `emberquay_receivers{state="ready"} 8`,
@@ -83,14 +83,14 @@
 	})
 
 	It("keep to the rules of their names", func() {
-		problems, err := promlint.New(strings.NewReader(told(whole(), nil))).Lint()
+		problems, err := promlint.New(strings.NewReader(scrape(allRoles(), nil))).Lint()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(problems).To(BeEmpty())
 	})
 
 	It("have labels of few values only", func() {
 		names := map[string]bool{}
-		for _, found := range regexp.MustCompile(`emberquay_\w+{([^}]*)}`).FindAllStringSubmatch(told(whole(), nil), -1) {
+		for _, found := range regexp.MustCompile(`emberquay_\w+{([^}]*)}`).FindAllStringSubmatch(scrape(allRoles(), nil), -1) {
 			for _, label := range strings.Split(found[1], ",") {
 				name, _, _ := strings.Cut(label, "=")
 				names[name] = true
@@ -101,15 +101,15 @@
 	})
 
 	It("say that the process could not look at itself", func() {
-		text := told(nodestatus.Status{}, errors.New("stopped"))
+		text := scrape(nodestatus.Status{}, errors.New("stopped"))
 		Expect(text).To(ContainSubstring("\nemberquay_up 0"))
 		Expect(text).NotTo(ContainSubstring("emberquay_uptime"))
 	})
 
 	It("are told nowhere else, and not where the settings name no address", func() {
-		Expect(serve(settings.MetricsEndpoint{}, whole(), nil)).To(Succeed())
+		Expect(serve(settings.MetricsEndpoint{}, allRoles(), nil)).To(Succeed())
 		at := settings.MetricsEndpoint{Address: freeAddress(), Path: "/figures"}
-		Expect(serve(at, whole(), nil)).To(Succeed())
+		Expect(serve(at, allRoles(), nil)).To(Succeed())
 		answer, err := http.Get("http://" + at.Address + "/")
 		Expect(err).NotTo(HaveOccurred())
 		answer.Body.Close()
@@ -128,7 +128,7 @@
 
 	It("need an address that is free", func() {
 		at := settings.MetricsEndpoint{Address: freeAddress(), Path: "/"}
-		Expect(serve(at, whole(), nil)).To(Succeed())
-		Expect(serve(at, whole(), nil)).To(MatchError(ContainSubstring("metrics: listen")))
+		Expect(serve(at, allRoles(), nil)).To(Succeed())
+		Expect(serve(at, allRoles(), nil)).To(MatchError(ContainSubstring("metrics: listen")))
 	})
 })
--- a/internal/tier/nodestatus/messages.go
+++ b/internal/tier/nodestatus/messages.go
@@ -100,9 +100,9 @@
 	Count  int64
 }
 
-var requests = transport.MustCodec[Request](`{"type":"record","name":"StatusRequest","fields":[]}`)
+var requestCodec = transport.MustCodec[Request](`{"type":"record","name":"StatusRequest","fields":[]}`)
 
-var statuses = transport.MustCodec[Status](`{"type":"record","name":"Status","fields":[
+var statusCodec = transport.MustCodec[Status](`{"type":"record","name":"Status","fields":[
 	{"name":"name","type":"string"},
 	{"name":"role","type":"string"},
 	{"name":"zone","type":"string"},
--- a/internal/tier/nodestatus/nodestatus.go
+++ b/internal/tier/nodestatus/nodestatus.go
@@ -22,7 +22,7 @@
 
 // Register has a process answer for its status by what the function collects.
 func Register(mux *transport.Mux, collect func(context.Context) (Status, error)) {
-	transport.Handle(mux, Method, requests, statuses, func(ctx context.Context, _ Request) (Status, error) {
+	transport.Handle(mux, Method, requestCodec, statusCodec, func(ctx context.Context, _ Request) (Status, error) {
 		return collect(ctx)
 	})
 }
@@ -30,17 +30,17 @@
 // Fetch asks the process at an internal address. Errors: a *transport.RemoteError where it answers but can't tell, as one
 // of an older build does; any other says that it did not answer before the context's end.
 func Fetch(ctx context.Context, client *transport.Client, address string) (Status, error) {
-	return transport.Call(ctx, client, address, Method, requests, statuses, Request{})
+	return transport.Call(ctx, client, address, Method, requestCodec, statusCodec, Request{})
 }
 
 // CommonStatus is what processes of all roles tell alike: all but the part of the role. Configuration is the version that has
 // come here.
-func CommonStatus(c *cluster.Cluster, started time.Time) Status {
+func CommonStatus(c *cluster.Cluster, startedAt time.Time) Status {
 	self := c.Self()
 	configuration, _ := c.Get(cluster.ConfigurationKey)
 	return Status{
 		Name: self.Name, Role: self.Role.String(), Zone: self.Zone, Address: self.Address,
-		Incarnation: int64(self.Incarnation), UptimeMillis: time.Since(started).Milliseconds(),
+		Incarnation: int64(self.Incarnation), UptimeMillis: time.Since(startedAt).Milliseconds(),
 		ConfigurationVersion: int64(configuration.Stamp.Epoch),
 		Nodes:                countNodes(c.Nodes()),
 		Receivers:            countReceivers(c.List(cluster.ReceiverPrefix)),
--- a/internal/tier/nodestatus/nodestatus_test.go
+++ b/internal/tier/nodestatus/nodestatus_test.go
@@ -38,8 +38,8 @@
 	return client
 }
 
-// filled is a status with something in all that every role tells.
-func filled() nodestatus.Status {
+// commonStatus is a status with something in all that every role tells.
+func commonStatus() nodestatus.Status {
 	return nodestatus.Status{
 		Name: "front-1", Role: "proxy", Zone: "a", Address: "127.0.0.1:7380", Incarnation: 1 << 60, UptimeMillis: 5,
 		ConfigurationVersion: 1 << 40, Nodes: []nodestatus.NodeCounts{{Role: "proxy", Known: 3, Alive: 2}},
@@ -50,7 +50,7 @@
 var _ = Describe("the status of a process", func() {
 	DescribeTable("comes as it was collected",
 		func(ctx SpecContext, fill func(*nodestatus.Status)) {
-			status := filled()
+			status := commonStatus()
 			fill(&status)
 			mux := transport.NewMux()
 			nodestatus.Register(mux, func(context.Context) (nodestatus.Status, error) { return status, nil })
--- a/internal/tier/planes/planes.go
+++ b/internal/tier/planes/planes.go
@@ -27,8 +27,8 @@
 	"emberquay/internal/tier/transport"
 )
 
-// roles are the kinds of process as the cluster has them.
-var roles = map[settings.ProcessKind]cluster.Role{
+// clusterRoles are the kinds of process as the cluster has them.
+var clusterRoles = map[settings.ProcessKind]cluster.Role{
 	settings.Proxy:        cluster.Proxy,
 	settings.ControlPlane: cluster.Control,
 	settings.Store:        cluster.Store,
@@ -43,17 +43,17 @@
 	Mux      *transport.Mux   // handlers are registered before Serve
 	Cluster  *cluster.Cluster // nil before Join
 
-	role    cluster.Role
-	server  *transport.Server // nil before Serve
-	metrics *metrics.Server   // nil before Serve
-	started time.Time
+	role      cluster.Role
+	server    *transport.Server // nil before Serve
+	metrics   *metrics.Server   // nil before Serve
+	startedAt time.Time
 }
 
 // NewBase makes the base of a plane of that kind. It starts nothing.
 func NewBase(node *settings.Node, kind settings.ProcessKind, logger log.Interface) *Base {
 	return &Base{
 		Settings: node, Log: logger, Address: node.InternalAddress(kind), Client: transport.NewClient(),
-		Mux: transport.NewMux(), role: roles[kind], started: time.Now(),
+		Mux: transport.NewMux(), role: clusterRoles[kind], startedAt: time.Now(),
 	}
 }
 
@@ -74,18 +74,18 @@
 // Serve answers the calls of others: those registered on Mux, and the question for the status, by what the function
 // adds to the part that all roles tell alike; and tells the process's metrics where the settings name an address for them.
 // Errors: an address cannot be listened on.
-func (b *Base) Serve(add func(context.Context, *nodestatus.Status) error) error {
+func (b *Base) Serve(addStatus func(context.Context, *nodestatus.Status) error) error {
 	collect := func(ctx context.Context) (nodestatus.Status, error) {
-		status := nodestatus.CommonStatus(b.Cluster, b.started)
-		err := add(ctx, &status)
+		status := nodestatus.CommonStatus(b.Cluster, b.startedAt)
+		err := addStatus(ctx, &status)
 		return status, err
 	}
 	nodestatus.Register(b.Mux, collect)
-	told, err := metrics.Serve(b.Settings.Metrics, collect, b.Log)
+	metricsServer, err := metrics.Serve(b.Settings.Metrics, collect, b.Log)
 	if err != nil {
 		return err
 	}
-	b.metrics = told
+	b.metrics = metricsServer
 	server, err := transport.Listen(b.Address, b.Mux)
 	if err != nil {
 		return err
@@ -95,7 +95,7 @@
 }
 
 // Uptime is the time since the base was made, by a clock that never steps.
-func (b *Base) Uptime() time.Duration { return time.Since(b.started) }
+func (b *Base) Uptime() time.Duration { return time.Since(b.startedAt) }
 
 // Leave tells the others that the process ends as planned, until ctx ends.
 func (b *Base) Leave(ctx context.Context) {
--- a/internal/tier/planes/planes_test.go
+++ b/internal/tier/planes/planes_test.go
@@ -25,8 +25,8 @@
 	RunSpecs(t, "planes")
 }
 
-// machine has internal ports of which the one of the kind is free.
-func machine(kind settings.ProcessKind) *settings.Node {
+// newNode has internal ports of which the one of the kind is free.
+func newNode(kind settings.ProcessKind) *settings.Node {
 	GinkgoHelper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -41,23 +41,23 @@
 	return base
 }
 
-func nothing(context.Context, *nodestatus.Status) error { return nil }
+func noStatus(context.Context, *nodestatus.Status) error { return nil }
 
 var _ = Describe("the common part of a plane", func() {
 	It("tells its figures where the settings say so, until it is closed", func() {
-		node := machine(settings.Store)
+		node := newNode(settings.Store)
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		node.Metrics = settings.MetricsEndpoint{Address: l.Addr().String(), Path: "/metrics"}
 		base := newBase(node, settings.Store)
 		Expect(base.Join()).To(Succeed())
-		Expect(base.Serve(nothing)).To(MatchError(ContainSubstring("metrics: listen")))
+		Expect(base.Serve(noStatus)).To(MatchError(ContainSubstring("metrics: listen")))
 		Expect(l.Close()).To(Succeed())
-		node = machine(settings.Store)
+		node = newNode(settings.Store)
 		node.Metrics = settings.MetricsEndpoint{Address: l.Addr().String(), Path: "/metrics"}
 		base = newBase(node, settings.Store)
 		Expect(base.Join()).To(Succeed())
-		Expect(base.Serve(nothing)).To(Succeed())
+		Expect(base.Serve(noStatus)).To(Succeed())
 		answer, err := http.Get("http://" + node.Metrics.Address + "/metrics")
 		Expect(err).NotTo(HaveOccurred())
 		answer.Body.Close()
@@ -69,7 +69,7 @@
 
 	DescribeTable("joins under its role, and answers until it is disconnected",
 		func(ctx SpecContext, kind settings.ProcessKind, role string) {
-			node := machine(kind)
+			node := newNode(kind)
 			base := newBase(node, kind)
 			Expect(base.Address).To(Equal(node.InternalAddress(kind)))
 			Expect(base.Join()).To(Succeed())
@@ -93,7 +93,7 @@
 	)
 
 	It("tells why a role has no status", func(ctx SpecContext) {
-		base := newBase(machine(settings.Store), settings.Store)
+		base := newBase(newNode(settings.Store), settings.Store)
 		Expect(base.Join()).To(Succeed())
 		Expect(base.Serve(func(context.Context, *nodestatus.Status) error { return errors.New("the store ends") })).To(Succeed())
 		_, err := nodestatus.Fetch(ctx, base.Client, base.Address)
@@ -101,19 +101,19 @@
 	}, NodeTimeout(time.Minute))
 
 	It("cannot serve where another listens, and closes at any point", func() {
-		node := machine(settings.Proxy)
+		node := newNode(settings.Proxy)
 		first := newBase(node, settings.Proxy)
 		Expect(first.Join()).To(Succeed())
-		Expect(first.Serve(nothing)).To(Succeed())
+		Expect(first.Serve(noStatus)).To(Succeed())
 		second := newBase(node, settings.Proxy)
 		Expect(second.Join()).To(Succeed())
-		Expect(second.Serve(nothing)).To(MatchError(ContainSubstring(second.Address)))
+		Expect(second.Serve(noStatus)).To(MatchError(ContainSubstring(second.Address)))
 		second.Close()
 		newBase(node, settings.Proxy).Close()
 	})
 
 	It("leaves no later than its caller wants", func() {
-		base := newBase(machine(settings.Proxy), settings.Proxy)
+		base := newBase(newNode(settings.Proxy), settings.Proxy)
 		Expect(base.Join()).To(Succeed())
 		ended, end := context.WithCancel(context.Background())
 		end()
--- a/internal/tier/transport/codec.go
+++ b/internal/tier/transport/codec.go
@@ -7,12 +7,12 @@
 	"github.com/rotisserie/eris"
 )
 
-// mostElements bounds an array of a message. The decoder makes room for as many as the message announces before it reads
+// maxArrayElements bounds an array of a message. The decoder makes room for as many as the message announces before it reads
 // them, so that a few bytes could cost gigabytes: MaxSliceAllocSize counts elements, not bytes.
-const mostElements = 1 << 16
+const maxArrayElements = 1 << 16
 
-// messages is the avro configuration of all internal messages: bounded like the frames that carry them.
-var messages = avro.Config{MaxByteSliceSize: MaxFrameBytes, MaxSliceAllocSize: mostElements}.Freeze()
+// avroConfig is the avro configuration of all internal messages: bounded like the frames that carry them.
+var avroConfig = avro.Config{MaxByteSliceSize: MaxFrameBytes, MaxSliceAllocSize: maxArrayElements}.Freeze()
 
 // Codec turns messages of one type into avro bytes and back. It may be shared.
 type Codec[T any] struct {
@@ -28,13 +28,13 @@
 
 // Encode gives the avro bytes of a message.
 func (c *Codec[T]) Encode(message T) ([]byte, error) {
-	data, err := messages.Marshal(c.schema(), message)
+	data, err := avroConfig.Marshal(c.schema(), message)
 	return data, eris.Wrap(err, "encode")
 }
 
 // Decode reads a message. Bytes that are not one are an error.
 func (c *Codec[T]) Decode(data []byte) (T, error) {
 	var message T
-	err := messages.Unmarshal(c.schema(), data, &message)
+	err := avroConfig.Unmarshal(c.schema(), data, &message)
 	return message, eris.Wrap(err, "decode")
 }
--- a/internal/tier/transport/envelope.go
+++ b/internal/tier/transport/envelope.go
@@ -18,31 +18,31 @@
 type kind int
 
 const (
-	request kind = iota // wants an answer under its id
-	oneWay              // wants none
-	answer
-	refusal // of the request of that id; the payload is its reason
+	kindRequest kind = iota // wants an answer under its id
+	kindOneWay              // wants none
+	kindResponse
+	kindError // of the request of that id; the payload is its reason
 )
 
 // envelope is what a frame holds.
 type envelope struct {
-	Kind       int    `avro:"kind"`
-	ID         int64  `avro:"id"`
-	Method     string `avro:"method"`
-	TimeMillis int64  `avro:"time_millis"` // left for the call when it was sent
-	Payload    []byte `avro:"payload"`
+	Kind          int    `avro:"kind"`
+	ID            int64  `avro:"id"`
+	Method        string `avro:"method"`
+	TimeoutMillis int64  `avro:"time_millis"` // left for the call when it was sent
+	Payload       []byte `avro:"payload"`
 }
 
-var envelopes = MustCodec[envelope](`{"type":"record","name":"Envelope","fields":[
+var envelopeCodec = MustCodec[envelope](`{"type":"record","name":"Envelope","fields":[
 	{"name":"kind","type":"int"},
 	{"name":"id","type":"long"},
 	{"name":"method","type":"string"},
 	{"name":"time_millis","type":"long"},
 	{"name":"payload","type":"bytes"}]}`)
 
-// frameOf gives the bytes of one frame.
-func frameOf(e envelope) ([]byte, error) {
-	body, err := envelopes.Encode(e)
+// encodeFrame gives the bytes of one frame.
+func encodeFrame(e envelope) ([]byte, error) {
+	body, err := envelopeCodec.Encode(e)
 	if err != nil {
 		return nil, err
 	}
@@ -68,19 +68,19 @@
 	if err != nil {
 		return envelope{}, err
 	}
-	return envelopes.Decode(body)
+	return envelopeCodec.Decode(body)
 }
 
-// bodyStep bounds what is allocated ahead of the bytes: a length alone must not cost a whole frame of memory.
-const bodyStep = 64 << 10
+// bodyChunkBytes bounds what is allocated ahead of the bytes: a length alone must not cost a whole frame of memory.
+const bodyChunkBytes = 64 << 10
 
 func readBody(r *bufio.Reader, size int) ([]byte, error) {
-	body := make([]byte, 0, min(size, bodyStep))
+	body := make([]byte, 0, min(size, bodyChunkBytes))
 	for len(body) < size {
-		step := min(size-len(body), bodyStep)
-		at := len(body)
-		body = append(body, make([]byte, step)...)
-		if _, err := io.ReadFull(r, body[at:]); err != nil {
+		chunk := min(size-len(body), bodyChunkBytes)
+		offset := len(body)
+		body = append(body, make([]byte, chunk)...)
+		if _, err := io.ReadFull(r, body[offset:]); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/tier/transport/export_test.go
+++ b/internal/tier/transport/export_test.go
@@ -1,9 +1,9 @@
 package transport
 
 // For the tests, which stand in a package of their own.
-var DialWithRetries = dialTries
+var DialWithRetries = dialWithRetries
 
 const (
-	FirstDialTimeout = firstDial
+	FirstDialTimeout = firstDialTimeout
 	DialTimeout      = dialTimeout
 )
--- a/internal/tier/transport/server.go
+++ b/internal/tier/transport/server.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// concurrentPerConnection bounds the requests of one peer that are handled at once; more wait unread.
-	concurrentPerConnection = 256
+	// maxConcurrentRequests bounds the requests of one peer that are handled at once; more wait unread.
+	maxConcurrentRequests = 256
 	// writeTimeout bounds one write: a peer that does not read must not hold others up for long.
 	writeTimeout = 2 * time.Second
-	// serverCallTimeout bounds a call that brings no time of its own.
-	serverCallTimeout = 10 * time.Second
-	readBuffer        = 4 << 10
+	// maxCallTimeout bounds a call that brings no time of its own.
+	maxCallTimeout  = 10 * time.Second
+	readBufferBytes = 4 << 10
 )
 
 // Method names a call.
@@ -34,24 +34,24 @@
 func NewMux() *Mux { return &Mux{handlers: map[Method]handler{}} }
 
 // Handle registers the handler of a method. Its error goes back as a *RemoteError with the error's text.
-func Handle[Q, A any](m *Mux, method Method, q *Codec[Q], a *Codec[A], f func(context.Context, Q) (A, error)) {
+func Handle[Req, Resp any](m *Mux, method Method, requestCodec *Codec[Req], responseCodec *Codec[Resp], handle func(context.Context, Req) (Resp, error)) {
 	m.handlers[method] = func(ctx context.Context, payload []byte) ([]byte, error) {
-		message, err := q.Decode(payload)
+		message, err := requestCodec.Decode(payload)
 		if err != nil {
 			return nil, err
 		}
-		result, err := f(ctx, message)
+		result, err := handle(ctx, message)
 		if err != nil {
 			return nil, err
 		}
-		return a.Encode(result)
+		return responseCodec.Encode(result)
 	}
 }
 
 // HandleOneWay registers the handler of a method without an answer.
-func HandleOneWay[Q any](m *Mux, method Method, q *Codec[Q], f func(context.Context, Q)) {
+func HandleOneWay[Q any](m *Mux, method Method, codec *Codec[Q], f func(context.Context, Q)) {
 	m.handlers[method] = func(ctx context.Context, payload []byte) ([]byte, error) {
-		message, err := q.Decode(payload)
+		message, err := codec.Decode(payload)
 		if err != nil {
 			return nil, err
 		}
@@ -64,8 +64,8 @@
 type Server struct {
 	listener net.Listener
 	mux      *Mux
-	stop     context.CancelFunc
-	base     context.Context
+	cancel   context.CancelFunc
+	ctx      context.Context
 
 	mutex       sync.Mutex
 	connections map[net.Conn]struct{} // guarded by mutex
@@ -78,9 +78,9 @@
 	if err != nil {
 		return nil, eris.Wrapf(err, "listen on %s", address)
 	}
-	base, stop := context.WithCancel(context.Background())
-	s := &Server{listener: listener, mux: mux, base: base, stop: stop, connections: map[net.Conn]struct{}{}}
-	go s.accept()
+	ctx, cancel := context.WithCancel(context.Background())
+	s := &Server{listener: listener, mux: mux, ctx: ctx, cancel: cancel, connections: map[net.Conn]struct{}{}}
+	go s.acceptLoop()
 	return s, nil
 }
 
@@ -89,7 +89,7 @@
 
 // Close ends the listener and every connection.
 func (s *Server) Close() error {
-	s.stop()
+	s.cancel()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.closed = true
@@ -99,17 +99,17 @@
 	return s.listener.Close()
 }
 
-func (s *Server) accept() {
+func (s *Server) acceptLoop() {
 	for {
 		c, err := s.listener.Accept()
 		if err != nil {
-			if s.base.Err() != nil {
+			if s.ctx.Err() != nil {
 				return
 			}
-			time.Sleep(acceptPause) // out of descriptors: not at once again
+			time.Sleep(acceptRetryDelay) // out of descriptors: not at once again
 			continue
 		}
-		if !s.track(c) {
+		if !s.addConnection(c) {
 			_ = c.Close()
 			return
 		}
@@ -117,10 +117,10 @@
 	}
 }
 
-// acceptPause follows a failed accept.
-const acceptPause = 20 * time.Millisecond
+// acceptRetryDelay follows a failed accept.
+const acceptRetryDelay = 20 * time.Millisecond
 
-func (s *Server) track(c net.Conn) bool {
+func (s *Server) addConnection(c net.Conn) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.closed {
@@ -130,7 +130,7 @@
 	return true
 }
 
-func (s *Server) forget(c net.Conn) {
+func (s *Server) removeConnection(c net.Conn) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	delete(s.connections, c)
@@ -138,17 +138,17 @@
 
 // serve reads the requests of one peer. Each is handled by a goroutine of its own.
 func (s *Server) serve(c net.Conn) {
-	ctx, cancel := context.WithCancel(s.base)
+	ctx, cancel := context.WithCancel(s.ctx)
 	defer cancel()
-	defer s.forget(c)
+	defer s.removeConnection(c)
 	defer c.Close()
-	tune(c)
-	reader := bufio.NewReaderSize(c, readBuffer)
+	setTCPOptions(c)
+	reader := bufio.NewReaderSize(c, readBufferBytes)
 	if !readPreamble(c, reader) {
 		return
 	}
-	w := &writer{conn: c}
-	slots := make(chan struct{}, concurrentPerConnection)
+	w := &frameWriter{conn: c}
+	slots := make(chan struct{}, maxConcurrentRequests)
 	for {
 		e, err := readFrame(reader)
 		if err != nil {
@@ -164,7 +164,7 @@
 
 // readPreamble checks the version that a peer opens with; one that says nothing is not waited for long.
 func readPreamble(c net.Conn, reader *bufio.Reader) bool {
-	_ = c.SetReadDeadline(time.Now().Add(serverCallTimeout))
+	_ = c.SetReadDeadline(time.Now().Add(maxCallTimeout))
 	for _, want := range preamble {
 		got, err := reader.ReadByte()
 		if err != nil || got != want {
@@ -174,37 +174,37 @@
 	return c.SetReadDeadline(time.Time{}) == nil
 }
 
-func (s *Server) handle(ctx context.Context, w *writer, e envelope) {
-	limit := serverCallTimeout
-	if e.TimeMillis > 0 {
-		limit = min(limit, time.Duration(e.TimeMillis)*time.Millisecond)
+func (s *Server) handle(ctx context.Context, w *frameWriter, e envelope) {
+	timeout := maxCallTimeout
+	if e.TimeoutMillis > 0 {
+		timeout = min(timeout, time.Duration(e.TimeoutMillis)*time.Millisecond)
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	h := s.mux.handlers[Method(e.Method)]
 	if h == nil {
-		w.refuse(e, "unknown method "+e.Method)
+		w.sendError(e, "unknown method "+e.Method)
 		return
 	}
 	payload, err := h(ctx, e.Payload)
 	switch {
-	case kind(e.Kind) == oneWay:
+	case kind(e.Kind) == kindOneWay:
 	case err != nil:
-		w.refuse(e, err.Error())
+		w.sendError(e, err.Error())
 	default:
-		_ = w.send(envelope{Kind: int(answer), ID: e.ID, Payload: payload})
+		_ = w.send(envelope{Kind: int(kindResponse), ID: e.ID, Payload: payload})
 	}
 }
 
-// writer sends whole frames on a connection, one at a time. A write that fails breaks the connection: a
+// frameWriter sends whole frames on a connection, one at a time. A write that fails breaks the connection: a
 // part of a frame may have gone.
-type writer struct {
+type frameWriter struct {
 	mutex sync.Mutex
 	conn  net.Conn
 }
 
-func (w *writer) send(e envelope) error {
-	frame, err := frameOf(e)
+func (w *frameWriter) send(e envelope) error {
+	frame, err := encodeFrame(e)
 	if err != nil {
 		return err
 	}
@@ -218,8 +218,8 @@
 	return nil
 }
 
-func (w *writer) refuse(e envelope, reason string) {
-	if kind(e.Kind) == request {
-		_ = w.send(envelope{Kind: int(refusal), ID: e.ID, Payload: []byte(reason)})
+func (w *frameWriter) sendError(e envelope, reason string) {
+	if kind(e.Kind) == kindRequest {
+		_ = w.send(envelope{Kind: int(kindError), ID: e.ID, Payload: []byte(reason)})
 	}
 }
--- a/internal/tier/transport/transport_test.go
+++ b/internal/tier/transport/transport_test.go
@@ -21,21 +21,21 @@
 	Text string `avro:"text"`
 }
 
-var texts = transport.MustCodec[text](`{"type":"record","name":"Text","fields":[{"name":"text","type":"string"}]}`)
+var textCodec = transport.MustCodec[text](`{"type":"record","name":"Text","fields":[{"name":"text","type":"string"}]}`)
 
 const (
-	echo   transport.Method = "test.echo"
-	refuse transport.Method = "test.refuse"
-	hang   transport.Method = "test.hang"
+	echoMethod  transport.Method = "test.echo"
+	failMethod  transport.Method = "test.refuse"
+	blockMethod transport.Method = "test.hang"
 )
 
-func serving() (*transport.Server, *transport.Client) {
+func startServer() (*transport.Server, *transport.Client) {
 	mux := transport.NewMux()
-	transport.Handle(mux, echo, texts, texts, func(_ context.Context, q text) (text, error) { return q, nil })
-	transport.Handle(mux, refuse, texts, texts, func(context.Context, text) (text, error) {
+	transport.Handle(mux, echoMethod, textCodec, textCodec, func(_ context.Context, q text) (text, error) { return q, nil })
+	transport.Handle(mux, failMethod, textCodec, textCodec, func(context.Context, text) (text, error) {
 		return text{}, errors.New("not here")
 	})
-	transport.Handle(mux, hang, texts, texts, func(ctx context.Context, _ text) (text, error) {
+	transport.Handle(mux, blockMethod, textCodec, textCodec, func(ctx context.Context, _ text) (text, error) {
 		<-ctx.Done()
 		return text{}, ctx.Err()
 	})
@@ -51,12 +51,12 @@
 
 var _ = Describe("calls", func() {
 	It("bring back what the handler answers, many at once on one connection", func(ctx SpecContext) {
-		server, client := serving()
+		server, client := startServer()
 		results := make(chan error, 50)
 		for i := range 50 {
 			go func() {
 				q := text{Text: string(rune('a' + i%26))}
-				a, err := transport.Call(ctx, client, server.Address(), echo, texts, texts, q)
+				a, err := transport.Call(ctx, client, server.Address(), echoMethod, textCodec, textCodec, q)
 				if err == nil && a != q {
 					err = errors.New("another call's answer")
 				}
@@ -69,12 +69,12 @@
 	})
 
 	It("tell a refusal apart from a call of open fate", func(ctx SpecContext) {
-		server, client := serving()
-		_, err := transport.Call(ctx, client, server.Address(), refuse, texts, texts, text{})
+		server, client := startServer()
+		_, err := transport.Call(ctx, client, server.Address(), failMethod, textCodec, textCodec, text{})
 		var remote *transport.RemoteError
 		Expect(errors.As(err, &remote)).To(BeTrue())
 		Expect(remote.Reason).To(Equal("not here"))
-		_, err = transport.Call(ctx, client, server.Address(), "test.unknown", texts, texts, text{})
+		_, err = transport.Call(ctx, client, server.Address(), "test.unknown", textCodec, textCodec, text{})
 		Expect(errors.As(err, &remote)).To(BeTrue())
 	})
 
@@ -85,42 +85,42 @@
 		Expect(listener.Close()).To(Succeed())
 		client := transport.NewClient()
 		defer client.Close()
-		_, err = transport.Call(ctx, client, address, echo, texts, texts, text{})
+		_, err = transport.Call(ctx, client, address, echoMethod, textCodec, textCodec, text{})
 		Expect(errors.Is(err, transport.ErrNotSent)).To(BeTrue())
 	})
 
 	It("fail with an open fate when the connection ends, and the next one connects anew", func(ctx SpecContext) {
-		server, client := serving()
+		server, client := startServer()
 		failed := make(chan error, 1)
 		started, cancel := context.WithCancel(ctx)
 		defer cancel()
 		go func() {
-			_, err := transport.Call(started, client, server.Address(), hang, texts, texts, text{})
+			_, err := transport.Call(started, client, server.Address(), blockMethod, textCodec, textCodec, text{})
 			failed <- err
 		}()
-		_, err := transport.Call(ctx, client, server.Address(), echo, texts, texts, text{Text: "a"})
+		_, err := transport.Call(ctx, client, server.Address(), echoMethod, textCodec, textCodec, text{Text: "a"})
 		Expect(err).NotTo(HaveOccurred())
 		address := server.Address()
 		Expect(server.Close()).To(Succeed())
 		Expect(errors.Is(<-failed, transport.ErrNotSent)).To(BeFalse())
 
 		mux := transport.NewMux()
-		transport.Handle(mux, echo, texts, texts, func(_ context.Context, q text) (text, error) { return q, nil })
+		transport.Handle(mux, echoMethod, textCodec, textCodec, func(_ context.Context, q text) (text, error) { return q, nil })
 		again, err := transport.Listen(address, mux)
 		Expect(err).NotTo(HaveOccurred())
 		defer again.Close()
 		Eventually(func() error {
-			_, err := transport.Call(ctx, client, address, echo, texts, texts, text{Text: "b"})
+			_, err := transport.Call(ctx, client, address, echoMethod, textCodec, textCodec, text{Text: "b"})
 			return err
 		}).Should(Succeed())
 	})
 
 	It("end with their context", func(ctx SpecContext) {
-		server, client := serving()
+		server, client := startServer()
 		short, cancel := context.WithCancel(ctx)
 		result := make(chan error, 1)
 		go func() {
-			_, err := transport.Call(short, client, server.Address(), hang, texts, texts, text{})
+			_, err := transport.Call(short, client, server.Address(), blockMethod, textCodec, textCodec, text{})
 			result <- err
 		}()
 		cancel()
@@ -128,7 +128,7 @@
 	})
 
 	It("of another version of the protocol are turned away", func() {
-		server, _ := serving()
+		server, _ := startServer()
 		c, err := net.Dial("tcp4", server.Address())
 		Expect(err).NotTo(HaveOccurred())
 		defer c.Close()
@@ -139,29 +139,29 @@
 	})
 
 	It("over the bound of a frame are not sent", func(ctx SpecContext) {
-		server, client := serving()
-		_, err := transport.Call(ctx, client, server.Address(), echo, texts, texts, text{Text: string(make([]byte, transport.MaxFrameBytes))})
+		server, client := startServer()
+		_, err := transport.Call(ctx, client, server.Address(), echoMethod, textCodec, textCodec, text{Text: string(make([]byte, transport.MaxFrameBytes))})
 		Expect(err).To(HaveOccurred())
-		_, err = transport.Call(ctx, client, server.Address(), echo, texts, texts, text{Text: "a"})
+		_, err = transport.Call(ctx, client, server.Address(), echoMethod, textCodec, textCodec, text{Text: "a"})
 		Expect(err).NotTo(HaveOccurred())
 	})
 })
 
 func FuzzDecode(f *testing.F) {
-	good, err := texts.Encode(text{Text: "a"})
+	good, err := textCodec.Encode(text{Text: "a"})
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(good)
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0x0f})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		_, _ = texts.Decode(data)
+		_, _ = textCodec.Decode(data)
 	})
 }
 
 func BenchmarkCall(b *testing.B) {
 	mux := transport.NewMux()
-	transport.Handle(mux, echo, texts, texts, func(_ context.Context, q text) (text, error) { return q, nil })
+	transport.Handle(mux, echoMethod, textCodec, textCodec, func(_ context.Context, q text) (text, error) { return q, nil })
 	server, err := transport.Listen("127.0.0.1:0", mux)
 	if err != nil {
 		b.Fatal(err)
@@ -171,7 +171,7 @@
 	defer client.Close()
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := transport.Call(context.Background(), client, server.Address(), echo, texts, texts, text{Text: "a"}); err != nil {
+		if _, err := transport.Call(context.Background(), client, server.Address(), echoMethod, textCodec, textCodec, text{Text: "a"}); err != nil {
 			b.Fatal(err)
 		}
 	}
