--- a/internal/tier/dataplane/assignment.go
+++ b/internal/tier/dataplane/assignment.go
@@ -8,25 +8,26 @@
 	"emberquay/admission/dispatch"
 )
 
-// assignment says which receivers' reports this proxy asks for. A report is priced, and all proxies want the
-// same ones: each is asked for by one proxy, which spreads it.
+// assignment decides which receivers' reports this proxy polls. Each poll is charged for, and all proxies need the
+// same reports: each receiver is polled by one proxy, which publishes the report to the others.
 //
-// A receiver goes to the proxy with the highest hash of both names (rendezvous), among those of its own zone
-// where there are any. All proxies that know the same nodes come to the same. A proxy that comes or goes costs
-// one hash a receiver, and a receiver one hash a proxy of its zone: in a large fleet both come all the time.
+// Receivers are assigned by rendezvous hashing: to the proxy with the highest hash of both names, among the proxies of
+// the receiver's zone if there are any. Proxies that know the same nodes compute the same assignment. A proxy that joins
+// or leaves costs about one hash for each receiver, and a receiver one hash for each proxy of its zone: in a large
+// fleet both happen continuously.
 type assignment struct {
 	self string
 
 	mutex     sync.Mutex
-	proxies   map[string]string          // guarded by mutex; the zone of each live proxy, by name
-	byZone    map[string]map[string]bool // guarded by mutex; names of the live proxies of a zone
-	receivers map[string]assignedProxy   // guarded by mutex
+	proxies   map[string]string          // guarded by mutex; the zone of each live proxy, by the proxy's name
+	byZone    map[string]map[string]bool // guarded by mutex; the names of the live proxies, by zone
+	receivers map[string]assignedProxy   // guarded by mutex; by the receiver's id
 }
 
-// assignedProxy is the proxy that asks for a receiver's reports, and what it was chosen by.
+// assignedProxy is the proxy that polls a receiver's reports, with the zone and the hash that it was chosen by.
 type assignedProxy struct {
-	receiverZone string // of the receiver
-	name         string // empty: none
+	receiverZone string
+	name         string // empty: no proxy is live
 	hash         uint64
 }
 
@@ -34,7 +35,7 @@
 	return &assignment{self: self, proxies: map[string]string{}, byZone: map[string]map[string]bool{}, receivers: map[string]assignedProxy{}}
 }
 
-// assigned tells whether this proxy asks for a receiver's reports.
+// assigned reports whether this proxy polls a receiver's reports.
 func (a *assignment) assigned(id dispatch.InstanceID) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -42,14 +43,14 @@
 	return known && chosen.name == a.self
 }
 
-// liveCount is the number of live proxies.
+// liveCount returns the number of live proxies.
 func (a *assignment) liveCount() int {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return len(a.proxies)
 }
 
-// setProxy notes whether a proxy is live.
+// setProxy records whether a proxy is live, and reassigns the receivers that this affects.
 func (a *assignment) setProxy(name, zone string, live bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -72,7 +73,7 @@
 	a.byZone[zone][name] = true
 	for id, c := range a.receivers {
 		switch {
-		case c.receiverZone == zone && first: // until now those of other zones stood in
+		case c.receiverZone == zone && first: // until now it was assigned to a proxy of another zone
 			a.receivers[id] = assignedProxy{receiverZone: zone}.withCandidate(id, name)
 		case c.receiverZone == zone || len(a.byZone[c.receiverZone]) == 0:
 			a.receivers[id] = c.withCandidate(id, name)
@@ -93,7 +94,7 @@
 	}
 }
 
-// setReceiver notes a receiver, or that it is gone.
+// setReceiver adds a receiver, or removes it if it is gone.
 func (a *assignment) setReceiver(id, zone string, gone bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -120,7 +121,7 @@
 	return chosen
 }
 
-// withCandidate gives the choice between the present proxy and another.
+// withCandidate returns the assignment to whichever of the present proxy and the candidate has the higher hash.
 func (c assignedProxy) withCandidate(id, candidate string) assignedProxy {
 	hash := xxhash.Sum64String(id + "/" + candidate)
 	if c.name == "" || hash > c.hash || hash == c.hash && candidate < c.name {
--- a/internal/tier/dataplane/assignment_test.go
+++ b/internal/tier/dataplane/assignment_test.go
@@ -17,7 +17,7 @@
 }
 
 var _ = Describe("The assignment of receivers' reports", func() {
-	It("is, whatever came and went, that of a proxy that learns all at once", func() {
+	It("depends on the present proxies and receivers only, not on the order of changes", func() {
 		random := rand.New(rand.NewPCG(1, 1))
 		zone := func() string { return fmt.Sprint("z", random.IntN(4)) }
 		a := newAssignment("p3")
@@ -38,25 +38,25 @@
 				a.setReceiver(id, z, true)
 				delete(receivers, id)
 			}
-			fresh := newAssignment("p3")
+			rebuilt := newAssignment("p3")
 			for name, z := range proxies {
-				fresh.setProxy(name, z, true)
+				rebuilt.setProxy(name, z, true)
 			}
 			for id, z := range receivers {
-				fresh.setReceiver(id, z, false)
+				rebuilt.setReceiver(id, z, false)
 			}
-			Expect(a.receivers).To(Equal(fresh.receivers))
+			Expect(a.receivers).To(Equal(rebuilt.receivers))
 			Expect(a.liveCount()).To(Equal(len(proxies)))
 		}
 	})
 
-	It("gives each receiver to one proxy, of its zone where there is one", func() {
+	It("assigns each receiver to one proxy, of its zone if there is one", func() {
 		names := []string{"p1", "p2", "p3"}
 		zones := map[string]string{"p1": "a", "p2": "a", "p3": "b"}
 		for receiver := range 50 {
 			id := fmt.Sprint("i-", receiver)
-			for zone, wanted := range map[string][]string{"a": {"p1", "p2"}, "b": {"p3"}, "c": names} {
-				var takers []string
+			for zone, candidates := range map[string][]string{"a": {"p1", "p2"}, "b": {"p3"}, "c": names} {
+				var assignees []string
 				for _, self := range names {
 					a := newAssignment(self)
 					a.setReceiver(id, zone, false)
@@ -64,17 +64,17 @@
 						a.setProxy(name, zones[name], true)
 					}
 					if a.assigned(dispatch.InstanceID(id)) {
-						takers = append(takers, self)
+						assignees = append(assignees, self)
 					}
 				}
-				Expect(takers).To(HaveLen(1))
-				Expect(wanted).To(ContainElement(takers[0]))
+				Expect(assignees).To(HaveLen(1))
+				Expect(candidates).To(ContainElement(assignees[0]))
 			}
 		}
 	})
 })
 
-// BenchmarkAssignment has one of 340 proxies come and go before 620 receivers.
+// BenchmarkAssignment removes and adds one of 340 proxies, with 620 receivers.
 func BenchmarkAssignment(b *testing.B) {
 	a := newAssignment("p1")
 	for i := range 340 {
--- a/internal/tier/dataplane/feed.go
+++ b/internal/tier/dataplane/feed.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// minUpdateInterval is the least time between two hand-overs of the receivers' list. Each costs the proxy a step for
-// every receiver: where hundreds change together, as when the fleet starts or a zone comes back, one hand-over
-// for each would cost the square of their number. It is far below the time within which a drain has to be heeded.
+// minUpdateInterval is the minimum time between two updates of the proxy's receiver list. Each update takes time linear
+// in the number of receivers: when hundreds change together, as when the fleet starts or a zone comes back, one update
+// for each change would take quadratic time. It is far below the time within which a drain must take effect.
 const minUpdateInterval = 50 * time.Millisecond
 
-// throttledUpdate hands something over after each change: the first at once, those that follow soon after it together.
+// throttledUpdate calls a function after changes: at once after the first, and once for all that follow within
+// minUpdateInterval.
 type throttledUpdate struct {
 	update    func()
 	pending   chan struct{}
 	closed    chan struct{}
 	closeOnce sync.Once
-	mutex     sync.Mutex // held while it is handed over: an older state must not come after a newer one
+	mutex     sync.Mutex // held during update: an older state must not overwrite a newer one
 }
 
 func newThrottledUpdate(update func()) *throttledUpdate {
 	return &throttledUpdate{update: update, pending: make(chan struct{}, 1), closed: make(chan struct{})}
 }
 
-// trigger has the present state handed over soon. It doesn't wait.
+// trigger schedules an update. It does not wait for it.
 func (f *throttledUpdate) trigger() {
 	select {
 	case f.pending <- struct{}{}:
@@ -31,14 +32,14 @@
 	}
 }
 
-// updateNow hands the present state over at once.
+// updateNow runs an update at once and waits for it.
 func (f *throttledUpdate) updateNow() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.update()
 }
 
-// run works until close.
+// run runs the scheduled updates until close is called.
 func (f *throttledUpdate) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
--- a/internal/tier/dataplane/feed_test.go
+++ b/internal/tier/dataplane/feed_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestThrottledUpdate runs in a bubble with a clock of its own.
+// TestThrottledUpdate runs on the synthetic clock of synctest.
 func TestThrottledUpdate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		state := 0
@@ -19,7 +19,7 @@
 		u.trigger()
 		synctest.Wait()
 		if len(updates) != 1 || updates[0] != 1 {
-			t.Fatalf("a change after a pause is not handed over at once: %v", updates)
+			t.Fatalf("first change: updates %v, want [1] at once", updates)
 		}
 
 		for state < 600 {
@@ -30,7 +30,7 @@
 		time.Sleep(minUpdateInterval)
 		synctest.Wait()
 		if len(updates) != 2 || updates[1] != 600 {
-			t.Fatalf("changes that follow each other are not handed over together, the last among them: %v", updates)
+			t.Fatalf("changes in quick succession: updates %v, want one more, with 600", updates)
 		}
 
 		u.close()
@@ -39,7 +39,7 @@
 		time.Sleep(10 * minUpdateInterval)
 		synctest.Wait()
 		if len(updates) != 2 {
-			t.Fatalf("handed over after the end: %v", updates)
+			t.Fatalf("update after close: %v", updates)
 		}
 	})
 }
--- a/internal/tier/dataplane/plane.go
+++ b/internal/tier/dataplane/plane.go
@@ -1,12 +1,12 @@
-// Package dataplane assembles the data plane of one machine: the proxy, the part that it takes in the cluster,
-// and the client of the stores.
+// Package dataplane assembles the data plane of one machine: the proxy, its membership of the cluster, and the client
+// of the stores.
 //
 //	plane, err := dataplane.Start(node, logger)
 //	...
-//	plane.Shutdown(ctx, signalled) // serves what has been read
+//	plane.Shutdown(ctx, signalledAt) // completes the requests that have been read
 //
-// It owns nothing itself: the configuration, the receivers and the stores' view come from the cluster's table
-// and are handed to those who work by them, from the one goroutine in which the cluster calls its watchers.
+// It holds no state of its own: the configuration, the receivers and the stores' view come from the cluster's table
+// and are passed on to the components that use them, by the single goroutine in which the cluster calls its watchers.
 package dataplane
 
 import (
@@ -28,15 +28,15 @@
 	"emberquay/internal/tier/transport"
 )
 
-// readyPollInterval is the time between two looks whether a starting plane knows enough to serve.
+// readyPollInterval is the time between two checks whether a starting plane has a configuration.
 const readyPollInterval = 50 * time.Millisecond
 
-// The shares of the machine's limits that the proxy may take. What is left is for the other process of the machine,
+// The shares of the machine's limits that the proxy may use. The rest is left to the other process of the machine,
 // internal connections, files and the heap.
 const (
-	bodyMemoryShare         = 0.15 // of the memory, for bodies in hand
-	clientConnectionShare   = 0.4  // of the descriptors, for connections of clients
-	receiverConnectionShare = 0.25 // of the descriptors, for connections to receivers
+	bodyMemoryShare         = 0.15 // of the memory, for buffered bodies
+	clientConnectionShare   = 0.4  // of the file descriptors, for client connections
+	receiverConnectionShare = 0.25 // of the file descriptors, for connections to receivers
 )
 
 // Plane is a running data plane.
@@ -46,19 +46,19 @@
 	proxy      *proxy.Proxy
 	reports    *reportPublisher
 	beginStop  context.CancelFunc
-	stopping   context.Context // done once the process is told to stop
+	stopping   context.Context // done once Shutdown or close is called
 	markClosed context.CancelFunc
-	closed     context.Context // done once nothing is served any more
+	closed     context.Context // done once nothing is served any more: ends the sending of reports
 
 	receivers      *receiverList
 	assignment     *assignment
-	snapshot       atomic.Pointer[routing.Snapshot] // written by the watchers' goroutine; nil until one is known
-	receiverUpdate *throttledUpdate                 // of receivers to the proxy
+	snapshot       atomic.Pointer[routing.Snapshot] // written by the watchers' goroutine; nil without a configuration
+	receiverUpdate *throttledUpdate                 // passes the receivers to the proxy
 
 	reportsReceived atomic.Int64
 }
 
-// Start joins the others and serves; the plane is ready once it knows the configuration and the receivers.
+// Start joins the cluster and starts serving; the plane is ready once it has the configuration and the receivers.
 func Start(node *settings.Node, logger log.Interface) (*Plane, error) {
 	stopping, beginStop := context.WithCancel(context.Background())
 	closed, markClosed := context.WithCancel(context.Background())
@@ -73,7 +73,7 @@
 	p.watch()
 	go func() {
 		if err := p.proxy.Run(); err != nil {
-			p.base.Log.WithError(err).Error("the proxy ended")
+			p.base.Log.WithError(err).Error("proxy failed")
 		}
 	}()
 	go p.becomeReady()
@@ -106,7 +106,7 @@
 	return p.base.Serve(p.addStatus)
 }
 
-// watch hands what the cluster tells to those who work by it.
+// watch registers the handlers of the cluster's entries and nodes.
 func (p *Plane) watch() {
 	p.base.Cluster.Watch(cluster.ConfigurationKey, p.applyConfiguration)
 	p.base.Cluster.Watch(cluster.StoresKey, p.applyStoreView)
@@ -117,7 +117,7 @@
 func (p *Plane) applyConfiguration(entry cluster.Entry) {
 	record, err := records.ConfigurationCodec.Decode(entry.Value)
 	if err != nil {
-		p.base.Log.WithError(err).Error("configuration cannot be read")
+		p.base.Log.WithError(err).Error("cannot decode the configuration")
 		return
 	}
 	snapshot, err := routing.Parse(record.Body)
@@ -137,7 +137,7 @@
 func (p *Plane) applyStoreView(entry cluster.Entry) {
 	view, err := storewire.DecodeViewEntry(entry)
 	if err != nil {
-		p.base.Log.WithError(err).Error("store view cannot be read")
+		p.base.Log.WithError(err).Error("cannot decode the store view")
 		return
 	}
 	p.stores.SetView(view)
@@ -146,7 +146,7 @@
 func (p *Plane) applyReceiver(entry cluster.Entry) {
 	record, err := records.ReceiverCodec.Decode(entry.Value)
 	if err != nil {
-		p.base.Log.WithError(err).Error("receiver's record cannot be read")
+		p.base.Log.WithError(err).Error("cannot decode a receiver's record")
 		return
 	}
 	p.receivers.apply(record)
@@ -154,21 +154,21 @@
 	p.receiverUpdate.trigger()
 }
 
-// updateReceivers hands the proxy what is known of the receivers.
+// updateReceivers passes the known receivers to the proxy.
 func (p *Plane) updateReceivers() {
 	p.proxy.SetReceivers(p.receivers.dispatchReceivers(p.snapshot.Load()))
 }
 
-// applyNode counts the live proxies and shares the receivers' reports out among them.
+// applyNode updates the set of live proxies, among which the polling of the receivers' reports is divided.
 func (p *Plane) applyNode(n cluster.Node) {
 	if n.Role == cluster.Proxy {
 		p.assignment.setProxy(n.Name, n.Zone, n.Live())
-		p.receiverUpdate.trigger() // each proxy's part of the receivers' connections is another one now
+		p.receiverUpdate.trigger() // each proxy's share of the receivers' connections has changed
 	}
 }
 
-// becomeReady tells the platform that clients may come, once this plane has compared what it knows with others
-// and has a configuration: before, it could refuse routes that are there, or send to receivers that drain.
+// becomeReady reports readiness to the platform once this plane has synchronized with other nodes and has a
+// configuration: before that it could refuse configured routes, or send to receivers that are draining.
 func (p *Plane) becomeReady() {
 	select {
 	case <-p.base.Cluster.Ready():
@@ -194,8 +194,9 @@
 	return known
 }
 
-// Shutdown lets the platform notice, serves what has been read and ends, when ctx ends at the latest. Until the others know
-// that this proxy leaves, it is the one that asks some receivers for their reports, and goes on telling them.
+// Shutdown stops the proxy gracefully and closes the plane, at the latest when ctx ends: the platform has time to see that
+// it is not ready, and requests already read are completed. Until the other proxies know that this one leaves, it remains
+// the one that polls some receivers, and so it keeps publishing their reports.
 func (p *Plane) Shutdown(ctx context.Context, signalledAt time.Time) {
 	p.beginStop()
 	p.proxy.Shutdown(ctx, signalledAt)
@@ -203,8 +204,8 @@
 	p.close()
 }
 
-// Cluster is the plane's part in the cluster, for those who look on. Who watches it after Start is told of a
-// change after the plane itself has taken it.
+// Cluster returns the plane's cluster membership, for observers. Watchers registered after Start are called after the
+// plane itself has applied a change.
 func (p *Plane) Cluster() *cluster.Cluster { return p.base.Cluster }
 
 func (p *Plane) close() {
@@ -217,5 +218,5 @@
 	p.base.Close()
 }
 
-// SetSeeds tells where other machines' control planes are.
+// SetSeeds sets the internal addresses of other machines' control planes.
 func (p *Plane) SetSeeds(addresses []string) { p.base.Cluster.SetSeeds(addresses) }
--- a/internal/tier/dataplane/receivers.go
+++ b/internal/tier/dataplane/receivers.go
@@ -9,7 +9,8 @@
 	"emberquay/internal/tier/routing"
 )
 
-// receiverList holds what is known of each receiver. It is written by the goroutine of the cluster's watchers.
+// receiverList holds the record of each receiver that is not gone. It is written by the goroutine of the cluster's
+// watchers.
 type receiverList struct {
 	mutex sync.Mutex
 	byID  map[string]records.ReceiverRecord // guarded by mutex
@@ -19,7 +20,7 @@
 	return &receiverList{byID: map[string]records.ReceiverRecord{}}
 }
 
-// apply notes a record. One that is gone takes nothing any more.
+// apply stores a receiver's record, or removes it if the receiver is gone.
 func (l *receiverList) apply(record records.ReceiverRecord) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -30,7 +31,7 @@
 	l.byID[record.ID] = record
 }
 
-// all gives the receivers that are not gone.
+// all returns the receivers that are not gone.
 func (l *receiverList) all() []records.ReceiverRecord {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -41,8 +42,8 @@
 	return list
 }
 
-// dispatchReceivers gives the receivers as the dispatcher has them, with what the configuration tells of their
-// services; a service that it does not name has none of that.
+// dispatchReceivers returns the receivers as the dispatcher's type, with the limits and the engine that the configuration
+// sets for their services; these stay empty for a service that is not in the configuration.
 func (l *receiverList) dispatchReceivers(snapshot *routing.Snapshot) []dispatch.Receiver {
 	all := l.all()
 	list := make([]dispatch.Receiver, 0, len(all))
--- a/internal/tier/dataplane/reports.go
+++ b/internal/tier/dataplane/reports.go
@@ -13,23 +13,24 @@
 
 const (
 	reportMethod transport.Method = "proxy.report"
-	// fleetFanoutLimit is up to how many other proxies a report is sent to each of them. Where there are more, it goes to
-	// those of the asker's zone, whose programs have their homes there. Proxies elsewhere take a receiver without a
-	// report for one of mean load. Every message costs a small proxy some of its processor, and so this bound is one
-	// on what reports cost a fleet without many proxies in any zone.
+	// fleetFanoutLimit is the maximum number of other proxies at which a report is sent to all of them. If there are more,
+	// it goes to those of the sender's zone, whose programs have their home there. Proxies of other zones assume the mean
+	// load for a receiver without a report. Every message costs a small proxy CPU time, so this also limits what reports
+	// cost a fleet that has few proxies in each zone.
 	fleetFanoutLimit = 40
-	// zoneFanoutLimit bounds the proxies of a zone that one report is sent to. Where there are more, each report goes to a
-	// part of them, drawn anew: each proxy gets fewer reports then, none gets none.
+	// zoneFanoutLimit limits the proxies of a zone that one report is sent to. If there are more, each report goes to a
+	// subset chosen at random: each proxy then gets fewer reports, but none is left out for good.
 	zoneFanoutLimit = 96
-	// reportSendTimeout bounds the sending of a report: an older one is of no use.
+	// reportSendTimeout limits the sending of a report: an older report is of no use.
 	reportSendTimeout = 300 * time.Millisecond
-	// maxReportSends bounds the sends under way, two reports' worth; those beyond are dropped, as the next report comes soon.
+	// maxReportSends limits the concurrent sends to those of two reports; further ones are dropped, as the next report follows
+	// soon.
 	maxReportSends = 2 * zoneFanoutLimit
 )
 
 var reportCodec = transport.MustCodec[records.ReportRecord](records.ReportSchema)
 
-// reportPublisher sends the reports that this proxy has asked for to the others.
+// reportPublisher sends the reports that this proxy has polled to the other proxies.
 type reportPublisher struct {
 	client    *transport.Client
 	cluster   *cluster.Cluster
@@ -41,7 +42,7 @@
 	return &reportPublisher{client: client, cluster: c, sendSlots: make(chan struct{}, maxReportSends), closed: closed}
 }
 
-// publish sends a report to other live proxies. It does not wait for them.
+// publish sends a report to other live proxies. It does not wait for the sends.
 func (s *reportPublisher) publish(id dispatch.InstanceID, report dispatch.Report) {
 	record := records.ReportRecord{
 		Instance: string(id), Running: report.Running, Queued: report.Queued, KVUsed: int64(report.KVUsedTokens),
@@ -52,8 +53,8 @@
 	}
 }
 
-// reportAddresses gives the proxies that a report is sent to: all others where they are few, else those of the own
-// zone, zoneReports of them at most. The draw says with which of them the list begins: any number will do.
+// reportAddresses returns the addresses that a report is sent to: all other proxies if there are at most fleetFanoutLimit,
+// else those of its own zone, at most zoneFanoutLimit of them. The offset, any number, rotates the list.
 func reportAddresses(nodes []cluster.Node, self cluster.Node, offset uint64) []string {
 	var others, sameZone []string
 	for _, n := range nodes {
@@ -72,8 +73,8 @@
 	return addresses[:min(len(addresses), zoneFanoutLimit)]
 }
 
-// rotated begins a list at a drawn place. Without it the same proxies would be last in every list, and so those whose
-// reports are dropped when too many sends are under way.
+// rotated returns the list rotated by an offset. Without a random rotation the same proxies would be last in every list,
+// and so would always be the ones whose reports are dropped at maxReportSends.
 func rotated(list []string, offset uint64) []string {
 	if len(list) == 0 {
 		return nil
@@ -96,16 +97,16 @@
 	}()
 }
 
-// PublishReport sends a receiver's report to the other proxies, as those are that this proxy has asked for. It neither
-// takes the report itself nor waits for the others.
+// PublishReport sends a receiver's report to other proxies, like the reports that this proxy has polled. It neither
+// applies the report here nor waits for the sends.
 func (p *Plane) PublishReport(id dispatch.InstanceID, report dispatch.Report) {
 	p.reports.publish(id, report)
 }
 
-// ReportsReceived counts the reports that other proxies have sent here since the start.
+// ReportsReceived returns the number of reports received from other proxies since the start.
 func (p *Plane) ReportsReceived() int64 { return p.reportsReceived.Load() }
 
-// handleReport hands a report of another proxy to the dispatcher.
+// handleReport passes a report from another proxy to the dispatcher, unless it is invalid or this proxy polls the receiver.
 func (p *Plane) handleReport(record records.ReportRecord) {
 	p.reportsReceived.Add(1)
 	if record.CheckBounds() != nil || p.assignment.assigned(dispatch.InstanceID(record.Instance)) {
--- a/internal/tier/dataplane/reports_test.go
+++ b/internal/tier/dataplane/reports_test.go
@@ -21,10 +21,10 @@
 	"emberquay/internal/tier/transport"
 )
 
-// waitTimeout bounds a test that waits for other goroutines.
+// waitTimeout limits the time that a test waits for other goroutines.
 const waitTimeout = 20 * time.Second
 
-// freePort is a port of the address that nobody listens on.
+// freePort returns a port of the address that nobody listens on.
 func freePort(t *testing.T, ip string) int {
 	t.Helper()
 	l, err := net.Listen("tcp4", ip+":0")
@@ -35,7 +35,8 @@
 	return l.Addr().(*net.TCPAddr).Port
 }
 
-// startNeighbour is a proxy's place in the cluster that tells of the reports which come to it. It finds the plane by its seed.
+// startNeighbour starts a cluster member with the role of a proxy and returns the reports that it receives. It joins by
+// the plane's address as its seed.
 func startNeighbour(t *testing.T, plane *settings.Node) <-chan records.ReportRecord {
 	t.Helper()
 	port := plane.InternalPorts[0] - int(settings.ControlPlane)
@@ -53,7 +54,7 @@
 	return received
 }
 
-// waitForNeighbour waits until a plane knows another live proxy.
+// waitForNeighbour waits until the plane knows that the neighbour is live.
 func waitForNeighbour(t *testing.T, p *Plane) {
 	t.Helper()
 	found := make(chan struct{}, 1)
@@ -68,11 +69,12 @@
 	select {
 	case <-found:
 	case <-time.After(waitTimeout):
-		t.Fatal("the neighbour is not known")
+		t.Fatal("the plane has not discovered the neighbour")
 	}
 }
 
-// A proxy that stopped went on being the one that asks receivers for reports, and told them to nobody from the signal on.
+// Guards against a stopping proxy that remained assigned to poll receivers but stopped publishing their reports at the
+// signal, so that no proxy got them.
 func TestStoppingProxyKeepsPublishingReports(t *testing.T) {
 	port := freePort(t, "127.0.0.1")
 	node := &settings.Node{Name: "stopping", IP: "127.0.0.1", Zone: "a", InternalPorts: [2]int{port, port + 2}}
@@ -95,10 +97,10 @@
 	select {
 	case r := <-reports:
 		if r.Instance != "r1" || r.Running != 3 {
-			t.Errorf("told %+v", r)
+			t.Errorf("published %+v, want instance r1 with 3 running", r)
 		}
 	case <-gone:
-		t.Error("the proxy has ended and told no report")
+		t.Error("the proxy ended without publishing the report")
 	}
 	cancel()
 	<-gone
@@ -116,11 +118,11 @@
 	}
 	got := reportAddresses(nodes, cluster.Node{Address: "10.1.0.1:1"}, 0)
 	if want := []string{"10.1.0.2:1", "10.1.0.3:1"}; !slices.Equal(got, want) {
-		t.Errorf("reports go to %v, not %v", got, want)
+		t.Errorf("reports go to %v, want %v", got, want)
 	}
 }
 
-// proxiesInZones is some zones of as many proxies each.
+// proxiesInZones returns live proxies, perZone of them in each zone.
 func proxiesInZones(zones, perZone int) []cluster.Node {
 	var nodes []cluster.Node
 	for zone := range zones {
@@ -132,8 +134,8 @@
 	return nodes
 }
 
-// Where there are many proxies each report costs its asker as many messages as its zone has, up to a bound, and no
-// other node any.
+// In a fleet of more than fleetFanoutLimit other proxies a report is sent within the sender's zone only, to at most
+// zoneFanoutLimit proxies.
 func TestReportsStayInTheZoneOfALargeFleet(t *testing.T) {
 	for _, c := range []struct {
 		zones, perZone int
@@ -155,11 +157,11 @@
 		for _, offset := range []uint64{0, 1, zoneFanoutLimit, math.MaxUint64} {
 			got := reportAddresses(nodes, nodes[0], offset)
 			if len(got) != c.wantSends {
-				t.Errorf("%d zones of %d: sent to %d, not %d", c.zones, c.perZone, len(got), c.wantSends)
+				t.Errorf("%d zones of %d: sent to %d proxies, want %d", c.zones, c.perZone, len(got), c.wantSends)
 			}
 			slices.Sort(got)
 			if distinct := slices.Compact(slices.Clone(got)); len(distinct) != len(got) || slices.Contains(got, nodes[0].Address) {
-				t.Errorf("%d zones of %d: twice to the same, or to itself: %v", c.zones, c.perZone, got)
+				t.Errorf("%d zones of %d: sent twice to one proxy, or to itself: %v", c.zones, c.perZone, got)
 			}
 			reachesOtherZone := slices.ContainsFunc(nodes[c.perZone:], func(n cluster.Node) bool { return slices.Contains(got, n.Address) })
 			if reachesOtherZone && c.zones*c.perZone > fleetFanoutLimit+1 {
@@ -169,7 +171,7 @@
 	}
 }
 
-// Over all draws each proxy of a zone gets the same share of the reports.
+// Over all offsets each proxy of a zone gets the same number of reports.
 func TestReportsReachEveryProxyOfALargeZone(t *testing.T) {
 	const others = 2*zoneFanoutLimit + 17
 	nodes := proxiesInZones(1, others+1)
@@ -180,11 +182,11 @@
 		}
 	}
 	if len(sends) != others {
-		t.Errorf("%d of %d proxies are sent to", len(sends), others)
+		t.Errorf("reports sent to %d of %d proxies", len(sends), others)
 	}
 	for address, count := range sends {
 		if count != zoneFanoutLimit {
-			t.Errorf("%s: %d of %d reports, not %d", address, count, others, zoneFanoutLimit)
+			t.Errorf("%s: got %d of %d reports, want %d", address, count, others, zoneFanoutLimit)
 		}
 	}
 }
--- a/internal/tier/dataplane/status.go
+++ b/internal/tier/dataplane/status.go
@@ -8,7 +8,7 @@
 	"emberquay/internal/tier/proxy"
 )
 
-// addStatus adds what an operator is told of this plane.
+// addStatus adds the proxy's part to the process's status.
 func (p *Plane) addStatus(ctx context.Context, status *nodestatus.Status) error {
 	current, err := p.proxy.Status(ctx)
 	if err != nil {
