--- a/internal/tier/transport/client.go
+++ b/internal/tier/transport/client.go
@@ -11,7 +11,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// RemoteError is the other side's refusal of a call.
+// RemoteError is an error that the peer returned for a call.
 type RemoteError struct {
 	Method Method
 	Reason string
@@ -19,46 +19,46 @@
 
 func (e *RemoteError) Error() string { return string(e.Method) + ": " + e.Reason }
 
-// ErrNotSent: no byte of the call has left, so it was certainly not carried out.
+// ErrNotSent reports that no byte of the call was sent, so it was not executed.
 var ErrNotSent = errors.New("not sent")
 
-// ErrConnectionLost: the connection ended before the answer came; the call may have been carried out.
+// ErrConnectionLost reports that the connection ended before the response arrived; the call may have been executed.
 var ErrConnectionLost = errors.New("connection lost")
 
 const (
-	// dialTimeout bounds the making of a connection. A host behind a cut says nothing.
+	// dialTimeout limits the time to establish a connection. A host behind a network partition does not respond at all.
 	dialTimeout = time.Second
-	// firstDialTimeout bounds the first try to make it; each further one may take twice as long. The opening packet of a
-	// connection is lost at a host that is just coming up, and goes again only after a second: a new try is quicker.
+	// firstDialTimeout limits the first attempt to connect; each further one may take twice as long. A host that is just
+	// starting loses the SYN, which the kernel retransmits only after a second: a new attempt is faster.
 	firstDialTimeout = 120 * time.Millisecond
 )
 
-// Client calls peers over one connection each. The zero value is not usable; NewClient makes one.
+// Client calls peers over one connection each. The zero value is not usable; use NewClient.
 type Client struct {
 	mutex       sync.Mutex
-	connections map[string]*connection // by address; guarded by mutex
+	connections map[string]*connection // by the peer's address; guarded by mutex
 	closed      bool                   // guarded by mutex
 }
 
-// NewClient makes a client without connections.
+// NewClient returns a client without connections.
 func NewClient() *Client { return &Client{connections: map[string]*connection{}} }
 
-// Close ends all connections; calls under way fail.
+// Close closes all connections; pending calls fail.
 func (c *Client) Close() {
 	c.mutex.Lock()
 	connections := c.connections
 	c.connections = map[string]*connection{}
 	c.closed = true
 	c.mutex.Unlock()
-	for _, p := range connections {
-		p.close(ErrConnectionLost)
+	for _, conn := range connections {
+		conn.close(ErrConnectionLost)
 	}
 }
 
-// Call sends a request to a peer and waits for its answer, at most until ctx ends.
-func Call[Req, Resp any](ctx context.Context, c *Client, address string, method Method, requestCodec *Codec[Req], responseCodec *Codec[Resp], message Req) (Resp, error) {
+// Call sends a request to a peer and waits for its response, at most until ctx ends.
+func Call[Req, Resp any](ctx context.Context, c *Client, address string, method Method, requestCodec *Codec[Req], responseCodec *Codec[Resp], request Req) (Resp, error) {
 	var zero Resp
-	payload, err := requestCodec.Encode(message)
+	payload, err := requestCodec.Encode(request)
 	if err != nil {
 		return zero, eris.Wrap(errors.Join(ErrNotSent, err), string(method))
 	}
@@ -69,41 +69,41 @@
 	return responseCodec.Decode(result)
 }
 
-// Send sends a message that has no answer. No error does not mean that it arrived.
+// Send sends a message that has no response. A nil error does not mean that it arrived.
 func Send[M any](ctx context.Context, c *Client, address string, method Method, codec *Codec[M], message M) error {
 	payload, err := codec.Encode(message)
 	if err != nil {
 		return eris.Wrap(errors.Join(ErrNotSent, err), string(method))
 	}
-	p, err := c.connectionTo(ctx, address)
+	conn, err := c.connectionTo(ctx, address)
 	if err != nil {
 		return err
 	}
-	if err := p.writer.send(envelope{Kind: int(kindOneWay), Method: string(method), Payload: payload}); err != nil {
-		p.close(ErrConnectionLost)
-		c.remove(address, p)
+	if err := conn.writer.send(envelope{Kind: int(kindOneWay), Method: string(method), Payload: payload}); err != nil {
+		conn.close(ErrConnectionLost)
+		c.remove(address, conn)
 		return err
 	}
 	return nil
 }
 
 func (c *Client) call(ctx context.Context, address string, method Method, payload []byte) ([]byte, error) {
-	p, err := c.connectionTo(ctx, address)
+	conn, err := c.connectionTo(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	id, result := p.addCall()
+	id, result := conn.addCall()
 	e := envelope{Kind: int(kindRequest), ID: id, Method: string(method), TimeoutMillis: remainingMillis(ctx), Payload: payload}
-	if err := p.writer.send(e); err != nil {
-		p.close(ErrConnectionLost)
-		c.remove(address, p)
+	if err := conn.writer.send(e); err != nil {
+		conn.close(ErrConnectionLost)
+		c.remove(address, conn)
 		return nil, eris.Wrapf(ErrConnectionLost, "%s to %s", method, address)
 	}
 	select {
 	case r := <-result:
 		return r.payload(method, address)
 	case <-ctx.Done():
-		p.removeCall(id)
+		conn.removeCall(id)
 		return nil, eris.Wrapf(ctx.Err(), "%s to %s", method, address)
 	}
 }
@@ -116,56 +116,57 @@
 	return max(1, time.Until(deadline).Milliseconds())
 }
 
-// connectionTo gives the peer's connection, made now if there is none. Callers at the same time share one try.
+// connectionTo returns the connection to a peer, and establishes it if there is none. Concurrent callers share one
+// attempt.
 func (c *Client) connectionTo(ctx context.Context, address string) (*connection, error) {
 	c.mutex.Lock()
 	if c.closed {
 		c.mutex.Unlock()
 		return nil, eris.Wrap(ErrNotSent, "client closed")
 	}
-	p := c.connections[address]
-	if p == nil || p.isClosed() {
-		p = newConnection()
-		c.connections[address] = p
-		go c.dial(address, p)
+	conn := c.connections[address]
+	if conn == nil || conn.isClosed() {
+		conn = newConnection()
+		c.connections[address] = conn
+		go c.dial(address, conn)
 	}
 	c.mutex.Unlock()
 	select {
-	case <-p.ready:
+	case <-conn.ready:
 	case <-ctx.Done():
 		return nil, eris.Wrapf(errors.Join(ErrNotSent, ctx.Err()), "connect to %s", address)
 	}
-	if p.dialErr != nil {
-		return nil, eris.Wrapf(errors.Join(ErrNotSent, p.dialErr), "connect to %s", address)
+	if conn.dialErr != nil {
+		return nil, eris.Wrapf(errors.Join(ErrNotSent, conn.dialErr), "connect to %s", address)
 	}
-	return p, nil
+	return conn, nil
 }
 
-func (c *Client) dial(address string, p *connection) {
-	conn, err := dialWithRetries(func(timeout time.Duration) (net.Conn, error) {
+func (c *Client) dial(address string, conn *connection) {
+	netConn, err := dialWithRetries(func(timeout time.Duration) (net.Conn, error) {
 		return net.DialTimeout("tcp4", address, timeout)
 	})
 	if err == nil {
-		setTCPOptions(conn)
-		_, err = conn.Write(preamble[:])
+		setTCPOptions(netConn)
+		_, err = netConn.Write(preamble[:])
 	}
 	if err != nil {
-		p.dialErr = err
-		close(p.ready)
-		c.remove(address, p)
+		conn.dialErr = err
+		close(conn.ready)
+		c.remove(address, conn)
 		return
 	}
-	if !p.attach(conn) {
-		p.dialErr = ErrConnectionLost
-		close(p.ready)
+	if !conn.attach(netConn) {
+		conn.dialErr = ErrConnectionLost
+		close(conn.ready)
 		return
 	}
-	close(p.ready)
-	p.readResponses()
-	c.remove(address, p)
+	close(conn.ready)
+	conn.readResponses()
+	c.remove(address, conn)
 }
 
-// dialWithRetries makes a connection in tries that take longer and longer, until one succeeds, one is turned away, or
+// dialWithRetries dials with timeouts that double, until an attempt succeeds or fails other than by its timeout, or
 // dialTimeout is used up.
 func dialWithRetries(dial func(timeout time.Duration) (net.Conn, error)) (net.Conn, error) {
 	remaining := dialTimeout
@@ -179,24 +180,24 @@
 	}
 }
 
-// remove forgets a connection that has ended.
-func (c *Client) remove(address string, p *connection) {
+// remove drops a connection that has ended.
+func (c *Client) remove(address string, conn *connection) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.connections[address] == p {
+	if c.connections[address] == conn {
 		delete(c.connections, address)
 	}
 }
 
-// connection is one connection and the calls that wait on it.
+// connection is the connection to a peer, with the calls that wait for their responses.
 type connection struct {
-	ready   chan struct{} // closed once connected or failed
+	ready   chan struct{} // closed once dialing has succeeded or failed
 	dialErr error         // set before ready is closed
-	writer  *frameWriter  // set before ready is closed, under mutex
+	writer  *frameWriter  // set before ready is closed, with mutex held
 
 	mutex   sync.Mutex
 	lastID  int64                     // id of the newest call; guarded by mutex
-	pending map[int64]chan callResult // guarded by mutex; nil once the connection has ended
+	pending map[int64]chan callResult // by call id; guarded by mutex; nil once the connection has ended
 }
 
 type callResult struct {
@@ -218,70 +219,70 @@
 	return &connection{ready: make(chan struct{}), pending: map[int64]chan callResult{}}
 }
 
-// attach takes the connection made for the peer, unless the client was closed meanwhile.
-func (p *connection) attach(conn net.Conn) bool {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	if p.pending == nil {
+// attach sets the established network connection; it closes it and returns false if the client was closed meanwhile.
+func (c *connection) attach(conn net.Conn) bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.pending == nil {
 		_ = conn.Close()
 		return false
 	}
-	p.writer = &frameWriter{conn: conn}
+	c.writer = &frameWriter{conn: conn}
 	return true
 }
 
-func (p *connection) isClosed() bool {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	return p.pending == nil
+func (c *connection) isClosed() bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.pending == nil
 }
 
-// addCall draws the id of a new call and says where its answer will come.
-func (p *connection) addCall() (int64, <-chan callResult) {
+// addCall registers a new call and returns its id and the channel of its result.
+func (c *connection) addCall() (int64, <-chan callResult) {
 	result := make(chan callResult, 1)
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	p.lastID++
-	if p.pending == nil {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.lastID++
+	if c.pending == nil {
 		result <- callResult{err: ErrConnectionLost}
-		return p.lastID, result
+		return c.lastID, result
 	}
-	p.pending[p.lastID] = result
-	return p.lastID, result
+	c.pending[c.lastID] = result
+	return c.lastID, result
 }
 
-func (p *connection) removeCall(id int64) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	delete(p.pending, id)
+func (c *connection) removeCall(id int64) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	delete(c.pending, id)
 }
 
-// readResponses hands answers to the calls that wait for them, until the connection ends.
-func (p *connection) readResponses() {
-	reader := bufio.NewReaderSize(p.writer.conn, readBufferBytes)
+// readResponses passes responses to the calls that wait for them, until the connection ends.
+func (c *connection) readResponses() {
+	reader := bufio.NewReaderSize(c.writer.conn, readBufferBytes)
 	for {
 		e, err := readFrame(reader)
 		if err != nil {
-			p.close(ErrConnectionLost)
+			c.close(ErrConnectionLost)
 			return
 		}
-		p.mutex.Lock()
-		result := p.pending[e.ID]
-		delete(p.pending, e.ID)
-		p.mutex.Unlock()
+		c.mutex.Lock()
+		result := c.pending[e.ID]
+		delete(c.pending, e.ID)
+		c.mutex.Unlock()
 		if result != nil {
 			result <- callResult{envelope: e}
 		}
 	}
 }
 
-// close ends the connection and fails the calls that wait on it.
-func (p *connection) close(cause error) {
-	p.mutex.Lock()
-	pending := p.pending
-	p.pending = nil
-	writer := p.writer
-	p.mutex.Unlock()
+// close closes the connection and fails its pending calls.
+func (c *connection) close(cause error) {
+	c.mutex.Lock()
+	pending := c.pending
+	c.pending = nil
+	writer := c.writer
+	c.mutex.Unlock()
 	if writer != nil {
 		_ = writer.conn.Close()
 	}
--- a/internal/tier/transport/dial_test.go
+++ b/internal/tier/transport/dial_test.go
@@ -13,42 +13,42 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("making a connection", func() {
-	var patiences []time.Duration
-	dialing := func(outcomes ...error) func(time.Duration) (net.Conn, error) {
-		patiences = nil
-		return func(patience time.Duration) (net.Conn, error) {
-			patiences = append(patiences, patience)
-			if err := outcomes[len(patiences)-1]; err != nil {
+var _ = Describe("dialing", func() {
+	var timeouts []time.Duration
+	fakeDial := func(errs ...error) func(time.Duration) (net.Conn, error) {
+		timeouts = nil
+		return func(timeout time.Duration) (net.Conn, error) {
+			timeouts = append(timeouts, timeout)
+			if err := errs[len(timeouts)-1]; err != nil {
 				return nil, &net.OpError{Op: "dial", Err: err}
 			}
 			return &net.TCPConn{}, nil
 		}
 	}
 
-	It("begins anew where the opening packet was lost, each time with more patience", func() {
-		conn, err := transport.DialWithRetries(dialing(os.ErrDeadlineExceeded, os.ErrDeadlineExceeded, nil))
+	It("retries after a timeout, each time with twice the timeout", func() {
+		conn, err := transport.DialWithRetries(fakeDial(os.ErrDeadlineExceeded, os.ErrDeadlineExceeded, nil))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(conn).NotTo(BeNil())
-		Expect(patiences).To(Equal([]time.Duration{transport.FirstDialTimeout, 2 * transport.FirstDialTimeout, 4 * transport.FirstDialTimeout}))
+		Expect(timeouts).To(Equal([]time.Duration{transport.FirstDialTimeout, 2 * transport.FirstDialTimeout, 4 * transport.FirstDialTimeout}))
 	})
 
-	It("ends where it is turned away", func() {
-		_, err := transport.DialWithRetries(dialing(syscall.ECONNREFUSED))
+	It("does not retry after a refused connection", func() {
+		_, err := transport.DialWithRetries(fakeDial(syscall.ECONNREFUSED))
 		Expect(errors.Is(err, syscall.ECONNREFUSED)).To(BeTrue())
-		Expect(patiences).To(HaveLen(1))
+		Expect(timeouts).To(HaveLen(1))
 	})
 
-	It("takes the whole time at most", func() {
-		lost := make([]error, 20)
-		for i := range lost {
-			lost[i] = os.ErrDeadlineExceeded
+	It("takes no longer than the total timeout", func() {
+		timedOut := make([]error, 20)
+		for i := range timedOut {
+			timedOut[i] = os.ErrDeadlineExceeded
 		}
-		_, err := transport.DialWithRetries(dialing(lost...))
+		_, err := transport.DialWithRetries(fakeDial(timedOut...))
 		Expect(err).To(HaveOccurred())
 		total := time.Duration(0)
-		for _, p := range patiences {
-			total += p
+		for _, timeout := range timeouts {
+			total += timeout
 		}
 		Expect(total).To(Equal(transport.DialTimeout))
 	})
--- a/internal/tier/transport/export_test.go
+++ b/internal/tier/transport/export_test.go
@@ -1,6 +1,6 @@
 package transport
 
-// For the tests, which stand in a package of their own.
+// Exported for the tests in package transport_test.
 var DialWithRetries = dialWithRetries
 
 const (
--- a/internal/tier/transport/server.go
+++ b/internal/tier/transport/server.go
@@ -11,56 +11,56 @@
 )
 
 const (
-	// maxConcurrentRequests bounds the requests of one peer that are handled at once; more wait unread.
+	// maxConcurrentRequests limits the requests of one connection that are handled concurrently; further ones wait unread.
 	maxConcurrentRequests = 256
-	// writeTimeout bounds one write: a peer that does not read must not hold others up for long.
+	// writeTimeout limits one write: a peer that does not read must not block the connection's other senders for long.
 	writeTimeout = 2 * time.Second
-	// maxCallTimeout bounds a call that brings no time of its own.
+	// maxCallTimeout limits the handling of a call, whatever its own deadline, and the wait for a preamble.
 	maxCallTimeout  = 10 * time.Second
 	readBufferBytes = 4 << 10
 )
 
-// Method names a call.
+// Method is the name of a call on the wire.
 type Method string
 
 type handler func(ctx context.Context, payload []byte) ([]byte, error)
 
-// Mux holds the handlers of a server. All are registered before Listen.
+// Mux holds the handlers of a server by method. All must be registered before Listen.
 type Mux struct {
 	handlers map[Method]handler
 }
 
-// NewMux makes an empty one.
+// NewMux returns a Mux without handlers.
 func NewMux() *Mux { return &Mux{handlers: map[Method]handler{}} }
 
-// Handle registers the handler of a method. Its error goes back as a *RemoteError with the error's text.
+// Handle registers the handler of a method. The caller gets its error as a *RemoteError with the error's text.
 func Handle[Req, Resp any](m *Mux, method Method, requestCodec *Codec[Req], responseCodec *Codec[Resp], handle func(context.Context, Req) (Resp, error)) {
 	m.handlers[method] = func(ctx context.Context, payload []byte) ([]byte, error) {
-		message, err := requestCodec.Decode(payload)
+		request, err := requestCodec.Decode(payload)
 		if err != nil {
 			return nil, err
 		}
-		result, err := handle(ctx, message)
+		response, err := handle(ctx, request)
 		if err != nil {
 			return nil, err
 		}
-		return responseCodec.Encode(result)
+		return responseCodec.Encode(response)
 	}
 }
 
-// HandleOneWay registers the handler of a method without an answer.
-func HandleOneWay[Q any](m *Mux, method Method, codec *Codec[Q], f func(context.Context, Q)) {
+// HandleOneWay registers the handler of a method that has no response.
+func HandleOneWay[Q any](m *Mux, method Method, codec *Codec[Q], handle func(context.Context, Q)) {
 	m.handlers[method] = func(ctx context.Context, payload []byte) ([]byte, error) {
 		message, err := codec.Decode(payload)
 		if err != nil {
 			return nil, err
 		}
-		f(ctx, message)
+		handle(ctx, message)
 		return nil, nil
 	}
 }
 
-// Server answers calls on one address.
+// Server serves calls at one address.
 type Server struct {
 	listener net.Listener
 	mux      *Mux
@@ -72,7 +72,7 @@
 	closed      bool                  // guarded by mutex
 }
 
-// Listen binds the address and serves it until Close.
+// Listen listens on the address and serves calls until Close.
 func Listen(address string, mux *Mux) (*Server, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -84,70 +84,70 @@
 	return s, nil
 }
 
-// Address is where the server listens.
+// Address returns the address that the server listens on.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Close ends the listener and every connection.
+// Close closes the listener and every connection.
 func (s *Server) Close() error {
 	s.cancel()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.closed = true
-	for c := range s.connections {
-		_ = c.Close()
+	for conn := range s.connections {
+		_ = conn.Close()
 	}
 	return s.listener.Close()
 }
 
 func (s *Server) acceptLoop() {
 	for {
-		c, err := s.listener.Accept()
+		conn, err := s.listener.Accept()
 		if err != nil {
 			if s.ctx.Err() != nil {
 				return
 			}
-			time.Sleep(acceptRetryDelay) // out of descriptors: not at once again
+			time.Sleep(acceptRetryDelay) // out of file descriptors: retry later
 			continue
 		}
-		if !s.addConnection(c) {
-			_ = c.Close()
+		if !s.addConnection(conn) {
+			_ = conn.Close()
 			return
 		}
-		go s.serve(c)
+		go s.serve(conn)
 	}
 }
 
-// acceptRetryDelay follows a failed accept.
+// acceptRetryDelay is the delay after a failed accept.
 const acceptRetryDelay = 20 * time.Millisecond
 
-func (s *Server) addConnection(c net.Conn) bool {
+func (s *Server) addConnection(conn net.Conn) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.closed {
 		return false
 	}
-	s.connections[c] = struct{}{}
+	s.connections[conn] = struct{}{}
 	return true
 }
 
-func (s *Server) removeConnection(c net.Conn) {
+func (s *Server) removeConnection(conn net.Conn) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	delete(s.connections, c)
+	delete(s.connections, conn)
 }
 
-// serve reads the requests of one peer. Each is handled by a goroutine of its own.
-func (s *Server) serve(c net.Conn) {
+// serve reads the requests of a connection and handles each in its own goroutine.
+func (s *Server) serve(conn net.Conn) {
 	ctx, cancel := context.WithCancel(s.ctx)
 	defer cancel()
-	defer s.removeConnection(c)
-	defer c.Close()
-	setTCPOptions(c)
-	reader := bufio.NewReaderSize(c, readBufferBytes)
-	if !readPreamble(c, reader) {
+	defer s.removeConnection(conn)
+	defer conn.Close()
+	setTCPOptions(conn)
+	reader := bufio.NewReaderSize(conn, readBufferBytes)
+	if !readPreamble(conn, reader) {
 		return
 	}
-	w := &frameWriter{conn: c}
+	w := &frameWriter{conn: conn}
 	slots := make(chan struct{}, maxConcurrentRequests)
 	for {
 		e, err := readFrame(reader)
@@ -162,16 +162,16 @@
 	}
 }
 
-// readPreamble checks the version that a peer opens with; one that says nothing is not waited for long.
-func readPreamble(c net.Conn, reader *bufio.Reader) bool {
-	_ = c.SetReadDeadline(time.Now().Add(maxCallTimeout))
+// readPreamble reports whether the peer starts with the supported preamble, within maxCallTimeout.
+func readPreamble(conn net.Conn, reader *bufio.Reader) bool {
+	_ = conn.SetReadDeadline(time.Now().Add(maxCallTimeout))
 	for _, want := range preamble {
 		got, err := reader.ReadByte()
 		if err != nil || got != want {
 			return false
 		}
 	}
-	return c.SetReadDeadline(time.Time{}) == nil
+	return conn.SetReadDeadline(time.Time{}) == nil
 }
 
 func (s *Server) handle(ctx context.Context, w *frameWriter, e envelope) {
@@ -196,8 +196,8 @@
 	}
 }
 
-// frameWriter sends whole frames on a connection, one at a time. A write that fails breaks the connection: a
-// part of a frame may have gone.
+// frameWriter writes whole frames to a connection, one at a time. A failed write closes the connection, as part of a frame
+// may have been sent.
 type frameWriter struct {
 	mutex sync.Mutex
 	conn  net.Conn
--- a/internal/tier/transport/transport_test.go
+++ b/internal/tier/transport/transport_test.go
@@ -31,7 +31,7 @@
 
 func startServer() (*transport.Server, *transport.Client) {
 	mux := transport.NewMux()
-	transport.Handle(mux, echoMethod, textCodec, textCodec, func(_ context.Context, q text) (text, error) { return q, nil })
+	transport.Handle(mux, echoMethod, textCodec, textCodec, func(_ context.Context, request text) (text, error) { return request, nil })
 	transport.Handle(mux, failMethod, textCodec, textCodec, func(context.Context, text) (text, error) {
 		return text{}, errors.New("not here")
 	})
@@ -50,15 +50,15 @@
 }
 
 var _ = Describe("calls", func() {
-	It("bring back what the handler answers, many at once on one connection", func(ctx SpecContext) {
+	It("return the handler's responses, many concurrently on one connection", func(ctx SpecContext) {
 		server, client := startServer()
 		results := make(chan error, 50)
 		for i := range 50 {
 			go func() {
-				q := text{Text: string(rune('a' + i%26))}
-				a, err := transport.Call(ctx, client, server.Address(), echoMethod, textCodec, textCodec, q)
-				if err == nil && a != q {
-					err = errors.New("another call's answer")
+				request := text{Text: string(rune('a' + i%26))}
+				response, err := transport.Call(ctx, client, server.Address(), echoMethod, textCodec, textCodec, request)
+				if err == nil && response != request {
+					err = errors.New("got another call's response")
 				}
 				results <- err
 			}()
@@ -68,7 +68,7 @@
 		}
 	})
 
-	It("tell a refusal apart from a call of open fate", func(ctx SpecContext) {
+	It("return the handler's error and an unknown method as a RemoteError", func(ctx SpecContext) {
 		server, client := startServer()
 		_, err := transport.Call(ctx, client, server.Address(), failMethod, textCodec, textCodec, text{})
 		var remote *transport.RemoteError
@@ -78,7 +78,7 @@
 		Expect(errors.As(err, &remote)).To(BeTrue())
 	})
 
-	It("are known as not sent where nobody listens", func(ctx SpecContext) {
+	It("fail with ErrNotSent where nobody listens", func(ctx SpecContext) {
 		listener, err := net.Listen("tcp4", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		address := listener.Addr().String()
@@ -89,13 +89,13 @@
 		Expect(errors.Is(err, transport.ErrNotSent)).To(BeTrue())
 	})
 
-	It("fail with an open fate when the connection ends, and the next one connects anew", func(ctx SpecContext) {
+	It("do not fail with ErrNotSent when the connection ends under them, and the next call reconnects", func(ctx SpecContext) {
 		server, client := startServer()
 		failed := make(chan error, 1)
-		started, cancel := context.WithCancel(ctx)
+		callCtx, cancel := context.WithCancel(ctx)
 		defer cancel()
 		go func() {
-			_, err := transport.Call(started, client, server.Address(), blockMethod, textCodec, textCodec, text{})
+			_, err := transport.Call(callCtx, client, server.Address(), blockMethod, textCodec, textCodec, text{})
 			failed <- err
 		}()
 		_, err := transport.Call(ctx, client, server.Address(), echoMethod, textCodec, textCodec, text{Text: "a"})
@@ -105,29 +105,29 @@
 		Expect(errors.Is(<-failed, transport.ErrNotSent)).To(BeFalse())
 
 		mux := transport.NewMux()
-		transport.Handle(mux, echoMethod, textCodec, textCodec, func(_ context.Context, q text) (text, error) { return q, nil })
-		again, err := transport.Listen(address, mux)
+		transport.Handle(mux, echoMethod, textCodec, textCodec, func(_ context.Context, request text) (text, error) { return request, nil })
+		restarted, err := transport.Listen(address, mux)
 		Expect(err).NotTo(HaveOccurred())
-		defer again.Close()
+		defer restarted.Close()
 		Eventually(func() error {
 			_, err := transport.Call(ctx, client, address, echoMethod, textCodec, textCodec, text{Text: "b"})
 			return err
 		}).Should(Succeed())
 	})
 
-	It("end with their context", func(ctx SpecContext) {
+	It("fail when their context is cancelled", func(ctx SpecContext) {
 		server, client := startServer()
-		short, cancel := context.WithCancel(ctx)
+		callCtx, cancel := context.WithCancel(ctx)
 		result := make(chan error, 1)
 		go func() {
-			_, err := transport.Call(short, client, server.Address(), blockMethod, textCodec, textCodec, text{})
+			_, err := transport.Call(callCtx, client, server.Address(), blockMethod, textCodec, textCodec, text{})
 			result <- err
 		}()
 		cancel()
 		Expect(errors.Is(<-result, context.Canceled)).To(BeTrue())
 	})
 
-	It("of another version of the protocol are turned away", func() {
+	It("of another version of the protocol have their connection closed", func() {
 		server, _ := startServer()
 		c, err := net.Dial("tcp4", server.Address())
 		Expect(err).NotTo(HaveOccurred())
@@ -138,7 +138,7 @@
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("over the bound of a frame are not sent", func(ctx SpecContext) {
+	It("that exceed the frame limit fail, and the next call succeeds", func(ctx SpecContext) {
 		server, client := startServer()
 		_, err := transport.Call(ctx, client, server.Address(), echoMethod, textCodec, textCodec, text{Text: string(make([]byte, transport.MaxFrameBytes))})
 		Expect(err).To(HaveOccurred())
@@ -148,11 +148,11 @@
 })
 
 func FuzzDecode(f *testing.F) {
-	good, err := textCodec.Encode(text{Text: "a"})
+	valid, err := textCodec.Encode(text{Text: "a"})
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(good)
+	f.Add(valid)
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0x0f})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		_, _ = textCodec.Decode(data)
@@ -161,7 +161,7 @@
 
 func BenchmarkCall(b *testing.B) {
 	mux := transport.NewMux()
-	transport.Handle(mux, echoMethod, textCodec, textCodec, func(_ context.Context, q text) (text, error) { return q, nil })
+	transport.Handle(mux, echoMethod, textCodec, textCodec, func(_ context.Context, request text) (text, error) { return request, nil })
 	server, err := transport.Listen("127.0.0.1:0", mux)
 	if err != nil {
 		b.Fatal(err)
--- a/internal/tier/transport/tune.go
+++ b/internal/tier/transport/tune.go
@@ -7,13 +7,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// tcpUserTimeout is how long sent bytes may stay unacknowledged: a host behind a cut or without power says
-// nothing, and without this bound its connections would hang for minutes.
+// tcpUserTimeout is how long sent bytes may stay unacknowledged: a host that is partitioned or has lost power does not
+// respond, and without this limit its connections would hang for minutes.
 const tcpUserTimeout = 1500 * time.Millisecond
 
-// setTCPOptions sets the options of an internal connection. Failures are ignored: the calls' own deadlines remain.
-func setTCPOptions(c net.Conn) {
-	tcp, ok := c.(*net.TCPConn)
+// setTCPOptions sets the socket options of an internal connection. Failures are ignored: the calls still have their
+// deadlines.
+func setTCPOptions(conn net.Conn) {
+	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
 		return
 	}
