--- a/internal/tier/dataplane/reports_test.go
+++ b/internal/tier/dataplane/reports_test.go
@@ -87,9 +87,9 @@
 	reports := startNeighbour(t, node)
 	waitForNeighbour(t, plane)
 	ctx, cancel := context.WithCancel(t.Context())
-	gone := make(chan struct{})
+	ended := make(chan struct{})
 	go func() {
-		defer close(gone)
+		defer close(ended)
 		plane.Shutdown(ctx, time.Now())
 	}()
 	<-plane.stopping.Done()
@@ -99,11 +99,11 @@
 		if r.Instance != "r1" || r.Running != 3 {
 			t.Errorf("published %+v, want instance r1 with 3 running", r)
 		}
-	case <-gone:
+	case <-ended:
 		t.Error("the proxy ended without publishing the report")
 	}
 	cancel()
-	<-gone
+	<-ended
 }
 
 func TestReportsGoToOtherLiveProxiesOnly(t *testing.T) {
--- a/internal/tier/lifecycle/lifecycle.go
+++ b/internal/tier/lifecycle/lifecycle.go
@@ -1,11 +1,11 @@
-// Package lifecycle runs a plane from its start to the platform's word to stop.
+// Package lifecycle runs a plane from its start until the platform stops it.
 //
 //	return lifecycle.Run(node, logger, func() (lifecycle.Plane, error) { return store.Start(node, logger) })
 //
-// SIGTERM and SIGINT stop the plane within the platform's grace, which runs from the signal, whatever the process does at
-// that moment. SIGHUP has the settings file read again; it may
-// also change without a signal, so its time is looked at now and then. Of a changed file only the seeds count
-// while a process runs; a faulty one is logged and changes nothing.
+// SIGTERM and SIGINT stop the plane within the platform's grace period, which starts at the signal, whatever the process
+// is doing then. SIGHUP reloads the settings file; the file may also change without a signal, so it is checked
+// periodically. Only the seeds of a changed file take effect while the process runs; an invalid file is logged and
+// changes nothing.
 package lifecycle
 
 import (
@@ -22,38 +22,39 @@
 )
 
 const (
-	// shutdownReserve is what is left of the platform's grace for the process to end, graceReserveShare the most of it where
-	// the grace is short: with the last answers it stays within the sixth of the grace in which an answer may be cut.
+	// shutdownReserve is the part of the platform's grace period that is left for the process to exit, at most
+	// maxShutdownReserveShare of a short one: together with the last responses it stays within the sixth of the grace
+	// period in which a response may be aborted.
 	shutdownReserve         = 500 * time.Millisecond
 	maxShutdownReserveShare = 1.0 / 12
-	// settingsPollInterval is the time between two looks at the settings file.
+	// settingsPollInterval is the time between two checks of the settings file.
 	settingsPollInterval = 2 * time.Second
-	// heapMemoryShare is how much of the machine's memory the heap may take before it is collected more often: the
-	// bytes that wait in sockets, stacks and the program itself count too.
+	// heapMemoryShare is the share of the machine's memory for Go's memory limit, near which the heap is collected more
+	// often: socket buffers, stacks and the program itself need memory too.
 	heapMemoryShare = 0.6
-	// gcPercent has the heap collected when it has grown by half: the planes hold a few megabytes that live,
-	// and memory at its peak is dearer here than the processor time of collecting more often.
+	// gcPercent collects the heap when it has grown by half: the planes hold a few megabytes of live data, and peak
+	// memory costs more here than the CPU time of more frequent collections.
 	gcPercent = 50
 )
 
-// Plane is what runs.
+// Plane is a running proxy, control plane or store.
 type Plane interface {
-	// Shutdown serves what has been begun and ends the plane; it returns when ctx ends at the latest. The process was
-	// told to stop at the instant signalled, which is past, and longer so where the signal came during the start.
+	// Shutdown completes the work in progress and closes the plane; it returns at the latest when ctx ends. signalledAt is
+	// when the process was told to stop: in the past, and further so if the signal came during the start.
 	Shutdown(ctx context.Context, signalledAt time.Time)
-	// SetSeeds tells the internal addresses of other machines' control planes. It may come from another goroutine than
+	// SetSeeds sets the internal addresses of other machines' control planes. It may be called from another goroutine than
 	// Shutdown, and after it.
 	SetSeeds(addresses []string)
 }
 
-// Run starts a plane and returns once it has been told to stop and has ended.
+// Run starts a plane and returns once the process has been told to stop and the plane has shut down.
 func Run(path string, node *settings.Node, logger log.Interface, start func() (Plane, error)) error {
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(int64(heapMemoryShare * float64(node.Limits.MemoryMB<<20)))
 	return run(path, node, logger, start, signals.StopRequested(), signals.ReloadRequested())
 }
 
-// run is Run with what the signals tell.
+// run is Run with the channels of the signals.
 func run(path string, node *settings.Node, logger log.Interface, start func() (Plane, error), stop <-chan time.Time, reload <-chan os.Signal) error {
 	plane, err := start()
 	if err != nil {
@@ -70,7 +71,7 @@
 	return nil
 }
 
-// shutdownTimeout is how long after the signal a plane may take to end.
+// shutdownTimeout returns how long after the signal a plane's shutdown may take.
 func shutdownTimeout(grace time.Duration) time.Duration {
 	return grace - min(shutdownReserve, time.Duration(maxShutdownReserveShare*float64(grace)))
 }
@@ -81,8 +82,8 @@
 	plane.Shutdown(ctx, signalledAt)
 }
 
-// watchSettings reads the settings file again when it has changed, until the process is told to stop. It has a goroutine
-// of its own: a disk may answer nothing for longer than a stop has time.
+// watchSettings reloads the settings file when it has changed, until the process is told to stop. It runs in its own
+// goroutine: reading from a disk that does not respond may block for longer than a shutdown may take.
 func watchSettings(path string, plane Plane, logger log.Interface, reload <-chan os.Signal, stopping <-chan struct{}) {
 	watcher := newFileWatcher(path)
 	ticker := time.NewTicker(settingsPollInterval)
@@ -109,10 +110,10 @@
 		return
 	}
 	plane.SetSeeds(node.SeedInternalAddresses())
-	logger.Info("settings read again")
+	logger.Info("settings reloaded")
 }
 
-// fileWatcher tells whether a file has another time or size than when it was last looked at.
+// fileWatcher detects whether a file's modification time or size has changed since the last check.
 type fileWatcher struct {
 	path    string
 	modTime time.Time
--- a/internal/tier/lifecycle/lifecycle_test.go
+++ b/internal/tier/lifecycle/lifecycle_test.go
@@ -21,7 +21,7 @@
 	RunSpecs(t, "Lifecycle")
 }
 
-// recordingPlane notes when it was told to stop, and until when it may take to end.
+// recordingPlane records the arguments of its shutdown.
 type recordingPlane struct {
 	deadline    time.Time
 	hasDeadline bool
@@ -35,39 +35,40 @@
 
 func (p *recordingPlane) SetSeeds([]string) {}
 
-var _ = Describe("A stop", func() {
-	quiet := &log.Logger{Handler: discard.New()}
-	nowhere := func() string { return filepath.Join(GinkgoT().TempDir(), "settings.toml") }
+var _ = Describe("A shutdown", func() {
+	logger := &log.Logger{Handler: discard.New()}
+	missingFile := func() string { return filepath.Join(GinkgoT().TempDir(), "settings.toml") }
 	node := func(grace time.Duration) *settings.Node {
 		n := &settings.Node{}
 		n.Bounds.Grace = grace
 		return n
 	}
 
-	DescribeTable("ends within the grace that runs from the signal, though it came while the plane started",
-		func(grace, allowed time.Duration) {
+	DescribeTable("has a deadline counted from the signal, even if the signal came while the plane started",
+		func(grace, timeout time.Duration) {
 			plane := &recordingPlane{}
-			signalled := time.Now().Add(-3 * time.Second) // the start took as long
+			signalledAt := time.Now().Add(-3 * time.Second) // the start took as long
 			stop := make(chan time.Time, 1)
-			stop <- signalled
-			Expect(run(nowhere(), node(grace), quiet, func() (Plane, error) { return plane, nil }, stop, nil)).To(Succeed())
+			stop <- signalledAt
+			Expect(run(missingFile(), node(grace), logger, func() (Plane, error) { return plane, nil }, stop, nil)).To(Succeed())
 			Expect(plane.hasDeadline).To(BeTrue())
-			Expect(plane.deadline).To(Equal(signalled.Add(allowed)))
-			Expect(plane.signalledAt).To(Equal(signalled))
+			Expect(plane.deadline).To(Equal(signalledAt.Add(timeout)))
+			Expect(plane.signalledAt).To(Equal(signalledAt))
 		},
-		Entry("of eight seconds", 8*time.Second, 7500*time.Millisecond),
-		Entry("of a short one, of which a reserve of half a second would be too much", 3*time.Second, 2750*time.Millisecond),
+		Entry("with a grace period of eight seconds", 8*time.Second, 7500*time.Millisecond),
+		Entry("with a short grace period, for which a reserve of half a second would be too much", 3*time.Second, 2750*time.Millisecond),
 	)
 })
 
-// endingPlane tells of its end.
+// endingPlane closes a channel when it is shut down.
 type endingPlane struct{ ended chan struct{} }
 
 func (p endingPlane) Shutdown(context.Context, time.Time) { close(p.ended) }
 
 func (p endingPlane) SetSeeds([]string) {}
 
-// A settings file on a disk that answers nothing is a pipe that nobody writes to here.
+// Guards against a shutdown that waits for the settings file on a disk that does not respond. A named pipe that nobody
+// writes to stands for that file.
 func TestStopDoesNotWaitForSettings(t *testing.T) {
 	g := NewWithT(t)
 	path := filepath.Join(t.TempDir(), "settings.toml")
--- a/internal/tier/lifecycle/settings_test.go
+++ b/internal/tier/lifecycle/settings_test.go
@@ -57,7 +57,7 @@
 catch_up_s = 4.2
 `
 
-// seedsPlane notes the seeds that it is told.
+// seedsPlane sends the seeds that are set to a channel.
 type seedsPlane struct{ seeds chan []string }
 
 func (p seedsPlane) Shutdown(context.Context, time.Time) {}
@@ -85,13 +85,13 @@
 		reload <- syscall.SIGHUP
 		g.Expect(<-plane.seeds).To(ConsistOf(ContainSubstring("10.1.0.22:")))
 
-		write("10.1.0.333") // no address: nothing changes
+		write("10.1.0.333") // an invalid address: nothing changes
 		reload <- syscall.SIGHUP
 		synctest.Wait()
 		g.Expect(plane.seeds).NotTo(Receive())
 
-		write("10.1.0.4444444")                // nor without a signal
-		<-time.After(2 * settingsPollInterval) // on the clock of the bubble
+		write("10.1.0.4444444")                // nor does it without a signal
+		<-time.After(2 * settingsPollInterval) // on synctest's synthetic clock
 		g.Expect(plane.seeds).NotTo(Receive())
 		write("10.1.0.5")
 		g.Expect(<-plane.seeds).To(ConsistOf(ContainSubstring("10.1.0.5:")))
@@ -99,7 +99,7 @@
 		stop <- time.Now()
 		g.Expect(<-ended).To(Succeed())
 		write("10.1.0.66")
-		<-time.After(2 * settingsPollInterval) // on the clock of the bubble
+		<-time.After(2 * settingsPollInterval) // on synctest's synthetic clock
 		g.Expect(plane.seeds).NotTo(Receive())
 	})
 }
--- a/internal/tier/metrics/collector.go
+++ b/internal/tier/metrics/collector.go
@@ -11,7 +11,7 @@
 
 const namespace = "emberquay"
 
-// collector makes metrics of one look at the process.
+// collector converts one status of the process to metrics at each scrape.
 type collector struct {
 	collect  Collect
 	lateness *lateness.Monitor
@@ -21,53 +21,53 @@
 	return collector{collect: collect, lateness: monitor}
 }
 
-// newDesc makes the description of a metric; its name has the parts that are not empty.
+// newDesc returns the description of a metric; its name consists of the parts that are not empty.
 func newDesc(subsystem, name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc(prometheus.BuildFQName(namespace, subsystem, name), help, labels, nil)
 }
 
-// The metrics. Of those with a subsystem only the process's own role has any.
+// The metrics. A process exposes only the subsystem of its own role.
 var (
-	up                   = newDesc("", "up", "Whether the process could look at itself in time.")
-	uptime               = newDesc("", "uptime_seconds", "Time since the start.")
-	timerLateness        = newDesc("", "timer_lateness_seconds", "By how much the process's timers were late at the worst, over the last 10 to 20 s.")
-	configurationVersion = newDesc("", "configuration_version", "Version of the operator's configuration that is in force here; 0: none yet.")
-	nodes                = newDesc("", "nodes", "Processes of the tier that are known here.", "role", "state")
-	receivers            = newDesc("", "receivers", "Receivers that are known here.", "state")
+	up                   = newDesc("", "up", "Whether the status of the process was collected in time.")
+	uptime               = newDesc("", "uptime_seconds", "Time since the start of the process.")
+	timerLateness        = newDesc("", "timer_lateness_seconds", "Maximum lateness of the process's timers over the last 10 to 20 s.")
+	configurationVersion = newDesc("", "configuration_version", "Version of the operator's configuration in force in the process; 0: none yet.")
+	nodes                = newDesc("", "nodes", "Processes of the tier known to the process.", "role", "state")
+	receivers            = newDesc("", "receivers", "Receivers known to the process.", "state")
 
 	controlMember      = newDesc("control", "member", "Whether this replica is a member of the view.")
 	controlEpoch       = newDesc("control", "view_epoch", "Epoch of the view.")
-	controlMembers     = newDesc("control", "view_members", "Members that vote.")
-	controlChainLength = newDesc("control", "chain_length", "Members of the chain: the disks on which a change is before it is acknowledged.")
-	controlStoreEpoch  = newDesc("control", "store_view_epoch", "Epoch of the store view as known here; 0: none.")
+	controlMembers     = newDesc("control", "view_members", "Members that vote on views.")
+	controlChainLength = newDesc("control", "chain_length", "Members of the chain: a change is on the disk of each of them before it is acknowledged.")
+	controlStoreEpoch  = newDesc("control", "store_view_epoch", "Epoch of the store view known to the process; 0: none.")
 
-	storeComplete     = newDesc("store", "complete", "Whether the store lacks nothing that was acknowledged as far as it knows.")
+	storeComplete     = newDesc("store", "complete", "Whether the store has everything acknowledged, as far as it knows.")
 	storeRetiring     = newDesc("store", "retiring", "Whether the store is being emptied.")
-	storeMember       = newDesc("store", "member", "Whether the store is a member of the view by which it works.")
+	storeMember       = newDesc("store", "member", "Whether the store is a member of the view that it uses.")
 	storeEpoch        = newDesc("store", "view_epoch", "Epoch of that view; 0: none.")
-	storeMembers      = newDesc("store", "view_members", "Stores of that view.")
-	storeTurns        = newDesc("store", "turns", "Turns that are kept.")
-	storeTurnBytes    = newDesc("store", "turn_bytes", "Size of the turns that are kept, on the disk.")
-	storePrograms     = newDesc("store", "programs", "Programs of which budgets are kept.")
-	storeReservations = newDesc("store", "reservations", "Reservations of all programs, settled ones too.")
+	storeMembers      = newDesc("store", "view_members", "Stores in that view.")
+	storeTurns        = newDesc("store", "turns", "Turns stored.")
+	storeTurnBytes    = newDesc("store", "turn_bytes", "Size of the stored turns on the disk.")
+	storePrograms     = newDesc("store", "programs", "Programs with stored budgets.")
+	storeReservations = newDesc("store", "reservations", "Reservations of all programs, including settled ones.")
 	storeRingBytes    = newDesc("store", "ring_bytes", "Size of all segments that the ring may have.")
-	storeFreeBytes    = newDesc("store", "ring_free_bytes", "Size of the segments that hold nothing.")
-
-	proxyReady         = newDesc("proxy", "ready", "Whether clients may come.")
-	proxyInFlight      = newDesc("proxy", "requests_in_hand", "Requests that were read and are not answered.")
-	proxyRequests      = newDesc("proxy", "requests_total", "Requests that came to admission.")
-	proxyRefusals      = newDesc("proxy", "refusals_total", "Requests that admission refused with the wait, or ended after a call that failed.", "reason")
-	proxyAttempts      = newDesc("proxy", "attempts_total", "Calls to receivers that admission let go.")
-	proxyQueueLength   = newDesc("proxy", "queue_length", "Requests that are held.")
-	proxyCallsInFlight = newDesc("proxy", "calls_out", "Calls to receivers that are out.")
-	proxyAllowance     = newDesc("proxy", "allowance", "Calls that all receivers together may get now, as learnt here.")
-	proxyShutdownPhase = newDesc("proxy", "stop_phase", "0: serving; 1: told to stop and accepting; 2: serving what has been read.")
+	storeFreeBytes    = newDesc("store", "ring_free_bytes", "Size of the free segments.")
+
+	proxyReady         = newDesc("proxy", "ready", "Whether the proxy reports that it is ready for clients.")
+	proxyInFlight      = newDesc("proxy", "requests_in_hand", "Requests read and not completely answered.")
+	proxyRequests      = newDesc("proxy", "requests_total", "Requests submitted to admission.")
+	proxyRefusals      = newDesc("proxy", "refusals_total", "Requests that admission refused with a Retry-After, or ended after a failed call.", "reason")
+	proxyAttempts      = newDesc("proxy", "attempts_total", "Calls to receivers that admission sent.")
+	proxyQueueLength   = newDesc("proxy", "queue_length", "Requests queued by admission.")
+	proxyCallsInFlight = newDesc("proxy", "calls_out", "Calls to receivers in flight.")
+	proxyAllowance     = newDesc("proxy", "allowance", "Number of concurrent calls that all receivers together may get at present, as estimated by this proxy.")
+	proxyShutdownPhase = newDesc("proxy", "stop_phase", "0: serving; 1: told to stop and still accepting; 2: completing the requests already read.")
 )
 
-// Describe tells nothing: which metrics there are depends on the role.
+// Describe sends no descriptions: the set of metrics depends on the role.
 func (c collector) Describe(chan<- *prometheus.Desc) {}
 
-// Collect looks at the process once.
+// Collect collects the status of the process once and sends its metrics.
 func (c collector) Collect(metrics chan<- prometheus.Metric) {
 	ctx, cancel := context.WithTimeout(context.Background(), collectTimeout)
 	defer cancel()
@@ -90,7 +90,7 @@
 	}
 }
 
-// sink takes metrics.
+// sink sends metrics to the channel of a scrape.
 type sink struct{ metrics chan<- prometheus.Metric }
 
 func (s sink) gauge(d *prometheus.Desc, value float64, labels ...string) {
--- a/internal/tier/metrics/metrics.go
+++ b/internal/tier/metrics/metrics.go
@@ -1,10 +1,10 @@
-// Package metrics tells the figures of a process of the tier at an address of its own, in the text format of Prometheus:
+// Package metrics serves the metrics of a process of the tier at their own address, in the text format of Prometheus:
 //
 //	server, err := metrics.Serve(node.Metrics, collect, logger)
 //	defer server.Close()
 //
-// Everything is read when it is asked for, by the look that also answers `node status`; where nobody asks it costs nothing
-// but a timer (see internal/lateness). Labels have few values, known beforehand: no tenant, program, request, route or
+// Everything is read at a scrape, by the function that also collects the status for `node status`; without scrapes it costs
+// only a timer (see internal/lateness). Labels have few values, known in advance: no tenant, program, request, route or
 // receiver is among them.
 package metrics
 
@@ -26,25 +26,25 @@
 )
 
 const (
-	// collectTimeout bounds the look at the process for one answer.
+	// collectTimeout limits the collection of the status for one scrape.
 	collectTimeout = time.Second
-	// requestTimeout bounds the reading of a question and the writing of its answer.
+	// requestTimeout limits the reading of a request and the writing of its response.
 	requestTimeout = 5 * time.Second
-	// maxConcurrentRequests bounds the answers under way; more are refused with 503.
+	// maxConcurrentRequests limits the requests in flight; further ones are refused with 503.
 	maxConcurrentRequests = 2
 )
 
-// Collect looks at the process.
+// Collect collects the status of the process.
 type Collect func(context.Context) (nodestatus.Status, error)
 
-// Server answers until it is closed. The zero value answers nothing.
+// Server serves the metrics until it is closed. The zero value serves nothing.
 type Server struct {
 	server *http.Server
 	stop   chan struct{}
 }
 
-// Serve begins to answer at the settings' address; where that is empty it does nothing. Errors: the address can't be
-// listened on; they name the key of the settings.
+// Serve starts serving at the address of the settings; it does nothing if that is empty. It returns an error that names
+// the key of the settings if it cannot listen on the address.
 func Serve(config settings.MetricsEndpoint, collect Collect, logger log.Interface) (*Server, error) {
 	if config.Address == "" {
 		return &Server{}, nil
@@ -66,13 +66,13 @@
 	s.server = server
 	go func() {
 		if err := server.Serve(listener); err != http.ErrServerClosed {
-			logger.WithError(err).Error("the metrics listener ended")
+			logger.WithError(err).Error("metrics server failed")
 		}
 	}()
 	return s, nil
 }
 
-// Close ends the answering at once. It may come more than once, from one goroutine.
+// Close stops serving at once. It may be called more than once, from one goroutine.
 func (s *Server) Close() {
 	if s == nil || s.server == nil {
 		return
--- a/internal/tier/metrics/metrics_test.go
+++ b/internal/tier/metrics/metrics_test.go
@@ -26,7 +26,7 @@
 	RunSpecs(t, "metrics")
 }
 
-// freeAddress is one that nobody listens on.
+// freeAddress returns an address that nobody listens on.
 func freeAddress() string {
 	GinkgoHelper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -41,21 +41,21 @@
 	return err
 }
 
-// scrape serves a status and gives what is told of it.
+// scrape serves a status and returns the text of its metrics.
 func scrape(status nodestatus.Status, collectErr error) string {
 	GinkgoHelper()
 	config := settings.MetricsEndpoint{Address: freeAddress(), Path: "/figures"}
 	Expect(serve(config, status, collectErr)).To(Succeed())
-	answer, err := http.Get("http://" + config.Address + config.Path)
+	response, err := http.Get("http://" + config.Address + config.Path)
 	Expect(err).NotTo(HaveOccurred())
-	defer answer.Body.Close()
-	Expect(answer.StatusCode).To(Equal(http.StatusOK))
-	text, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	Expect(response.StatusCode).To(Equal(http.StatusOK))
+	text, err := io.ReadAll(response.Body)
 	Expect(err).NotTo(HaveOccurred())
 	return string(text)
 }
 
-// allRoles has something of each role; a process has one of them only.
+// allRoles returns a status with the parts of all roles; a process has only one of them.
 func allRoles() nodestatus.Status {
 	return nodestatus.Status{
 		Name: "front-1", UptimeMillis: 2500, ConfigurationVersion: 14, Nodes: []nodestatus.NodeCounts{{Role: "proxy", Known: 5, Alive: 4}},
@@ -69,7 +69,7 @@
 }
 
 var _ = Describe("the metrics of a process", func() {
-	It("are told at the address and path of the settings", func() {
+	It("are served at the address and path of the settings", func() {
 		text := scrape(allRoles(), nil)
 		for _, line := range []string{
 			"emberquay_up 1", "emberquay_uptime_seconds 2.5", "emberquay_configuration_version 14", "emberquay_timer_lateness_seconds 0.025",
@@ -82,7 +82,7 @@
 		}
 	})
 
-	It("keep to the rules of their names", func() {
+	It("follow the naming rules of Prometheus", func() {
 		problems, err := promlint.New(strings.NewReader(scrape(allRoles(), nil))).Lint()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(problems).To(BeEmpty())
@@ -90,8 +90,8 @@
 
 	It("have labels of few values only", func() {
 		names := map[string]bool{}
-		for _, found := range regexp.MustCompile(`emberquay_\w+{([^}]*)}`).FindAllStringSubmatch(scrape(allRoles(), nil), -1) {
-			for _, label := range strings.Split(found[1], ",") {
+		for _, match := range regexp.MustCompile(`emberquay_\w+{([^}]*)}`).FindAllStringSubmatch(scrape(allRoles(), nil), -1) {
+			for _, label := range strings.Split(match[1], ",") {
 				name, _, _ := strings.Cut(label, "=")
 				names[name] = true
 			}
@@ -100,26 +100,26 @@
 		Expect(names).To(And(HaveKey("role"), HaveKey("state"), HaveKey("reason")))
 	})
 
-	It("say that the process could not look at itself", func() {
+	It("show that the status could not be collected", func() {
 		text := scrape(nodestatus.Status{}, errors.New("stopped"))
 		Expect(text).To(ContainSubstring("\nemberquay_up 0"))
 		Expect(text).NotTo(ContainSubstring("emberquay_uptime"))
 	})
 
-	It("are told nowhere else, and not where the settings name no address", func() {
+	It("are served at no other path, and not at all without an address in the settings", func() {
 		Expect(serve(settings.MetricsEndpoint{}, allRoles(), nil)).To(Succeed())
-		at := settings.MetricsEndpoint{Address: freeAddress(), Path: "/figures"}
-		Expect(serve(at, allRoles(), nil)).To(Succeed())
-		answer, err := http.Get("http://" + at.Address + "/")
+		config := settings.MetricsEndpoint{Address: freeAddress(), Path: "/figures"}
+		Expect(serve(config, allRoles(), nil)).To(Succeed())
+		response, err := http.Get("http://" + config.Address + "/")
 		Expect(err).NotTo(HaveOccurred())
-		answer.Body.Close()
-		Expect(answer.StatusCode).To(Equal(http.StatusNotFound))
+		response.Body.Close()
+		Expect(response.StatusCode).To(Equal(http.StatusNotFound))
 	})
 
-	It("end at once, also while they begin", func() {
+	It("can be closed at once, also while the server starts", func() {
 		for range 100 {
-			at := settings.MetricsEndpoint{Address: freeAddress(), Path: "/"}
-			server, err := metrics.Serve(at, func(context.Context) (nodestatus.Status, error) { return nodestatus.Status{}, nil }, &log.Logger{Handler: discard.Default})
+			config := settings.MetricsEndpoint{Address: freeAddress(), Path: "/"}
+			server, err := metrics.Serve(config, func(context.Context) (nodestatus.Status, error) { return nodestatus.Status{}, nil }, &log.Logger{Handler: discard.Default})
 			Expect(err).NotTo(HaveOccurred())
 			server.Close()
 			server.Close()
@@ -127,8 +127,8 @@
 	})
 
 	It("need an address that is free", func() {
-		at := settings.MetricsEndpoint{Address: freeAddress(), Path: "/"}
-		Expect(serve(at, allRoles(), nil)).To(Succeed())
-		Expect(serve(at, allRoles(), nil)).To(MatchError(ContainSubstring("metrics: listen")))
+		config := settings.MetricsEndpoint{Address: freeAddress(), Path: "/"}
+		Expect(serve(config, allRoles(), nil)).To(Succeed())
+		Expect(serve(config, allRoles(), nil)).To(MatchError(ContainSubstring("metrics: listen")))
 	})
 })
--- a/internal/tier/nodestatus/messages.go
+++ b/internal/tier/nodestatus/messages.go
@@ -2,13 +2,13 @@
 
 import "emberquay/internal/tier/transport"
 
-// Method asks a process of any role for its status.
+// Method requests the status of a process of any role.
 const Method transport.Method = "node.status"
 
-// Request asks for a status.
+// Request is the message of a status request.
 type Request struct{}
 
-// Status is what a process says of itself and of what it knows. One of Control, Store and Proxy is there.
+// Status is the state of a process and its knowledge of the cluster. One of Control, Store and Proxy is set.
 type Status struct {
 	Name                 string `avro:"name" json:"name"` // of the machine
 	Role                 string `avro:"role" json:"role"`
@@ -16,7 +16,7 @@
 	Address              string `avro:"address" json:"address"` // internal, ip:port
 	Incarnation          int64  `avro:"incarnation" json:"incarnation"`
 	UptimeMillis         int64  `avro:"uptime_millis" json:"uptime_ms"`
-	ConfigurationVersion int64  `avro:"configuration" json:"configuration"` // version in force here; 0: none yet
+	ConfigurationVersion int64  `avro:"configuration" json:"configuration"` // version in force in the process; 0: none yet
 
 	Nodes     []NodeCounts   `avro:"nodes" json:"nodes"` // by role
 	Receivers ReceiverCounts `avro:"receivers" json:"receivers"`
@@ -26,14 +26,14 @@
 	Proxy   *Proxy   `avro:"proxy" json:"proxy,omitempty"`
 }
 
-// NodeCounts counts the processes of a role that are known, this one among them.
+// NodeCounts counts the known processes of a role, including this one.
 type NodeCounts struct {
 	Role  string `avro:"role" json:"role"`
 	Known int    `avro:"known" json:"known"`
-	Alive int    `avro:"alive" json:"alive"` // or only suspected
+	Alive int    `avro:"alive" json:"alive"` // including suspected ones
 }
 
-// ReceiverCounts counts the receivers known, by state. Those that are gone are remembered for a minute.
+// ReceiverCounts counts the known receivers by state. Receivers that are gone stay known for a minute.
 type ReceiverCounts struct {
 	Ready    int `avro:"ready" json:"ready"`
 	Draining int `avro:"draining" json:"draining"`
@@ -41,60 +41,60 @@
 	Gone     int `avro:"gone" json:"gone"`
 }
 
-// Control is the replica of a control plane.
+// Control is the status of a control plane's replica.
 type Control struct {
-	ID      int64    `avro:"id" json:"id"`         // as which it votes
+	ID      int64    `avro:"id" json:"id"`         // of the member as which it votes
 	Member  bool     `avro:"member" json:"member"` // of the view below
-	Epoch   int64    `avro:"epoch" json:"epoch"`   // of its own view, or of the newest that it heard of
+	Epoch   int64    `avro:"epoch" json:"epoch"`   // of its own view, or of the newest view it has learned of
 	Members []Member `avro:"members" json:"members"`
 	Chain   []int64  `avro:"chain" json:"chain"` // ids, head first
-	// StoreEpoch is that of the store view as known here; 0: none.
+	// StoreEpoch is the epoch of the store view known to the process; 0: none.
 	StoreEpoch int64 `avro:"store_epoch" json:"store_epoch"`
 }
 
-// Member votes on the views of the control state.
+// Member is a member that votes on the views of the control state.
 type Member struct {
 	ID      int64  `avro:"id" json:"id"`
-	Name    string `avro:"name" json:"name"` // of the machine; empty for one of the first view
+	Name    string `avro:"name" json:"name"` // of the machine; empty for members of the first view
 	Address string `avro:"address" json:"address"`
 	Zone    string `avro:"zone" json:"zone"`
 }
 
-// Store is the store itself.
+// Store is the status of a store.
 type Store struct {
 	ID           string `avro:"id" json:"id"` // of its disk
 	Complete     bool   `avro:"complete" json:"complete"`
 	Retiring     bool   `avro:"retiring" json:"retiring"`
-	Member       bool   `avro:"member" json:"member"` // of the view by which it works
+	Member       bool   `avro:"member" json:"member"` // of the view in use
 	Epoch        int64  `avro:"epoch" json:"epoch"`   // of that view; 0: none
 	Members      int    `avro:"members" json:"members"`
 	Turns        int    `avro:"turns" json:"turns"`
 	TurnBytes    int64  `avro:"turn_bytes" json:"turn_bytes"` // on the disk
 	Programs     int    `avro:"programs" json:"programs"`
-	Reservations int    `avro:"entries" json:"entries"`       // reservations of all programs, settled ones too
-	RingBytes    int64  `avro:"ring_bytes" json:"ring_bytes"` // of all segments that its ring may have
-	FreeBytes    int64  `avro:"free_bytes" json:"free_bytes"` // of those that hold nothing
+	Reservations int    `avro:"entries" json:"entries"`       // of all programs, including settled ones
+	RingBytes    int64  `avro:"ring_bytes" json:"ring_bytes"` // of all segments that the ring may have
+	FreeBytes    int64  `avro:"free_bytes" json:"free_bytes"` // of the free segments
 }
 
-// Proxy is what a data plane has to do with its clients.
+// Proxy is the status of a data plane's requests.
 type Proxy struct {
-	Ready    bool  `avro:"ready" json:"ready"`     // the platform may send clients
-	InFlight int   `avro:"in_hand" json:"in_hand"` // requests read and not answered
-	Arrived  int64 `avro:"arrived" json:"arrived"` // requests that came to admission since the start
-	Refused  int64 `avro:"refused" json:"refused"` // of them, those that admission answered
-	// Admission are told at the metrics address alone: the call's messages stay those of earlier builds.
+	Ready    bool  `avro:"ready" json:"ready"`     // reported to the platform, which may then send clients
+	InFlight int   `avro:"in_hand" json:"in_hand"` // requests read and not completely answered
+	Arrived  int64 `avro:"arrived" json:"arrived"` // requests submitted to admission since the start
+	Refused  int64 `avro:"refused" json:"refused"` // of these, the ones that admission refused
+	// Admission is exposed as metrics only, so that the call's messages stay those of earlier builds.
 	Admission *AdmissionStats `avro:"-" json:"-"`
 }
 
-// AdmissionStats are what a data plane's admission has done and holds.
+// AdmissionStats are the counters and the present load of a data plane's admission.
 type AdmissionStats struct {
-	Refusals                    []RefusalCount // by reason
+	Refusals                    []RefusalCount // one for each reason
 	Attempts                    int64
 	Queued, InFlight, Allowance int
-	ShutdownPhase               int // 0: serving, 1: told to stop and accepting, 2: serving what has been read
+	ShutdownPhase               int // 0: serving, 1: told to stop and still accepting, 2: completing the requests already read
 }
 
-// RefusalCount counts those for one reason.
+// RefusalCount is the number of refusals for one reason.
 type RefusalCount struct {
 	Reason string
 	Count  int64
--- a/internal/tier/nodestatus/nodestatus.go
+++ b/internal/tier/nodestatus/nodestatus.go
@@ -1,4 +1,4 @@
-// Package nodestatus is the call by which a process of the tier tells an operator what it is and what it knows:
+// Package nodestatus defines the call that returns the status of a process of the tier to an operator:
 //
 //	nodestatus.Register(mux, func(ctx context.Context) (nodestatus.Status, error) {
 //		status := nodestatus.CommonStatus(cluster, started)
@@ -7,8 +7,8 @@
 //	})
 //	status, err := nodestatus.Fetch(ctx, client, "10.1.0.38:7382")
 //
-// Everything is read when it is asked for; nothing is gathered ahead. The answer is one look at each part, not at all
-// of them at one instant. It changes nothing.
+// Everything is read when it is requested; nothing is collected in advance. The parts of a status are read one after the
+// other, so it is not a consistent snapshot. Reading it changes nothing.
 package nodestatus
 
 import (
@@ -20,21 +20,22 @@
 	"emberquay/internal/tier/transport"
 )
 
-// Register has a process answer for its status by what the function collects.
+// Register registers the status call on a mux; the function collects the status.
 func Register(mux *transport.Mux, collect func(context.Context) (Status, error)) {
 	transport.Handle(mux, Method, requestCodec, statusCodec, func(ctx context.Context, _ Request) (Status, error) {
 		return collect(ctx)
 	})
 }
 
-// Fetch asks the process at an internal address. Errors: a *transport.RemoteError where it answers but can't tell, as one
-// of an older build does; any other says that it did not answer before the context's end.
+// Fetch requests the status of the process at an internal address. It returns a *transport.RemoteError if the process
+// responds but has no status, like one of an older build; any other error means that no response came before the context's
+// end.
 func Fetch(ctx context.Context, client *transport.Client, address string) (Status, error) {
 	return transport.Call(ctx, client, address, Method, requestCodec, statusCodec, Request{})
 }
 
-// CommonStatus is what processes of all roles tell alike: all but the part of the role. Configuration is the version that has
-// come here.
+// CommonStatus returns the part of the status that is common to all roles. Its ConfigurationVersion is that of the
+// configuration that the process has received.
 func CommonStatus(c *cluster.Cluster, startedAt time.Time) Status {
 	self := c.Self()
 	configuration, _ := c.Get(cluster.ConfigurationKey)
@@ -47,7 +48,7 @@
 	}
 }
 
-// roles are those that a process may have.
+// roles lists the roles of processes, in the order of Status.Nodes.
 var roles = [...]cluster.Role{cluster.Proxy, cluster.Control, cluster.Store}
 
 func countNodes(nodes []cluster.Node) []NodeCounts {
@@ -68,7 +69,7 @@
 	return counts
 }
 
-// countReceivers leaves out records that cannot be read, as all who work by them do.
+// countReceivers skips records that cannot be decoded, as all other readers of these records do.
 func countReceivers(entries []cluster.Entry) ReceiverCounts {
 	var counts ReceiverCounts
 	for _, e := range entries {
--- a/internal/tier/nodestatus/nodestatus_test.go
+++ b/internal/tier/nodestatus/nodestatus_test.go
@@ -23,7 +23,7 @@
 	RunSpecs(t, "node status")
 }
 
-// serve has a server answer by a mux and gives its address.
+// serve starts a server with a mux and returns its address.
 func serve(mux *transport.Mux) string {
 	GinkgoHelper()
 	server, err := transport.Listen("127.0.0.1:0", mux)
@@ -38,7 +38,7 @@
 	return client
 }
 
-// commonStatus is a status with something in all that every role tells.
+// commonStatus returns a status with all fields set that are common to the roles.
 func commonStatus() nodestatus.Status {
 	return nodestatus.Status{
 		Name: "front-1", Role: "proxy", Zone: "a", Address: "127.0.0.1:7380", Incarnation: 1 << 60, UptimeMillis: 5,
@@ -48,10 +48,10 @@
 }
 
 var _ = Describe("the status of a process", func() {
-	DescribeTable("comes as it was collected",
-		func(ctx SpecContext, fill func(*nodestatus.Status)) {
+	DescribeTable("arrives as it was collected",
+		func(ctx SpecContext, setRole func(*nodestatus.Status)) {
 			status := commonStatus()
-			fill(&status)
+			setRole(&status)
 			mux := transport.NewMux()
 			nodestatus.Register(mux, func(context.Context) (nodestatus.Status, error) { return status, nil })
 			Expect(nodestatus.Fetch(ctx, newClient(), serve(mux))).To(Equal(status))
@@ -69,38 +69,38 @@
 		}, NodeTimeout(time.Minute)),
 	)
 
-	It("is refused by a process that cannot tell, and by an older build", func(ctx SpecContext) {
+	It("fails with a RemoteError if the process cannot collect it, or is of an older build", func(ctx SpecContext) {
 		mux := transport.NewMux()
 		nodestatus.Register(mux, func(context.Context) (nodestatus.Status, error) {
-			return nodestatus.Status{}, errors.New("it ends")
+			return nodestatus.Status{}, errors.New("shutting down")
 		})
-		var refused *transport.RemoteError
+		var remote *transport.RemoteError
 		_, err := nodestatus.Fetch(ctx, newClient(), serve(mux))
-		Expect(errors.As(err, &refused)).To(BeTrue())
-		Expect(refused.Reason).To(Equal("it ends"))
+		Expect(errors.As(err, &remote)).To(BeTrue())
+		Expect(remote.Reason).To(Equal("shutting down"))
 		_, err = nodestatus.Fetch(ctx, newClient(), serve(transport.NewMux()))
-		Expect(errors.As(err, &refused)).To(BeTrue())
-		Expect(refused.Reason).To(ContainSubstring("unknown method"))
+		Expect(errors.As(err, &remote)).To(BeTrue())
+		Expect(remote.Reason).To(ContainSubstring("unknown method"))
 	}, NodeTimeout(time.Minute))
 
-	It("is waited for no longer than the caller wants", func(ctx SpecContext) {
-		asked := make(chan struct{})
+	It("is waited for until the caller's context ends", func(ctx SpecContext) {
+		collecting := make(chan struct{})
 		mux := transport.NewMux()
 		nodestatus.Register(mux, func(ctx context.Context) (nodestatus.Status, error) {
-			close(asked)
+			close(collecting)
 			<-ctx.Done()
 			return nodestatus.Status{}, ctx.Err()
 		})
-		short, end := context.WithCancel(ctx)
+		fetchCtx, cancel := context.WithCancel(ctx)
 		go func() {
-			<-asked
-			end()
+			<-collecting
+			cancel()
 		}()
-		_, err := nodestatus.Fetch(short, newClient(), serve(mux))
+		_, err := nodestatus.Fetch(fetchCtx, newClient(), serve(mux))
 		Expect(err).To(MatchError(context.Canceled))
 	}, NodeTimeout(time.Minute))
 
-	It("counts nodes and receivers as the cluster has them", func(ctx SpecContext) {
+	It("counts the nodes and receivers of the cluster", func(ctx SpecContext) {
 		mux := transport.NewMux()
 		c, err := cluster.Start(cluster.Options{
 			Self:   cluster.Identity{Name: "front-1", Role: cluster.Proxy, Zone: "a", Address: "127.0.0.1:1"},
--- a/internal/tier/planes/planes.go
+++ b/internal/tier/planes/planes.go
@@ -1,17 +1,17 @@
-// Package planes is what the planes of the tier have in common: the server and the client of the internal protocol, and
-// the part that the process takes in the cluster.
+// Package planes contains the common part of the tier's planes: the server and the client of the internal protocol, and
+// the process's membership of the cluster.
 //
 //	base := planes.NewBase(node, settings.Store, logger)
-//	... // handlers are registered on base.Mux
-//	err := base.Join()           // finds the others
-//	err = base.Serve(addStatus)  // listens, and answers for the process's status
+//	... // register handlers on base.Mux
+//	err := base.Join()           // joins the cluster
+//	err = base.Serve(addStatus)  // listens, and serves the process's status
 //	...
-//	base.Leave(ctx)              // tells the others that it ends as planned
-//	base.Disconnect()            // no call comes in any more
-//	...                          // what made calls is closed
+//	base.Leave(ctx)              // announces the planned end of the process
+//	base.Disconnect()            // accepts no more calls
+//	...                          // close the users of base.Client
 //	base.Close()
 //
-// A Base is made, joined and closed by one goroutine; in between, its parts may be used by any.
+// A Base is created, joined and closed by one goroutine; in between, its fields are safe for concurrent use.
 package planes
 
 import (
@@ -27,7 +27,7 @@
 	"emberquay/internal/tier/transport"
 )
 
-// clusterRoles are the kinds of process as the cluster has them.
+// clusterRoles maps the kinds of process to their roles in the cluster.
 var clusterRoles = map[settings.ProcessKind]cluster.Role{
 	settings.Proxy:        cluster.Proxy,
 	settings.ControlPlane: cluster.Control,
@@ -38,9 +38,9 @@
 type Base struct {
 	Settings *settings.Node
 	Log      log.Interface
-	Address  string // where the process is called by others of the tier, ip:port
+	Address  string // internal address of the process, ip:port
 	Client   *transport.Client
-	Mux      *transport.Mux   // handlers are registered before Serve
+	Mux      *transport.Mux   // register handlers before Serve
 	Cluster  *cluster.Cluster // nil before Join
 
 	role      cluster.Role
@@ -49,7 +49,7 @@
 	startedAt time.Time
 }
 
-// NewBase makes the base of a plane of that kind. It starts nothing.
+// NewBase returns the base of a plane of the given kind. It starts nothing.
 func NewBase(node *settings.Node, kind settings.ProcessKind, logger log.Interface) *Base {
 	return &Base{
 		Settings: node, Log: logger, Address: node.InternalAddress(kind), Client: transport.NewClient(),
@@ -57,7 +57,7 @@
 	}
 }
 
-// Join begins to look for the other processes. Errors: settings that make no sense to the cluster.
+// Join joins the cluster. It returns an error if the cluster rejects the settings.
 func (b *Base) Join() error {
 	joined, err := cluster.Start(cluster.Options{
 		Self: cluster.Identity{Name: b.Settings.Name, Role: b.role, Zone: b.Settings.Zone,
@@ -71,9 +71,9 @@
 	return nil
 }
 
-// Serve answers the calls of others: those registered on Mux, and the question for the status, by what the function
-// adds to the part that all roles tell alike; and tells the process's metrics where the settings name an address for them.
-// Errors: an address cannot be listened on.
+// Serve starts serving the calls registered on Mux, the process's status, which is the part common to all roles with what
+// the function adds, and the metrics, if the settings contain an address for them. It returns an error if it cannot listen
+// on an address.
 func (b *Base) Serve(addStatus func(context.Context, *nodestatus.Status) error) error {
 	collect := func(ctx context.Context) (nodestatus.Status, error) {
 		status := nodestatus.CommonStatus(b.Cluster, b.startedAt)
@@ -94,15 +94,15 @@
 	return nil
 }
 
-// Uptime is the time since the base was made, by a clock that never steps.
+// Uptime returns the time since NewBase, measured on the monotonic clock.
 func (b *Base) Uptime() time.Duration { return time.Since(b.startedAt) }
 
-// Leave tells the others that the process ends as planned, until ctx ends.
+// Leave announces the planned end of the process to the cluster, until ctx ends.
 func (b *Base) Leave(ctx context.Context) {
-	_ = b.Cluster.Leave(ctx) // they notice without it, only later
+	_ = b.Cluster.Leave(ctx) // without it the others detect the end, only later
 }
 
-// Disconnect ends the part in the cluster and the calls of others. It may come before Join and Serve, and again.
+// Disconnect closes the cluster membership and the server. It may be called before Join and Serve, and more than once.
 func (b *Base) Disconnect() {
 	if b.Cluster != nil {
 		b.Cluster.Close()
@@ -112,7 +112,7 @@
 	}
 }
 
-// Close ends all, the own calls too.
+// Close disconnects and closes the metrics server and the client; pending calls fail.
 func (b *Base) Close() {
 	b.Disconnect()
 	b.metrics.Close()
--- a/internal/tier/planes/planes_test.go
+++ b/internal/tier/planes/planes_test.go
@@ -25,7 +25,7 @@
 	RunSpecs(t, "planes")
 }
 
-// newNode has internal ports of which the one of the kind is free.
+// newNode returns settings whose internal port for the kind is free.
 func newNode(kind settings.ProcessKind) *settings.Node {
 	GinkgoHelper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -44,7 +44,7 @@
 func noStatus(context.Context, *nodestatus.Status) error { return nil }
 
 var _ = Describe("the common part of a plane", func() {
-	It("tells its figures where the settings say so, until it is closed", func() {
+	It("serves metrics at the address of the settings until it is closed, and fails if that is in use", func() {
 		node := newNode(settings.Store)
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
@@ -58,16 +58,16 @@
 		base = newBase(node, settings.Store)
 		Expect(base.Join()).To(Succeed())
 		Expect(base.Serve(noStatus)).To(Succeed())
-		answer, err := http.Get("http://" + node.Metrics.Address + "/metrics")
+		response, err := http.Get("http://" + node.Metrics.Address + "/metrics")
 		Expect(err).NotTo(HaveOccurred())
-		answer.Body.Close()
-		Expect(answer.StatusCode).To(Equal(http.StatusOK))
+		response.Body.Close()
+		Expect(response.StatusCode).To(Equal(http.StatusOK))
 		base.Close()
 		_, err = http.Get("http://" + node.Metrics.Address + "/metrics")
 		Expect(err).To(HaveOccurred())
 	})
 
-	DescribeTable("joins under its role, and answers until it is disconnected",
+	DescribeTable("joins with its role, and serves calls until it is disconnected",
 		func(ctx SpecContext, kind settings.ProcessKind, role string) {
 			node := newNode(kind)
 			base := newBase(node, kind)
@@ -92,15 +92,15 @@
 		Entry("store", settings.Store, "store", NodeTimeout(time.Minute)),
 	)
 
-	It("tells why a role has no status", func(ctx SpecContext) {
+	It("returns the error of a role that has no status", func(ctx SpecContext) {
 		base := newBase(newNode(settings.Store), settings.Store)
 		Expect(base.Join()).To(Succeed())
-		Expect(base.Serve(func(context.Context, *nodestatus.Status) error { return errors.New("the store ends") })).To(Succeed())
+		Expect(base.Serve(func(context.Context, *nodestatus.Status) error { return errors.New("the store is closed") })).To(Succeed())
 		_, err := nodestatus.Fetch(ctx, base.Client, base.Address)
-		Expect(err).To(MatchError(ContainSubstring("the store ends")))
+		Expect(err).To(MatchError(ContainSubstring("the store is closed")))
 	}, NodeTimeout(time.Minute))
 
-	It("cannot serve where another listens, and closes at any point", func() {
+	It("cannot serve at an address in use, and can be closed at any point", func() {
 		node := newNode(settings.Proxy)
 		first := newBase(node, settings.Proxy)
 		Expect(first.Join()).To(Succeed())
@@ -112,12 +112,12 @@
 		newBase(node, settings.Proxy).Close()
 	})
 
-	It("leaves no later than its caller wants", func() {
+	It("leaves within the caller's context", func() {
 		base := newBase(newNode(settings.Proxy), settings.Proxy)
 		Expect(base.Join()).To(Succeed())
-		ended, end := context.WithCancel(context.Background())
-		end()
-		base.Leave(ended)
+		ctx, cancel := context.WithCancel(context.Background())
+		cancel()
+		base.Leave(ctx)
 		Expect(base.Uptime()).To(BeNumerically(">=", 0))
 	})
 })
