--- a/internal/tier/metrics/collector.go
+++ b/internal/tier/metrics/collector.go
@@ -60,7 +60,7 @@
 	proxyAttempts      = newDesc("proxy", "attempts_total", "Calls to receivers that admission sent.")
 	proxyQueueLength   = newDesc("proxy", "queue_length", "Requests queued by admission.")
 	proxyCallsInFlight = newDesc("proxy", "calls_out", "Calls to receivers in flight.")
-	proxyAllowance     = newDesc("proxy", "allowance", "Number of concurrent calls that all receivers together may get at present, as estimated by this proxy.")
+	proxyAllowance     = newDesc("proxy", "allowance", "Further calls that all receivers together may get at present, as estimated by this proxy.")
 	proxyShutdownPhase = newDesc("proxy", "stop_phase", "0: serving; 1: told to stop and still accepting; 2: completing the requests already read.")
 )
 
