--- a/internal/delivery/config/config.go
+++ b/internal/delivery/config/config.go
@@ -67,12 +67,12 @@
 
 // What one text may bring: the protocol's bound for the body, and ours for the headers.
 const (
-	body   = 64 << 10
-	header = 16 << 10
+	maxBodyBytes   = 64 << 10
+	maxHeaderBytes = 16 << 10
 )
 
-// file is the configuration as it is written down.
-type file struct {
+// fileConfig is the configuration as it is written down.
+type fileConfig struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
 	Discovery string          `json:"discovery"`
@@ -118,11 +118,11 @@
 
 // Parse is Read for the text itself.
 func Parse(raw []byte, env func(string) string) (*Config, error) {
-	var f file
+	var f fileConfig
 	if err := json.Unmarshal(raw, &f); err != nil {
-		var kind *json.UnmarshalTypeError
-		if errors.As(err, &kind) {
-			return nil, fmt.Errorf("%s: a %s does not belong here", kind.Field, kind.Value)
+		var typeErr *json.UnmarshalTypeError
+		if errors.As(err, &typeErr) {
+			return nil, fmt.Errorf("%s: a %s does not belong here", typeErr.Field, typeErr.Value)
 		}
 		return nil, fmt.Errorf("not JSON: %w", err)
 	}
@@ -165,19 +165,19 @@
 		return nil, err
 	}
 	c.Settings = settings
-	if err := c.names(); err != nil {
+	if err := c.readNames(); err != nil {
 		return nil, err
 	}
 	if err := c.Settings.Validate(); err != nil {
 		return nil, fmt.Errorf("settings.%w", err)
 	}
-	return c, c.limits(&f)
+	return c, c.fillLimits(&f)
 }
 
-// names takes from the settings what is called by name on the wire.
-func (c *Config) names() error {
+// readNames takes from the settings what is called by name on the wire.
+func (c *Config) readNames() error {
 	c.Products = map[string]bool{}
-	count, err := c.whole("RequestClasses.count", 0)
+	count, err := c.intSetting("RequestClasses.count", 0)
 	if err != nil || count == 0 {
 		return errors.New("settings.RequestClasses: no product is named")
 	}
@@ -189,15 +189,15 @@
 		}
 		c.Products[name] = true
 	}
-	if row := c.Settings["Report.Names"]; row != "" {
-		c.ReportNames = strings.Split(row, ",")
+	if names := c.Settings["Report.Names"]; names != "" {
+		c.ReportNames = strings.Split(names, ",")
 	}
 	return nil
 }
 
-// limits fills Limits: from the machine's limits, the settings and defaults.
-func (c *Config) limits(f *file) error {
-	number := func(key string, v *float64, otherwise, least float64) (float64, error) {
+// fillLimits fills Limits: from the machine's limits, the settings and defaults.
+func (c *Config) fillLimits(f *fileConfig) error {
+	numberLimit := func(key string, v *float64, otherwise, least float64) (float64, error) {
 		switch {
 		case v == nil:
 			return otherwise, nil
@@ -206,62 +206,62 @@
 		}
 		return *v, nil
 	}
-	cores, err1 := number("cores", f.Limits.Cores, 1, 0.01)
-	memory, err2 := number("memory_mb", f.Limits.MemoryMB, 192, 16)
-	sockets, err3 := number("sockets", f.Limits.Sockets, 1024, 64)
-	disk, err4 := number("disk_mb", f.Limits.DiskMB, 3, 0.01)
+	cores, err1 := numberLimit("cores", f.Limits.Cores, 1, 0.01)
+	memory, err2 := numberLimit("memory_mb", f.Limits.MemoryMB, 192, 16)
+	sockets, err3 := numberLimit("sockets", f.Limits.Sockets, 1024, 64)
+	disk, err4 := numberLimit("disk_mb", f.Limits.DiskMB, 3, 0.01)
 	if err := errors.Join(err1, err2, err3, err4); err != nil {
 		return err
 	}
-	slots, err1 := c.whole("Specifics.MaxCalls", 64)
-	texts, err2 := c.whole("Permissions.MaxOpen", 1024)
-	idle, err3 := c.micros("Permissions.ConnIdleUs", 30*time.Second)
-	dial, err4 := c.micros("Permissions.DialTimeoutUs", time.Second)
-	first, err5 := c.listFirst()
+	maxCalls, err1 := c.intSetting("Specifics.MaxCalls", 64)
+	maxTexts, err2 := c.intSetting("Permissions.MaxOpen", 1024)
+	connIdle, err3 := c.durationSetting("Permissions.ConnIdleUs", 30*time.Second)
+	dialTimeout, err4 := c.durationSetting("Permissions.DialTimeoutUs", time.Second)
+	firstList, err5 := c.firstListWindow()
 	if err := errors.Join(err1, err2, err3, err4, err5); err != nil {
 		return err
 	}
 	c.Limits = Limits{
 		Cores: max(1, int(cores+0.999)), MemoryBytes: int64(memory * 1e6), DiskBytes: int64(disk * 1e6),
-		MaxClientConns: clientConns(int(sockets), int64(memory*1e6)), MaxReceiverConns: int(sockets) * 5 / 8, MaxCalls: slots, MaxTexts: texts,
-		MailboxSize: 1024, MaxBodyBytes: body, MaxHeaderBytes: header, LogLinesPerSecond: 50,
+		MaxClientConns: maxClientConns(int(sockets), int64(memory*1e6)), MaxReceiverConns: int(sockets) * 5 / 8, MaxCalls: maxCalls, MaxTexts: maxTexts,
+		MailboxSize: 1024, MaxBodyBytes: maxBodyBytes, MaxHeaderBytes: maxHeaderBytes, LogLinesPerSecond: 50,
 		AnswerTimeout: 300 * time.Millisecond, FirstRequestTimeout: 20 * time.Millisecond, RequestReadTimeout: 1500 * time.Millisecond,
-		ClientIdleTimeout: 4 * time.Second,                           // some keep a connection for good
-		DialTimeout:       dial, ReceiverIdleTimeout: idle * 19 / 20, // a request that crosses the receiver's own close is lost
+		ClientIdleTimeout: 4 * time.Second,                                      // some keep a connection for good
+		DialTimeout:       dialTimeout, ReceiverIdleTimeout: connIdle * 19 / 20, // a request that crosses the receiver's own close is lost
 		DrainTimeout: 100 * time.Millisecond, WatchSilenceTimeout: 4500 * time.Millisecond, NoticeTimeout: 100 * time.Millisecond,
-		MinRetryDelay: 50 * time.Millisecond, MaxRetryDelay: time.Second, FirstListWindow: first, ListRetryWindow: c.listApart(),
+		MinRetryDelay: 50 * time.Millisecond, MaxRetryDelay: time.Second, FirstListWindow: firstList, ListRetryWindow: c.listRetryWindow(),
 		StopListeningAfter: 1200 * time.Millisecond, StopSendingAfter: 2600 * time.Millisecond, ExitAfter: 3400 * time.Millisecond,
 	}
 	return nil
 }
 
-// listApart is the time within which senders that were all cut off in one moment ask for the list again: a tenth of a
+// listRetryWindow is the time within which senders that were all cut off in one moment ask for the list again: a tenth of a
 // second for each, less than the six within which what the list has to tell counts as told.
-func (c *Config) listApart() time.Duration {
-	senders, _ := c.whole("Instances", 1) // one that makes no sense is one, as the module reads it
+func (c *Config) listRetryWindow() time.Duration {
+	senders, _ := c.intSetting("Instances", 1) // one that makes no sense is one, as the module reads it
 	return min(5*time.Second, time.Duration(max(1, senders))*time.Second/10)
 }
 
-// listFirst is the time within which those that were all started in one moment ask first. The list that a sender is
+// firstListWindow is the time within which those that were all started in one moment ask first. The list that a sender is
 // started with may be older than what the process before it was told, so it must ask well within the time in which
 // it has to stop sending to a receiver that drains.
-func (c *Config) listFirst() (time.Duration, error) {
-	grace, err := c.micros("Contract.StopSendingWithinUs", time.Second)
-	return min(c.listApart(), grace*3/4), err
+func (c *Config) firstListWindow() (time.Duration, error) {
+	grace, err := c.durationSetting("Contract.StopSendingWithinUs", time.Second)
+	return min(c.listRetryWindow(), grace*3/4), err
 }
 
-// clientConns leaves sockets for the receivers, which hold connections for longer, and for the list, notices
+// maxClientConns leaves sockets for the receivers, which hold connections for longer, and for the list, notices
 // and files. It is less than the third that clients hold at most: at their own bound they could open no more, and
 // those that ask would go without while what others keep stays idle; only at ours is an idle one closed for them.
 // Memory is left for the rest of the program when every client sends the longest headers and body.
-func clientConns(sockets int, memory int64) int {
-	return max(8, min(sockets/4, int(memory/4/(body+header))))
+func maxClientConns(sockets int, memory int64) int {
+	return max(8, min(sockets/4, int(memory/4/(maxBodyBytes+maxHeaderBytes))))
 }
 
-func (c *Config) whole(key string, otherwise int) (int, error) {
+func (c *Config) intSetting(key string, fallback int) (int, error) {
 	v, ok := c.Settings[key]
 	if !ok {
-		return otherwise, nil
+		return fallback, nil
 	}
 	n, err := strconv.ParseFloat(v, 64)
 	if err != nil || n < 1 || n > 1e6 {
@@ -270,10 +270,10 @@
 	return int(n), nil
 }
 
-func (c *Config) micros(key string, otherwise time.Duration) (time.Duration, error) {
+func (c *Config) durationSetting(key string, fallback time.Duration) (time.Duration, error) {
 	v, ok := c.Settings[key]
 	if !ok {
-		return otherwise, nil
+		return fallback, nil
 	}
 	n, err := strconv.ParseFloat(v, 64)
 	if err != nil || n <= 0 || n > 1e12 {
@@ -295,10 +295,10 @@
 		return nil, errors.New("settings: no object")
 	}
 	set := control.Settings{}
-	return set, walk(set, "", tree)
+	return set, flattenValue(set, "", tree)
 }
 
-func walk(set control.Settings, path string, v any) error {
+func flattenValue(set control.Settings, path string, v any) error {
 	switch v := v.(type) {
 	case map[string]any:
 		for name, inner := range v {
@@ -306,31 +306,31 @@
 			if path != "" {
 				at = path + "." + name
 			}
-			if err := walk(set, at, inner); err != nil {
+			if err := flattenValue(set, at, inner); err != nil {
 				return err
 			}
 		}
 	case []any:
-		return list(set, path, v)
+		return flattenList(set, path, v)
 	default:
-		plain, err := scalar(path, v)
+		plain, err := formatScalar(path, v)
 		set[path] = plain
 		return err
 	}
 	return nil
 }
 
-func list(set control.Settings, path string, all []any) error {
+func flattenList(set control.Settings, path string, items []any) error {
 	var row []byte
-	for i, v := range all {
+	for i, v := range items {
 		if _, object := v.(map[string]any); object {
-			set[path+".count"] = strconv.Itoa(len(all))
-			if err := walk(set, fmt.Sprintf("%s.%d", path, i), v); err != nil {
+			set[path+".count"] = strconv.Itoa(len(items))
+			if err := flattenValue(set, fmt.Sprintf("%s.%d", path, i), v); err != nil {
 				return err
 			}
 			continue
 		}
-		plain, err := scalar(fmt.Sprintf("%s.%d", path, i), v)
+		plain, err := formatScalar(fmt.Sprintf("%s.%d", path, i), v)
 		if err != nil {
 			return err
 		}
@@ -345,7 +345,7 @@
 	return nil
 }
 
-func scalar(path string, v any) (string, error) {
+func formatScalar(path string, v any) (string, error) {
 	switch v := v.(type) {
 	case nil:
 		return "", nil
--- a/internal/delivery/config/config_test.go
+++ b/internal/delivery/config/config_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-const good = `{"name":"n3","listen":"127.0.0.1:8443","discovery":"127.0.0.2:8500","seed":"8c1f30d27a5be964",
+const validConfig = `{"name":"n3","listen":"127.0.0.1:8443","discovery":"127.0.0.2:8500","seed":"8c1f30d27a5be964",
  "state":"/tmp/state","limits":{"cores":0.5,"memory_mb":128,"sockets":512,"disk_mb":2},
  "known":{"version":41,"full":true,"servers":[]},
  "settings":{"Kinds":["a","b"],"Orgs":[],"Instances":2,"Report":{"Names":["x0","x1"]},
@@ -14,10 +14,10 @@
   "Specifics":{"Notes":"full: wait, if told","MaxCalls":51},
   "RequestClasses":[{"Name":"p","Group":null},{"Name":"q"}]}}`
 
-func none(string) string { return "" }
+func noEnv(string) string { return "" }
 
 func TestConfiguration(t *testing.T) {
-	c, err := Parse([]byte(good), none)
+	c, err := Parse([]byte(validConfig), noEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,10 +37,10 @@
 	}
 	// However many start together, the first ask leaves time to heed a drain that was told before.
 	many := strings.NewReplacer(`"Instances":2`, `"Instances":300`, `"FallMultiple":2.0`, `"StopSendingWithinUs":800000`)
-	if c, err := Parse([]byte(many.Replace(good)), none); err != nil || c.Limits.FirstListWindow != 600*time.Millisecond || l.FirstListWindow != 200*time.Millisecond {
+	if c, err := Parse([]byte(many.Replace(validConfig)), noEnv); err != nil || c.Limits.FirstListWindow != 600*time.Millisecond || l.FirstListWindow != 200*time.Millisecond {
 		t.Errorf("asks first within %s, among two within %s, %v", c.Limits.FirstListWindow, l.FirstListWindow, err)
 	}
-	c, err = Parse([]byte(good), func(name string) string {
+	c, err = Parse([]byte(validConfig), func(name string) string {
 		return map[string]string{"GW_LISTEN": "127.0.0.9:1"}[name]
 	})
 	if err != nil || c.ListenAddr != "127.0.0.9:1" || c.Name != "n3" {
@@ -71,7 +71,7 @@
 		{`"settings":{`, `"settings":7,"x":{`, "settings: no object"},
 		{`{"name"`, `"name"`, "not JSON"},
 	} {
-		_, err := Parse([]byte(strings.Replace(good, c.old, c.new, 1)), none)
+		_, err := Parse([]byte(strings.Replace(validConfig, c.old, c.new, 1)), noEnv)
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", c.new, err, c.want)
 		}
@@ -83,7 +83,7 @@
 	moved := strings.NewReplacer(`"Instances":2`, `"Instances":200,"RegistryMode":"ask","FailureDomains":["p","q","r"],"OverShareWorth":0.05`,
 		`"Orgs":[]`, `"Orgs":[{"Name":"b","QuotaPerS":3.5}]`, `"MaxCalls":51`, `"MaxCalls":51,"Carriage":[0.06,0,0.03]`,
 		`"FallMultiple":2.0`, `"AskEveryUs":4000000`)
-	c, err := Parse([]byte(moved.Replace(good)), none)
+	c, err := Parse([]byte(moved.Replace(validConfig)), noEnv)
 	for key, want := range map[string]string{"RegistryMode": "ask", "Contract.AskEveryUs": "4000000", "Orgs.0.QuotaPerS": "3.5",
 		"Specifics.Carriage": "0.06,0,0.03", "FailureDomains": "p,q,r", "OverShareWorth": "0.05"} {
 		if err != nil || c.Settings[key] != want {
--- a/internal/delivery/directory/list.go
+++ b/internal/delivery/directory/list.go
@@ -14,16 +14,16 @@
 	"emberquay/internal/delivery/config"
 )
 
-// list is the list, or what changed of it, as it is written on the wire.
-type list struct {
+// wireList is the list, or what changed of it, as it is written on the wire.
+type wireList struct {
 	Version int64             `json:"version"`
 	Full    bool              `json:"full"`
 	Servers []json.RawMessage `json:"servers"`
 
-	hosts []host // those that make sense
+	entries []wireEntry // those that make sense
 }
 
-type host struct {
+type wireEntry struct {
 	ID     string  `json:"id"`
 	Addr   string  `json:"addr"`
 	Zone   string  `json:"zone"`
@@ -45,28 +45,28 @@
 	Addr string
 }
 
-// parse reads a list. An entry that makes no sense is left out: the others must not be lost with it.
-func parse(raw []byte) (*list, error) {
-	l := &list{}
+// parseList reads a list. An entry that makes no sense is left out: the others must not be lost with it.
+func parseList(raw []byte) (*wireList, error) {
+	l := &wireList{}
 	if err := json.Unmarshal(raw, l); err != nil {
 		return nil, err
 	}
 	for _, one := range l.Servers {
-		var h host
+		var h wireEntry
 		err := json.Unmarshal(one, &h)
 		if err == nil {
-			err = h.check()
+			err = h.validate()
 		}
 		if err != nil {
 			slog.Warn("bad_entry", "part", "directory", "version", l.Version, "err", err)
 			continue
 		}
-		l.hosts = append(l.hosts, h)
+		l.entries = append(l.entries, h)
 	}
 	return l, nil
 }
 
-func (h *host) check() error {
+func (h *wireEntry) validate() error {
 	_, _, err := net.SplitHostPort(h.Addr)
 	switch {
 	case h.ID == "":
@@ -81,55 +81,55 @@
 	return nil
 }
 
-// numbers gives every id a number, the same for as long as the list names it and a while longer: it may come
+// idAllocator gives every id a number, the same for as long as the list names it and a while longer: it may come
 // back, and what is known of it must be found again. Those gone longest are forgotten past a bound, so that the
 // numbers of a sender that runs for long do not add up.
-type numbers struct {
-	of    map[string]control.ReceiverID
-	gone  []string // oldest first
-	given control.ReceiverID
+type idAllocator struct {
+	ids     map[string]control.ReceiverID
+	removed []string // oldest first
+	lastID  control.ReceiverID
 }
 
-// mostGone is how many ids that are gone keep their numbers.
-const mostGone = 256
+// maxRemoved is how many ids that are gone keep their numbers.
+const maxRemoved = 256
 
-func newNumbers() *numbers { return &numbers{of: map[string]control.ReceiverID{}} }
+func newIDAllocator() *idAllocator { return &idAllocator{ids: map[string]control.ReceiverID{}} }
 
-func (n *numbers) number(id string) control.ReceiverID {
-	if n.of[id] == 0 {
-		n.given++
-		n.of[id] = n.given
+func (n *idAllocator) idOf(id string) control.ReceiverID {
+	if n.ids[id] == 0 {
+		n.lastID++
+		n.ids[id] = n.lastID
 	}
-	return n.of[id]
+	return n.ids[id]
 }
 
-func (n *numbers) news(l *list) Update {
-	news := Update{Complete: l.Full}
-	named := map[string]bool{}
-	for _, h := range l.hosts {
-		e := control.ReceiverEntry{Receiver: n.number(h.ID), Rate: h.Weight, Destination: h.Cell, Kind: config.NormalizeName(h.Kind), Zone: config.NormalizeName(h.Zone)}
+func (n *idAllocator) update(l *wireList) Update {
+	update := Update{Complete: l.Full}
+	listed := map[string]bool{}
+	for _, h := range l.entries {
+		e := control.ReceiverEntry{Receiver: n.idOf(h.ID), Rate: h.Weight, Destination: h.Cell, Kind: config.NormalizeName(h.Kind), Zone: config.NormalizeName(h.Zone)}
 		switch h.State {
 		case "leaving":
 			e.State = control.Draining
 		case "left":
 			e.State = control.Removed
 		}
-		named[h.ID] = e.State != control.Removed
-		news.Entries = append(news.Entries, Entry{e, h.Addr})
+		listed[h.ID] = e.State != control.Removed
+		update.Entries = append(update.Entries, Entry{e, h.Addr})
 	}
-	n.forget(named, l.Full)
-	return news
+	n.releaseRemoved(listed, l.Full)
+	return update
 }
 
-// forget notes which ids are gone and which are back.
-func (n *numbers) forget(named map[string]bool, whole bool) {
-	n.gone = slices.DeleteFunc(n.gone, func(id string) bool { _, told := named[id]; return told })
-	for _, id := range slices.Sorted(maps.Keys(n.of)) {
-		if here, told := named[id]; told && !here || !told && whole && !slices.Contains(n.gone, id) {
-			n.gone = append(n.gone, id)
+// releaseRemoved notes which ids are gone and which are back.
+func (n *idAllocator) releaseRemoved(listed map[string]bool, complete bool) {
+	n.removed = slices.DeleteFunc(n.removed, func(id string) bool { _, mentioned := listed[id]; return mentioned })
+	for _, id := range slices.Sorted(maps.Keys(n.ids)) {
+		if present, mentioned := listed[id]; mentioned && !present || !mentioned && complete && !slices.Contains(n.removed, id) {
+			n.removed = append(n.removed, id)
 		}
 	}
-	for ; len(n.gone) > mostGone; n.gone = n.gone[1:] {
-		delete(n.of, n.gone[0])
+	for ; len(n.removed) > maxRemoved; n.removed = n.removed[1:] {
+		delete(n.ids, n.removed[0])
 	}
 }
--- a/internal/delivery/directory/pauses_test.go
+++ b/internal/delivery/directory/pauses_test.go
@@ -15,24 +15,24 @@
 		allIn, last time.Duration
 		inVain      int
 	}{{2 * time.Second, 3 * time.Second, 0}, {8 * time.Second, 50 * time.Second, 200}} {
-		inVain, last, missing := askers(80, c.allIn)
+		inVain, last, missing := simulateFleet(80, c.allIn)
 		if missing > 0 || inVain > c.inVain || last > c.last {
 			t.Errorf("all in %s: %d tries in vain, the last list after %s, %d have none", c.allIn, inVain, last, missing)
 		}
 	}
 }
 
-// askers plays it for a minute.
-func askers(senders int, allIn time.Duration) (inVain int, last time.Duration, missing int) {
+// simulateFleet plays it for a minute.
+func simulateFleet(senders int, allIn time.Duration) (inVain int, last time.Duration, missing int) {
 	const patience, booked = 2 * time.Second, 16 * time.Second
 	type asker struct {
-		pauses *pauses
+		pauses *backoff
 		at     time.Duration // of its next try
 	}
 	var fleet []*asker
 	for seed := range uint64(senders) {
-		p := newPauses(seed, 5*time.Second)
-		fleet = append(fleet, &asker{p, p.first(750 * time.Millisecond)})
+		p := newBackoff(seed, 5*time.Second)
+		fleet = append(fleet, &asker{p, p.initialDelay(750 * time.Millisecond)})
 	}
 	done := time.Duration(0) // when the platform is through with all it has taken on
 	for len(fleet) > 0 {
@@ -51,7 +51,7 @@
 			continue
 		}
 		inVain++
-		next.at += next.pauses.next(false)
+		next.at += next.pauses.nextDelay(false)
 		if wait <= booked {
 			next.at += patience
 		}
@@ -61,10 +61,10 @@
 
 // What a pause grows by ends with the first thing that a watch brings.
 func TestPausesGrowAndBeginAnew(t *testing.T) {
-	p := newPauses(1, time.Second)
+	p := newBackoff(1, time.Second)
 	most := func(n int, upheld bool) (longest time.Duration) {
 		for range n {
-			longest = max(longest, p.next(upheld))
+			longest = max(longest, p.nextDelay(upheld))
 		}
 		return longest
 	}
@@ -78,8 +78,8 @@
 // would be made again: receivers may have begun to drain while it was down.
 func TestTheFirstAskComesSoon(t *testing.T) {
 	for seed := range uint64(50) {
-		p := newPauses(seed, time.Hour)
-		if first := p.first(time.Second); first >= time.Second {
+		p := newBackoff(seed, time.Hour)
+		if first := p.initialDelay(time.Second); first >= time.Second {
 			t.Errorf("asks first after %s", first)
 		}
 	}
--- a/internal/delivery/ledger/compare_test.go
+++ b/internal/delivery/ledger/compare_test.go
@@ -22,35 +22,35 @@
 // Each round takes a text, notes a submit and ends the text; so many others are held all along, so that the room is
 // filled as far as said. In the modes of power a batch of 16 rounds shares a sync.
 
-// store is what is compared.
-type store interface {
-	take(t *Text) error
-	submit(id string) error
+// backend is what is compared.
+type backend interface {
+	accept(t *Text) error
+	attempt(id string) error
 	end(id string) error
 	sync() error
 	close()
 }
 
-type ours struct{ *Ledger }
+type segmentStore struct{ *Ledger }
 
-func (o ours) take(t *Text) error     { return o.RecordAccepted(t) }
-func (o ours) submit(id string) error { return o.RecordAttempt(id, 5, "a") }
-func (o ours) end(id string) error    { return o.RecordEnd(id) }
-func (o ours) sync() error            { return o.Sync() }
-func (o ours) close()                 { o.Close() }
+func (o segmentStore) accept(t *Text) error    { return o.RecordAccepted(t) }
+func (o segmentStore) attempt(id string) error { return o.RecordAttempt(id, 5, "a") }
+func (o segmentStore) end(id string) error     { return o.RecordEnd(id) }
+func (o segmentStore) sync() error             { return o.Sync() }
+func (o segmentStore) close()                  { o.Close() }
 
-// bolt is the embedded store: a transaction for each call, without a sync, or one for each batch with it.
-type bolt struct {
+// boltStore is the embedded store: a transaction for each call, without a sync, or one for each batch with it.
+type boltStore struct {
 	db    *bbolt.DB
 	power bool
 	tx    *bbolt.Tx
 }
 
-var bucket = []byte("texts")
+var bucketName = []byte("texts")
 
-func (o *bolt) do(f func(b *bbolt.Bucket) error) error {
+func (o *boltStore) update(f func(b *bbolt.Bucket) error) error {
 	if !o.power {
-		return o.db.Update(func(tx *bbolt.Tx) error { return f(tx.Bucket(bucket)) })
+		return o.db.Update(func(tx *bbolt.Tx) error { return f(tx.Bucket(bucketName)) })
 	}
 	if o.tx == nil {
 		tx, err := o.db.Begin(true)
@@ -59,21 +59,21 @@
 		}
 		o.tx = tx
 	}
-	return f(o.tx.Bucket(bucket))
+	return f(o.tx.Bucket(bucketName))
 }
 
-func (o *bolt) take(t *Text) error {
-	return o.do(func(b *bbolt.Bucket) error { return b.Put([]byte(t.ID), t.record().payload) })
+func (o *boltStore) accept(t *Text) error {
+	return o.update(func(b *bbolt.Bucket) error { return b.Put([]byte(t.ID), t.toRecord().payload) })
 }
 
-func (o *bolt) submit(id string) error {
-	return o.do(func(b *bbolt.Bucket) error {
+func (o *boltStore) attempt(id string) error {
+	return o.update(func(b *bbolt.Bucket) error {
 		return b.Put([]byte(id+"/s"), binary.LittleEndian.AppendUint64(nil, 5))
 	})
 }
 
-func (o *bolt) end(id string) error {
-	return o.do(func(b *bbolt.Bucket) error {
+func (o *boltStore) end(id string) error {
+	return o.update(func(b *bbolt.Bucket) error {
 		if err := b.Delete([]byte(id + "/s")); err != nil {
 			return err
 		}
@@ -81,7 +81,7 @@
 	})
 }
 
-func (o *bolt) sync() error {
+func (o *boltStore) sync() error {
 	if o.tx == nil {
 		return nil
 	}
@@ -90,24 +90,24 @@
 	return tx.Commit()
 }
 
-func (o *bolt) close() { o.db.Close() }
+func (o *boltStore) close() { o.db.Close() }
 
-func stores(b *testing.B, room int64, power bool) map[string]func() store {
-	return map[string]func() store{
-		"segments": func() store {
+func newBackends(b *testing.B, room int64, power bool) map[string]func() backend {
+	return map[string]func() backend{
+		"segments": func() backend {
 			l, err := Open(vfs.OS{}, b.TempDir(), Options{MaxBytes: room, PowerLossSafe: power})
 			if err != nil {
 				b.Fatal(err)
 			}
-			return ours{l}
+			return segmentStore{l}
 		},
-		"bbolt": func() store {
+		"bbolt": func() backend {
 			db, err := bbolt.Open(filepath.Join(b.TempDir(), "db"), 0o600, &bbolt.Options{NoSync: !power, NoFreelistSync: true})
 			if err != nil {
 				b.Fatal(err)
 			}
-			db.Update(func(tx *bbolt.Tx) error { _, err := tx.CreateBucket(bucket); return err })
-			return &bolt{db: db, power: power}
+			db.Update(func(tx *bbolt.Tx) error { _, err := tx.CreateBucket(bucketName); return err })
+			return &boltStore{db: db, power: power}
 		},
 	}
 }
@@ -124,14 +124,14 @@
 	} {
 		for _, name := range []string{"segments", "bbolt"} {
 			b.Run(fmt.Sprintf("%s/room=%g/bytes=%d/held=%g/power=%v", name, float64(c.room), c.size, c.held, c.power), func(b *testing.B) {
-				s := stores(b, c.room, c.power)[name]()
+				s := newBackends(b, c.room, c.power)[name]()
 				defer s.close()
 				body := make([]byte, c.size)
 				text := func(id string) *Text {
 					return &Text{ID: id, Product: "order", Destination: 3, IdempotencyKey: id, AcceptedAt: 1e14, ValidUntil: 1e14, Body: body}
 				}
 				for i := 0; float64(i)*float64(c.size+200) < c.held*float64(c.room); i++ {
-					if err := s.take(text(fmt.Sprintf("held-%012d", i))); err != nil {
+					if err := s.accept(text(fmt.Sprintf("held-%012d", i))); err != nil {
 						b.Fatal(i, err)
 					}
 				}
@@ -143,11 +143,11 @@
 				for i := range b.N {
 					id := fmt.Sprintf("%016x", i)
 					began := time.Now()
-					if err := s.take(text(id)); err != nil {
+					if err := s.accept(text(id)); err != nil {
 						b.Fatal(err)
 					}
 					took = append(took, time.Since(began))
-					if err := s.submit(id); err != nil {
+					if err := s.attempt(id); err != nil {
 						b.Fatal(err)
 					}
 					if err := s.end(id); err != nil {
@@ -164,7 +164,7 @@
 				slices.Sort(took)
 				b.ReportMetric(float64(took[len(took)*999/1000].Microseconds()), "p99.9-take-us")
 				b.ReportMetric(float64(took[len(took)-1].Microseconds()), "max-take-us")
-				if o, ok := s.(ours); ok {
+				if o, ok := s.(segmentStore); ok {
 					st := o.Stats()
 					b.ReportMetric(float64(st.WrittenBytes)/float64(max(1, st.WrittenBytes-st.MovedBytes)), "written-per-byte")
 					b.ReportMetric(float64(st.ForcedCleanings), "forced")
--- a/internal/delivery/ledger/layout/layout.go
+++ b/internal/delivery/ledger/layout/layout.go
@@ -36,36 +36,36 @@
 
 // Layout is what lies where.
 type Layout struct {
-	limits   Limits
-	segments []*segment // oldest first; the last is the tail
-	at       map[string]*place
-	live     int64
-	total    int64 // bytes of all segments, in whole blocks
-	credit   int64 // of moving, not yet used
-	forced   int
-	moved    int64
-	written  int64
+	limits          Limits
+	segments        []*segment // oldest first; the last is the tail
+	records         map[string]*liveRecord
+	liveBytes       int64
+	totalBytes      int64 // bytes of all segments, in whole blocks
+	moveCredit      int64 // of moving, not yet used
+	forcedCleanings int
+	movedBytes      int64
+	writtenBytes    int64
 }
 
 type segment struct {
-	no    uint64
-	head  int64
-	size  int64
-	live  int64
-	first *place // of what is live, in the order written
-	last  *place
+	number      uint64
+	headerBytes int64
+	bytes       int64
+	liveBytes   int64
+	first       *liveRecord // of what is live, in the order written
+	last        *liveRecord
 }
 
-type place struct {
+type liveRecord struct {
 	id         string
-	size       int64
-	in         *segment
-	prev, next *place
+	bytes      int64
+	segment    *segment
+	prev, next *liveRecord
 }
 
 // New makes an empty layout. Limits that are too small are raised to what works.
 func New(limits Limits) *Layout {
-	l := &Layout{limits: limits, at: map[string]*place{}}
+	l := &Layout{limits: limits, records: map[string]*liveRecord{}}
 	if l.limits.SegmentBytes == 0 {
 		l.limits.SegmentBytes = min(max(limits.MaxBytes/64, 2<<10), 1<<20)
 	}
@@ -76,26 +76,26 @@
 	return l
 }
 
-func blocks(n int64) int64 { return (n + BlockBytes - 1) / BlockBytes * BlockBytes }
+func roundToBlocks(n int64) int64 { return (n + BlockBytes - 1) / BlockBytes * BlockBytes }
 
-// headroom is what is needed to move all that is live in one segment: it ends before it is passed, or holds one record.
-func (l *Layout) headroom() int64 {
+// moveReserve is what is needed to move all that is live in one segment: it ends before it is passed, or holds one record.
+func (l *Layout) moveReserve() int64 {
 	return max(l.limits.SegmentBytes, l.limits.MaxRecordBytes+4*BlockBytes) + BlockBytes
 }
 
-// capacity is how much may be live, with what it still needs.
-func (l *Layout) capacity() int64 { return l.limits.MaxBytes - 2*l.headroom() }
+// liveCapacity is how much may be live, with what it still needs.
+func (l *Layout) liveCapacity() int64 { return l.limits.MaxBytes - 2*l.moveReserve() }
 
 // Admits says whether a new text of so many bytes finds room.
 func (l *Layout) Admits(n int64) bool {
-	texts := int64(len(l.at)) + 1
-	return n <= l.limits.MaxRecordBytes && l.live+n+texts*l.limits.GrowthBytes <= l.capacity()
+	texts := int64(len(l.records)) + 1
+	return n <= l.limits.MaxRecordBytes && l.liveBytes+n+texts*l.limits.GrowthBytes <= l.liveCapacity()
 }
 
 // NeedsNewSegment says whether another segment is begun before a record of so many bytes is written: where it does not fit.
 func (l *Layout) NeedsNewSegment(n int64) bool {
 	t := l.tail()
-	return t == nil || t.size+n > l.limits.SegmentBytes && t.size > t.head
+	return t == nil || t.bytes+n > l.limits.SegmentBytes && t.bytes > t.headerBytes
 }
 
 func (l *Layout) tail() *segment {
@@ -106,57 +106,57 @@
 }
 
 // StartSegment makes a new segment the tail; its head has so many bytes.
-func (l *Layout) StartSegment(no uint64, head int64) {
-	l.segments = append(l.segments, &segment{no: no, head: head, size: head})
-	l.total += blocks(head)
+func (l *Layout) StartSegment(number uint64, headerBytes int64) {
+	l.segments = append(l.segments, &segment{number: number, headerBytes: headerBytes, bytes: headerBytes})
+	l.totalBytes += roundToBlocks(headerBytes)
 }
 
 // AddWritten says that the tail has grown by something new. It pays for cleaning.
 func (l *Layout) AddWritten(n int64) {
-	l.grow(n)
+	l.growTail(n)
 	// To free one byte, as much has to be moved as is live beside it.
-	garbage := max(l.total-l.live, 1)
-	l.credit = min(l.credit+n*min(32, 1+2*l.live/garbage)+64, 2*l.limits.MaxStepBytes)
+	garbage := max(l.totalBytes-l.liveBytes, 1)
+	l.moveCredit = min(l.moveCredit+n*min(32, 1+2*l.liveBytes/garbage)+64, 2*l.limits.MaxStepBytes)
 }
 
 // AddMoved says that it has grown by something that was moved there.
 func (l *Layout) AddMoved(n int64) {
-	l.grow(n)
-	l.moved += n
-	l.credit -= n
+	l.growTail(n)
+	l.movedBytes += n
+	l.moveCredit -= n
 }
 
-func (l *Layout) grow(n int64) {
+func (l *Layout) growTail(n int64) {
 	t := l.tail()
-	l.total += blocks(t.size+n) - blocks(t.size)
-	t.size += n
-	l.written += n
+	l.totalBytes += roundToBlocks(t.bytes+n) - roundToBlocks(t.bytes)
+	t.bytes += n
+	l.writtenBytes += n
 }
 
 // Put says that a text's live record lies at the end of the tail now, and no longer where it was.
 func (l *Layout) Put(id string, n int64) {
 	l.Drop(id)
 	t := l.tail()
-	p := &place{id: id, size: n, in: t, prev: t.last}
+	p := &liveRecord{id: id, bytes: n, segment: t, prev: t.last}
 	if t.last != nil {
 		t.last.next = p
 	} else {
 		t.first = p
 	}
 	t.last = p
-	t.live += n
-	l.live += n
-	l.at[id] = p
+	t.liveBytes += n
+	l.liveBytes += n
+	l.records[id] = p
 }
 
 // Drop says that nothing of a text is live any more.
 func (l *Layout) Drop(id string) {
-	p := l.at[id]
+	p := l.records[id]
 	if p == nil {
 		return
 	}
-	delete(l.at, id)
-	s := p.in
+	delete(l.records, id)
+	s := p.segment
 	if p.prev != nil {
 		p.prev.next = p.next
 	} else {
@@ -167,40 +167,40 @@
 	} else {
 		s.last = p.prev
 	}
-	s.live -= p.size
-	l.live -= p.size
+	s.liveBytes -= p.bytes
+	l.liveBytes -= p.bytes
 }
 
 // IsLive says whether something of a text is live.
-func (l *Layout) IsLive(id string) bool { return l.at[id] != nil }
+func (l *Layout) IsLive(id string) bool { return l.records[id] != nil }
 
-// bound is how much may lie on the disk before cleaning sets in: as much garbage as there is live, or a few segments,
+// cleaningThreshold is how much may lie on the disk before cleaning sets in: as much garbage as there is live, or a few segments,
 // so that opening takes time for what is live and not for all that ever was; but with half of what is left, as what is
 // held for long has to be moved through before the garbage behind it is reached.
-func (l *Layout) bound() int64 {
-	return min(l.live+(l.limits.MaxBytes-l.headroom()-l.live)/2, max(2*l.live, 8*l.limits.SegmentBytes))
+func (l *Layout) cleaningThreshold() int64 {
+	return min(l.liveBytes+(l.limits.MaxBytes-l.moveReserve()-l.liveBytes)/2, max(2*l.liveBytes, 8*l.limits.SegmentBytes))
 }
 
-// crowd bounds how many segments there are beyond what their bytes need: each start begins a new one.
-const crowd = 128
+// extraSegments bounds how many segments there are beyond what their bytes need: each start begins a new one.
+const extraSegments = 128
 
-func (l *Layout) crowded() bool {
-	return int64(len(l.segments)) > crowd+2*l.total/l.limits.SegmentBytes
+func (l *Layout) tooManySegments() bool {
+	return int64(len(l.segments)) > extraSegments+2*l.totalBytes/l.limits.SegmentBytes
 }
 
 // CleaningDue says whether something is to be moved now, in the course of writing.
 func (l *Layout) CleaningDue() bool {
-	return len(l.segments) > 1 && l.credit > 0 && (l.total > l.bound() || l.crowded())
+	return len(l.segments) > 1 && l.moveCredit > 0 && (l.totalBytes > l.cleaningThreshold() || l.tooManySegments())
 }
 
 // MustCleanFirst says whether a record of so many bytes finds no room before more is cleaned. At most it takes moving all
 // that is live once.
 func (l *Layout) MustCleanFirst(n int64) bool {
-	return l.total+blocks(n)+BlockBytes > l.limits.MaxBytes-l.headroom() && len(l.segments) > 1
+	return l.totalBytes+roundToBlocks(n)+BlockBytes > l.limits.MaxBytes-l.moveReserve() && len(l.segments) > 1
 }
 
 // CountForced notes that cleaning had to be done at once.
-func (l *Layout) CountForced() { l.forced++ }
+func (l *Layout) CountForced() { l.forcedCleanings++ }
 
 // NextToMove is what is to be moved: the first live record of the oldest segment, with its size. Nothing if that segment
 // has none, or is the tail.
@@ -209,20 +209,20 @@
 		return "", 0
 	}
 	p := l.segments[0].first
-	return p.id, p.size
+	return p.id, p.bytes
 }
 
 // RemovableSegment is the oldest segment if nothing in it is live and it is not the tail.
-func (l *Layout) RemovableSegment() (no uint64, ok bool) {
+func (l *Layout) RemovableSegment() (number uint64, ok bool) {
 	if len(l.segments) < 2 || l.segments[0].first != nil {
 		return 0, false
 	}
-	return l.segments[0].no, true
+	return l.segments[0].number, true
 }
 
 // DropOldestSegment says that the oldest segment is removed.
 func (l *Layout) DropOldestSegment() {
-	l.total -= blocks(l.segments[0].size)
+	l.totalBytes -= roundToBlocks(l.segments[0].bytes)
 	l.segments = slices.Delete(l.segments, 0, 1)
 }
 
@@ -231,14 +231,14 @@
 	if len(l.segments) == 0 {
 		return 0
 	}
-	return l.segments[0].no
+	return l.segments[0].number
 }
 
 // UsedBytes is what lies on the disk, and Live how much of it counts.
-func (l *Layout) UsedBytes() int64 { return l.total }
+func (l *Layout) UsedBytes() int64 { return l.totalBytes }
 
 // LiveBytes is how many bytes are live.
-func (l *Layout) LiveBytes() int64 { return l.live }
+func (l *Layout) LiveBytes() int64 { return l.liveBytes }
 
 // Stats are what a layout has come to.
 type Stats struct {
@@ -253,7 +253,7 @@
 
 // Stats gives them.
 func (l *Layout) Stats() Stats {
-	return Stats{len(l.segments), l.live, l.total, l.limits.MaxBytes, l.written, l.moved, l.forced}
+	return Stats{len(l.segments), l.liveBytes, l.totalBytes, l.limits.MaxBytes, l.writtenBytes, l.movedBytes, l.forcedCleanings}
 }
 
 // CheckInvariants looks whether all adds up; for tests.
@@ -262,21 +262,21 @@
 	for _, s := range l.segments {
 		sum := int64(0)
 		for p := s.first; p != nil; p = p.next {
-			if l.at[p.id] != p || p.in != s {
+			if l.records[p.id] != p || p.segment != s {
 				return "a place is not where it says"
 			}
-			sum += p.size
+			sum += p.bytes
 			n++
 		}
-		if sum != s.live || s.live > s.size {
+		if sum != s.liveBytes || s.liveBytes > s.bytes {
 			return "a segment's live bytes do not add up"
 		}
-		live, total = live+sum, total+blocks(s.size)
+		live, total = live+sum, total+roundToBlocks(s.bytes)
 	}
 	switch {
-	case n != len(l.at):
+	case n != len(l.records):
 		return "places and segments differ"
-	case live != l.live || total != l.total:
+	case live != l.liveBytes || total != l.totalBytes:
 		return "the sums differ"
 	}
 	return ""
--- a/internal/delivery/ledger/ledger.go
+++ b/internal/delivery/ledger/ledger.go
@@ -36,7 +36,7 @@
 // ErrFull says that a text finds no room.
 var ErrFull = errors.New("the lasting folder is full")
 
-var errUnread = errors.New("the lasting folder could not be read")
+var errUnavailable = errors.New("the lasting folder could not be read")
 
 // Options say how a ledger is kept.
 type Options struct {
@@ -46,26 +46,26 @@
 
 // Ledger is the open folder and what is live in it. It is used by one goroutine.
 type Ledger struct {
-	files vfs.FS
-	dir   string
-	opt   Options
-	lock  io.Closer
-	lay   *layout.Layout
-	state *state
-
-	file     vfs.File // the tail; nil if another is to be begun
-	size     int64    // of what is whole in it
-	number   uint64   // of the newest segment
-	seq      uint64   // of the last record
-	dirty    bool     // something is not synced
-	names    bool     // nor is the name of a file
-	promised uint64
-	reserve  int64    // bytes of the file that is given up for ends; 0 if there is none now
-	pending  []record // that could not be written yet: ends, and what a sync that failed may have lost
-	unsynced []record // written since the last sync
-	unread   bool
-	oldBad   string // what could not be read of the old form
-	buffer   []byte
+	files  vfs.FS
+	dir    string
+	opt    Options
+	lock   io.Closer
+	layout *layout.Layout
+	state  *state
+
+	tail         vfs.File // the tail; nil if another is to be begun
+	tailBytes    int64    // of what is whole in it
+	lastSegment  uint64   // of the newest segment
+	lastSeq      uint64   // of the last record
+	dirty        bool     // something is not synced
+	dirUnsynced  bool     // nor is the name of a file
+	syncedSeq    uint64
+	reserveSize  int64    // bytes of the file that is given up for ends; 0 if there is none now
+	unwritten    []record // that could not be written yet: ends, and what a sync that failed may have lost
+	unsynced     []record // written since the last sync
+	unavailable  bool
+	legacyDamage string // what could not be read of the old form
+	buffer       []byte
 }
 
 // lockName is the file by which one process has the folder; reserveName holds room for ends.
@@ -75,24 +75,24 @@
 	badPrefix   = "bad-"
 )
 
-// growth is by how much a held text's record may still grow: submits, since when it may have run, and where. What else
+// maxGrowthBytes is by how much a held text's record may still grow: submits, since when it may have run, and where. What else
 // is written of it is garbage as soon as it is.
-const growth = 72
+const maxGrowthBytes = 72
 
-// ending is about what the end of a text takes.
-const ending = 160
+// endRecordBytes is about what the end of a text takes.
+const endRecordBytes = 160
 
-// largest is what one record may have: the largest body, the longest headers, and what is written with them.
-const largest = 84 << 10
+// largestRecordBytes is what one record may have: the largest body, the longest headers, and what is written with them.
+const largestRecordBytes = 84 << 10
 
 // Open reads what the folder holds, which may be nothing, and keeps on from there. A folder that another process uses
 // is refused (vfs.ErrLocked). After another error the ledger takes nothing, so that texts are refused while the folder
 // cannot be read, and what it may hold is not written over.
 func Open(files vfs.FS, dir string, opt Options) (*Ledger, error) {
 	l := &Ledger{files: files, dir: dir, opt: opt, state: newState()}
-	l.lay = l.newLayout(0)
+	l.layout = l.newLayout(0)
 	if err := l.open(); err != nil {
-		l.unread = true
+		l.unavailable = true
 		l.Close()
 		l.state = newState()
 		return l, fmt.Errorf("the lasting folder: %w", err)
@@ -101,21 +101,21 @@
 }
 
 // newLayout is one for the room that is left beside everything else in the folder.
-func (l *Ledger) newLayout(others int64) *layout.Layout {
-	room := l.opt.MaxBytes - reserveOf(l.opt.MaxBytes) - 2*layout.BlockBytes - others
-	return layout.New(layout.Limits{MaxBytes: room, MaxRecordBytes: largest, GrowthBytes: growth})
+func (l *Ledger) newLayout(setAsideBytes int64) *layout.Layout {
+	maxBytes := l.opt.MaxBytes - reserveBytes(l.opt.MaxBytes) - 2*layout.BlockBytes - setAsideBytes
+	return layout.New(layout.Limits{MaxBytes: maxBytes, MaxRecordBytes: largestRecordBytes, GrowthBytes: maxGrowthBytes})
 }
 
 func (l *Ledger) path(name string) string { return filepath.Join(l.dir, name) }
 
 // Unfinished gives the texts that have no end yet, in the order they were taken, and the notices that are due.
-func (l *Ledger) Unfinished() ([]*Text, []*Notice) { return l.state.owed() }
+func (l *Ledger) Unfinished() ([]*Text, []*Notice) { return l.state.unfinished() }
 
 // CheckClock tells the time at a start. If what is held tells of later instants, the clock was put back since.
 func (l *Ledger) CheckClock(now control.Time) {
-	if by := l.state.latest() - now; by > 0 {
-		slog.Warn("clock_put_back", "part", "ledger", "tenths_of_ms", int64(by), "texts", len(l.state.texts))
-		l.state.steppedBack(by)
+	if step := l.state.latestTime() - now; step > 0 {
+		slog.Warn("clock_put_back", "part", "ledger", "tenths_of_ms", int64(step), "texts", len(l.state.texts))
+		l.state.adjustForClockStep(step)
 	}
 }
 
@@ -123,20 +123,20 @@
 func (l *Ledger) RequiresSync() bool { return l.opt.PowerLossSafe }
 
 // Stats tells how the folder is used.
-func (l *Ledger) Stats() layout.Stats { return l.lay.Stats() }
+func (l *Ledger) Stats() layout.Stats { return l.layout.Stats() }
 
 // Close ends the use of the folder.
 func (l *Ledger) Close() error {
 	var err error
-	if !l.unread {
+	if !l.unavailable {
 		err = l.Sync()
-		l.leave()
+		l.closeTail()
 	}
 	if l.lock != nil {
 		err = errors.Join(err, l.lock.Close())
 		l.lock = nil
 	}
-	l.unread = true // nothing is written from now on
+	l.unavailable = true // nothing is written from now on
 	return err
 }
 
@@ -144,7 +144,7 @@
 func FileNames(files vfs.FS, dir string) ([]string, error) {
 	names, err := files.List(dir)
 	return slices.DeleteFunc(names, func(name string) bool {
-		_, segment := segNumber(name)
-		return !segment && name != oldName && name != lockName && name != reserveName && !strings.HasPrefix(name, badPrefix)
+		_, segment := parseSegmentName(name)
+		return !segment && name != legacyName && name != lockName && name != reserveName && !strings.HasPrefix(name, badPrefix)
 	}), err
 }
--- a/internal/delivery/ledger/ledger_test.go
+++ b/internal/delivery/ledger/ledger_test.go
@@ -33,175 +33,175 @@
 
 const dir = "state"
 
-// room of the ledgers here: small enough that cleaning goes on all the time.
-const room = 48 << 10
+// testMaxBytes of the ledgers here: small enough that cleaning goes on all the time.
+const testMaxBytes = 48 << 10
 
-type fatal interface {
+type testingT interface {
 	Helper()
 	Fatalf(string, ...any)
 }
 
-func open(t fatal, m vfs.FS, power bool) *Ledger {
+func openLedger(t testingT, m vfs.FS, power bool) *Ledger {
 	t.Helper()
-	l, err := Open(m, dir, Options{MaxBytes: room, PowerLossSafe: power})
+	l, err := Open(m, dir, Options{MaxBytes: testMaxBytes, PowerLossSafe: power})
 	if err != nil {
 		t.Fatalf("%v", err)
 	}
 	return l
 }
 
-// promise is what a text or a notice has been promised: what a start after any crash must find.
-type promise struct {
-	text    bool // a text is held; else a notice is owed
-	over    bool // neither
-	body    []byte
-	submits int
-	ran     control.Time
-	tent    bool // the submit that is out decides what ran is
+// expectation is what a text or a notice has been promised: what a start after any crash must find.
+type expectation struct {
+	held       bool // a text is held; else a notice is owed
+	ended      bool // neither
+	body       []byte
+	attempts   int
+	firstRunAt control.Time
+	tentative  bool // the submit that is out decides what ran is
 }
 
-func (p promise) String() string {
-	return fmt.Sprintf("text=%v over=%v body=%d submits=%d ran=%d", p.text, p.over, len(p.body), p.submits, p.ran)
+func (p expectation) String() string {
+	return fmt.Sprintf("text=%v over=%v body=%d submits=%d ran=%d", p.held, p.ended, len(p.body), p.attempts, p.firstRunAt)
 }
 
-// story is a workload that remembers what it was promised, and what was asked for and not answered yet: of that either
+// workload is a workload that remembers what it was promised, and what was asked for and not answered yet: of that either
 // may be found.
-type story struct {
-	power   bool
-	kept    map[string]promise // after the last Sync, or at once where the process is all that ends
-	done    map[string]promise // calls that have returned, not synced
-	pending map[string][]promise
+type workload struct {
+	powerLossSafe bool
+	guaranteed    map[string]expectation // after the last Sync, or at once where the process is all that ends
+	unsynced      map[string]expectation // calls that have returned, not synced
+	possible      map[string][]expectation
 }
 
-func newStory(power bool) *story {
-	return &story{power: power, kept: map[string]promise{}, done: map[string]promise{}, pending: map[string][]promise{}}
+func newWorkload(powerLossSafe bool) *workload {
+	return &workload{powerLossSafe: powerLossSafe, guaranteed: map[string]expectation{}, unsynced: map[string]expectation{}, possible: map[string][]expectation{}}
 }
 
-func (s *story) now(id string) (promise, bool) {
-	if p, ok := s.done[id]; ok {
+func (s *workload) current(id string) (expectation, bool) {
+	if p, ok := s.unsynced[id]; ok {
 		return p, ok
 	}
-	p, ok := s.kept[id]
+	p, ok := s.guaranteed[id]
 	return p, ok
 }
 
 // call makes one call on the ledger; next is what the text has become once it returns.
-func (s *story) call(id string, next promise, do func() error) error {
-	s.pending[id] = append(s.pending[id], next)
+func (s *workload) call(id string, next expectation, do func() error) error {
+	s.possible[id] = append(s.possible[id], next)
 	err := do()
 	if err == nil {
-		s.done[id] = next
+		s.unsynced[id] = next
 	}
-	if !s.power && err == nil {
-		s.kept[id] = next
-		delete(s.pending, id)
+	if !s.powerLossSafe && err == nil {
+		s.guaranteed[id] = next
+		delete(s.possible, id)
 	}
 	return err
 }
 
-func (s *story) sync(l *Ledger) error {
+func (s *workload) sync(l *Ledger) error {
 	err := l.Sync()
 	if err == nil {
-		for id, p := range s.done {
-			s.kept[id] = p
-			delete(s.pending, id)
+		for id, p := range s.unsynced {
+			s.guaranteed[id] = p
+			delete(s.possible, id)
 		}
-		clear(s.done)
+		clear(s.unsynced)
 	}
 	return err
 }
 
 // check looks at what a start finds.
-func (s *story) check(t fatal, l *Ledger, what string) {
+func (s *workload) check(t testingT, l *Ledger, what string) {
 	t.Helper()
 	texts, notices := l.Unfinished()
-	found := map[string]promise{}
+	found := map[string]expectation{}
 	for _, x := range texts {
-		found[x.ID] = promise{text: true, body: x.Body, submits: x.Attempts, ran: x.FirstRunAt}
+		found[x.ID] = expectation{held: true, body: x.Body, attempts: x.Attempts, firstRunAt: x.FirstRunAt}
 	}
 	for _, n := range notices {
 		if _, both := found[n.ID]; both {
 			t.Fatalf("%s: %s is held and a notice of it is owed", what, n.ID)
 		}
-		found[n.ID] = promise{}
+		found[n.ID] = expectation{}
 	}
 	ids := map[string]bool{}
 	for id := range found {
 		ids[id] = true
 	}
-	for id := range s.kept {
+	for id := range s.guaranteed {
 		ids[id] = true
 	}
 	for id := range ids {
-		may := slices.Clone(s.pending[id])
-		if p, ok := s.kept[id]; ok {
-			may = append(may, p)
+		allowed := slices.Clone(s.possible[id])
+		if p, ok := s.guaranteed[id]; ok {
+			allowed = append(allowed, p)
 		} else {
-			may = append(may, promise{over: true}) // nobody was promised anything
+			allowed = append(allowed, expectation{ended: true}) // nobody was promised anything
 		}
-		got, here := found[id]
-		got.over = !here
-		if !slices.ContainsFunc(may, func(p promise) bool {
-			return p.text == got.text && p.over == got.over && (!p.text || bytes.Equal(p.body, got.body) && p.submits == got.submits && p.ran == got.ran)
+		got, present := found[id]
+		got.ended = !present
+		if !slices.ContainsFunc(allowed, func(p expectation) bool {
+			return p.held == got.held && p.ended == got.ended && (!p.held || bytes.Equal(p.body, got.body) && p.attempts == got.attempts && p.firstRunAt == got.firstRunAt)
 		}) {
-			t.Fatalf("%s: %s is found as %+v, and may be %+v", what, id, got, may)
+			t.Fatalf("%s: %s is found as %+v, and may be %+v", what, id, got, allowed)
 		}
 	}
 }
 
-// play is the scripted workload: texts of all sizes that are submitted, answered, ended, noticed; some are held all
+// run is the scripted workload: texts of all sizes that are submitted, answered, ended, noticed; some are held all
 // along, and what is written is several times the room, so that everything is moved and removed on the way.
-func (s *story) play(l *Ledger, steps int) error {
-	c := rand.New(rand.NewPCG(3, 3))
+func (s *workload) run(l *Ledger, steps int) error {
+	rng := rand.New(rand.NewPCG(3, 3))
 	var held []string
-	fails := func(err error) bool { return err != nil && !errors.Is(err, ErrFull) }
+	unexpected := func(err error) bool { return err != nil && !errors.Is(err, ErrFull) }
 	for i := range steps {
 		id := fmt.Sprint("t", i)
-		body := bytes.Repeat([]byte{byte(i)}, []int{20, 200, 900, 3000}[c.IntN(4)])
-		p := promise{text: true, body: body}
+		body := bytes.Repeat([]byte{byte(i)}, []int{20, 200, 900, 3000}[rng.IntN(4)])
+		p := expectation{held: true, body: body}
 		if err := s.call(id, p, func() error { return l.RecordAccepted(&Text{ID: id, Body: body, ValidUntil: 5}) }); err == nil {
 			held = append(held, id)
-		} else if fails(err) {
+		} else if unexpected(err) {
 			return err
 		}
 		if len(held) == 0 {
 			continue
 		}
-		k := c.IntN(len(held))
+		k := rng.IntN(len(held))
 		id = held[k]
-		p, _ = s.now(id)
-		p.submits++
-		if p.ran == 0 {
-			p.ran, p.tent = control.Time(1000+i), true
+		p, _ = s.current(id)
+		p.attempts++
+		if p.firstRunAt == 0 {
+			p.firstRunAt, p.tentative = control.Time(1000+i), true
 		}
-		if err := s.call(id, p, func() error { return l.RecordAttempt(id, control.Time(1000+i), "z") }); fails(err) {
+		if err := s.call(id, p, func() error { return l.RecordAttempt(id, control.Time(1000+i), "z") }); unexpected(err) {
 			return err
 		}
-		if p.tent && c.IntN(2) == 0 {
-			p.ran, p.tent = 0, false
-			if err := s.call(id, p, func() error { return l.RecordResult(id, false) }); fails(err) {
+		if p.tentative && rng.IntN(2) == 0 {
+			p.firstRunAt, p.tentative = 0, false
+			if err := s.call(id, p, func() error { return l.RecordResult(id, false) }); unexpected(err) {
 				return err
 			}
 		} else {
-			p.tent = false
-			if err := s.call(id, p, func() error { return l.RecordResult(id, true) }); fails(err) {
+			p.tentative = false
+			if err := s.call(id, p, func() error { return l.RecordResult(id, true) }); unexpected(err) {
 				return err
 			}
 		}
 		if len(held) > 4 {
 			held = slices.Delete(held, k, k+1)
-			if c.IntN(3) == 0 {
-				if err := s.call(id, promise{}, func() error { return l.RecordEndOwingNotice(&Notice{ID: id, Nack: true, RetryAfter: 7}) }); err != nil {
+			if rng.IntN(3) == 0 {
+				if err := s.call(id, expectation{}, func() error { return l.RecordEndOwingNotice(&Notice{ID: id, Nack: true, RetryAfter: 7}) }); err != nil {
 					return err
 				}
 			}
-			if c.IntN(4) > 0 {
-				if err := s.call(id, promise{over: true}, func() error { return l.RecordEnd(id) }); err != nil {
+			if rng.IntN(4) > 0 {
+				if err := s.call(id, expectation{ended: true}, func() error { return l.RecordEnd(id) }); err != nil {
 					return err
 				}
 			}
 		}
-		if c.IntN(3) == 0 {
+		if rng.IntN(3) == 0 {
 			if err := s.sync(l); err != nil {
 				return err
 			}
@@ -210,8 +210,8 @@
 	return s.sync(l)
 }
 
-// scripted is the length of the scripted workload.
-const scripted = 100
+// workloadSteps is the length of the scripted workload.
+const workloadSteps = 100
 
 // TestCrashAnywhere ends the process, or the machine's power, at every call on the file system and at several bytes
 // within each write: a start finds each text as it was promised, never none and never two.
@@ -223,11 +223,11 @@
 			var calls []memfs.Call
 			m := memfs.New()
 			m.Hook = func(c memfs.Call) memfs.Fault { calls = append(calls, c); return memfs.Fault{} }
-			l := open(t, m, power)
-			if err := newStory(power).play(l, scripted); err != nil {
+			l := openLedger(t, m, power)
+			if err := newWorkload(power).run(l, workloadSteps); err != nil {
 				t.Fatal(err)
 			}
-			if s := l.Stats(); s.MovedBytes == 0 || l.number < 10 {
+			if s := l.Stats(); s.MovedBytes == 0 || l.lastSegment < 10 {
 				t.Fatalf("nothing is cleaned in this story: %+v", s)
 			}
 			points := 0
@@ -237,7 +237,7 @@
 				}
 				cuts := []int{0}
 				if c.Op == "write" {
-					cuts = []int{0, 1, frameHead, c.Bytes / 2, c.Bytes - 1, c.Bytes}
+					cuts = []int{0, 1, frameHeaderBytes, c.Bytes / 2, c.Bytes - 1, c.Bytes}
 				}
 				for _, cut := range cuts {
 					points++
@@ -256,10 +256,10 @@
 	t.Helper()
 	m := memfs.New()
 	m.Hook = func(c memfs.Call) memfs.Fault { return memfs.Fault{Crash: c.Index == call, PartialBytes: cut} }
-	s := newStory(power)
-	l, err := Open(m, dir, Options{MaxBytes: room, PowerLossSafe: power})
+	s := newWorkload(power)
+	l, err := Open(m, dir, Options{MaxBytes: testMaxBytes, PowerLossSafe: power})
 	if err == nil {
-		s.play(l, scripted)
+		s.run(l, workloadSteps)
 	}
 	mode := memfs.ProcessCrash
 	if power {
@@ -267,15 +267,15 @@
 	}
 	what := fmt.Sprintf("crash at call %d, byte %d", call, cut)
 	after := m.AfterCrash(mode, rand.New(rand.NewPCG(uint64(call), uint64(cut))))
-	l = open(t, after, power)
+	l = openLedger(t, after, power)
 	s.check(t, l, what)
-	if used := after.UsedBytes(); used > room {
-		t.Fatalf("%s: %d bytes in the folder, %d may be", what, used, room)
+	if used := after.UsedBytes(); used > testMaxBytes {
+		t.Fatalf("%s: %d bytes in the folder, %d may be", what, used, testMaxBytes)
 	}
 	// What was found is kept from now on, and a second start finds the same.
 	texts, notices := l.Unfinished()
 	l.Close()
-	l = open(t, after.AfterCrash(memfs.ProcessCrash, nil), power)
+	l = openLedger(t, after.AfterCrash(memfs.ProcessCrash, nil), power)
 	texts2, notices2 := l.Unfinished()
 	if fmt.Sprint(ids(texts)) != fmt.Sprint(ids(texts2)) || len(notices) != len(notices2) {
 		t.Fatalf("%s: the second start finds %v, the first %v", what, ids(texts2), ids(texts))
@@ -294,8 +294,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		power := rapid.Bool().Draw(t, "power")
 		m := memfs.New()
-		s := newStory(power)
-		l := open(t, m, power)
+		s := newWorkload(power)
+		l := openLedger(t, m, power)
 		var known []string
 		broken := syscall.Errno(0)
 		hook := func(c memfs.Call) memfs.Fault {
@@ -309,18 +309,18 @@
 			broken = 0
 			m = m.AfterCrash(mode, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
 			m.Hook = hook
-			l = open(t, m, power)
+			l = openLedger(t, m, power)
 			s.check(t, l, "start")
-			s.done, s.pending = map[string]promise{}, map[string][]promise{}
-			s.kept = map[string]promise{}
+			s.unsynced, s.possible = map[string]expectation{}, map[string][]expectation{}
+			s.guaranteed = map[string]expectation{}
 			known = nil
 			texts, notices := l.Unfinished()
 			for _, x := range texts {
-				s.kept[x.ID] = promise{text: true, body: x.Body, submits: x.Attempts, ran: x.FirstRunAt}
+				s.guaranteed[x.ID] = expectation{held: true, body: x.Body, attempts: x.Attempts, firstRunAt: x.FirstRunAt}
 				known = append(known, x.ID)
 			}
 			for _, n := range notices {
-				s.kept[n.ID] = promise{}
+				s.guaranteed[n.ID] = expectation{}
 			}
 		}
 		for i := range rapid.IntRange(1, 120).Draw(t, "steps") {
@@ -328,38 +328,38 @@
 			if len(known) > 0 {
 				id = known[rapid.IntRange(0, len(known)-1).Draw(t, "id")]
 			}
-			p, ok := s.now(id)
-			ok = ok && p.text
+			p, ok := s.current(id)
+			ok = ok && p.held
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0, 1, 2:
 				id := fmt.Sprint("t", i)
 				body := bytes.Repeat([]byte{byte(i), '\n', 0}, rapid.IntRange(0, 1500).Draw(t, "body"))
-				if s.call(id, promise{text: true, body: body}, func() error { return l.RecordAccepted(&Text{ID: id, Body: body}) }) == nil {
+				if s.call(id, expectation{held: true, body: body}, func() error { return l.RecordAccepted(&Text{ID: id, Body: body}) }) == nil {
 					known = append(known, id)
 				} else if broken != 0 && power {
-					s.pending[id] = append(s.pending[id], promise{text: true, body: body})
+					s.possible[id] = append(s.possible[id], expectation{held: true, body: body})
 				}
 			case 3:
-				if ok && !p.tent {
-					p.submits++
-					if p.ran == 0 {
-						p.ran, p.tent = control.Time(1000+i), true
+				if ok && !p.tentative {
+					p.attempts++
+					if p.firstRunAt == 0 {
+						p.firstRunAt, p.tentative = control.Time(1000+i), true
 					}
 					s.call(id, p, func() error { return l.RecordAttempt(id, control.Time(1000+i), "z") })
 				}
 			case 4:
-				if ok && p.tent {
-					p.ran, p.tent = 0, false
+				if ok && p.tentative {
+					p.firstRunAt, p.tentative = 0, false
 					s.call(id, p, func() error { return l.RecordResult(id, false) })
 				}
 			case 5:
 				if ok { // where that cannot be written it is tried again: either may be found
-					s.call(id, promise{over: true}, func() error { return l.RecordEnd(id) })
+					s.call(id, expectation{ended: true}, func() error { return l.RecordEnd(id) })
 					known = slices.DeleteFunc(known, func(o string) bool { return o == id })
 				}
 			case 6:
 				if ok {
-					s.call(id, promise{}, func() error { return l.RecordEndOwingNotice(&Notice{ID: id, Nack: true, RetryAfter: 7}) })
+					s.call(id, expectation{}, func() error { return l.RecordEndOwingNotice(&Notice{ID: id, Nack: true, RetryAfter: 7}) })
 					known = slices.DeleteFunc(known, func(o string) bool { return o == id })
 				}
 			case 7:
@@ -375,11 +375,11 @@
 				}
 				again(mode)
 			}
-			if bad := l.lay.CheckInvariants(); bad != "" {
+			if bad := l.layout.CheckInvariants(); bad != "" {
 				t.Fatalf("%s", bad)
 			}
-			if used := m.UsedBytes(); used > room {
-				t.Fatalf("%d bytes in the folder, %d may be", used, room)
+			if used := m.UsedBytes(); used > testMaxBytes {
+				t.Fatalf("%d bytes in the folder, %d may be", used, testMaxBytes)
 			}
 		}
 		again(memfs.ProcessCrash)
@@ -441,7 +441,7 @@
 // A folder that turns read-only and back: nothing is taken on, ends are caught up.
 func TestReadOnlyForATime(t *testing.T) {
 	m := memfs.New()
-	l := open(t, m, true)
+	l := openLedger(t, m, true)
 	l.RecordAccepted(&Text{ID: "a"})
 	l.RecordAccepted(&Text{ID: "b"})
 	l.Sync()
@@ -458,7 +458,7 @@
 	if err := l.Sync(); err != nil {
 		t.Fatal(err)
 	}
-	l = open(t, m.AfterCrash(memfs.PowerLoss, rand.New(rand.NewPCG(1, 1))), true)
+	l = openLedger(t, m.AfterCrash(memfs.PowerLoss, rand.New(rand.NewPCG(1, 1))), true)
 	if texts, _ := l.Unfinished(); fmt.Sprint(ids(texts)) != "[a]" || texts[0].Attempts != 0 {
 		t.Errorf("%+v", *texts[0])
 	}
@@ -466,30 +466,30 @@
 
 func TestSecondProcessIsRefused(t *testing.T) {
 	m := memfs.New()
-	open(t, m, false)
-	if _, err := Open(m, dir, Options{MaxBytes: room}); !errors.Is(err, vfs.ErrLocked) {
+	openLedger(t, m, false)
+	if _, err := Open(m, dir, Options{MaxBytes: testMaxBytes}); !errors.Is(err, vfs.ErrLocked) {
 		t.Error(err)
 	}
 	// The real lock, and that it says who has it.
 	at := t.TempDir()
-	l, err := Open(vfs.OS{}, at, Options{MaxBytes: room})
+	l, err := Open(vfs.OS{}, at, Options{MaxBytes: testMaxBytes})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(vfs.OS{}, at, Options{MaxBytes: room}); !errors.Is(err, vfs.ErrLocked) || !strings.Contains(err.Error(), fmt.Sprint("process ", os.Getpid())) {
+	if _, err := Open(vfs.OS{}, at, Options{MaxBytes: testMaxBytes}); !errors.Is(err, vfs.ErrLocked) || !strings.Contains(err.Error(), fmt.Sprint("process ", os.Getpid())) {
 		t.Error(err)
 	}
 	l.Close()
-	if l, err = Open(vfs.OS{}, at, Options{MaxBytes: room}); err != nil {
+	if l, err = Open(vfs.OS{}, at, Options{MaxBytes: testMaxBytes}); err != nil {
 		t.Error(err)
 	}
 	l.Close()
 }
 
-// damaged makes a folder of several segments, and gives the name of one in the middle.
-func damaged(t *testing.T, power bool) (m *memfs.FS, middle string) {
+// newSegmentedFolder makes a folder of several segments, and gives the name of one in the middle.
+func newSegmentedFolder(t *testing.T, power bool) (m *memfs.FS, middle string) {
 	m = memfs.New()
-	l := open(t, m, power)
+	l := openLedger(t, m, power)
 	for i := range 14 {
 		if err := l.RecordAccepted(&Text{ID: fmt.Sprint("t", i), Body: make([]byte, 900), AcceptedAt: control.Time(i + 1)}); err != nil {
 			t.Fatal(err)
@@ -499,26 +499,26 @@
 	l.RecordEnd("t0")
 	l.Sync()
 	l.Close()
-	var segs []string
+	var segments []string
 	for _, n := range m.FileNames() {
-		if _, ok := segNumber(filepath.Base(n)); ok {
-			segs = append(segs, n)
+		if _, ok := parseSegmentName(filepath.Base(n)); ok {
+			segments = append(segments, n)
 		}
 	}
-	if len(segs) < 4 {
-		t.Fatal(segs)
+	if len(segments) < 4 {
+		t.Fatal(segments)
 	}
-	return m, segs[1]
+	return m, segments[1]
 }
 
 // A corrupt segment in the middle costs what was in it, and no more: it is set aside, and what may have happened in it
 // is taken to have happened.
 func TestCorruptSegment(t *testing.T) {
 	for _, power := range []bool{false, true} {
-		m, middle := damaged(t, power)
+		m, middle := newSegmentedFolder(t, power)
 		data := m.Data(middle)
-		data[segHead+40] ^= 4 // one bit, in the first record
-		l := open(t, m.AfterCrash(memfs.ProcessCrash, nil), power)
+		data[segmentHeaderBytes+40] ^= 4 // one bit, in the first record
+		l := openLedger(t, m.AfterCrash(memfs.ProcessCrash, nil), power)
 		texts, _ := l.Unfinished()
 		if len(texts) != 12 {
 			t.Errorf("%d texts are left: %v", len(texts), ids(texts))
@@ -544,15 +544,15 @@
 
 // A segment that is gone altogether, and one whose head is spoilt.
 func TestMissingSegment(t *testing.T) {
-	m, middle := damaged(t, false)
+	m, middle := newSegmentedFolder(t, false)
 	m.Remove(middle)
-	l := open(t, m, false)
+	l := openLedger(t, m, false)
 	if texts, _ := l.Unfinished(); len(texts) == 0 || len(texts) > 12 || texts[0].FirstRunAt == 0 {
 		t.Errorf("%+v", texts)
 	}
-	m, middle = damaged(t, false)
+	m, middle = newSegmentedFolder(t, false)
 	copy(m.Data(middle), "nonsense")
-	l = open(t, m.AfterCrash(memfs.ProcessCrash, nil), false)
+	l = openLedger(t, m.AfterCrash(memfs.ProcessCrash, nil), false)
 	if texts, _ := l.Unfinished(); len(texts) != 13 || texts[0].FirstRunAt != 0 {
 		t.Errorf("with a spoilt head %v", ids(texts))
 	}
@@ -565,16 +565,18 @@
 		b := binary.LittleEndian.AppendUint32(nil, uint32(len(p)))
 		return append(binary.LittleEndian.AppendUint32(b, crc32.ChecksumIEEE(p)), p...)
 	}
-	text := func(id, body string) []byte { return old(taken, (&Text{ID: id, Body: []byte(body)}).record().payload) }
-	raw := slices.Concat(text("a", "one\x00"), text("b", "two"), old(submitted, encode(sent{"a", 0, 77, "z"})), text("c", "three"),
-		old(ended, encode(named{"b"})), old(untold, encode(Notice{ID: "c", Nack: true, RetryAfter: 5})), text("d", "four"), text("torn", "xx")[:30])
+	text := func(id, body string) []byte {
+		return old(kindAccepted, (&Text{ID: id, Body: []byte(body)}).toRecord().payload)
+	}
+	raw := slices.Concat(text("a", "one\x00"), text("b", "two"), old(kindAttempt, mustMarshal(attemptRecord{"a", 0, 77, "z"})), text("c", "three"),
+		old(kindEnded, mustMarshal(idRecord{"b"})), old(kindEndedOwingNotice, mustMarshal(Notice{ID: "c", Nack: true, RetryAfter: 5})), text("d", "four"), text("torn", "xx")[:30])
 	for crash := range 60 {
 		m := memfs.New()
 		m.Put("state/ledger", raw)
 		m.Hook = func(c memfs.Call) memfs.Fault { return memfs.Fault{Crash: c.Index == crash, PartialBytes: c.Bytes / 2} }
-		Open(m, dir, Options{MaxBytes: room})
+		Open(m, dir, Options{MaxBytes: testMaxBytes})
 		m = m.AfterCrash(memfs.PowerLoss, rand.New(rand.NewPCG(uint64(crash), 2)))
-		l := open(t, m, false)
+		l := openLedger(t, m, false)
 		texts, notices := l.Unfinished()
 		if fmt.Sprint(ids(texts)) != "[a d]" || string(texts[0].Body) != "one\x00" || texts[0].Attempts != 1 || texts[0].FirstRunAt != 77 ||
 			texts[0].FirstRunZone != "z" || len(notices) != 1 || notices[0].RetryAfter != 5 {
@@ -589,8 +591,8 @@
 // Ten thousand texts are held at a start, and all of them found in the order they were taken.
 func TestTenThousandHeld(t *testing.T) {
 	m := memfs.New()
-	opt := Options{MaxBytes: 20e6}
-	l, err := Open(m, dir, opt)
+	options := Options{MaxBytes: 20e6}
+	l, err := Open(m, dir, options)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -599,7 +601,7 @@
 			t.Fatal(err)
 		}
 	}
-	if l, err = Open(m.AfterCrash(memfs.ProcessCrash, nil), dir, opt); err != nil {
+	if l, err = Open(m.AfterCrash(memfs.ProcessCrash, nil), dir, options); err != nil {
 		t.Fatal(err)
 	}
 	texts, _ := l.Unfinished()
@@ -616,8 +618,8 @@
 // The live state written anew reads back as itself.
 func TestSnapshotIsTheSame(t *testing.T) {
 	m := memfs.New()
-	l := open(t, m, true)
-	if err := newStory(true).play(l, 100); err != nil {
+	l := openLedger(t, m, true)
+	if err := newWorkload(true).run(l, 100); err != nil {
 		t.Fatal(err)
 	}
 	texts, notices := l.Unfinished()
@@ -643,23 +645,23 @@
 
 // Whatever a segment holds, reading it ends, in bounded memory, and what is whole in it is found.
 func FuzzSegment(f *testing.F) {
-	r := (&Text{ID: "a", Body: []byte("body")}).record()
-	whole := frame(segmentHead(3, 7, false, 0), r, 7)
-	whole = frame(whole, note(submitted, sent{"a", 1, 5, ""}), 8)
+	r := (&Text{ID: "a", Body: []byte("body")}).toRecord()
+	whole := appendFrame(encodeSegmentHeader(3, 7, false, 0), r, 7)
+	whole = appendFrame(whole, jsonRecord(kindAttempt, attemptRecord{"a", 1, 5, ""}), 8)
 	f.Add(whole)
 	f.Add(whole[:len(whole)-3])
-	f.Add(append(segmentHead(3, 7, false, 0), bytes.Repeat([]byte{frameMagic}, 9000)...))
+	f.Add(append(encodeSegmentHeader(3, 7, false, 0), bytes.Repeat([]byte{frameMagic}, 9000)...))
 	f.Add([]byte("emberseg"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		m := memfs.New()
-		m.Put("state/"+segName(3), raw)
+		m.Put("state/"+segmentName(3), raw)
 		found, texts, _, err := Inspect(m, dir)
 		if err != nil || found.Records < len(texts) {
 			t.Fatalf("%v %+v", err, found)
 		}
 		m.Put("state/ledger", raw)
 		Inspect(m, dir)
-		for _, size := range []int64{room, layout.BlockBytes} {
+		for _, size := range []int64{testMaxBytes, layout.BlockBytes} {
 			if l, err := Open(m, dir, Options{MaxBytes: size}); err == nil {
 				l.RecordAccepted(&Text{ID: "new"})
 				l.Close()
--- a/internal/delivery/ledger/old.go
+++ b/internal/delivery/ledger/old.go
@@ -11,72 +11,72 @@
 // have them. It is read once and carried over.
 
 const (
-	oldName = "ledger"
-	oldNew  = "ledger.new" // one that was not finished counts for nothing
-	oldHead = 8
+	legacyName        = "ledger"
+	legacyTempName    = "ledger.new" // one that was not finished counts for nothing
+	legacyHeaderBytes = 8
 )
 
-// replayOld takes from the front what is whole. Behind it may stand a record that the process's death cut short, of torn
+// replayLegacy takes from the front what is whole. Behind it may stand a record that the process's death cut short, of torn
 // bytes, which was promised to no one. Anything else there is bad: records may be lost in it, and texts that are held by
 // then may have run since.
-func (s *state) replayOld(raw []byte) (torn int64, bad string) {
+func (s *state) replayLegacy(raw []byte) (torn int64, bad string) {
 	at := 0
 	for at < len(raw) {
-		payload, size := unframeOld(raw[at:])
+		payload, size := parseLegacyFrame(raw[at:])
 		if size == 0 || !s.apply(payload[0], payload[1:]) {
 			break
 		}
 		at += size
 	}
 	rest := raw[at:]
-	if cutShortOld(rest) {
+	if isTornLegacyTail(rest) {
 		return int64(len(rest)), ""
 	}
-	s.doubt()
+	s.assumeAllMayHaveRun()
 	return 0, fmt.Sprintf("%d bytes from byte %d on are no records", len(rest), at)
 }
 
-// unframeOld takes a record from the front; size 0 if none is whole there.
-func unframeOld(raw []byte) (payload []byte, size int) {
-	if len(raw) < oldHead {
+// parseLegacyFrame takes a record from the front; size 0 if none is whole there.
+func parseLegacyFrame(raw []byte) (payload []byte, size int) {
+	if len(raw) < legacyHeaderBytes {
 		return nil, 0
 	}
-	n, sum := binary.LittleEndian.Uint32(raw), binary.LittleEndian.Uint32(raw[4:])
-	if n == 0 || n > mostRecord || int64(len(raw)) < oldHead+int64(n) {
+	length, sum := binary.LittleEndian.Uint32(raw), binary.LittleEndian.Uint32(raw[4:])
+	if length == 0 || length > maxPayloadBytes || int64(len(raw)) < legacyHeaderBytes+int64(length) {
 		return nil, 0
 	}
-	payload = raw[oldHead : oldHead+n]
+	payload = raw[legacyHeaderBytes : legacyHeaderBytes+length]
 	if crc32.ChecksumIEEE(payload) != sum {
 		return nil, 0
 	}
-	return payload, oldHead + int(n)
+	return payload, legacyHeaderBytes + int(length)
 }
 
-// cutShortOld says whether what stands behind the last whole record is the begin of one more, or zeros that a write left
+// isTornLegacyTail says whether what stands behind the last whole record is the begin of one more, or zeros that a write left
 // which never came. A length that was changed may seem to go beyond the end, so nothing whole may stand further on.
-func cutShortOld(rest []byte) bool {
-	if len(bytes.Trim(rest, "\x00")) == 0 || len(rest) < oldHead {
+func isTornLegacyTail(rest []byte) bool {
+	if len(bytes.Trim(rest, "\x00")) == 0 || len(rest) < legacyHeaderBytes {
 		return true
 	}
-	n := binary.LittleEndian.Uint32(rest)
-	if n == 0 || n > mostRecord || oldHead+int64(n) <= int64(len(rest)) {
+	length := binary.LittleEndian.Uint32(rest)
+	if length == 0 || length > maxPayloadBytes || legacyHeaderBytes+int64(length) <= int64(len(rest)) {
 		return false
 	}
-	if len(rest) > oldHead && !knownKind(rest[oldHead]) {
+	if len(rest) > legacyHeaderBytes && !isKnownKind(rest[legacyHeaderBytes]) {
 		return false
 	}
-	return !wholeBehindOld(rest)
+	return !hasLegacyFrameAfter(rest)
 }
 
-// wholeBehindOld looks for a whole record behind the first byte, at a bounded number of places that may be one's begin.
-func wholeBehindOld(rest []byte) bool {
-	looks := 0
-	for at := 1; at+oldHead < len(rest) && looks < mostResyncs; at++ {
-		if !knownKind(rest[at+oldHead]) {
+// hasLegacyFrameAfter looks for a whole record behind the first byte, at a bounded number of places that may be one's begin.
+func hasLegacyFrameAfter(rest []byte) bool {
+	probes := 0
+	for at := 1; at+legacyHeaderBytes < len(rest) && probes < maxResyncProbes; at++ {
+		if !isKnownKind(rest[at+legacyHeaderBytes]) {
 			continue
 		}
-		looks++
-		if _, size := unframeOld(rest[at:]); size > 0 {
+		probes++
+		if _, size := parseLegacyFrame(rest[at:]); size > 0 {
 			return true
 		}
 	}
--- a/internal/delivery/ledger/old_test.go
+++ b/internal/delivery/ledger/old_test.go
@@ -12,30 +12,30 @@
 	"emberquay/internal/vfs/memfs"
 )
 
-// oldRecord is a record as the form of before has it.
-func oldRecord(kind byte, payload []byte) []byte {
+// legacyRecord is a record as the form of before has it.
+func legacyRecord(kind byte, payload []byte) []byte {
 	p := append([]byte{kind}, payload...)
 	b := binary.LittleEndian.AppendUint32(nil, uint32(len(p)))
 	return append(binary.LittleEndian.AppendUint32(b, crc32.ChecksumIEEE(p)), p...)
 }
 
-func oldText(id string) []byte {
-	return oldRecord(taken, (&Text{ID: id, Body: []byte("body of " + id), AcceptedAt: 40}).record().payload)
+func legacyText(id string) []byte {
+	return legacyRecord(kindAccepted, (&Text{ID: id, Body: []byte("body of " + id), AcceptedAt: 40}).toRecord().payload)
 }
 
-// noise is the same on every run.
-func noise(bytes int) []byte {
-	random := rand.New(rand.NewPCG(4096, 7))
-	b := make([]byte, bytes)
+// randomBytes is the same on every run.
+func randomBytes(size int) []byte {
+	rng := rand.New(rand.NewPCG(4096, 7))
+	b := make([]byte, size)
 	for i := range b {
-		b[i] = byte(random.Uint32())
+		b[i] = byte(rng.Uint32())
 	}
 	return b
 }
 
 // What cannot be read of a file of the old form is told, and what stands before it is served as if it may have run since.
 func TestOldFormThatCannotBeRead(t *testing.T) {
-	a, b, c := oldText("a"), oldText("b"), oldText("c")
+	a, b, c := legacyText("a"), legacyText("b"), legacyText("c")
 	flipped := slices.Concat(a, b, c)
 	flipped[len(a)+20] ^= 1
 	longer := slices.Concat(a, b, c)
@@ -46,11 +46,11 @@
 		want string // ids that are served
 		bad  string
 	}{
-		{"noise", noise(4096), "[]", "4096 bytes from byte 0 on are no records"},
-		{"noise behind records", slices.Concat(a, b, noise(4096)), "[a b]", fmt.Sprintf("4096 bytes from byte %d on are no records", len(a)+len(b))},
+		{"noise", randomBytes(4096), "[]", "4096 bytes from byte 0 on are no records"},
+		{"noise behind records", slices.Concat(a, b, randomBytes(4096)), "[a b]", fmt.Sprintf("4096 bytes from byte %d on are no records", len(a)+len(b))},
 		{"a bit in the middle", flipped, "[a]", fmt.Sprintf("%d bytes from byte %d on are no records", len(b)+len(c), len(a))},
 		{"a length in the middle", longer, "[a]", fmt.Sprintf("%d bytes from byte %d on are no records", len(b)+len(c), len(a))},
-		{"a record that makes no sense", slices.Concat(a, oldRecord('?', []byte("{}")), c), "[a]", fmt.Sprintf("%d bytes from byte %d on are no records", 11+len(c), len(a))},
+		{"a record that makes no sense", slices.Concat(a, legacyRecord('?', []byte("{}")), c), "[a]", fmt.Sprintf("%d bytes from byte %d on are no records", 11+len(c), len(a))},
 		{"zeros and a record", slices.Concat(a, make([]byte, 600), c), "[a]", fmt.Sprintf("%d bytes from byte %d on are no records", 600+len(c), len(a))},
 	}
 	for _, x := range cases {
@@ -60,7 +60,7 @@
 		if err != nil || found.Intact() || found.OldBad != x.bad || fmt.Sprint(ids(texts)) != x.want {
 			t.Errorf("%s: %v %+v %v", x.name, err, found, ids(texts))
 		}
-		l, err := Open(m, dir, Options{MaxBytes: room})
+		l, err := Open(m, dir, Options{MaxBytes: testMaxBytes})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -77,7 +77,7 @@
 		if kept := m.Data("state/bad-ledger"); !bytes.Equal(kept, x.raw) || slices.Contains(m.FileNames(), "state/ledger") {
 			t.Errorf("%s: %d bytes set aside of %d, %v", x.name, len(kept), len(x.raw), m.FileNames())
 		}
-		if l, err = Open(m, dir, Options{MaxBytes: room}); err != nil || l.LegacyDamage() != "" {
+		if l, err = Open(m, dir, Options{MaxBytes: testMaxBytes}); err != nil || l.LegacyDamage() != "" {
 			t.Errorf("%s: the next start %v %q", x.name, err, l.LegacyDamage())
 		}
 	}
@@ -85,7 +85,7 @@
 
 // A last record that the process's death cut short anywhere was promised to no one.
 func TestOldFormCutShort(t *testing.T) {
-	a, b := oldText("a"), oldText("b")
+	a, b := legacyText("a"), legacyText("b")
 	for end := range len(b) {
 		m := memfs.New()
 		m.Put("state/ledger", slices.Concat(a, b[:end]))
@@ -103,14 +103,14 @@
 
 // Wherever the power goes while a damaged file is carried over: what could be read is served, and no byte of it is gone.
 func TestOldFormThatCannotBeReadAtACrash(t *testing.T) {
-	raw := slices.Concat(oldText("a"), noise(4096))
+	raw := slices.Concat(legacyText("a"), randomBytes(4096))
 	for crash := range 60 {
 		m := memfs.New()
 		m.Put("state/ledger", raw)
 		m.Hook = func(c memfs.Call) memfs.Fault { return memfs.Fault{Crash: c.Index == crash, PartialBytes: c.Bytes / 2} }
-		Open(m, dir, Options{MaxBytes: room})
+		Open(m, dir, Options{MaxBytes: testMaxBytes})
 		m = m.AfterCrash(memfs.PowerLoss, rand.New(rand.NewPCG(uint64(crash), 2)))
-		l := open(t, m, false)
+		l := openLedger(t, m, false)
 		if texts, _ := l.Unfinished(); fmt.Sprint(ids(texts)) != "[a]" || texts[0].FirstRunAt == 0 {
 			t.Fatalf("crash at call %d: %+v", crash, texts)
 		}
--- a/internal/delivery/ledger/open.go
+++ b/internal/delivery/ledger/open.go
@@ -16,42 +16,42 @@
 		return err
 	}
 	l.lock = lock
-	others, err := l.others()
+	setAsideBytes, err := l.setAsideBytes()
 	if err != nil {
 		return err
 	}
-	l.lay = l.newLayout(others)
-	found, err := load(l.files, l.dir, l.lay)
+	l.layout = l.newLayout(setAsideBytes)
+	found, err := loadFolder(l.files, l.dir, l.layout)
 	if err != nil {
 		return err
 	}
-	l.state, l.seq, l.promised = found.state, found.last, found.promised
+	l.state, l.lastSeq, l.syncedSeq = found.state, found.lastSeq, found.syncedSeq
 	for _, s := range found.Segments {
-		l.number = max(l.number, s.Number)
+		l.lastSegment = max(l.lastSegment, s.Number)
 	}
 	slog.Info("opened", "part", "ledger", "segments", len(found.Segments), "records", found.Records, "texts", found.Texts,
 		"notices", found.Notices, "torn", found.Torn)
 	if opt := l.opt; opt.PowerLossSafe { // what is acted on from now on must not go with the power
-		if err := l.syncAll(found); err != nil {
+		if err := l.syncSegments(found); err != nil {
 			return err
 		}
 	}
 	if found.Old {
-		if err := l.carryOver(found); err != nil {
+		if err := l.migrateLegacy(found); err != nil {
 			return err
 		}
 	}
-	l.hold()
+	l.createReserve()
 	if !found.Intact() {
-		l.mend(found)
+		l.repair(found)
 	}
 	return nil
 }
 
-// syncAll has what was found on the disk: the process before may have ended between a write and its sync.
-func (l *Ledger) syncAll(found *Inspection) error {
+// syncSegments has what was found on the disk: the process before may have ended between a write and its sync.
+func (l *Ledger) syncSegments(found *Inspection) error {
 	for _, s := range found.Segments {
-		f, err := l.files.Open(l.path(segName(s.Number)))
+		f, err := l.files.Open(l.path(segmentName(s.Number)))
 		if err != nil {
 			return err
 		}
@@ -63,12 +63,12 @@
 			return err
 		}
 	}
-	l.promised = l.seq
+	l.syncedSeq = l.lastSeq
 	return l.files.SyncDir(l.dir)
 }
 
-// others counts what else is in the folder, but for what is ours to use.
-func (l *Ledger) others() (sum int64, err error) {
+// setAsideBytes counts what else is in the folder, but for what is ours to use.
+func (l *Ledger) setAsideBytes() (sum int64, err error) {
 	names, err := l.files.List(l.dir)
 	if err != nil {
 		return 0, err
@@ -91,38 +91,38 @@
 	return sum, nil
 }
 
-// carryOver writes what the old form holds into segments. Until the old file is removed, or set aside where not all of
+// migrateLegacy writes what the old form holds into segments. Until the old file is removed, or set aside where not all of
 // it can be read, nothing of them counts.
-func (l *Ledger) carryOver(found *Inspection) error {
-	if l.oldBad = found.OldBad; l.oldBad != "" {
-		slog.Error("damaged", "part", "ledger", "file", oldName, "err", l.oldBad, "unknown_texts", strings.Join(found.Unknown, ","))
+func (l *Ledger) migrateLegacy(found *Inspection) error {
+	if l.legacyDamage = found.OldBad; l.legacyDamage != "" {
+		slog.Error("damaged", "part", "ledger", "file", legacyName, "err", l.legacyDamage, "unknown_texts", strings.Join(found.Unknown, ","))
 	}
 	names, err := l.files.List(l.dir)
 	if err != nil {
 		return err
 	}
 	for _, name := range names {
-		if _, segment := segNumber(name); segment || name == oldNew {
+		if _, segment := parseSegmentName(name); segment || name == legacyTempName {
 			if err := l.files.Remove(l.path(name)); err != nil {
 				return err
 			}
 		}
 	}
-	texts, notices := l.state.owed()
+	texts, notices := l.state.unfinished()
 	for _, t := range texts {
-		if err := l.move(t.ID); err != nil {
+		if err := l.rewriteLive(t.ID); err != nil {
 			return err
 		}
 	}
 	for _, n := range notices {
-		if err := l.move(n.ID); err != nil {
+		if err := l.rewriteLive(n.ID); err != nil {
 			return err
 		}
 	}
-	if err := l.settled(); err != nil { // in either mode: it happens once
+	if err := l.forceSync(); err != nil { // in either mode: it happens once
 		return err
 	}
-	if err := l.giveUp(oldName, l.oldBad != ""); err != nil {
+	if err := l.discardFile(legacyName, l.legacyDamage != ""); err != nil {
 		return err
 	}
 	slog.Info("carried_over", "part", "ledger", "texts", len(texts), "notices", len(notices))
--- a/internal/delivery/ledger/reserve.go
+++ b/internal/delivery/ledger/reserve.go
@@ -7,15 +7,15 @@
 	"emberquay/internal/vfs"
 )
 
-// reserveOf is how much is held back for ends when somebody else fills the disk.
-func reserveOf(room int64) int64 {
-	return min(room/64, 1<<20) / layout.BlockBytes * layout.BlockBytes
+// reserveBytes is how much is held back for ends when somebody else fills the disk.
+func reserveBytes(maxBytes int64) int64 {
+	return min(maxBytes/64, 1<<20) / layout.BlockBytes * layout.BlockBytes
 }
 
-// hold holds room back for ends, as a file that can be removed.
-func (l *Ledger) hold() {
-	want := reserveOf(l.opt.MaxBytes)
-	if l.reserve > 0 || want == 0 || len(l.pending) > 0 {
+// createReserve holds room back for ends, as a file that can be removed.
+func (l *Ledger) createReserve() {
+	size := reserveBytes(l.opt.MaxBytes)
+	if l.reserveSize > 0 || size == 0 || len(l.unwritten) > 0 {
 		return
 	}
 	f, err := l.files.Create(l.path(reserveName))
@@ -23,19 +23,19 @@
 		return
 	}
 	defer f.Close()
-	if _, err := f.WriteAt(make([]byte, want), 0); err != nil {
+	if _, err := f.WriteAt(make([]byte, size), 0); err != nil {
 		l.files.Remove(l.path(reserveName))
 		return
 	}
-	l.reserve = want
+	l.reserveSize = size
 }
 
-// release gives up what is held back, if the disk is full and there is any.
-func (l *Ledger) release(err error) bool {
-	if !vfs.IsFull(err) || l.reserve == 0 {
+// releaseReserve gives up what is held back, if the disk is full and there is any.
+func (l *Ledger) releaseReserve(err error) bool {
+	if !vfs.IsFull(err) || l.reserveSize == 0 {
 		return false
 	}
-	l.reserve = 0
+	l.reserveSize = 0
 	slog.Warn("reserve_used", "part", "ledger", "err", err)
 	return l.files.Remove(l.path(reserveName)) == nil
 }
--- a/internal/delivery/ledger/state.go
+++ b/internal/delivery/ledger/state.go
@@ -43,55 +43,55 @@
 
 // The kinds of record.
 const (
-	taken     = 'T'
-	submitted = 'S'
-	neverRan  = 'N'
-	ended     = 'E'
-	untold    = 'U' // ended, and a notice is owed
-	synced    = 'M' // all up to a number is on the disk
+	kindAccepted         = 'T'
+	kindAttempt          = 'S'
+	kindNotRun           = 'N'
+	kindEnded            = 'E'
+	kindEndedOwingNotice = 'U' // ended, and a notice is owed
+	kindSyncMark         = 'M' // all up to a number is on the disk
 )
 
-// knownKind says whether records of a kind are ever written.
-func knownKind(kind byte) bool {
+// isKnownKind says whether records of a kind are ever written.
+func isKnownKind(kind byte) bool {
 	switch kind {
-	case taken, submitted, neverRan, ended, untold, synced:
+	case kindAccepted, kindAttempt, kindNotRun, kindEnded, kindEndedOwingNotice, kindSyncMark:
 		return true
 	}
 	return false
 }
 
-type sent struct {
-	ID   string       `json:"id"`
-	No   int          `json:"n,omitempty"` // how many there are with it: it may be written twice
-	At   control.Time `json:"at"`
-	Zone string       `json:"zone,omitempty"`
+type attemptRecord struct {
+	ID     string       `json:"id"`
+	Number int          `json:"n,omitempty"` // how many there are with it: it may be written twice
+	At     control.Time `json:"at"`
+	Zone   string       `json:"zone,omitempty"`
 }
 
-type named struct {
+type idRecord struct {
 	ID string `json:"id"`
 }
 
 // state is what is live: it is made by records, one after the other, and gives records that make it anew. It does no
 // I/O.
 type state struct {
-	texts   map[string]*Text
-	notices map[string]*Notice
-	order   uint64
-	named   string          // the id in the last record
-	unknown map[string]bool // named by a record, and not there: perhaps a lost text; bounded
+	texts      map[string]*Text
+	notices    map[string]*Notice
+	lastSeq    uint64
+	lastID     string          // the id in the last record
+	unknownIDs map[string]bool // named by a record, and not there: perhaps a lost text; bounded
 }
 
-// mostUnknown bounds the ids that are remembered for the log.
-const mostUnknown = 64
+// maxUnknownIDs bounds the ids that are remembered for the log.
+const maxUnknownIDs = 64
 
 func newState() *state {
-	return &state{texts: map[string]*Text{}, notices: map[string]*Notice{}, unknown: map[string]bool{}}
+	return &state{texts: map[string]*Text{}, notices: map[string]*Notice{}, unknownIDs: map[string]bool{}}
 }
 
 // apply does what a record says; false if it makes no sense.
 func (s *state) apply(kind byte, payload []byte) bool {
 	switch kind {
-	case taken:
+	case kindAccepted:
 		k, n := binary.Uvarint(payload)
 		if n <= 0 || k > uint64(len(payload)-n) {
 			return false
@@ -101,95 +101,95 @@
 			return false
 		}
 		t.Body = slices.Clone(payload[n+int(k):])
-		s.named = t.ID
-		s.add(t)
-	case submitted:
-		var r sent
+		s.lastID = t.ID
+		s.addText(t)
+	case kindAttempt:
+		var r attemptRecord
 		if json.Unmarshal(payload, &r) != nil {
 			return false
 		}
 		if t := s.texts[r.ID]; t != nil {
-			t.out(cmp.Or(r.No, t.Attempts+1), r.At, r.Zone)
+			t.startAttempt(cmp.Or(r.Number, t.Attempts+1), r.At, r.Zone)
 		} else {
-			s.wonder(r.ID)
+			s.addUnknown(r.ID)
 		}
-	case untold:
+	case kindEndedOwingNotice:
 		n := &Notice{}
 		if json.Unmarshal(payload, n) != nil || n.ID == "" {
 			return false
 		}
-		s.named = n.ID
-		s.end(n.ID)
-		s.owe(n)
-	case neverRan, ended:
-		var id named
+		s.lastID = n.ID
+		s.remove(n.ID)
+		s.addNotice(n)
+	case kindNotRun, kindEnded:
+		var id idRecord
 		if json.Unmarshal(payload, &id) != nil {
 			return false
 		}
-		s.named = id.ID
+		s.lastID = id.ID
 		t := s.texts[id.ID]
 		switch {
-		case kind == ended:
-			s.end(id.ID)
-			delete(s.unknown, id.ID)
+		case kind == kindEnded:
+			s.remove(id.ID)
+			delete(s.unknownIDs, id.ID)
 		case t != nil:
-			t.back()
+			t.clearTentativeRun()
 		}
-	case synced:
+	case kindSyncMark:
 	default:
 		return false
 	}
 	return true
 }
 
-// wonder notes an id that a record names and no text has.
-func (s *state) wonder(id string) {
-	if len(s.unknown) < mostUnknown {
-		s.unknown[id] = true
+// addUnknown notes an id that a record names and no text has.
+func (s *state) addUnknown(id string) {
+	if len(s.unknownIDs) < maxUnknownIDs {
+		s.unknownIDs[id] = true
 	}
 }
 
-func (t *Text) out(no int, at control.Time, zone string) {
-	t.Attempts = max(t.Attempts, no)
+func (t *Text) startAttempt(number int, at control.Time, zone string) {
+	t.Attempts = max(t.Attempts, number)
 	if t.FirstRunAt == 0 {
 		t.FirstRunAt, t.FirstRunZone, t.FirstRunTentative = at, zone, true
 	}
 }
 
-// back: the submit that was out never ran.
-func (t *Text) back() {
+// clearTentativeRun: the submit that was out never ran.
+func (t *Text) clearTentativeRun() {
 	if t.FirstRunTentative {
 		t.FirstRunAt, t.FirstRunZone, t.FirstRunTentative = 0, "", false
 	}
 }
 
-func (s *state) add(t *Text) {
+func (s *state) addText(t *Text) {
 	if t.Seq == 0 {
-		t.Seq = s.order + 1
+		t.Seq = s.lastSeq + 1
 	}
-	s.order = max(s.order, t.Seq)
+	s.lastSeq = max(s.lastSeq, t.Seq)
 	s.texts[t.ID] = t
 	delete(s.notices, t.ID)
-	delete(s.unknown, t.ID)
+	delete(s.unknownIDs, t.ID)
 }
 
-func (s *state) owe(n *Notice) {
+func (s *state) addNotice(n *Notice) {
 	if n.Seq == 0 {
-		n.Seq = s.order + 1
+		n.Seq = s.lastSeq + 1
 	}
-	s.order = max(s.order, n.Seq)
+	s.lastSeq = max(s.lastSeq, n.Seq)
 	s.notices[n.ID] = n
-	delete(s.unknown, n.ID)
+	delete(s.unknownIDs, n.ID)
 }
 
-func (s *state) end(id string) {
+func (s *state) remove(id string) {
 	delete(s.texts, id)
 	delete(s.notices, id)
 }
 
-// doubt: records were lost, and nobody knows what of. A text that is held may have been submitted in them, at the
+// assumeAllMayHaveRun: records were lost, and nobody knows what of. A text that is held may have been submitted in them, at the
 // earliest when it was taken; or it may have ended. So it counts as one that may have run.
-func (s *state) doubt() {
+func (s *state) assumeAllMayHaveRun() {
 	for _, t := range s.texts {
 		t.Attempts++
 		if t.FirstRunAt == 0 || t.FirstRunTentative {
@@ -198,19 +198,19 @@
 	}
 }
 
-// latest is the latest instant that anything of what is held tells of.
-func (s *state) latest() (at control.Time) {
+// latestTime is the latest instant that anything of what is held tells of.
+func (s *state) latestTime() (at control.Time) {
 	for _, t := range s.texts {
 		at = max(at, t.AcceptedAt, t.FirstRunAt)
 	}
 	return at
 }
 
-// steppedBack: the clock was put back since, by so much at least. How long ago anything was cannot be known any more: the
+// adjustForClockStep: the clock was put back since, by so much at least. How long ago anything was cannot be known any more: the
 // time in which a repeat is known counts as over, and validity periods end sooner by what is known.
-func (s *state) steppedBack(by control.Time) {
+func (s *state) adjustForClockStep(step control.Time) {
 	for _, t := range s.texts {
-		t.ValidUntil -= by
+		t.ValidUntil -= step
 		t.AcceptedAt = 0
 		if t.FirstRunAt > 0 {
 			t.FirstRunAt = 1
@@ -218,19 +218,19 @@
 	}
 }
 
-// owed gives the texts that have no end yet, in the order they were taken, and the notices that are due.
-func (s *state) owed() ([]*Text, []*Notice) {
+// unfinished gives the texts that have no end yet, in the order they were taken, and the notices that are due.
+func (s *state) unfinished() ([]*Text, []*Notice) {
 	return slices.SortedFunc(maps.Values(s.texts), func(a, b *Text) int { return int(int64(a.Seq - b.Seq)) }),
 		slices.SortedFunc(maps.Values(s.notices), func(a, b *Notice) int { return int(int64(a.Seq - b.Seq)) })
 }
 
-// anew gives the record that makes what is live of an id again; false if nothing is.
-func (s *state) anew(id string) (record, bool) {
+// recordOf gives the record that makes what is live of an id again; false if nothing is.
+func (s *state) recordOf(id string) (record, bool) {
 	if t := s.texts[id]; t != nil {
-		return t.record(), true
+		return t.toRecord(), true
 	}
 	if n := s.notices[id]; n != nil {
-		return note(untold, n), true
+		return jsonRecord(kindEndedOwingNotice, n), true
 	}
 	return record{}, false
 }
@@ -241,28 +241,28 @@
 	payload []byte
 }
 
-func (r record) size() int64 { return frameHead + int64(len(r.payload)) }
+func (r record) size() int64 { return frameHeaderBytes + int64(len(r.payload)) }
 
-func (t *Text) record() record {
-	meta := encode(t)
-	p := binary.AppendUvarint(make([]byte, 0, len(meta)+len(t.Body)+4), uint64(len(meta)))
-	return record{taken, append(append(p, meta...), t.Body...)}
+func (t *Text) toRecord() record {
+	meta := mustMarshal(t)
+	payload := binary.AppendUvarint(make([]byte, 0, len(meta)+len(t.Body)+4), uint64(len(meta)))
+	return record{kindAccepted, append(append(payload, meta...), t.Body...)}
 }
 
-func note(kind byte, what any) record { return record{kind, encode(what)} }
+func jsonRecord(kind byte, value any) record { return record{kind, mustMarshal(value)} }
 
-// encode cannot fail: what is written has only plain fields.
-func encode(what any) []byte {
-	b, err := json.Marshal(what)
+// mustMarshal cannot fail: what is written has only plain fields.
+func mustMarshal(value any) []byte {
+	b, err := json.Marshal(value)
 	if err != nil {
 		panic(err)
 	}
 	return b
 }
 
-// idOf reads the id of what is written in a record.
-func idOf(meta []byte) string {
-	var n named
+// parseID reads the id of what is written in a record.
+func parseID(meta []byte) string {
+	var n idRecord
 	if json.Unmarshal(meta, &n) != nil {
 		return ""
 	}
--- a/internal/delivery/notices/notices_test.go
+++ b/internal/delivery/notices/notices_test.go
@@ -14,7 +14,7 @@
 	"emberquay/internal/delivery/ledger"
 )
 
-func desk(t *testing.T, texts int, platform http.HandlerFunc) (*Notifier, <-chan []string) {
+func newNotifier(t *testing.T, texts int, platform http.HandlerFunc) (*Notifier, <-chan []string) {
 	t.Helper()
 	s := httptest.NewServer(platform)
 	t.Cleanup(s.Close)
@@ -29,7 +29,7 @@
 	}), told
 }
 
-func run(t *testing.T, d *Notifier) {
+func runNotifier(t *testing.T, d *Notifier) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan bool)
 	go func() { d.Run(ctx); close(done) }()
@@ -38,7 +38,7 @@
 
 func TestNoticesAreWrittenAsTheProtocolSays(t *testing.T) {
 	bodies := make(chan string, 9)
-	d, told := desk(t, 4, func(w http.ResponseWriter, r *http.Request) {
+	d, told := newNotifier(t, 4, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		bodies <- r.Method + r.URL.Path + " " + string(b)
 		w.WriteHeader(http.StatusNoContent)
@@ -46,7 +46,7 @@
 	d.Post(&ledger.Notice{ID: "a<1"})
 	d.Post(&ledger.Notice{ID: "b", Nack: true})
 	d.Post(&ledger.Notice{ID: "c", Nack: true, RetryAfter: 4991})
-	run(t, d)
+	runNotifier(t, d)
 	want := `POST/v2/finals {"message":"a<1","outcome":"given_up"}` + "\n" + `{"message":"b","outcome":"handed_back"}` +
 		"\n" + `{"message":"c","outcome":"handed_back","retry_in_ms":500}` + "\n"
 	if got := <-bodies; got != want {
@@ -61,7 +61,7 @@
 // 0.3 s after its time: a second try on a new connection comes before.
 func TestASilentConnectionCostsOneTry(t *testing.T) {
 	came, kept, fresh := 0, "", ""
-	d, told := desk(t, 4, func(w http.ResponseWriter, r *http.Request) {
+	d, told := newNotifier(t, 4, func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		switch came++; came {
 		case 1:
@@ -77,7 +77,7 @@
 		}
 		w.WriteHeader(http.StatusNoContent)
 	})
-	run(t, d)
+	runNotifier(t, d)
 	for _, id := range []string{"a", "b"} {
 		d.Post(&ledger.Notice{ID: id})
 		<-told
@@ -91,7 +91,7 @@
 		t.Fatal(err)
 	}
 	d.limits = conf.Limits
-	first, second, last := d.patience(d.limits.MinRetryDelay), d.patience(2*d.limits.MinRetryDelay), d.patience(d.limits.MaxRetryDelay)
+	first, second, last := d.attemptTimeout(d.limits.MinRetryDelay), d.attemptTimeout(2*d.limits.MinRetryDelay), d.attemptTimeout(d.limits.MaxRetryDelay)
 	if late := 300 * time.Millisecond; first+d.limits.MinRetryDelay+second/2 > late || last < late {
 		t.Errorf("%s, then %s, at last %s", first, second, last)
 	}
@@ -100,7 +100,7 @@
 // The platform may be down, or choke on one notice: all others arrive, and that one is tried on.
 func TestNoticesAreRetried(t *testing.T) {
 	n := 0
-	d, told := desk(t, 4, func(w http.ResponseWriter, r *http.Request) {
+	d, told := newNotifier(t, 4, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		n++
 		switch {
@@ -115,7 +115,7 @@
 	for _, id := range []string{"!", "b", "c"} {
 		d.Post(&ledger.Notice{ID: id})
 	}
-	run(t, d)
+	runNotifier(t, d)
 	var all []string
 	for len(all) < 3 {
 		select {
@@ -132,14 +132,14 @@
 
 // The platform takes no more than one body holds.
 func TestManyNoticesGoInSeveralBodies(t *testing.T) {
-	d, _ := desk(t, 4, nil)
+	d, _ := newNotifier(t, 4, nil)
 	var due []*ledger.Notice
 	for range 50 {
 		due = append(due, &ledger.Notice{ID: "0123456789"})
 	}
 	total := 0
 	for total < 50 {
-		body, n := d.write(due[total:])
+		body, n := d.encodeBatch(due[total:])
 		if n == 0 || len(body) > 1024 || bytes.Count(body, []byte("\n")) != n {
 			t.Fatalf("%d in %d bytes", n, len(body))
 		}
@@ -148,7 +148,7 @@
 }
 
 func TestDeskIsBounded(t *testing.T) {
-	d, _ := desk(t, 1, nil)
+	d, _ := newNotifier(t, 1, nil)
 	n := 0
 	for d.Post(&ledger.Notice{ID: "a"}) && n < 1000 {
 		n++
--- a/internal/delivery/protocol/message.go
+++ b/internal/delivery/protocol/message.go
@@ -26,15 +26,15 @@
 	Status         int  // of an answer; 0 before a first line that can be read
 	LengthConflict bool // it has a length and pieces, so that two readers may see two bodies
 
-	line   []byte // of the head, the present one, as far as it matters
-	first  bool   // the first line has come
-	length bool   // was told
-	pieces bool
-	left   int64 // of the body
+	line          []byte // of the head, the present one, as far as it matters
+	firstLineSeen bool   // the first line has come
+	hasLength     bool   // was told
+	chunked       bool
+	bodyRemaining int64 // of the body
 }
 
-// mostLine is as much of a line as is looked at.
-const mostLine = 128
+// maxLineBytes is as much of a line as is looked at.
+const maxLineBytes = 128
 
 // Feed follows the next bytes and says how many of them belong to the message.
 func (m *Message) Feed(b []byte) int {
@@ -43,18 +43,18 @@
 		switch m.Section {
 		case Head:
 			m.Started = true
-			line, _, whole := bytes.Cut(b[at:], []byte("\n"))
+			line, _, complete := bytes.Cut(b[at:], []byte("\n"))
 			at += len(line)
-			m.line = append(m.line, line[:min(len(line), mostLine-len(m.line))]...)
-			if whole {
+			m.line = append(m.line, line[:min(len(line), maxLineBytes-len(m.line))]...)
+			if complete {
 				at++
-				m.ended(strings.TrimSuffix(string(m.line), "\r"))
+				m.parseLine(strings.TrimSuffix(string(m.line), "\r"))
 				m.line = m.line[:0]
 			}
 		case Body:
-			here := min(int64(len(b)-at), m.left)
-			at += int(here)
-			if m.left -= here; m.left == 0 {
+			count := min(int64(len(b)-at), m.bodyRemaining)
+			at += int(count)
+			if m.bodyRemaining -= count; m.bodyRemaining == 0 {
 				m.Section = Complete
 			}
 		case UncountedBody:
@@ -66,42 +66,42 @@
 	return at
 }
 
-// ended takes one line of the head.
-func (m *Message) ended(line string) {
+// parseLine takes one line of the head.
+func (m *Message) parseLine(line string) {
 	name, value, _ := strings.Cut(line, ":")
 	switch {
-	case !m.first:
-		m.first = true
-		m.Status = status(line)
+	case !m.firstLineSeen:
+		m.firstLineSeen = true
+		m.Status = parseStatus(line)
 	case strings.EqualFold(name, "Transfer-Encoding"):
-		m.pieces = true
+		m.chunked = true
 	case strings.EqualFold(name, "Content-Length"):
-		m.length = true
+		m.hasLength = true
 		if n, err := strconv.ParseInt(strings.TrimSpace(value), 10, 64); err == nil {
-			m.left = max(0, n)
+			m.bodyRemaining = max(0, n)
 		}
 	case line == "":
-		m.headOver()
+		m.endHead()
 	}
 }
 
-func (m *Message) headOver() {
-	m.LengthConflict = m.length && m.pieces
+func (m *Message) endHead() {
+	m.LengthConflict = m.hasLength && m.chunked
 	bodiless := m.Status >= 100 && m.Status < 200 && m.Status != 101 || m.Status == 204 || m.Status == 304
 	switch {
 	case bodiless:
 		m.Section = Complete
-	case m.pieces, !m.length && !m.IsRequest:
+	case m.chunked, !m.hasLength && !m.IsRequest:
 		m.Section = UncountedBody
-	case m.left == 0:
+	case m.bodyRemaining == 0:
 		m.Section = Complete
 	default:
 		m.Section = Body
 	}
 }
 
-// status reads the first line of an answer; 0 if it makes no sense.
-func status(line string) int {
+// parseStatus reads the first line of an answer; 0 if it makes no sense.
+func parseStatus(line string) int {
 	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
 	n, err := strconv.Atoi(code)
--- a/internal/delivery/simwire/simwire.go
+++ b/internal/delivery/simwire/simwire.go
@@ -16,8 +16,8 @@
 
 // Reader takes lines off the wire, however long they are.
 type Reader struct {
-	in *bufio.Reader
-	no int
+	in         *bufio.Reader
+	lineNumber int
 }
 
 // NewReader reads from r.
@@ -29,8 +29,8 @@
 	if err != nil && (raw == "" || !errors.Is(err, io.EOF)) {
 		return nil, err
 	}
-	r.no++
-	return parse(strings.TrimSuffix(raw, "\n"), r.no)
+	r.lineNumber++
+	return parse(strings.TrimSuffix(raw, "\n"), r.lineNumber)
 }
 
 // Line is one message; its getters note the first fault, which Err returns.
@@ -44,23 +44,23 @@
 // Field is one name=value pair as it stood on the line.
 type Field struct{ Name, Value string }
 
-func parse(raw string, no int) (*Line, error) {
+func parse(raw string, number int) (*Line, error) {
 	parts := strings.Split(raw, " ")
-	l := &Line{Name: parts[0], Number: no, Fields: make([]Field, 0, len(parts)-1)}
+	l := &Line{Name: parts[0], Number: number, Fields: make([]Field, 0, len(parts)-1)}
 	if l.Name == "" {
-		return nil, fmt.Errorf("line %d: no message name", no)
+		return nil, fmt.Errorf("line %d: no message name", number)
 	}
 	for _, p := range parts[1:] {
 		name, value, ok := strings.Cut(p, "=")
 		if !ok || name == "" {
-			return nil, fmt.Errorf("line %d: %s: %q is no field=value", no, l.Name, p)
+			return nil, fmt.Errorf("line %d: %s: %q is no field=value", number, l.Name, p)
 		}
 		l.Fields = append(l.Fields, Field{name, value})
 	}
 	return l, nil
 }
 
-func (l *Line) find(name string) (string, bool) {
+func (l *Line) lookup(name string) (string, bool) {
 	for _, f := range l.Fields {
 		if f.Name == name {
 			return f.Value, true
@@ -81,7 +81,7 @@
 
 // Required gives a field that must be there.
 func (l *Line) Required(name string) string {
-	v, ok := l.find(name)
+	v, ok := l.lookup(name)
 	if !ok || v == "" {
 		l.RecordError(name, "missing")
 	}
@@ -90,7 +90,7 @@
 
 // Optional gives a field that may be absent.
 func (l *Line) Optional(name string) string {
-	v, _ := l.find(name)
+	v, _ := l.lookup(name)
 	return v
 }
 
@@ -143,7 +143,7 @@
 	if v == "" {
 		return 0
 	}
-	return l.number(name, v)
+	return l.parseFloat(name, v)
 }
 
 // Floats gives a comma-joined row; what is left empty is NaN.
@@ -156,14 +156,14 @@
 	for _, p := range strings.Split(v, ",") {
 		n := math.NaN()
 		if p != "" {
-			n = l.number(name, p)
+			n = l.parseFloat(name, p)
 		}
 		row = append(row, n)
 	}
 	return row
 }
 
-func (l *Line) number(name, v string) float64 {
+func (l *Line) parseFloat(name, v string) float64 {
 	n, err := strconv.ParseFloat(v, 64)
 	if err != nil || n < 0 || math.IsInf(n, 0) || math.IsNaN(n) {
 		l.RecordError(name, fmt.Sprintf("%q is no number of nought or more", v))
--- a/internal/delivery/warmstart/warmstart.go
+++ b/internal/delivery/warmstart/warmstart.go
@@ -28,20 +28,20 @@
 	control.ReceiverHistory
 }
 
-type file struct {
+type fileContent struct {
 	At        control.Time `json:"at"`
 	Receivers []Receiver   `json:"receivers"`
 }
 
 // The most that is written and read: a file that somebody else made large must not fill the memory.
 const (
-	mostReceivers = 4096
-	mostBytes     = 4 << 20
+	maxReceivers = 4096
+	maxFileBytes = 4 << 20
 )
 
 // Write replaces the file, whole or not at all.
 func Write(path string, now control.Time, all []Receiver) error {
-	raw, err := json.Marshal(file{now, all[:min(len(all), mostReceivers)]})
+	raw, err := json.Marshal(fileContent{now, all[:min(len(all), maxReceivers)]})
 	if err != nil {
 		return err
 	}
@@ -61,36 +61,36 @@
 		return nil, err
 	}
 	defer f.Close()
-	raw, err := io.ReadAll(io.LimitReader(f, mostBytes+1))
+	raw, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(raw) > mostBytes {
-		return nil, fmt.Errorf("%s: over %d bytes", path, mostBytes)
+	if len(raw) > maxFileBytes {
+		return nil, fmt.Errorf("%s: over %d bytes", path, maxFileBytes)
 	}
 	return parse(path, raw, now)
 }
 
 func parse(path string, raw []byte, now control.Time) ([]Receiver, error) {
-	var k file
-	if err := json.Unmarshal(raw, &k); err != nil {
+	var content fileContent
+	if err := json.Unmarshal(raw, &content); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	switch {
-	case k.At <= 0 || k.At > now:
-		return nil, fmt.Errorf("%s: at: written at %d, which is not before now", path, k.At)
-	case len(k.Receivers) > mostReceivers:
-		return nil, fmt.Errorf("%s: receivers: over %d", path, mostReceivers)
+	case content.At <= 0 || content.At > now:
+		return nil, fmt.Errorf("%s: at: written at %d, which is not before now", path, content.At)
+	case len(content.Receivers) > maxReceivers:
+		return nil, fmt.Errorf("%s: receivers: over %d", path, maxReceivers)
 	}
-	for i, r := range k.Receivers {
-		for _, past := range append([]control.Time{r.RecoveredAt, r.FailedSince, r.RefusedSince, r.RefusedAt, r.RefusedBelowLimit}, r.CallTimes...) {
-			if past < 0 || past > k.At {
+	for i, r := range content.Receivers {
+		for _, at := range append([]control.Time{r.RecoveredAt, r.FailedSince, r.RefusedSince, r.RefusedAt, r.RefusedBelowLimit}, r.CallTimes...) {
+			if at < 0 || at > content.At {
 				return nil, fmt.Errorf("%s: receivers.%d: a moment that is not before it was written", path, i)
 			}
 		}
-		if r.Addr == "" || r.RetryAfterUntil < 0 || r.Failures < 0 || r.CallDuration < 0 || len(r.CallTimes) > mostReceivers {
+		if r.Addr == "" || r.RetryAfterUntil < 0 || r.Failures < 0 || r.CallDuration < 0 || len(r.CallTimes) > maxReceivers {
 			return nil, fmt.Errorf("%s: receivers.%d: makes no sense", path, i)
 		}
 	}
-	return k.Receivers, nil
+	return content.Receivers, nil
 }
--- a/internal/delivery/warmstart/warmstart_test.go
+++ b/internal/delivery/warmstart/warmstart_test.go
@@ -10,21 +10,21 @@
 	"emberquay/control"
 )
 
-var one = Receiver{"127.0.0.1:9", 7, "one", control.ReceiverHistory{RetryAfterUntil: 90, RecoveredAt: 20, Failures: 2, FailedSince: 10, RefusedSince: 5, RefusedAt: 6, RefusedBelowLimit: 6, CallTimes: []control.Time{30}, CallDuration: 4.5}}
+var sampleReceiver = Receiver{"127.0.0.1:9", 7, "one", control.ReceiverHistory{RetryAfterUntil: 90, RecoveredAt: 20, Failures: 2, FailedSince: 10, RefusedSince: 5, RefusedAt: 6, RefusedBelowLimit: 6, CallTimes: []control.Time{30}, CallDuration: 4.5}}
 
 func TestWrittenAndRead(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "learnt.json")
 	if got, err := Read(path, 50); got != nil || err != nil {
 		t.Errorf("none there: %v %v", got, err)
 	}
-	written := Write(path, 40, []Receiver{one})
-	if got, err := Read(path, 50); written != nil || err != nil || !reflect.DeepEqual(got, []Receiver{one}) {
+	written := Write(path, 40, []Receiver{sampleReceiver})
+	if got, err := Read(path, 50); written != nil || err != nil || !reflect.DeepEqual(got, []Receiver{sampleReceiver}) {
 		t.Errorf("%+v %v %v", got, written, err)
 	}
 	if _, err := Read(path, 39); err == nil { // by a clock ahead of ours
 		t.Error("taken over from the future")
 	}
-	written = os.WriteFile(path, make([]byte, mostBytes+1), 0o600)
+	written = os.WriteFile(path, make([]byte, maxFileBytes+1), 0o600)
 	if _, err := Read(path, 50); written != nil || err == nil || !strings.Contains(err.Error(), "bytes") {
 		t.Error(err)
 	}
