--- a/internal/delivery/config/config.go
+++ b/internal/delivery/config/config.go
@@ -1,4 +1,4 @@
-// Package config is the one place where a sender's configuration is read, checked and given defaults.
+// Package config reads and checks the configuration of a sender and sets its defaults.
 package config
 
 import (
@@ -17,61 +17,61 @@
 	"emberquay/control"
 )
 
-// Config is all that a sender is started with.
+// Config is the configuration of a sender.
 type Config struct {
 	Name          string
-	ListenAddr    string // where clients connect
-	DiscoveryAddr string // where the list is told and notices go
-	StateDir      string // the folder that lasts
+	ListenAddr    string // address where clients connect
+	DiscoveryAddr string // address of the platform, for the list and notices
+	StateDir      string // folder of the ledger
 	Seed          uint64
 	Settings      control.Settings
-	Products      map[string]bool // that the settings name
-	ReportNames   []string        // the names of the values that an answer may report, in order
-	CachedList    json.RawMessage // the list as this sender had it last, in discovery's form; nil if none
+	Products      map[string]bool // named in the settings
+	ReportNames   []string        // names of the values that a response may report, in order
+	CachedList    json.RawMessage // the list as this sender had it last, as the platform encodes it; nil: none
 	Limits        Limits
 }
 
-// Limits are the sizes, counts and times that the parts of a sender keep to.
+// Limits are the sizes, counts and times that the parts of a sender observe.
 type Limits struct {
 	Cores       int
 	MemoryBytes int64
 	DiskBytes   int64
 
-	MaxClientConns    int // open connections on the clients' side
-	MaxReceiverConns  int // and on the receivers', those being opened too
-	MaxCalls          int // calls out at once
+	MaxClientConns    int // open connections from clients
+	MaxReceiverConns  int // to receivers, including those being opened
+	MaxCalls          int // in flight
 	MaxTexts          int // held at once
-	MailboxSize       int // messages waiting for one actor
+	MailboxSize       int // messages queued for one actor
 	MaxBodyBytes      int64
 	MaxHeaderBytes    int
-	LogLinesPerSecond int // a second
+	LogLinesPerSecond int
 
-	AnswerTimeout       time.Duration // a client hears of its text within this
-	FirstRequestTimeout time.Duration // a client that opened a connection asks within this
+	AnswerTimeout       time.Duration // until the client is told whether its text is accepted
+	FirstRequestTimeout time.Duration // from the opening of a client connection to its first request
 	RequestReadTimeout  time.Duration // for a whole request
 	ClientIdleTimeout   time.Duration
 	DialTimeout         time.Duration
 	ReceiverIdleTimeout time.Duration
-	DrainTimeout        time.Duration // to read the rest of an answer whose outcome is known
-	WatchSilenceTimeout time.Duration // with not even a heartbeat: the watch is made anew
-	NoticeTimeout       time.Duration // for the platform to take notices, doubled with each try in vain
-	MinRetryDelay       time.Duration // between tries of one peer, doubled up to RetryMost
+	DrainTimeout        time.Duration // to read the rest of a response whose outcome is known
+	WatchSilenceTimeout time.Duration // without even a heartbeat, until the watch is restarted
+	NoticeTimeout       time.Duration // for the platform to accept notices; doubled with each failed attempt
+	MinRetryDelay       time.Duration // between attempts to reach a peer, doubled up to MaxRetryDelay
 	MaxRetryDelay       time.Duration
-	FirstListWindow     time.Duration // within this all senders that start together ask for the list
-	ListRetryWindow     time.Duration // and for it again, doubled with each try
+	FirstListWindow     time.Duration // in which all senders that start together request the list
+	ListRetryWindow     time.Duration // in which they request it again, doubled with each try
 
-	StopListeningAfter time.Duration // after a request to stop: no new connections from then on
-	StopSendingAfter   time.Duration // no new submits
-	ExitAfter          time.Duration // the end, whatever is still owed
+	StopListeningAfter time.Duration // after a stop request: no new connections
+	StopSendingAfter   time.Duration // no new attempts
+	ExitAfter          time.Duration // the process exits, whatever is still owed
 }
 
-// What one text may bring: the protocol's bound for the body, and ours for the headers.
+// Limits of one text: the protocol's for the body, and our own for the headers.
 const (
 	maxBodyBytes   = 64 << 10
 	maxHeaderBytes = 16 << 10
 )
 
-// fileConfig is the configuration as it is written down.
+// fileConfig is the configuration as encoded in its file.
 type fileConfig struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -88,7 +88,7 @@
 	} `json:"limits"`
 }
 
-// ChangedRestartKeys names the keys in which two configurations differ and that only a restart changes.
+// ChangedRestartKeys returns the keys that differ between two configurations and take effect only after a restart.
 func (c *Config) ChangedRestartKeys(o *Config) []string {
 	var keys []string
 	for key, same := range map[string]bool{
@@ -103,7 +103,7 @@
 	return keys
 }
 
-// Read reads the file at a path; what the environment tells goes before it. A fault names its key.
+// Read reads a configuration file; environment variables take precedence. Errors name the key.
 func Read(path string, env func(string) string) (*Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -116,13 +116,13 @@
 	return c, nil
 }
 
-// Parse is Read for the text itself.
+// Parse is Read for the contents of a file.
 func Parse(raw []byte, env func(string) string) (*Config, error) {
 	var f fileConfig
 	if err := json.Unmarshal(raw, &f); err != nil {
 		var typeErr *json.UnmarshalTypeError
 		if errors.As(err, &typeErr) {
-			return nil, fmt.Errorf("%s: a %s does not belong here", typeErr.Field, typeErr.Value)
+			return nil, fmt.Errorf("%s: %s is not allowed here", typeErr.Field, typeErr.Value)
 		}
 		return nil, fmt.Errorf("not JSON: %w", err)
 	}
@@ -140,8 +140,8 @@
 		{"discovery", "GW_DISCOVERY", &c.DiscoveryAddr, true},
 		{"state", "GW_STATE", &c.StateDir, false},
 	} {
-		// The file is replaced while the sender runs, the environment is not: what it says of discovery is the
-		// newest, and a restart must not go back behind it.
+		// The file is replaced while the sender runs, the environment is not: the file's address of discovery is the
+		// newest, and a restart must not go back to an older one.
 		newest := k.at == &c.DiscoveryAddr && *k.at != ""
 		if v := env(k.env); v != "" && !newest {
 			*k.at = v
@@ -150,13 +150,13 @@
 			return nil, fmt.Errorf("%s: missing, and %s is not set", k.key, k.env)
 		}
 		if _, _, err := net.SplitHostPort(*k.at); k.address && err != nil {
-			return nil, fmt.Errorf("%s: %q is no host:port", k.key, *k.at)
+			return nil, fmt.Errorf("%s: %q is not host:port", k.key, *k.at)
 		}
 	}
 	if f.Seed != "" {
 		seed, err := strconv.ParseUint(f.Seed, 16, 64)
 		if err != nil {
-			return nil, fmt.Errorf("seed: %q is not up to 16 hex digits", f.Seed)
+			return nil, fmt.Errorf("seed: %q is not a number of up to 16 hex digits", f.Seed)
 		}
 		c.Seed = seed
 	}
@@ -174,18 +174,18 @@
 	return c, c.fillLimits(&f)
 }
 
-// readNames takes from the settings what is called by name on the wire.
+// readNames reads the names from the settings that the wire uses: products and report values.
 func (c *Config) readNames() error {
 	c.Products = map[string]bool{}
 	count, err := c.intSetting("RequestClasses.count", 0)
 	if err != nil || count == 0 {
-		return errors.New("settings.RequestClasses: no product is named")
+		return errors.New("settings.RequestClasses: no products")
 	}
 	for i := range count {
 		key := fmt.Sprintf("RequestClasses.%d.Name", i)
 		name := c.Settings[key]
 		if name == "" || c.Products[name] {
-			return fmt.Errorf("settings.%s: %q is empty or named twice", key, name)
+			return fmt.Errorf("settings.%s: %q is empty or duplicate", key, name)
 		}
 		c.Products[name] = true
 	}
@@ -195,14 +195,14 @@
 	return nil
 }
 
-// fillLimits fills Limits: from the machine's limits, the settings and defaults.
+// fillLimits sets Limits from the machine's limits, the settings and defaults.
 func (c *Config) fillLimits(f *fileConfig) error {
-	numberLimit := func(key string, v *float64, otherwise, least float64) (float64, error) {
+	numberLimit := func(key string, v *float64, fallback, minimum float64) (float64, error) {
 		switch {
 		case v == nil:
-			return otherwise, nil
-		case *v < least:
-			return 0, fmt.Errorf("limits.%s: %v is under %v", key, *v, least)
+			return fallback, nil
+		case *v < minimum:
+			return 0, fmt.Errorf("limits.%s: %v is less than %v", key, *v, minimum)
 		}
 		return *v, nil
 	}
@@ -226,8 +226,8 @@
 		MaxClientConns: maxClientConns(int(sockets), int64(memory*1e6)), MaxReceiverConns: int(sockets) * 5 / 8, MaxCalls: maxCalls, MaxTexts: maxTexts,
 		MailboxSize: 1024, MaxBodyBytes: maxBodyBytes, MaxHeaderBytes: maxHeaderBytes, LogLinesPerSecond: 50,
 		AnswerTimeout: 300 * time.Millisecond, FirstRequestTimeout: 20 * time.Millisecond, RequestReadTimeout: 1500 * time.Millisecond,
-		ClientIdleTimeout: 4 * time.Second,                                      // some keep a connection for good
-		DialTimeout:       dialTimeout, ReceiverIdleTimeout: connIdle * 19 / 20, // a request that crosses the receiver's own close is lost
+		ClientIdleTimeout: 4 * time.Second,                                      // some clients keep connections indefinitely
+		DialTimeout:       dialTimeout, ReceiverIdleTimeout: connIdle * 19 / 20, // less than the receiver's own timeout: a request sent while it closes is lost
 		DrainTimeout: 100 * time.Millisecond, WatchSilenceTimeout: 4500 * time.Millisecond, NoticeTimeout: 100 * time.Millisecond,
 		MinRetryDelay: 50 * time.Millisecond, MaxRetryDelay: time.Second, FirstListWindow: firstList, ListRetryWindow: c.listRetryWindow(),
 		StopListeningAfter: 1200 * time.Millisecond, StopSendingAfter: 2600 * time.Millisecond, ExitAfter: 3400 * time.Millisecond,
@@ -235,27 +235,27 @@
 	return nil
 }
 
-// listRetryWindow is the time within which senders that were all cut off in one moment ask for the list again: a tenth of a
-// second for each, less than the six within which what the list has to tell counts as told.
+// listRetryWindow returns the time in which senders that were all cut off at once request the list again: a tenth of a
+// second for each, but less than the six seconds after which changes of the list count as announced.
 func (c *Config) listRetryWindow() time.Duration {
-	senders, _ := c.intSetting("Instances", 1) // one that makes no sense is one, as the module reads it
+	senders, _ := c.intSetting("Instances", 1) // an invalid number counts as one, as in package control
 	return min(5*time.Second, time.Duration(max(1, senders))*time.Second/10)
 }
 
-// firstListWindow is the time within which those that were all started in one moment ask first. The list that a sender is
-// started with may be older than what the process before it was told, so it must ask well within the time in which
-// it has to stop sending to a receiver that drains.
+// firstListWindow returns the time in which senders that were all started at once send their first request. A cached list
+// may be older than what the previous process was told, so the request must come well within the time in which a
+// sender must stop sending to a draining receiver.
 func (c *Config) firstListWindow() (time.Duration, error) {
 	grace, err := c.durationSetting("Contract.StopSendingWithinUs", time.Second)
 	return min(c.listRetryWindow(), grace*3/4), err
 }
 
-// maxClientConns leaves sockets for the receivers, which hold connections for longer, and for the list, notices
-// and files. It is less than the third that clients hold at most: at their own bound they could open no more, and
-// those that ask would go without while what others keep stays idle; only at ours is an idle one closed for them.
-// Memory is left for the rest of the program when every client sends the longest headers and body.
-func maxClientConns(sockets int, memory int64) int {
-	return max(8, min(sockets/4, int(memory/4/(maxBodyBytes+maxHeaderBytes))))
+// maxClientConns leaves sockets for the receivers, whose connections are used longer, and for the list, notices and
+// files. The limit is below the third of the sockets that clients open at most: at their limit they could open no
+// more, and new clients would wait while others keep idle connections; only at ours is an idle one closed for a new one.
+// Memory is left for the rest of the program even if every client sends the longest headers and body.
+func maxClientConns(sockets int, memoryBytes int64) int {
+	return max(8, min(sockets/4, int(memoryBytes/4/(maxBodyBytes+maxHeaderBytes))))
 }
 
 func (c *Config) intSetting(key string, fallback int) (int, error) {
@@ -265,7 +265,7 @@
 	}
 	n, err := strconv.ParseFloat(v, 64)
 	if err != nil || n < 1 || n > 1e6 {
-		return 0, fmt.Errorf("settings.%s: %q is no count from 1 to 1000000", key, v)
+		return 0, fmt.Errorf("settings.%s: %q is not a count from 1 to 1000000", key, v)
 	}
 	return int(n), nil
 }
@@ -277,22 +277,22 @@
 	}
 	n, err := strconv.ParseFloat(v, 64)
 	if err != nil || n <= 0 || n > 1e12 {
-		return 0, fmt.Errorf("settings.%s: %q is no time above nought", key, v)
+		return 0, fmt.Errorf("settings.%s: %q is not a positive duration", key, v)
 	}
 	return time.Duration(n * float64(time.Microsecond)), nil
 }
 
-// Flatten turns settings, nested as the platform writes them, into the wire's plain map: paths joined by dots, plain
-// lists by commas, lists of objects counted and numbered.
+// Flatten converts nested settings, as the platform writes them, to a flat map: paths are joined by dots, lists of scalars
+// by commas, and lists of objects are numbered, with their count.
 func Flatten(raw json.RawMessage) (control.Settings, error) {
 	if len(raw) == 0 {
 		return nil, errors.New("settings: missing")
 	}
 	dec := json.NewDecoder(bytes.NewReader(raw))
-	dec.UseNumber() // numbers stay as they are written
+	dec.UseNumber() // numbers keep their notation
 	var tree map[string]any
 	if err := dec.Decode(&tree); err != nil || tree == nil {
-		return nil, errors.New("settings: no object")
+		return nil, errors.New("settings: not an object")
 	}
 	set := control.Settings{}
 	return set, flattenValue(set, "", tree)
@@ -302,26 +302,26 @@
 	switch v := v.(type) {
 	case map[string]any:
 		for name, inner := range v {
-			at := name
+			key := name
 			if path != "" {
-				at = path + "." + name
+				key = path + "." + name
 			}
-			if err := flattenValue(set, at, inner); err != nil {
+			if err := flattenValue(set, key, inner); err != nil {
 				return err
 			}
 		}
 	case []any:
 		return flattenList(set, path, v)
 	default:
-		plain, err := formatScalar(path, v)
-		set[path] = plain
+		value, err := formatScalar(path, v)
+		set[path] = value
 		return err
 	}
 	return nil
 }
 
 func flattenList(set control.Settings, path string, items []any) error {
-	var row []byte
+	var joined []byte
 	for i, v := range items {
 		if _, object := v.(map[string]any); object {
 			set[path+".count"] = strconv.Itoa(len(items))
@@ -330,17 +330,17 @@
 			}
 			continue
 		}
-		plain, err := formatScalar(fmt.Sprintf("%s.%d", path, i), v)
+		value, err := formatScalar(fmt.Sprintf("%s.%d", path, i), v)
 		if err != nil {
 			return err
 		}
 		if i > 0 {
-			row = append(row, ',')
+			joined = append(joined, ',')
 		}
-		row = append(row, plain...)
+		joined = append(joined, value...)
 	}
 	if _, objects := set[path+".count"]; !objects {
-		set[path] = string(row)
+		set[path] = string(joined)
 	}
 	return nil
 }
@@ -354,9 +354,9 @@
 	case bool, json.Number:
 		return fmt.Sprint(v), nil
 	}
-	return "", fmt.Errorf("settings.%s: a list in a list", path)
+	return "", fmt.Errorf("settings.%s: nested list", path)
 }
 
-// NormalizeName is a name as the plain map holds it, without the characters that part names there. What is compared with a
-// name of the settings has to be put so too.
+// NormalizeName returns a name as the flat map has it, with its separators replaced. Names that are compared with those of
+// the settings must be normalized too.
 func NormalizeName(name string) string { return strings.NewReplacer(" ", "_", ",", "_").Replace(name) }
--- a/internal/delivery/config/config_test.go
+++ b/internal/delivery/config/config_test.go
@@ -35,10 +35,10 @@
 		l.ReceiverIdleTimeout >= 5*time.Second || l.MaxClientConns+l.MaxReceiverConns >= 512 || l.MaxClientConns*3 >= 512 {
 		t.Errorf("%+v", c)
 	}
-	// However many start together, the first ask leaves time to heed a drain that was told before.
+	// However many senders start together, the first request leaves time to obey a drain announced before.
 	many := strings.NewReplacer(`"Instances":2`, `"Instances":300`, `"FallMultiple":2.0`, `"StopSendingWithinUs":800000`)
 	if c, err := Parse([]byte(many.Replace(validConfig)), noEnv); err != nil || c.Limits.FirstListWindow != 600*time.Millisecond || l.FirstListWindow != 200*time.Millisecond {
-		t.Errorf("asks first within %s, among two within %s, %v", c.Limits.FirstListWindow, l.FirstListWindow, err)
+		t.Errorf("first request within %s, with two senders within %s, %v", c.Limits.FirstListWindow, l.FirstListWindow, err)
 	}
 	c, err = Parse([]byte(validConfig), func(name string) string {
 		return map[string]string{"GW_LISTEN": "127.0.0.9:1"}[name]
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestFaultsNameTheKey(t *testing.T) {
+func TestErrorsNameTheKey(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`"name":"n3"`, `"name":""`, "name: missing"},
 		{`"127.0.0.1:8443"`, `"8443"`, "listen:"},
@@ -68,7 +68,7 @@
 		{`"MaxCalls":51`, `"Carriage":[0.06,0]},"FailureDomains":["p","q","r"],"x":{`, "2 fees for 3"},
 		{`"Orgs":[]`, `"Orgs":[{"Name":"b","QuotaPerS":-3}]`, "settings.Orgs.0.QuotaPerS"},
 		{`"Instances":2`, `"OverShareWorth":1.5`, "settings.OverShareWorth"},
-		{`"settings":{`, `"settings":7,"x":{`, "settings: no object"},
+		{`"settings":{`, `"settings":7,"x":{`, "settings: not an object"},
 		{`{"name"`, `"name"`, "not JSON"},
 	} {
 		_, err := Parse([]byte(strings.Replace(validConfig, c.old, c.new, 1)), noEnv)
@@ -78,8 +78,8 @@
 	}
 }
 
-// What the move asks for is taken from the platform's file too; left out, it is as before.
-func TestTheShapeOfADeployment(t *testing.T) {
+// Settings that only some deployments have are taken from the platform's file too.
+func TestDeploymentSettings(t *testing.T) {
 	moved := strings.NewReplacer(`"Instances":2`, `"Instances":200,"RegistryMode":"ask","FailureDomains":["p","q","r"],"OverShareWorth":0.05`,
 		`"Orgs":[]`, `"Orgs":[{"Name":"b","QuotaPerS":3.5}]`, `"MaxCalls":51`, `"MaxCalls":51,"Carriage":[0.06,0,0.03]`,
 		`"FallMultiple":2.0`, `"AskEveryUs":4000000`)
--- a/internal/delivery/directory/list.go
+++ b/internal/delivery/directory/list.go
@@ -1,4 +1,4 @@
-// Package directory follows the list of receivers: the whole of it, then a watch that tells changes.
+// Package directory follows the list of receivers: it reads the full list, then watches its changes.
 package directory
 
 import (
@@ -14,13 +14,13 @@
 	"emberquay/internal/delivery/config"
 )
 
-// wireList is the list, or what changed of it, as it is written on the wire.
+// wireList is the list, or changes to it, as encoded on the wire.
 type wireList struct {
 	Version int64             `json:"version"`
 	Full    bool              `json:"full"`
 	Servers []json.RawMessage `json:"servers"`
 
-	entries []wireEntry // those that make sense
+	entries []wireEntry // the valid ones
 }
 
 type wireEntry struct {
@@ -33,64 +33,64 @@
 	Weight float64 `json:"weight"`
 }
 
-// Update is what the list tells at once; Whole: what is not in it is gone.
+// Update is one list or change; if Complete, receivers that are not in it are removed.
 type Update struct {
 	Complete bool
 	Entries  []Entry
 }
 
-// Entry is one line of it.
+// Entry is one entry of the list.
 type Entry struct {
 	control.ReceiverEntry
 	Addr string
 }
 
-// parseList reads a list. An entry that makes no sense is left out: the others must not be lost with it.
+// parseList parses a list. An invalid entry is skipped so that the others are not lost with it.
 func parseList(raw []byte) (*wireList, error) {
 	l := &wireList{}
 	if err := json.Unmarshal(raw, l); err != nil {
 		return nil, err
 	}
-	for _, one := range l.Servers {
-		var h wireEntry
-		err := json.Unmarshal(one, &h)
+	for _, raw := range l.Servers {
+		var entry wireEntry
+		err := json.Unmarshal(raw, &entry)
 		if err == nil {
-			err = h.validate()
+			err = entry.validate()
 		}
 		if err != nil {
 			slog.Warn("bad_entry", "part", "directory", "version", l.Version, "err", err)
 			continue
 		}
-		l.entries = append(l.entries, h)
+		l.entries = append(l.entries, entry)
 	}
 	return l, nil
 }
 
-func (h *wireEntry) validate() error {
-	_, _, err := net.SplitHostPort(h.Addr)
+func (entry *wireEntry) validate() error {
+	_, _, err := net.SplitHostPort(entry.Addr)
 	switch {
-	case h.ID == "":
-		return errors.New("a server without id")
-	case h.State != "active" && h.State != "leaving" && h.State != "left":
-		return fmt.Errorf("server %s: state %q is not known", h.ID, h.State)
-	case err != nil && h.State != "left":
-		return fmt.Errorf("server %s: addr %q is no host:port", h.ID, h.Addr)
-	case h.Weight < 0:
-		return fmt.Errorf("server %s: weight %v is under nought", h.ID, h.Weight)
+	case entry.ID == "":
+		return errors.New("server without id")
+	case entry.State != "active" && entry.State != "leaving" && entry.State != "left":
+		return fmt.Errorf("server %s: unknown state %q", entry.ID, entry.State)
+	case err != nil && entry.State != "left":
+		return fmt.Errorf("server %s: addr %q is not host:port", entry.ID, entry.Addr)
+	case entry.Weight < 0:
+		return fmt.Errorf("server %s: weight %v is negative", entry.ID, entry.Weight)
 	}
 	return nil
 }
 
-// idAllocator gives every id a number, the same for as long as the list names it and a while longer: it may come
-// back, and what is known of it must be found again. Those gone longest are forgotten past a bound, so that the
-// numbers of a sender that runs for long do not add up.
+// idAllocator gives each id a number, which it keeps while it is listed and for some time after, since a receiver may
+// come back and what is known of it must be found again. Beyond a limit the ids removed longest ago are dropped, so that
+// the map does not grow without bound in a sender that runs for long.
 type idAllocator struct {
 	ids     map[string]control.ReceiverID
 	removed []string // oldest first
 	lastID  control.ReceiverID
 }
 
-// maxRemoved is how many ids that are gone keep their numbers.
+// maxRemoved is how many removed ids keep their numbers.
 const maxRemoved = 256
 
 func newIDAllocator() *idAllocator { return &idAllocator{ids: map[string]control.ReceiverID{}} }
@@ -106,22 +106,22 @@
 func (n *idAllocator) update(l *wireList) Update {
 	update := Update{Complete: l.Full}
 	listed := map[string]bool{}
-	for _, h := range l.entries {
-		e := control.ReceiverEntry{Receiver: n.idOf(h.ID), Rate: h.Weight, Destination: h.Cell, Kind: config.NormalizeName(h.Kind), Zone: config.NormalizeName(h.Zone)}
-		switch h.State {
+	for _, entry := range l.entries {
+		receiver := control.ReceiverEntry{Receiver: n.idOf(entry.ID), Rate: entry.Weight, Destination: entry.Cell, Kind: config.NormalizeName(entry.Kind), Zone: config.NormalizeName(entry.Zone)}
+		switch entry.State {
 		case "leaving":
-			e.State = control.Draining
+			receiver.State = control.Draining
 		case "left":
-			e.State = control.Removed
+			receiver.State = control.Removed
 		}
-		listed[h.ID] = e.State != control.Removed
-		update.Entries = append(update.Entries, Entry{e, h.Addr})
+		listed[entry.ID] = receiver.State != control.Removed
+		update.Entries = append(update.Entries, Entry{receiver, entry.Addr})
 	}
 	n.releaseRemoved(listed, l.Full)
 	return update
 }
 
-// releaseRemoved notes which ids are gone and which are back.
+// releaseRemoved updates which ids are removed, and drops the oldest beyond maxRemoved.
 func (n *idAllocator) releaseRemoved(listed map[string]bool, complete bool) {
 	n.removed = slices.DeleteFunc(n.removed, func(id string) bool { _, mentioned := listed[id]; return mentioned })
 	for _, id := range slices.Sorted(maps.Keys(n.ids)) {
--- a/internal/delivery/directory/pauses_test.go
+++ b/internal/delivery/directory/pauses_test.go
@@ -7,80 +7,80 @@
 	"time"
 )
 
-// A fleet is killed and comes back in one moment, to a platform that takes one call of each in so long, works on for
-// those that have given up after two seconds, and turns away what would wait for sixteen. None is turned away where it
-// can answer them all before the first gives up, and all of them have the list before long where it cannot.
-func TestAFleetThatAsksAtOnceIsAnswered(t *testing.T) {
+// A fleet is killed and restarts at once. The platform handles one request at a time, keeps working on those whose
+// senders gave up after two seconds, and rejects those that would wait longer than sixteen. If it can answer all before
+// the first gives up, no request may fail; if not, all must have the list soon.
+func TestAFleetThatRequestsAtOnceIsAnswered(t *testing.T) {
 	for _, c := range []struct {
-		allIn, last time.Duration
-		inVain      int
+		totalTime, maxLastAnswer time.Duration
+		maxFailed                int
 	}{{2 * time.Second, 3 * time.Second, 0}, {8 * time.Second, 50 * time.Second, 200}} {
-		inVain, last, missing := simulateFleet(80, c.allIn)
-		if missing > 0 || inVain > c.inVain || last > c.last {
-			t.Errorf("all in %s: %d tries in vain, the last list after %s, %d have none", c.allIn, inVain, last, missing)
+		failed, lastAnswer, missing := simulateFleet(80, c.totalTime)
+		if missing > 0 || failed > c.maxFailed || lastAnswer > c.maxLastAnswer {
+			t.Errorf("platform busy for %s: %d failed requests, last list after %s, %d senders without a list", c.totalTime, failed, lastAnswer, missing)
 		}
 	}
 }
 
-// simulateFleet plays it for a minute.
-func simulateFleet(senders int, allIn time.Duration) (inVain int, last time.Duration, missing int) {
-	const patience, booked = 2 * time.Second, 16 * time.Second
-	type asker struct {
-		pauses *backoff
-		at     time.Duration // of its next try
+// simulateFleet simulates one minute; totalTime is what the platform takes to answer each sender once.
+func simulateFleet(senders int, totalTime time.Duration) (failed int, lastAnswer time.Duration, missing int) {
+	const giveUpAfter, maxWait = 2 * time.Second, 16 * time.Second
+	type sender struct {
+		backoff   *backoff
+		requestAt time.Duration // time of its next request
 	}
-	var fleet []*asker
+	var fleet []*sender
 	for seed := range uint64(senders) {
 		p := newBackoff(seed, 5*time.Second)
-		fleet = append(fleet, &asker{p, p.initialDelay(750 * time.Millisecond)})
+		fleet = append(fleet, &sender{p, p.initialDelay(750 * time.Millisecond)})
 	}
-	done := time.Duration(0) // when the platform is through with all it has taken on
+	idleAt := time.Duration(0) // when the platform has finished all accepted requests
 	for len(fleet) > 0 {
-		slices.SortFunc(fleet, func(a, b *asker) int { return cmp.Compare(a.at, b.at) })
+		slices.SortFunc(fleet, func(a, b *sender) int { return cmp.Compare(a.requestAt, b.requestAt) })
 		next := fleet[0]
-		if next.at > time.Minute {
+		if next.requestAt > time.Minute {
 			break
 		}
-		done = max(done, next.at)
-		wait := done - next.at
-		if wait <= booked {
-			done += allIn / time.Duration(senders)
+		idleAt = max(idleAt, next.requestAt)
+		wait := idleAt - next.requestAt
+		if wait <= maxWait {
+			idleAt += totalTime / time.Duration(senders)
 		}
-		if wait <= patience {
-			fleet, last = fleet[1:], done
+		if wait <= giveUpAfter {
+			fleet, lastAnswer = fleet[1:], idleAt
 			continue
 		}
-		inVain++
-		next.at += next.pauses.nextDelay(false)
-		if wait <= booked {
-			next.at += patience
+		failed++
+		next.requestAt += next.backoff.nextDelay(false)
+		if wait <= maxWait {
+			next.requestAt += giveUpAfter
 		}
 	}
-	return inVain, last, len(fleet)
+	return failed, lastAnswer, len(fleet)
 }
 
-// What a pause grows by ends with the first thing that a watch brings.
-func TestPausesGrowAndBeginAnew(t *testing.T) {
+// The window grows with failed requests and is reset once a watch has received something.
+func TestBackoffGrowsAndIsReset(t *testing.T) {
 	p := newBackoff(1, time.Second)
-	most := func(n int, upheld bool) (longest time.Duration) {
+	longestDelay := func(n int, succeeded bool) (longest time.Duration) {
 		for range n {
-			longest = max(longest, p.nextDelay(upheld))
+			longest = max(longest, p.nextDelay(succeeded))
 		}
 		return longest
 	}
-	if first, later, anew := most(50, true), most(50, false), most(50, true); first > time.Second || anew > time.Second ||
+	if first, later, afterReset := longestDelay(50, true), longestDelay(50, false), longestDelay(50, true); first > time.Second || afterReset > time.Second ||
 		later <= 2*time.Second || later > 4*time.Second {
-		t.Errorf("pauses up to %s, %s in a row, %s once one has brought something", first, later, anew)
+		t.Errorf("delays up to %s, %s after failures, %s after a success", first, later, afterReset)
 	}
 }
 
-// A sender that is started with a list asks for news of it within the time that it is given, not when a try in vain
-// would be made again: receivers may have begun to drain while it was down.
-func TestTheFirstAskComesSoon(t *testing.T) {
+// A sender that starts with a cached list requests changes within the given time, not only after a retry delay:
+// receivers may have begun to drain while it was down.
+func TestTheFirstRequestComesSoon(t *testing.T) {
 	for seed := range uint64(50) {
 		p := newBackoff(seed, time.Hour)
 		if first := p.initialDelay(time.Second); first >= time.Second {
-			t.Errorf("asks first after %s", first)
+			t.Errorf("first request after %s", first)
 		}
 	}
 }
--- a/internal/delivery/directory/watch.go
+++ b/internal/delivery/directory/watch.go
@@ -16,22 +16,22 @@
 
 const listPath = "/discovery/hosts"
 
-// Directory is the actor of the list. Its mailbox takes the lines of the watch; what they say is told in
-// order, by one goroutine.
+// Directory follows the list in one goroutine, which passes on the updates in order. Another goroutine per watch reads its
+// lines into a mailbox.
 type Directory struct {
 	url          string
-	addrs        chan string // addresses that it is told to go to
+	addrs        chan string // new addresses of the platform
 	limits       config.Limits
 	client       *http.Client
 	ids          *idAllocator
 	version      int64
-	needFull     bool // the whole list is wanted: there is none yet, or a change was missed
+	needFull     bool // the full list is needed: there is none yet, or a change was missed
 	backoff      *backoff
-	answeredEnds int // watches that were answered and ended, each within the time of a silence
+	answeredEnds int // consecutive watches that were answered and ended, each before a silence timeout
 	onUpdate     func(Update)
 }
 
-// New makes the actor; news goes to tell. The seed is for the times at which it asks again.
+// New returns a directory that passes updates to onUpdate. The seed is for the random retry delays.
 func New(addr string, seed uint64, limits config.Limits, onUpdate func(Update)) *Directory {
 	return &Directory{url: listURL(addr), addrs: make(chan string, 8), limits: limits, ids: newIDAllocator(), needFull: true, onUpdate: onUpdate,
 		backoff: newBackoff(seed, limits.ListRetryWindow),
@@ -43,10 +43,10 @@
 
 func listURL(addr string) string { return "http://" + addr + listPath }
 
-// SetAddr posts that the list is told at another address from now on.
+// SetAddr makes the directory use another address of the platform from now on.
 func (d *Directory) SetAddr(addr string) { d.addrs <- addr }
 
-// switchAddr goes there. The list may have changed meanwhile, so it is asked for whole.
+// switchAddr switches to an address. The list may have changed meanwhile, so the full list is requested.
 func (d *Directory) switchAddr(addr string) error {
 	d.url, d.needFull = listURL(addr), true
 	return errAddrChanged
@@ -57,7 +57,7 @@
 	errSilent      = errors.New("silent")
 )
 
-// Restore tells the list as this sender had it last, before Run.
+// Restore passes on the list as this sender had it last; call it before Run.
 func (d *Directory) Restore(raw []byte) error {
 	l, err := parseList(raw)
 	if err != nil {
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// Run follows the list until the context ends. A watch that ends or falls silent is made anew. A sender that knows a
-// list need not ask at once: most of a fleet may have been started in the same moment.
+// Run follows the list until the context ends. It restarts a watch that ends or is silent. A sender with a cached list
+// waits before the first request, as most of a fleet may have been started at the same moment.
 func (d *Directory) Run(ctx context.Context) {
 	if !d.needFull {
 		d.wait(ctx, d.backoff.initialDelay(d.limits.FirstListWindow))
@@ -84,9 +84,9 @@
 		slog.Warn("watch_ended", "part", "directory", "version", d.version, "after", time.Since(startedAt), "err", err)
 		succeeded := received || err == errAddrChanged
 		delay := d.backoff.nextDelay(succeeded)
-		// What the platform has for this sender counts as told whether or not anybody asks. After a silence one request
-		// stays open all the time; one that was answered and then ended is opened again at once, and only a platform
-		// that ends each one so is left alone for longer and longer.
+		// The platform counts changes as announced whether or not a sender has a request open. So after a silence the next
+		// one is opened at once; after one that was answered and then ended also, but if the platform ends each
+		// of them, the delay grows.
 		if succeeded {
 			if err == errAddrChanged || time.Since(startedAt) > d.limits.WatchSilenceTimeout {
 				d.answeredEnds = 0
@@ -100,10 +100,10 @@
 	}
 }
 
-// maxEndDoublings bounds how often the rest after a watch that ended doubles.
+// maxEndDoublings limits how often the delay after an ended watch doubles.
 const maxEndDoublings = 6
 
-// wait waits, unless it is told to go to another address meanwhile.
+// wait waits for a delay or until the address changes.
 func (d *Directory) wait(ctx context.Context, delay time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -114,7 +114,7 @@
 	}
 }
 
-// runWatch keeps one watch, with the whole list before it where that is wanted; heard: it has brought something.
+// runWatch runs one watch, after requesting the full list if needed; received reports whether it got any data.
 func (d *Directory) runWatch(parent context.Context) (received bool, err error) {
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
@@ -148,7 +148,7 @@
 	}
 }
 
-// applyList tells what one line says; an empty one only that the watch lives.
+// applyList passes on the list or change in one line; an empty line is only a heartbeat.
 func (d *Directory) applyList(text []byte) error {
 	if len(bytes.TrimSpace(text)) == 0 {
 		return nil
@@ -157,7 +157,7 @@
 	if err != nil {
 		return err
 	}
-	if !l.Full && (d.needFull || l.Version < d.version) { // changes to a list that is not this one
+	if !l.Full && (d.needFull || l.Version < d.version) { // a change to another list
 		return fmt.Errorf("a change to version %d after version %d", l.Version, d.version)
 	}
 	slog.Info("listed", "part", "directory", "version", l.Version, "after", d.version, "whole", l.Full, "entries", len(l.entries))
@@ -169,13 +169,13 @@
 	return nil
 }
 
-// watchLine is one of the watch, or why it ended.
+// watchLine is one line of a watch, or the error that ended it.
 type watchLine struct {
 	text []byte
 	err  error
 }
 
-// readWatch fills the mailbox from the platform: the whole list if wanted, then the changes after it.
+// readWatch fills the mailbox from the platform: the full list if needed, then the changes after it.
 func (d *Directory) readWatch(ctx context.Context, mailbox chan<- watchLine, url string, needFull bool, version int64) {
 	defer close(mailbox)
 	post := func(l watchLine) bool {
@@ -207,7 +207,7 @@
 		return
 	}
 	defer body.Close()
-	// Lists follow each other, over several lines perhaps; what comes between them tells that the watch lives.
+	// Lists follow one another, each possibly on several lines; any data between them is a heartbeat.
 	limited := &limitedReader{Reader: body, remaining: maxListBytes, onData: func() { post(watchLine{}) }}
 	decoder := json.NewDecoder(limited)
 	for {
@@ -225,7 +225,7 @@
 	}
 }
 
-// limitedReader reads no more than so much for one list: one without end must not fill the memory.
+// limitedReader limits the bytes read for one list, as an endless one must not fill the memory.
 type limitedReader struct {
 	io.Reader
 	remaining int
@@ -234,7 +234,7 @@
 
 func (b *limitedReader) Read(buf []byte) (int, error) {
 	if b.remaining <= 0 {
-		return 0, errors.New("the list is too large")
+		return 0, errors.New("list is too large")
 	}
 	n, err := b.Reader.Read(buf)
 	b.remaining -= n
@@ -244,7 +244,7 @@
 	return n, err
 }
 
-// maxListBytes bounds what is read as one list.
+// maxListBytes limits the size of one list.
 const maxListBytes = 4 << 20
 
 func (d *Directory) get(ctx context.Context, url string) (io.ReadCloser, error) {
@@ -258,7 +258,7 @@
 	}
 	if resp.StatusCode != http.StatusOK {
 		resp.Body.Close()
-		return nil, fmt.Errorf("the platform answered %s", resp.Status)
+		return nil, fmt.Errorf("platform responded with status %s", resp.Status)
 	}
 	return resp.Body, nil
 }
--- a/internal/delivery/ledger/compare_test.go
+++ b/internal/delivery/ledger/compare_test.go
@@ -17,12 +17,12 @@
 
 // The measurement of docs/notes/ledger.md: the same workload on this ledger and on an embedded store, in one run.
 //
-//	go test ./internal/ledger -run '^$' -bench . -benchtime 20000x
+//	go test ./internal/delivery/ledger -run '^$' -bench . -benchtime 20000x
 //
-// Each round takes a text, notes a submit and ends the text; so many others are held all along, so that the room is
-// filled as far as said. In the modes of power a batch of 16 rounds shares a sync.
+// Each round accepts a text, records an attempt and ends the text; others are held throughout, so that the given share of
+// the space is used. With power loss safety 16 rounds share a sync.
 
-// backend is what is compared.
+// backend is a store under comparison.
 type backend interface {
 	accept(t *Text) error
 	attempt(id string) error
@@ -39,17 +39,17 @@
 func (o segmentStore) sync() error             { return o.Sync() }
 func (o segmentStore) close()                  { o.Close() }
 
-// boltStore is the embedded store: a transaction for each call, without a sync, or one for each batch with it.
+// boltStore is the embedded store: one transaction per call without sync, or one per batch with sync.
 type boltStore struct {
-	db    *bbolt.DB
-	power bool
-	tx    *bbolt.Tx
+	db            *bbolt.DB
+	powerLossSafe bool
+	tx            *bbolt.Tx
 }
 
 var bucketName = []byte("texts")
 
 func (o *boltStore) update(f func(b *bbolt.Bucket) error) error {
-	if !o.power {
+	if !o.powerLossSafe {
 		return o.db.Update(func(tx *bbolt.Tx) error { return f(tx.Bucket(bucketName)) })
 	}
 	if o.tx == nil {
@@ -92,22 +92,22 @@
 
 func (o *boltStore) close() { o.db.Close() }
 
-func newBackends(b *testing.B, room int64, power bool) map[string]func() backend {
+func newBackends(b *testing.B, maxBytes int64, powerLossSafe bool) map[string]func() backend {
 	return map[string]func() backend{
 		"segments": func() backend {
-			l, err := Open(vfs.OS{}, b.TempDir(), Options{MaxBytes: room, PowerLossSafe: power})
+			l, err := Open(vfs.OS{}, b.TempDir(), Options{MaxBytes: maxBytes, PowerLossSafe: powerLossSafe})
 			if err != nil {
 				b.Fatal(err)
 			}
 			return segmentStore{l}
 		},
 		"bbolt": func() backend {
-			db, err := bbolt.Open(filepath.Join(b.TempDir(), "db"), 0o600, &bbolt.Options{NoSync: !power, NoFreelistSync: true})
+			db, err := bbolt.Open(filepath.Join(b.TempDir(), "db"), 0o600, &bbolt.Options{NoSync: !powerLossSafe, NoFreelistSync: true})
 			if err != nil {
 				b.Fatal(err)
 			}
 			db.Update(func(tx *bbolt.Tx) error { _, err := tx.CreateBucket(bucketName); return err })
-			return &boltStore{db: db, power: power}
+			return &boltStore{db: db, powerLossSafe: powerLossSafe}
 		},
 	}
 }
@@ -116,7 +116,7 @@
 	for _, c := range []struct {
 		room  int64
 		size  int
-		held  float64 // share of the room
+		held  float64 // share of the space
 		power bool
 	}{
 		{3e6, 200, 0, false}, {3e6, 200, 0.6, false}, {3e6, 200, 0.8, false}, {3e6, 64 << 10, 0.5, false},
@@ -138,15 +138,15 @@
 				if err := s.sync(); err != nil {
 					b.Fatal(err)
 				}
-				var took []time.Duration
+				var durations []time.Duration
 				b.ResetTimer()
 				for i := range b.N {
 					id := fmt.Sprintf("%016x", i)
-					began := time.Now()
+					startedAt := time.Now()
 					if err := s.accept(text(id)); err != nil {
 						b.Fatal(err)
 					}
-					took = append(took, time.Since(began))
+					durations = append(durations, time.Since(startedAt))
 					if err := s.attempt(id); err != nil {
 						b.Fatal(err)
 					}
@@ -161,9 +161,9 @@
 				}
 				b.StopTimer()
 				s.sync()
-				slices.Sort(took)
-				b.ReportMetric(float64(took[len(took)*999/1000].Microseconds()), "p99.9-take-us")
-				b.ReportMetric(float64(took[len(took)-1].Microseconds()), "max-take-us")
+				slices.Sort(durations)
+				b.ReportMetric(float64(durations[len(durations)*999/1000].Microseconds()), "p99.9-take-us")
+				b.ReportMetric(float64(durations[len(durations)-1].Microseconds()), "max-take-us")
 				if o, ok := s.(segmentStore); ok {
 					st := o.Stats()
 					b.ReportMetric(float64(st.WrittenBytes)/float64(max(1, st.WrittenBytes-st.MovedBytes)), "written-per-byte")
@@ -174,7 +174,7 @@
 	}
 }
 
-// BenchmarkOpen measures a start with so many live records, beside a hundred times as many that are over.
+// BenchmarkOpen measures a start with n live records, beside up to a hundred times as many that have ended.
 func BenchmarkOpen(b *testing.B) {
 	for _, n := range []int{10, 10_000, 1_000_000} {
 		dir := b.TempDir()
--- a/internal/delivery/ledger/layout/layout_test.go
+++ b/internal/delivery/ledger/layout/layout_test.go
@@ -11,17 +11,17 @@
 
 func TestMain(m *testing.M) { rapidseed.Main(m) }
 
-// testingT is what a test and a random run have in common.
+// testingT is what testing.T and rapid.T have in common.
 type testingT interface {
 	Fatal(...any)
 	Fatalf(string, ...any)
 }
 
-// fakeDisk plays a ledger over a layout: it writes nothing, but counts what would lie on the disk.
+// fakeDisk simulates a ledger with a layout: it writes nothing but counts the disk usage.
 type fakeDisk struct {
 	layout   *Layout
 	segments uint64
-	maxMoved int64 // moved within one write
+	maxMoved int64 // most bytes moved within one write
 }
 
 func (d *fakeDisk) write(t testingT, id string, n int64) {
@@ -48,35 +48,35 @@
 	}
 	d.maxMoved = max(d.maxMoved, moved)
 	if s := d.layout.Stats(); s.UsedBytes > s.MaxBytes {
-		t.Fatalf("%d bytes on the disk, %d may be", s.UsedBytes, s.MaxBytes)
+		t.Fatalf("%d bytes on disk, limit %d", s.UsedBytes, s.MaxBytes)
 	}
 	if bad := d.layout.CheckInvariants(); bad != "" {
 		t.Fatal(bad)
 	}
 }
 
-func (d *fakeDisk) append(id string, n int64, grow func(int64)) {
+func (d *fakeDisk) append(id string, n int64, account func(int64)) {
 	if d.layout.NeedsNewSegment(n) {
 		d.segments++
 		d.layout.StartSegment(d.segments, 46)
 	}
-	grow(n)
+	account(n)
 	if id != "" {
 		d.layout.Put(id, n)
 	}
 }
 
-// Whatever comes: never over the room, what was admitted can end, and what is live stays where it is counted.
-func TestNeverOverTheRoom(t *testing.T) {
+// With random texts the space is never exceeded, every accepted text can end, and the sums of the layout agree.
+func TestNeverExceedsTheSpace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		room := rapid.Int64Range(24<<10, 400<<10).Draw(t, "room")
-		d := &fakeDisk{layout: New(Limits{MaxBytes: room, MaxRecordBytes: 8 << 10, GrowthBytes: 300})}
+		maxBytes := rapid.Int64Range(24<<10, 400<<10).Draw(t, "room")
+		d := &fakeDisk{layout: New(Limits{MaxBytes: maxBytes, MaxRecordBytes: 8 << 10, GrowthBytes: 300})}
 		var held []string
 		for i := range rapid.IntRange(1, 400).Draw(t, "steps") {
 			if len(held) > 0 && rapid.IntRange(0, 2).Draw(t, "end") == 0 {
 				k := rapid.IntRange(0, len(held)-1).Draw(t, "which")
-				d.write(t, "", 100) // a submit
-				d.write(t, "", 60)  // it never ran
+				d.write(t, "", 100) // an attempt
+				d.write(t, "", 60)  // it did not run
 				d.layout.Drop(held[k])
 				d.write(t, "", 60) // the end
 				held = append(held[:k], held[k+1:]...)
@@ -93,7 +93,7 @@
 }
 
 // Live bytes fill at least four fifths of three megabytes, with small texts and with the largest.
-func TestFillsTheRoom(t *testing.T) {
+func TestUsesMostOfTheSpace(t *testing.T) {
 	for _, size := range []int64{400, 66 << 10} {
 		d := &fakeDisk{layout: New(Limits{MaxBytes: 3e6, MaxRecordBytes: 84 << 10, GrowthBytes: 72})}
 		for i := 0; d.layout.Admits(size); i++ {
@@ -105,8 +105,8 @@
 	}
 }
 
-// With four fifths of the room held for long, writing goes on with little moved at a time, and hardly ever all at once.
-func TestCleaningGoesAlong(t *testing.T) {
+// With four fifths of the space live for long, writing continues with little moved at a time, and rarely all at once.
+func TestCleaningIsSpreadOverWrites(t *testing.T) {
 	{
 		d := &fakeDisk{layout: New(Limits{MaxBytes: 3e6, MaxRecordBytes: 84 << 10, GrowthBytes: 72})}
 		for i := range 2400 {
@@ -129,8 +129,8 @@
 	}
 }
 
-// With little live, little lies on the disk: a start reads what counts, not all that ever was.
-func TestLittleLiveLittleOnTheDisk(t *testing.T) {
+// With few live bytes the disk usage is small: a start reads the live records, not all that were ever written.
+func TestDiskUsageFollowsLiveBytes(t *testing.T) {
 	{
 		d := &fakeDisk{layout: New(Limits{MaxBytes: 1 << 30, MaxRecordBytes: 84 << 10, SegmentBytes: 64 << 10, GrowthBytes: 72})}
 		for i := range 20000 {
--- a/internal/delivery/ledger/ledger.go
+++ b/internal/delivery/ledger/ledger.go
@@ -1,22 +1,24 @@
-// Package ledger keeps what a sender has taken on in the folder that outlasts its process. It only tells what was
-// written; what follows from that is decided elsewhere. How to use it:
+// Package ledger stores the accepted texts of a sender in a folder, so that they survive the process. It only records
+// and reports state; the decisions are made elsewhere. Usage:
 //
-//	l, err := ledger.Open(vfs.OS{}, dir, ledger.Options{Room: 3e6})
-//	l.Now(now)                               // at a start, before anything is done with
-//	texts, notices := l.Owed()               // what is from before
-//	err = l.Taken(t)                         // before its client hears that it is taken on
-//	err = l.Submitted(t.ID, now, zone)       // before each call
-//	err = l.Answered(t.ID, mayHaveRun)       // what became of it
-//	err = l.Ended(t.ID) or l.Untold(notice)  // the end, and whether a notice is owed; l.Ended again once it arrived
-//	err = l.Sync()                           // before anybody is told of any of this
+//	l, err := ledger.Open(vfs.OS{}, dir, ledger.Options{MaxBytes: 3e6})
+//	l.CheckClock(now)                        // at startup, before anything else
+//	texts, notices := l.Unfinished()         // of earlier processes
+//	err = l.RecordAccepted(t)                // before its client is told that it is accepted
+//	err = l.RecordAttempt(t.ID, now, zone)   // before each call
+//	err = l.RecordResult(t.ID, mayHaveRun)   // the result of the attempt
+//	err = l.RecordEnd(t.ID)                  // no notice is owed, or the notice was delivered
+//	err = l.RecordEndOwingNotice(notice)     // a notice is owed
+//	err = l.Sync()                           // before any of this is made known
 //
-// A write is in the file when a call returns: it outlasts the process. With Options.Power it outlasts the loss of power
-// as well, once Sync has returned; then nothing may leave the sender before that. Many records share one sync.
+// A record is written to the file when the call returns and survives the end of the process. With Options.PowerLossSafe
+// it also survives a power loss once Sync has returned; nothing may leave the sender before that. Many records
+// share one sync.
 //
-// Records go to segments, one file after the other; internal/delivery/ledger/layout decides what of the oldest is written anew
-// so that it can be removed, a little with each write. Nothing stops meanwhile. A record that was cut short by the
-// process's death is seen and dropped; it was promised to no one. Where records are missing that had been kept, what is
-// left is served, texts that may have run meanwhile count as such, and the damaged file is set aside.
+// Records are appended to segment files. With each write a few live records of the oldest segment are rewritten, as
+// internal/delivery/ledger/layout decides, so that it can be removed; operation never stops for that. A record truncated by
+// the end of the process is detected and dropped: its write was never acknowledged. If acknowledged records are
+// missing, the remaining texts are served and count as possibly run, and the damaged file is set aside.
 package ledger
 
 import (
@@ -33,18 +35,18 @@
 	"emberquay/internal/vfs"
 )
 
-// ErrFull says that a text finds no room.
+// ErrFull is returned if there is no space for a text.
 var ErrFull = errors.New("the lasting folder is full")
 
 var errUnavailable = errors.New("the lasting folder could not be read")
 
-// Options say how a ledger is kept.
+// Options configures a ledger.
 type Options struct {
-	MaxBytes      int64 // bytes of the folder, each file counted in whole blocks of 512
-	PowerLossSafe bool  // what was synced outlasts the loss of power
+	MaxBytes      int64 // limit of the folder; each file counts in whole blocks of 512 bytes
+	PowerLossSafe bool  // synced records survive a power loss
 }
 
-// Ledger is the open folder and what is live in it. It is used by one goroutine.
+// Ledger is an open folder with its live state. It is used by one goroutine.
 type Ledger struct {
 	files  vfs.FS
 	dir    string
@@ -53,41 +55,41 @@
 	layout *layout.Layout
 	state  *state
 
-	tail         vfs.File // the tail; nil if another is to be begun
-	tailBytes    int64    // of what is whole in it
-	lastSegment  uint64   // of the newest segment
-	lastSeq      uint64   // of the last record
-	dirty        bool     // something is not synced
-	dirUnsynced  bool     // nor is the name of a file
+	tail         vfs.File // newest segment; nil if the next record starts another
+	tailBytes    int64    // length of its complete records
+	lastSegment  uint64   // number of the newest segment
+	lastSeq      uint64   // sequence number of the last record
+	dirty        bool     // records are not synced
+	dirUnsynced  bool     // file names are not synced
 	syncedSeq    uint64
-	reserveSize  int64    // bytes of the file that is given up for ends; 0 if there is none now
-	unwritten    []record // that could not be written yet: ends, and what a sync that failed may have lost
+	reserveSize  int64    // bytes of the reserve file, which is removed to make space for ends; 0: no reserve
+	unwritten    []record // still to be written: failed ends, and records that a failed sync may have lost
 	unsynced     []record // written since the last sync
 	unavailable  bool
-	legacyDamage string // what could not be read of the old form
+	legacyDamage string // what is unreadable in a file of the legacy format
 	buffer       []byte
 }
 
-// lockName is the file by which one process has the folder; reserveName holds room for ends.
+// lockName is the file locked by the process that uses the folder; reserveName is the file that reserves space for ends.
 const (
 	lockName    = "lock"
 	reserveName = "reserve"
 	badPrefix   = "bad-"
 )
 
-// maxGrowthBytes is by how much a held text's record may still grow: submits, since when it may have run, and where. What else
-// is written of it is garbage as soon as it is.
+// maxGrowthBytes is how much the record of a held text may still grow: by its attempts, and by the time and zone of
+// the first that may have run. Any other record of it is garbage as soon as it is written.
 const maxGrowthBytes = 72
 
-// endRecordBytes is about what the end of a text takes.
+// endRecordBytes is the approximate size of the record that ends a text.
 const endRecordBytes = 160
 
-// largestRecordBytes is what one record may have: the largest body, the longest headers, and what is written with them.
+// largestRecordBytes limits one record: the largest body, the longest headers and their encoding.
 const largestRecordBytes = 84 << 10
 
-// Open reads what the folder holds, which may be nothing, and keeps on from there. A folder that another process uses
-// is refused (vfs.ErrLocked). After another error the ledger takes nothing, so that texts are refused while the folder
-// cannot be read, and what it may hold is not written over.
+// Open loads the folder, which may be empty, and continues it. It fails with vfs.ErrLocked if another process uses the
+// folder. After any other error the ledger accepts nothing: texts are refused while the folder cannot be read, and its
+// contents are not overwritten.
 func Open(files vfs.FS, dir string, opt Options) (*Ledger, error) {
 	l := &Ledger{files: files, dir: dir, opt: opt, state: newState()}
 	l.layout = l.newLayout(0)
@@ -100,7 +102,7 @@
 	return l, nil
 }
 
-// newLayout is one for the room that is left beside everything else in the folder.
+// newLayout returns a layout for the space that remains beside the reserve and the files set aside.
 func (l *Ledger) newLayout(setAsideBytes int64) *layout.Layout {
 	maxBytes := l.opt.MaxBytes - reserveBytes(l.opt.MaxBytes) - 2*layout.BlockBytes - setAsideBytes
 	return layout.New(layout.Limits{MaxBytes: maxBytes, MaxRecordBytes: largestRecordBytes, GrowthBytes: maxGrowthBytes})
@@ -108,10 +110,10 @@
 
 func (l *Ledger) path(name string) string { return filepath.Join(l.dir, name) }
 
-// Unfinished gives the texts that have no end yet, in the order they were taken, and the notices that are due.
+// Unfinished returns the texts that have not ended, in order of acceptance, and the undelivered notices.
 func (l *Ledger) Unfinished() ([]*Text, []*Notice) { return l.state.unfinished() }
 
-// CheckClock tells the time at a start. If what is held tells of later instants, the clock was put back since.
+// CheckClock compares the time at startup with the recorded times; if any is later, the clock was set back since.
 func (l *Ledger) CheckClock(now control.Time) {
 	if step := l.state.latestTime() - now; step > 0 {
 		slog.Warn("clock_put_back", "part", "ledger", "tenths_of_ms", int64(step), "texts", len(l.state.texts))
@@ -119,13 +121,13 @@
 	}
 }
 
-// RequiresSync says whether Sync has to be waited for.
+// RequiresSync reports whether Sync must return before results are made known.
 func (l *Ledger) RequiresSync() bool { return l.opt.PowerLossSafe }
 
-// Stats tells how the folder is used.
+// Stats returns how the folder is used.
 func (l *Ledger) Stats() layout.Stats { return l.layout.Stats() }
 
-// Close ends the use of the folder.
+// Close releases the folder.
 func (l *Ledger) Close() error {
 	var err error
 	if !l.unavailable {
@@ -136,11 +138,11 @@
 		err = errors.Join(err, l.lock.Close())
 		l.lock = nil
 	}
-	l.unavailable = true // nothing is written from now on
+	l.unavailable = true // no more writes
 	return err
 }
 
-// FileNames lists the files of a folder that are a ledger's.
+// FileNames lists the files of a folder that belong to a ledger.
 func FileNames(files vfs.FS, dir string) ([]string, error) {
 	names, err := files.List(dir)
 	return slices.DeleteFunc(names, func(name string) bool {
--- a/internal/delivery/ledger/ledger_test.go
+++ b/internal/delivery/ledger/ledger_test.go
@@ -33,7 +33,7 @@
 
 const dir = "state"
 
-// testMaxBytes of the ledgers here: small enough that cleaning goes on all the time.
+// testMaxBytes is the size of the ledgers here: small enough that cleaning happens all the time.
 const testMaxBytes = 48 << 10
 
 type testingT interface {
@@ -41,35 +41,35 @@
 	Fatalf(string, ...any)
 }
 
-func openLedger(t testingT, m vfs.FS, power bool) *Ledger {
+func openLedger(t testingT, m vfs.FS, powerLossSafe bool) *Ledger {
 	t.Helper()
-	l, err := Open(m, dir, Options{MaxBytes: testMaxBytes, PowerLossSafe: power})
+	l, err := Open(m, dir, Options{MaxBytes: testMaxBytes, PowerLossSafe: powerLossSafe})
 	if err != nil {
 		t.Fatalf("%v", err)
 	}
 	return l
 }
 
-// expectation is what a text or a notice has been promised: what a start after any crash must find.
+// expectation is the state of a text or notice that a start after a crash must find.
 type expectation struct {
 	held       bool // a text is held; else a notice is owed
 	ended      bool // neither
 	body       []byte
 	attempts   int
 	firstRunAt control.Time
-	tentative  bool // the submit that is out decides what ran is
+	tentative  bool // firstRunAt is that of the attempt in flight
 }
 
 func (p expectation) String() string {
-	return fmt.Sprintf("text=%v over=%v body=%d submits=%d ran=%d", p.held, p.ended, len(p.body), p.attempts, p.firstRunAt)
+	return fmt.Sprintf("held=%v ended=%v body=%d attempts=%d firstRunAt=%d", p.held, p.ended, len(p.body), p.attempts, p.firstRunAt)
 }
 
-// workload is a workload that remembers what it was promised, and what was asked for and not answered yet: of that either
-// may be found.
+// workload runs calls on a ledger and tracks the state that is guaranteed, and the possible states from calls not yet
+// acknowledged: any of them may be found.
 type workload struct {
 	powerLossSafe bool
-	guaranteed    map[string]expectation // after the last Sync, or at once where the process is all that ends
-	unsynced      map[string]expectation // calls that have returned, not synced
+	guaranteed    map[string]expectation // after the last Sync, or at once if only the process ends
+	unsynced      map[string]expectation // of calls that returned, not synced
 	possible      map[string][]expectation
 }
 
@@ -85,7 +85,7 @@
 	return p, ok
 }
 
-// call makes one call on the ledger; next is what the text has become once it returns.
+// call makes one call on the ledger; next is the state of the text once it returns.
 func (s *workload) call(id string, next expectation, do func() error) error {
 	s.possible[id] = append(s.possible[id], next)
 	err := do()
@@ -111,7 +111,7 @@
 	return err
 }
 
-// check looks at what a start finds.
+// check compares what a start finds with the allowed states.
 func (s *workload) check(t testingT, l *Ledger, what string) {
 	t.Helper()
 	texts, notices := l.Unfinished()
@@ -137,20 +137,20 @@
 		if p, ok := s.guaranteed[id]; ok {
 			allowed = append(allowed, p)
 		} else {
-			allowed = append(allowed, expectation{ended: true}) // nobody was promised anything
+			allowed = append(allowed, expectation{ended: true}) // nothing was acknowledged
 		}
 		got, present := found[id]
 		got.ended = !present
 		if !slices.ContainsFunc(allowed, func(p expectation) bool {
 			return p.held == got.held && p.ended == got.ended && (!p.held || bytes.Equal(p.body, got.body) && p.attempts == got.attempts && p.firstRunAt == got.firstRunAt)
 		}) {
-			t.Fatalf("%s: %s is found as %+v, and may be %+v", what, id, got, allowed)
+			t.Fatalf("%s: found %s as %+v, allowed are %+v", what, id, got, allowed)
 		}
 	}
 }
 
-// run is the scripted workload: texts of all sizes that are submitted, answered, ended, noticed; some are held all
-// along, and what is written is several times the room, so that everything is moved and removed on the way.
+// run runs the scripted workload: texts of all sizes that are attempted, answered and ended, with and without notice; some
+// are held throughout, and several times the space is written, so that all records are moved and removed.
 func (s *workload) run(l *Ledger, steps int) error {
 	rng := rand.New(rand.NewPCG(3, 3))
 	var held []string
@@ -213,22 +213,22 @@
 // workloadSteps is the length of the scripted workload.
 const workloadSteps = 100
 
-// TestCrashAnywhere ends the process, or the machine's power, at every call on the file system and at several bytes
-// within each write: a start finds each text as it was promised, never none and never two.
+// TestCrashAnywhere ends the process, or cuts the power, at every call on the file system and at several bytes within each
+// write: a start must find each text in an allowed state, never lost and never twice.
 func TestCrashAnywhere(t *testing.T) {
 	for part := range 4 {
-		power := part >= 2
-		t.Run(fmt.Sprintf("power=%v/%d", power, part%2), func(t *testing.T) {
+		powerLossSafe := part >= 2
+		t.Run(fmt.Sprintf("power=%v/%d", powerLossSafe, part%2), func(t *testing.T) {
 			t.Parallel()
 			var calls []memfs.Call
 			m := memfs.New()
 			m.Hook = func(c memfs.Call) memfs.Fault { calls = append(calls, c); return memfs.Fault{} }
-			l := openLedger(t, m, power)
-			if err := newWorkload(power).run(l, workloadSteps); err != nil {
+			l := openLedger(t, m, powerLossSafe)
+			if err := newWorkload(powerLossSafe).run(l, workloadSteps); err != nil {
 				t.Fatal(err)
 			}
 			if s := l.Stats(); s.MovedBytes == 0 || l.lastSegment < 10 {
-				t.Fatalf("nothing is cleaned in this story: %+v", s)
+				t.Fatalf("the workload did not cause cleaning: %+v", s)
 			}
 			points := 0
 			for _, c := range calls {
@@ -241,44 +241,44 @@
 				}
 				for _, cut := range cuts {
 					points++
-					crashAt(t, c.Index, cut, power)
+					crashAt(t, c.Index, cut, powerLossSafe)
 				}
 			}
-			t.Logf("%d points of crash in %d calls", points, len(calls))
+			t.Logf("%d crash points in %d calls", points, len(calls))
 			if points < 1000 {
-				t.Errorf("only %d points", points)
+				t.Errorf("only %d crash points", points)
 			}
 		})
 	}
 }
 
-func crashAt(t *testing.T, call, cut int, power bool) {
+func crashAt(t *testing.T, call, cut int, powerLossSafe bool) {
 	t.Helper()
 	m := memfs.New()
 	m.Hook = func(c memfs.Call) memfs.Fault { return memfs.Fault{Crash: c.Index == call, PartialBytes: cut} }
-	s := newWorkload(power)
-	l, err := Open(m, dir, Options{MaxBytes: testMaxBytes, PowerLossSafe: power})
+	s := newWorkload(powerLossSafe)
+	l, err := Open(m, dir, Options{MaxBytes: testMaxBytes, PowerLossSafe: powerLossSafe})
 	if err == nil {
 		s.run(l, workloadSteps)
 	}
 	mode := memfs.ProcessCrash
-	if power {
+	if powerLossSafe {
 		mode = memfs.PowerLoss
 	}
 	what := fmt.Sprintf("crash at call %d, byte %d", call, cut)
 	after := m.AfterCrash(mode, rand.New(rand.NewPCG(uint64(call), uint64(cut))))
-	l = openLedger(t, after, power)
+	l = openLedger(t, after, powerLossSafe)
 	s.check(t, l, what)
 	if used := after.UsedBytes(); used > testMaxBytes {
-		t.Fatalf("%s: %d bytes in the folder, %d may be", what, used, testMaxBytes)
+		t.Fatalf("%s: %d bytes in the folder, limit %d", what, used, testMaxBytes)
 	}
-	// What was found is kept from now on, and a second start finds the same.
+	// What was found is kept from now on: a second start finds the same.
 	texts, notices := l.Unfinished()
 	l.Close()
-	l = openLedger(t, after.AfterCrash(memfs.ProcessCrash, nil), power)
+	l = openLedger(t, after.AfterCrash(memfs.ProcessCrash, nil), powerLossSafe)
 	texts2, notices2 := l.Unfinished()
 	if fmt.Sprint(ids(texts)) != fmt.Sprint(ids(texts2)) || len(notices) != len(notices2) {
-		t.Fatalf("%s: the second start finds %v, the first %v", what, ids(texts2), ids(texts))
+		t.Fatalf("%s: second start finds %v, first %v", what, ids(texts2), ids(texts))
 	}
 }
 
@@ -289,35 +289,35 @@
 	return all
 }
 
-// Random runs of texts, ends, faults and new starts against what was promised.
-func TestAgainstItsPromises(t *testing.T) {
+// Random runs of texts, ends, file system errors and restarts must find an allowed state.
+func TestRandomRunsFindAnAllowedState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		power := rapid.Bool().Draw(t, "power")
+		powerLossSafe := rapid.Bool().Draw(t, "power")
 		m := memfs.New()
-		s := newWorkload(power)
-		l := openLedger(t, m, power)
-		var known []string
-		broken := syscall.Errno(0)
+		s := newWorkload(powerLossSafe)
+		l := openLedger(t, m, powerLossSafe)
+		var held []string
+		fault := syscall.Errno(0)
 		hook := func(c memfs.Call) memfs.Fault {
-			if broken != 0 && (c.Op == "write" || c.Op == "create" || c.Op == "sync") {
-				return memfs.Fault{Err: broken, PartialBytes: c.Bytes / 3}
+			if fault != 0 && (c.Op == "write" || c.Op == "create" || c.Op == "sync") {
+				return memfs.Fault{Err: fault, PartialBytes: c.Bytes / 3}
 			}
 			return memfs.Fault{}
 		}
 		m.Hook = hook
-		again := func(mode memfs.CrashMode) {
-			broken = 0
+		restart := func(mode memfs.CrashMode) {
+			fault = 0
 			m = m.AfterCrash(mode, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
 			m.Hook = hook
-			l = openLedger(t, m, power)
+			l = openLedger(t, m, powerLossSafe)
 			s.check(t, l, "start")
 			s.unsynced, s.possible = map[string]expectation{}, map[string][]expectation{}
 			s.guaranteed = map[string]expectation{}
-			known = nil
+			held = nil
 			texts, notices := l.Unfinished()
 			for _, x := range texts {
 				s.guaranteed[x.ID] = expectation{held: true, body: x.Body, attempts: x.Attempts, firstRunAt: x.FirstRunAt}
-				known = append(known, x.ID)
+				held = append(held, x.ID)
 			}
 			for _, n := range notices {
 				s.guaranteed[n.ID] = expectation{}
@@ -325,8 +325,8 @@
 		}
 		for i := range rapid.IntRange(1, 120).Draw(t, "steps") {
 			id := "none"
-			if len(known) > 0 {
-				id = known[rapid.IntRange(0, len(known)-1).Draw(t, "id")]
+			if len(held) > 0 {
+				id = held[rapid.IntRange(0, len(held)-1).Draw(t, "id")]
 			}
 			p, ok := s.current(id)
 			ok = ok && p.held
@@ -335,8 +335,8 @@
 				id := fmt.Sprint("t", i)
 				body := bytes.Repeat([]byte{byte(i), '\n', 0}, rapid.IntRange(0, 1500).Draw(t, "body"))
 				if s.call(id, expectation{held: true, body: body}, func() error { return l.RecordAccepted(&Text{ID: id, Body: body}) }) == nil {
-					known = append(known, id)
-				} else if broken != 0 && power {
+					held = append(held, id)
+				} else if fault != 0 && powerLossSafe {
 					s.possible[id] = append(s.possible[id], expectation{held: true, body: body})
 				}
 			case 3:
@@ -353,42 +353,42 @@
 					s.call(id, p, func() error { return l.RecordResult(id, false) })
 				}
 			case 5:
-				if ok { // where that cannot be written it is tried again: either may be found
+				if ok { // a failed write is retried: either state may be found
 					s.call(id, expectation{ended: true}, func() error { return l.RecordEnd(id) })
-					known = slices.DeleteFunc(known, func(o string) bool { return o == id })
+					held = slices.DeleteFunc(held, func(o string) bool { return o == id })
 				}
 			case 6:
 				if ok {
 					s.call(id, expectation{}, func() error { return l.RecordEndOwingNotice(&Notice{ID: id, Nack: true, RetryAfter: 7}) })
-					known = slices.DeleteFunc(known, func(o string) bool { return o == id })
+					held = slices.DeleteFunc(held, func(o string) bool { return o == id })
 				}
 			case 7:
-				if power {
+				if powerLossSafe {
 					s.sync(l)
 				}
 			case 8:
-				broken = rapid.SampledFrom([]syscall.Errno{0, 0, syscall.ENOSPC, syscall.EIO, syscall.EROFS}).Draw(t, "error")
+				fault = rapid.SampledFrom([]syscall.Errno{0, 0, syscall.ENOSPC, syscall.EIO, syscall.EROFS}).Draw(t, "error")
 			case 9:
 				mode := memfs.ProcessCrash
-				if power && rapid.Bool().Draw(t, "power lost") {
+				if powerLossSafe && rapid.Bool().Draw(t, "power lost") {
 					mode = memfs.PowerLoss
 				}
-				again(mode)
+				restart(mode)
 			}
 			if bad := l.layout.CheckInvariants(); bad != "" {
 				t.Fatalf("%s", bad)
 			}
 			if used := m.UsedBytes(); used > testMaxBytes {
-				t.Fatalf("%d bytes in the folder, %d may be", used, testMaxBytes)
+				t.Fatalf("%d bytes in the folder, limit %d", used, testMaxBytes)
 			}
 		}
-		again(memfs.ProcessCrash)
+		restart(memfs.ProcessCrash)
 	})
 }
 
-// A full disk at the very moment at which a final answer is recorded: the end finds room, new texts are refused, held
-// ones go on, and once there is room again all is as before.
-func TestDiskFullOfOthers(t *testing.T) {
+// The disk becomes full just as a final answer is recorded: the end finds space, new texts are refused, held ones
+// continue, and once there is space again everything works as before.
+func TestDiskFullFromOtherPrograms(t *testing.T) {
 	m := memfs.New()
 	l, err := Open(m, dir, Options{MaxBytes: 3e6})
 	if err != nil {
@@ -403,11 +403,11 @@
 	for _, n := range m.FileNames() {
 		used += int64(len(m.Data(n)))
 	}
-	m.CapacityBytes = used // not a byte more
+	m.CapacityBytes = used // not one more byte
 	if err := l.RecordAccepted(&Text{ID: "new"}); !vfs.IsFull(err) {
 		t.Fatalf("a new text: %v", err)
 	}
-	if err := l.RecordAttempt("0", 9, ""); err != nil { // what is held goes on
+	if err := l.RecordAttempt("0", 9, ""); err != nil { // held texts continue
 		t.Fatal(err)
 	}
 	if err := l.RecordEnd("0"); err != nil {
@@ -416,7 +416,7 @@
 	if err := l.RecordEndOwingNotice(&Notice{ID: "1"}); err != nil {
 		t.Fatal(err)
 	}
-	// Now really nothing is left: the end is kept in mind until there is room.
+	// Now nothing is left: the end is kept in memory until there is space.
 	m.CapacityBytes = 1
 	if err := l.RecordEnd("2"); !vfs.IsFull(err) {
 		t.Fatalf("%v", err)
@@ -438,8 +438,8 @@
 	}
 }
 
-// A folder that turns read-only and back: nothing is taken on, ends are caught up.
-func TestReadOnlyForATime(t *testing.T) {
+// A folder becomes read-only and writable again: nothing is accepted meanwhile, and ends are written later.
+func TestTemporarilyReadOnlyFolder(t *testing.T) {
 	m := memfs.New()
 	l := openLedger(t, m, true)
 	l.RecordAccepted(&Text{ID: "a"})
@@ -452,7 +452,7 @@
 		return memfs.Fault{}
 	}
 	if l.RecordAccepted(&Text{ID: "c"}) == nil || l.RecordAttempt("a", 1, "") == nil || l.RecordEnd("b") == nil {
-		t.Error("something was written")
+		t.Error("a write succeeded")
 	}
 	m.Hook = nil
 	if err := l.Sync(); err != nil {
@@ -470,7 +470,7 @@
 	if _, err := Open(m, dir, Options{MaxBytes: testMaxBytes}); !errors.Is(err, vfs.ErrLocked) {
 		t.Error(err)
 	}
-	// The real lock, and that it says who has it.
+	// The real lock, whose error names the process that holds it.
 	at := t.TempDir()
 	l, err := Open(vfs.OS{}, at, Options{MaxBytes: testMaxBytes})
 	if err != nil {
@@ -486,10 +486,10 @@
 	l.Close()
 }
 
-// newSegmentedFolder makes a folder of several segments, and gives the name of one in the middle.
-func newSegmentedFolder(t *testing.T, power bool) (m *memfs.FS, middle string) {
+// newSegmentedFolder creates a folder of several segments and returns the name of one in the middle.
+func newSegmentedFolder(t *testing.T, powerLossSafe bool) (m *memfs.FS, middle string) {
 	m = memfs.New()
-	l := openLedger(t, m, power)
+	l := openLedger(t, m, powerLossSafe)
 	for i := range 14 {
 		if err := l.RecordAccepted(&Text{ID: fmt.Sprint("t", i), Body: make([]byte, 900), AcceptedAt: control.Time(i + 1)}); err != nil {
 			t.Fatal(err)
@@ -511,20 +511,20 @@
 	return m, segments[1]
 }
 
-// A corrupt segment in the middle costs what was in it, and no more: it is set aside, and what may have happened in it
-// is taken to have happened.
+// A corrupt segment in the middle loses only its own records: it is set aside, and what they may have recorded counts
+// as having happened.
 func TestCorruptSegment(t *testing.T) {
-	for _, power := range []bool{false, true} {
-		m, middle := newSegmentedFolder(t, power)
+	for _, powerLossSafe := range []bool{false, true} {
+		m, middle := newSegmentedFolder(t, powerLossSafe)
 		data := m.Data(middle)
-		data[segmentHeaderBytes+40] ^= 4 // one bit, in the first record
-		l := openLedger(t, m.AfterCrash(memfs.ProcessCrash, nil), power)
+		data[segmentHeaderBytes+40] ^= 4 // one bit in the first record
+		l := openLedger(t, m.AfterCrash(memfs.ProcessCrash, nil), powerLossSafe)
 		texts, _ := l.Unfinished()
 		if len(texts) != 12 {
 			t.Errorf("%d texts are left: %v", len(texts), ids(texts))
 		}
 		for _, x := range texts {
-			before := x.ID == "t1" || x.ID == "t2" // in the segment before it
+			before := x.ID == "t1" || x.ID == "t2" // in the previous segment
 			if before != (x.FirstRunAt == x.AcceptedAt && x.Attempts == 1) {
 				t.Errorf("%+v", x)
 			}
@@ -534,7 +534,7 @@
 			t.Errorf("%v", m.FileNames())
 		}
 		l.Close()
-		// Once it is set aside all is well again, and the same.
+		// Once it is set aside, the folder is intact, with the same texts.
 		f, again, _, err := Inspect(m, dir)
 		if err != nil || !f.Intact() || fmt.Sprint(ids(again)) != fmt.Sprint(ids(texts)) || again[0].Attempts != 1 {
 			t.Errorf("%v %+v %v", err, f, ids(again))
@@ -542,7 +542,7 @@
 	}
 }
 
-// A segment that is gone altogether, and one whose head is spoilt.
+// A segment is missing, or its header is corrupt.
 func TestMissingSegment(t *testing.T) {
 	m, middle := newSegmentedFolder(t, false)
 	m.Remove(middle)
@@ -554,22 +554,22 @@
 	copy(m.Data(middle), "nonsense")
 	l = openLedger(t, m.AfterCrash(memfs.ProcessCrash, nil), false)
 	if texts, _ := l.Unfinished(); len(texts) != 13 || texts[0].FirstRunAt != 0 {
-		t.Errorf("with a spoilt head %v", ids(texts))
+		t.Errorf("with a corrupt header: %v", ids(texts))
 	}
 }
 
-// An older single-file ledger is read and carried over; until that has come to its end it is what counts.
-func TestCarriesTheOldFormOver(t *testing.T) {
-	old := func(kind byte, payload []byte) []byte {
+// A single-file ledger of the legacy format is migrated; until that is complete, it remains authoritative.
+func TestMigratesTheLegacyFormat(t *testing.T) {
+	legacy := func(kind byte, payload []byte) []byte {
 		p := append([]byte{kind}, payload...)
 		b := binary.LittleEndian.AppendUint32(nil, uint32(len(p)))
 		return append(binary.LittleEndian.AppendUint32(b, crc32.ChecksumIEEE(p)), p...)
 	}
 	text := func(id, body string) []byte {
-		return old(kindAccepted, (&Text{ID: id, Body: []byte(body)}).toRecord().payload)
+		return legacy(kindAccepted, (&Text{ID: id, Body: []byte(body)}).toRecord().payload)
 	}
-	raw := slices.Concat(text("a", "one\x00"), text("b", "two"), old(kindAttempt, mustMarshal(attemptRecord{"a", 0, 77, "z"})), text("c", "three"),
-		old(kindEnded, mustMarshal(idRecord{"b"})), old(kindEndedOwingNotice, mustMarshal(Notice{ID: "c", Nack: true, RetryAfter: 5})), text("d", "four"), text("torn", "xx")[:30])
+	raw := slices.Concat(text("a", "one\x00"), text("b", "two"), legacy(kindAttempt, mustMarshal(attemptRecord{"a", 0, 77, "z"})), text("c", "three"),
+		legacy(kindEnded, mustMarshal(idRecord{"b"})), legacy(kindEndedOwingNotice, mustMarshal(Notice{ID: "c", Nack: true, RetryAfter: 5})), text("d", "four"), text("torn", "xx")[:30])
 	for crash := range 60 {
 		m := memfs.New()
 		m.Put("state/ledger", raw)
@@ -588,8 +588,8 @@
 	}
 }
 
-// Ten thousand texts are held at a start, and all of them found in the order they were taken.
-func TestTenThousandHeld(t *testing.T) {
+// A start with ten thousand held texts finds all of them in order of acceptance.
+func TestTenThousandHeldTexts(t *testing.T) {
 	m := memfs.New()
 	options := Options{MaxBytes: 20e6}
 	l, err := Open(m, dir, options)
@@ -607,7 +607,7 @@
 	texts, _ := l.Unfinished()
 	for i, x := range texts {
 		if x.ID != fmt.Sprint(i) {
-			t.Fatalf("%s stands at %d", x.ID, i)
+			t.Fatalf("%s is at position %d", x.ID, i)
 		}
 	}
 	if len(texts) != 10000 {
@@ -615,8 +615,8 @@
 	}
 }
 
-// The live state written anew reads back as itself.
-func TestSnapshotIsTheSame(t *testing.T) {
+// Compact must not change the live state.
+func TestCompactKeepsTheState(t *testing.T) {
 	m := memfs.New()
 	l := openLedger(t, m, true)
 	if err := newWorkload(true).run(l, 100); err != nil {
@@ -643,7 +643,7 @@
 	}
 }
 
-// Whatever a segment holds, reading it ends, in bounded memory, and what is whole in it is found.
+// Reading a segment with arbitrary contents terminates, in limited memory, and finds the complete records.
 func FuzzSegment(f *testing.F) {
 	r := (&Text{ID: "a", Body: []byte("body")}).toRecord()
 	whole := appendFrame(encodeSegmentHeader(3, 7, false, 0), r, 7)
--- a/internal/delivery/ledger/load.go
+++ b/internal/delivery/ledger/load.go
@@ -14,27 +14,27 @@
 	"emberquay/internal/vfs"
 )
 
-// Inspection is what a folder was found to hold.
+// Inspection describes the contents of a folder.
 type Inspection struct {
 	Segments []SegmentInspection
 	Texts    int
 	Notices  int
 	Records  int
-	Old      bool     // it is in the form of before
-	OldBad   string   // what is wrong with its file then
-	Torn     int64    // bytes at the ends of segments that are no record: writes that were cut short
-	Lost     uint64   // records that had been kept and are not there
-	Void     int      // records behind a write that was never synced and did not survive: promised to no one
-	Unknown  []string // ids that are named and not held: some of them may be texts that were lost
+	Old      bool     // the folder is in the legacy format
+	OldBad   string   // what is wrong with the legacy file
+	Torn     int64    // bytes of truncated writes at the ends of segments
+	Lost     uint64   // acknowledged records that are missing
+	Void     int      // records after a write that was never synced and is lost: never acknowledged
+	Unknown  []string // ids named by records of texts that are not held: some may be lost texts
 
 	state         *state
-	lastSeq       uint64 // number of the last record
-	powerLossSafe bool   // the log is one that is synced
-	syncedSeq     uint64 // all up to here had been
-	logEnded      bool   // what stands further on is void
+	lastSeq       uint64 // sequence number of the last record
+	powerLossSafe bool   // the log is synced
+	syncedSeq     uint64 // every record up to this number was synced
+	logEnded      bool   // the remaining records are void
 }
 
-// SegmentInspection is one of its files.
+// SegmentInspection describes one segment file.
 type SegmentInspection struct {
 	Number  uint64 `json:"number"`
 	Bytes   int64  `json:"bytes"`
@@ -43,15 +43,15 @@
 	Bad     string `json:"bad,omitempty"` // what is wrong with it
 
 	raw    []byte
-	header segmentHeader // nought if it cannot be read
+	header segmentHeader // zero if unreadable
 }
 
-// Intact says whether nothing that had been kept is missing.
+// Intact reports whether no acknowledged record is missing.
 func (f *Inspection) Intact() bool {
 	return f.Lost == 0 && f.OldBad == "" && !slices.ContainsFunc(f.Segments, func(s SegmentInspection) bool { return s.Bad != "" })
 }
 
-// readFile reads a whole file, of a bounded size.
+// readFile reads a whole file of limited size.
 func readFile(files vfs.FS, name string) ([]byte, error) {
 	f, err := files.Open(name)
 	if err != nil {
@@ -63,7 +63,7 @@
 		return nil, err
 	}
 	if size > maxSegmentFileBytes {
-		return nil, fmt.Errorf("%s: %d bytes, %d at most", name, size, maxSegmentFileBytes)
+		return nil, fmt.Errorf("%s: %d bytes, more than the limit of %d", name, size, maxSegmentFileBytes)
 	}
 	raw := make([]byte, size)
 	n, err := f.ReadAt(raw, 0)
@@ -73,7 +73,7 @@
 	return raw[:n], nil
 }
 
-// loadFolder reads a folder and changes nothing. Where each live record lies is told to the layout.
+// loadFolder reads a folder without changing it, and adds each live record to the layout.
 func loadFolder(files vfs.FS, dir string, lay *layout.Layout) (*Inspection, error) {
 	names, err := files.List(dir)
 	if err != nil {
@@ -81,7 +81,7 @@
 	}
 	f := &Inspection{state: newState()}
 	if slices.Contains(names, legacyName) {
-		// Segments beside it are of a carrying over that was not finished.
+		// Segments beside it come from an unfinished migration.
 		raw, err := readFile(files, filepath.Join(dir, legacyName))
 		if err != nil {
 			return nil, err
@@ -120,8 +120,9 @@
 	return f, nil
 }
 
-// findSyncedSeq finds how far the log is known to have been synced: heads and marks say so, those of the last two segments
-// the most. A single segment whose head cannot be read was being begun when the power went, as a rule.
+// findSyncedSeq determines up to which record the log is known to be synced, from the headers and sync marks of the
+// last two segments, which have the highest numbers. A single segment with an unreadable header was usually being
+// created when the power failed.
 func (f *Inspection) findSyncedSeq() {
 	f.powerLossSafe = len(f.Segments) == 1 && f.Segments[0].Bad != ""
 	for _, s := range f.Segments[max(0, len(f.Segments)-2):] {
@@ -144,29 +145,29 @@
 func (f *Inspection) replaySegment(i int, lay *layout.Layout) {
 	s := &f.Segments[i]
 	lay.StartSegment(s.Number, s.Bytes)
-	end := uint64(math.MaxUint64) // numbers from here on belong to a later segment: what has them here is void
+	endSeq := uint64(math.MaxUint64) // records from this number on belong to a later segment; here they are void
 	for _, later := range f.Segments[i+1:] {
 		if later.header.firstSeq > 0 {
-			end = min(end, later.header.firstSeq)
+			endSeq = min(endSeq, later.header.firstSeq)
 		}
 	}
 	if i == 0 && s.header.firstSeq > 0 {
-		f.lastSeq = s.header.firstSeq - 1 // what was before went with its segments
+		f.lastSeq = s.header.firstSeq - 1 // earlier records were removed with their segments
 	}
-	s.Torn = int64(scanRecords(s.body(), func(r record, no uint64, size int) {
-		if r.kind == kindSyncMark { // it has no number: it may be lost without harm
+	s.Torn = int64(scanRecords(s.body(), func(r record, seq uint64, size int) {
+		if r.kind == kindSyncMark { // has no sequence number: it may be lost
 			return
 		}
-		if no > f.lastSeq+1 && (f.lastSeq > 0 || i > 0) && no < end {
-			f.handleGap(i, no)
+		if seq > f.lastSeq+1 && (f.lastSeq > 0 || i > 0) && seq < endSeq {
+			f.handleGap(i, seq)
 		}
-		if f.logEnded || no >= end || no <= f.lastSeq {
+		if f.logEnded || seq >= endSeq || seq <= f.lastSeq {
 			f.Void++
 			return
 		}
-		f.lastSeq = no
+		f.lastSeq = seq
 		if !f.state.apply(r.kind, r.payload) {
-			s.Bad = fmt.Sprintf("record %d makes no sense", no)
+			s.Bad = fmt.Sprintf("record %d makes no sense", seq)
 			f.Lost++
 			f.state.assumeAllMayHaveRun()
 			return
@@ -176,29 +177,29 @@
 		f.updateLayout(r, size, lay)
 	}))
 	if last := i == len(f.Segments)-1; last && s.Records == 0 && s.Bad != "" && f.syncedSeq <= f.lastSeq {
-		s.Bad = "" // it was being begun, and holds nothing yet
+		s.Bad = "" // it was being created and has no records yet
 	}
 	f.Torn += s.Torn
 }
 
-// handleGap: numbers are missing before a record. Where the log is synced, what had not been yet was promised to no one, and
-// the log ends there.
-func (f *Inspection) handleGap(i int, no uint64) {
+// handleGap handles missing sequence numbers before a record. In a synced log unsynced records were never acknowledged:
+// there the log ends at the gap.
+func (f *Inspection) handleGap(i int, seq uint64) {
 	if f.logEnded = f.logEnded || f.powerLossSafe && f.lastSeq >= f.syncedSeq; f.logEnded {
 		return
 	}
-	f.Lost += no - f.lastSeq - 1
+	f.Lost += seq - f.lastSeq - 1
 	s := &f.Segments[i]
-	if s.Records == 0 && i > 0 && s.header.firstSeq != f.lastSeq+1 { // at the end of the one before, or a whole segment
+	if s.Records == 0 && i > 0 && s.header.firstSeq != f.lastSeq+1 { // at the end of the previous segment, or a whole segment
 		s = &f.Segments[i-1]
 	}
 	if s.Bad == "" {
-		s.Bad = fmt.Sprintf("records %d to %d are missing", f.lastSeq+1, no-1)
+		s.Bad = fmt.Sprintf("records %d to %d are missing", f.lastSeq+1, seq-1)
 	}
 	f.state.assumeAllMayHaveRun()
 }
 
-// updateLayout tells the layout what a record changes.
+// updateLayout applies a record to the layout.
 func (f *Inspection) updateLayout(r record, size int, lay *layout.Layout) {
 	switch id := f.state.lastID; r.kind {
 	case kindAccepted, kindEndedOwingNotice:
@@ -208,7 +209,7 @@
 	}
 }
 
-// finish ends the reading: what was out when the process ended may have run.
+// finish completes the load: the attempts in flight when the process ended may have run.
 func (f *Inspection) finish() {
 	for _, t := range f.state.texts {
 		t.FirstRunTentative = false
@@ -222,17 +223,17 @@
 	}
 }
 
-// maxListRetries bounds how often a folder is listed anew that a running sender cleans meanwhile.
+// maxListRetries limits how often a folder is listed again while a running sender cleans it.
 const maxListRetries = 20
 
-// Inspect reads a folder without changing it, also beside a sender that runs. It gives what was found, the texts that
-// are held in the order they were taken, and the notices that are owed.
+// Inspect reads a folder without changing it, even while a sender uses it. It returns the contents, the held texts
+// in order of acceptance, and the undelivered notices.
 func Inspect(files vfs.FS, dir string) (*Inspection, []*Text, []*Notice, error) {
 	for n := 0; ; n++ {
 		f, err := loadFolder(files, dir, layout.New(layout.Limits{MaxBytes: 1 << 50, MaxRecordBytes: maxPayloadBytes}))
 		if errors.Is(err, fs.ErrNotExist) && n < maxListRetries {
 			if _, listErr := files.List(dir); listErr == nil {
-				continue // a segment went while it was read: what it held stands further on
+				continue // a segment was removed meanwhile: its live records are in later ones
 			}
 		}
 		if err != nil {
--- a/internal/delivery/ledger/mend.go
+++ b/internal/delivery/ledger/mend.go
@@ -5,8 +5,9 @@
 	"strings"
 )
 
-// repair clears a folder of damaged segments: what is live before and in them is written anew, then they are set aside,
-// in their order. Until that has come to its end each start finds them again and comes to the same.
+// repair removes damaged segments: it rewrites the live records of the segments up to the last damaged one, then
+// removes or sets aside these segments in order. If it is interrupted, the next start finds them again and
+// gets the same result.
 func (l *Ledger) repair(found *Inspection) {
 	bad := map[uint64]bool{}
 	last := uint64(0)
@@ -29,21 +30,21 @@
 			}
 			continue
 		}
-		no, ok := l.layout.RemovableSegment()
+		number, ok := l.layout.RemovableSegment()
 		if !ok {
 			return
 		}
 		if err := l.forceSync(); err != nil {
 			return
 		}
-		if err := l.removeOldest(no, bad[no]); err != nil {
-			slog.Error("not_set_aside", "part", "ledger", "file", segmentName(no), "err", err)
+		if err := l.removeOldest(number, bad[number]); err != nil {
+			slog.Error("not_set_aside", "part", "ledger", "file", segmentName(number), "err", err)
 			return
 		}
 	}
 }
 
-// removeOldest takes the oldest segment out.
+// removeOldest removes the oldest segment, or sets it aside if it is damaged.
 func (l *Ledger) removeOldest(number uint64, damaged bool) error {
 	if !damaged {
 		return l.removeSegment(number)
@@ -55,8 +56,8 @@
 	return l.files.SyncDir(l.dir)
 }
 
-// discardFile takes a file out: a damaged one is kept under another name for whoever looks into it, unless such files would
-// take an eighth of the room.
+// discardFile removes a file. It renames a damaged one instead, for later examination, unless such files already take
+// more than an eighth of the space.
 func (l *Ledger) discardFile(name string, damaged bool) error {
 	if !damaged {
 		return l.files.Remove(l.path(name))
@@ -66,7 +67,7 @@
 		return err
 	}
 	if setAsideBytes > l.opt.MaxBytes/8 {
-		slog.Warn("not_kept_aside", "part", "ledger", "file", name, "err", "other damaged files take an eighth of the room")
+		slog.Warn("not_kept_aside", "part", "ledger", "file", name, "err", "files set aside take more than an eighth of the space")
 		return l.files.Remove(l.path(name))
 	}
 	if err := l.files.Rename(l.path(name), l.path(badPrefix+name)); err != nil {
@@ -76,5 +77,5 @@
 	return nil
 }
 
-// LegacyDamage says what Open found wrong with a file of the form of before; empty if nothing was. The file is set aside.
+// LegacyDamage returns what Open found wrong with a file of the legacy format, which is then set aside; empty if nothing.
 func (l *Ledger) LegacyDamage() string { return l.legacyDamage }
--- a/internal/delivery/ledger/old.go
+++ b/internal/delivery/ledger/old.go
@@ -7,18 +7,18 @@
 	"hash/crc32"
 )
 
-// The form of before: one file of records, each with its length and checksum, its text and notices as today's records
-// have them. It is read once and carried over.
+// The legacy format: one file of records, each with length and checksum and the same payload as the current format
+// for texts and notices. It is read once and migrated.
 
 const (
 	legacyName        = "ledger"
-	legacyTempName    = "ledger.new" // one that was not finished counts for nothing
+	legacyTempName    = "ledger.new" // unfinished; ignored
 	legacyHeaderBytes = 8
 )
 
-// replayLegacy takes from the front what is whole. Behind it may stand a record that the process's death cut short, of torn
-// bytes, which was promised to no one. Anything else there is bad: records may be lost in it, and texts that are held by
-// then may have run since.
+// replayLegacy applies the complete records at the front. They may be followed by torn bytes of a record that the end of
+// the process truncated; its write was never acknowledged. Anything else is damage: records may be lost, and the texts
+// held so far may have run since.
 func (s *state) replayLegacy(raw []byte) (torn int64, bad string) {
 	at := 0
 	for at < len(raw) {
@@ -36,7 +36,7 @@
 	return 0, fmt.Sprintf("%d bytes from byte %d on are no records", len(rest), at)
 }
 
-// parseLegacyFrame takes a record from the front; size 0 if none is whole there.
+// parseLegacyFrame parses the record at the front; size 0 if there is no complete one.
 func parseLegacyFrame(raw []byte) (payload []byte, size int) {
 	if len(raw) < legacyHeaderBytes {
 		return nil, 0
@@ -52,8 +52,9 @@
 	return payload, legacyHeaderBytes + int(length)
 }
 
-// isTornLegacyTail says whether what stands behind the last whole record is the begin of one more, or zeros that a write left
-// which never came. A length that was changed may seem to go beyond the end, so nothing whole may stand further on.
+// isTornLegacyTail reports whether the bytes after the last complete record are the start of another one, or zeros of a
+// write that was not completed. A corrupt length may point past the end of the file, so no complete record may
+// follow.
 func isTornLegacyTail(rest []byte) bool {
 	if len(bytes.Trim(rest, "\x00")) == 0 || len(rest) < legacyHeaderBytes {
 		return true
@@ -68,7 +69,7 @@
 	return !hasLegacyFrameAfter(rest)
 }
 
-// hasLegacyFrameAfter looks for a whole record behind the first byte, at a bounded number of places that may be one's begin.
+// hasLegacyFrameAfter searches for a complete record after the first byte, at a limited number of possible starts.
 func hasLegacyFrameAfter(rest []byte) bool {
 	probes := 0
 	for at := 1; at+legacyHeaderBytes < len(rest) && probes < maxResyncProbes; at++ {
--- a/internal/delivery/ledger/old_test.go
+++ b/internal/delivery/ledger/old_test.go
@@ -12,7 +12,7 @@
 	"emberquay/internal/vfs/memfs"
 )
 
-// legacyRecord is a record as the form of before has it.
+// legacyRecord returns a record in the legacy format.
 func legacyRecord(kind byte, payload []byte) []byte {
 	p := append([]byte{kind}, payload...)
 	b := binary.LittleEndian.AppendUint32(nil, uint32(len(p)))
@@ -23,7 +23,7 @@
 	return legacyRecord(kindAccepted, (&Text{ID: id, Body: []byte("body of " + id), AcceptedAt: 40}).toRecord().payload)
 }
 
-// randomBytes is the same on every run.
+// randomBytes returns the same bytes on every run.
 func randomBytes(size int) []byte {
 	rng := rand.New(rand.NewPCG(4096, 7))
 	b := make([]byte, size)
@@ -33,17 +33,17 @@
 	return b
 }
 
-// What cannot be read of a file of the old form is told, and what stands before it is served as if it may have run since.
-func TestOldFormThatCannotBeRead(t *testing.T) {
+// Damage in a legacy file is reported, and the texts before it are served as possibly run since.
+func TestDamagedLegacyFile(t *testing.T) {
 	a, b, c := legacyText("a"), legacyText("b"), legacyText("c")
 	flipped := slices.Concat(a, b, c)
 	flipped[len(a)+20] ^= 1
 	longer := slices.Concat(a, b, c)
-	longer[len(a)+1] ^= 0x40 // the length of b, which now ends behind the file
+	longer[len(a)+1] ^= 0x40 // length of b, which now ends after the end of the file
 	cases := []struct {
 		name string
 		raw  []byte
-		want string // ids that are served
+		want string // ids of the served texts
 		bad  string
 	}{
 		{"noise", randomBytes(4096), "[]", "4096 bytes from byte 0 on are no records"},
@@ -70,7 +70,7 @@
 		}
 		for _, one := range served {
 			if one.FirstRunAt == 0 {
-				t.Errorf("%s: %s counts as never run", x.name, one.ID)
+				t.Errorf("%s: %s counts as not run", x.name, one.ID)
 			}
 		}
 		l.Close()
@@ -83,8 +83,8 @@
 	}
 }
 
-// A last record that the process's death cut short anywhere was promised to no one.
-func TestOldFormCutShort(t *testing.T) {
+// A last record truncated anywhere by the end of the process was never acknowledged.
+func TestTruncatedLegacyFile(t *testing.T) {
 	a, b := legacyText("a"), legacyText("b")
 	for end := range len(b) {
 		m := memfs.New()
@@ -101,8 +101,8 @@
 	}
 }
 
-// Wherever the power goes while a damaged file is carried over: what could be read is served, and no byte of it is gone.
-func TestOldFormThatCannotBeReadAtACrash(t *testing.T) {
+// If the power fails at any point while a damaged file is migrated, the readable texts are served and no byte of it is lost.
+func TestCrashWhileMigratingADamagedLegacyFile(t *testing.T) {
 	raw := slices.Concat(legacyText("a"), randomBytes(4096))
 	for crash := range 60 {
 		m := memfs.New()
--- a/internal/delivery/ledger/open.go
+++ b/internal/delivery/ledger/open.go
@@ -31,7 +31,7 @@
 	}
 	slog.Info("opened", "part", "ledger", "segments", len(found.Segments), "records", found.Records, "texts", found.Texts,
 		"notices", found.Notices, "torn", found.Torn)
-	if opt := l.opt; opt.PowerLossSafe { // what is acted on from now on must not go with the power
+	if opt := l.opt; opt.PowerLossSafe { // what is acted on from now on must survive a power loss
 		if err := l.syncSegments(found); err != nil {
 			return err
 		}
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// syncSegments has what was found on the disk: the process before may have ended between a write and its sync.
+// syncSegments syncs the loaded segments: the previous process may have ended between a write and its sync.
 func (l *Ledger) syncSegments(found *Inspection) error {
 	for _, s := range found.Segments {
 		f, err := l.files.Open(l.path(segmentName(s.Number)))
@@ -67,7 +67,7 @@
 	return l.files.SyncDir(l.dir)
 }
 
-// setAsideBytes counts what else is in the folder, but for what is ours to use.
+// setAsideBytes returns the disk space of the files set aside.
 func (l *Ledger) setAsideBytes() (sum int64, err error) {
 	names, err := l.files.List(l.dir)
 	if err != nil {
@@ -91,8 +91,8 @@
 	return sum, nil
 }
 
-// migrateLegacy writes what the old form holds into segments. Until the old file is removed, or set aside where not all of
-// it can be read, nothing of them counts.
+// migrateLegacy writes the state of a legacy file into segments. They are ignored until the legacy file is removed, or
+// set aside if it is partly unreadable.
 func (l *Ledger) migrateLegacy(found *Inspection) error {
 	if l.legacyDamage = found.OldBad; l.legacyDamage != "" {
 		slog.Error("damaged", "part", "ledger", "file", legacyName, "err", l.legacyDamage, "unknown_texts", strings.Join(found.Unknown, ","))
@@ -119,7 +119,7 @@
 			return err
 		}
 	}
-	if err := l.forceSync(); err != nil { // in either mode: it happens once
+	if err := l.forceSync(); err != nil { // in both modes: it happens once
 		return err
 	}
 	if err := l.discardFile(legacyName, l.legacyDamage != ""); err != nil {
--- a/internal/delivery/ledger/reserve.go
+++ b/internal/delivery/ledger/reserve.go
@@ -7,12 +7,12 @@
 	"emberquay/internal/vfs"
 )
 
-// reserveBytes is how much is held back for ends when somebody else fills the disk.
+// reserveBytes returns how much space is reserved for ends, for when other programs fill the disk.
 func reserveBytes(maxBytes int64) int64 {
 	return min(maxBytes/64, 1<<20) / layout.BlockBytes * layout.BlockBytes
 }
 
-// createReserve holds room back for ends, as a file that can be removed.
+// createReserve reserves space for ends, as a file that can be removed.
 func (l *Ledger) createReserve() {
 	size := reserveBytes(l.opt.MaxBytes)
 	if l.reserveSize > 0 || size == 0 || len(l.unwritten) > 0 {
@@ -30,7 +30,7 @@
 	l.reserveSize = size
 }
 
-// releaseReserve gives up what is held back, if the disk is full and there is any.
+// releaseReserve removes the reserve if the disk is full and there is one.
 func (l *Ledger) releaseReserve(err error) bool {
 	if !vfs.IsFull(err) || l.reserveSize == 0 {
 		return false
--- a/internal/delivery/ledger/segment.go
+++ b/internal/delivery/ledger/segment.go
@@ -8,14 +8,14 @@
 	"strings"
 )
 
-// A segment is a file: a head, then records. Numbers of records go up by one, over all segments, so that a lost one
-// shows. What a write that failed left behind is followed by another segment, whose first record has the number of the
-// one that failed. Only the marks of how far the log is synced have none.
+// A segment is a file with a header and records. The sequence numbers of records are consecutive across segments, so
+// that a missing record is detected. After a failed write a new segment is started, and its first record reuses the
+// number of the failed one. Only sync marks have no sequence number.
 //
-//	head:   "emberseg" version(2) number(8) first record(8) synced up to(8) whether it is synced(1) checksum(4)
+//	header: "emberseg" version(2) number(8) first record(8) synced up to(8) power loss safe(1) checksum(4)
 //	record: magic(1) kind(1) length(4) number(8) checksum(4) payload
 //
-// Numbers are little-endian; checksums are CRC-32C, a record's over all of it but the checksum itself.
+// Numbers are little-endian; checksums are CRC-32C, that of a record over all of it except the checksum.
 const (
 	segmentMagic        = "emberseg"
 	segmentVersion      = 1
@@ -24,25 +24,25 @@
 	frameHeaderBytes    = 1 + 1 + 4 + 8 + 4
 	maxPayloadBytes     = 1 << 20
 	maxSegmentFileBytes = 64 << 20 // read at once
-	maxResyncProbes     = 4096     // places looked at as a record's begin, behind one that is not whole
+	maxResyncProbes     = 4096     // positions tried as the start of a record after an incomplete one
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 func segmentName(number uint64) string { return fmt.Sprintf("seg-%010d", number) }
 
-// parseSegmentName reads a segment's number from its file's name.
+// parseSegmentName parses the segment number in a file name.
 func parseSegmentName(name string) (uint64, bool) {
 	digits, ok := strings.CutPrefix(name, "seg-")
 	number, err := strconv.ParseUint(digits, 10, 64)
 	return number, ok && err == nil && number > 0 && segmentName(number) == name
 }
 
-// segmentHeader is what a segment says of itself.
+// segmentHeader is the content of a segment's header.
 type segmentHeader struct {
-	firstSeq      uint64 // number of its first record
-	powerLossSafe bool   // what is promised of it was synced
-	syncedSeq     uint64 // all up to here was, when it began
+	firstSeq      uint64 // sequence number of its first record
+	powerLossSafe bool   // its records are synced before they are acknowledged
+	syncedSeq     uint64 // every record up to this number was synced when the segment was created
 }
 
 func encodeSegmentHeader(number, firstSeq uint64, powerLossSafe bool, syncedSeq uint64) []byte {
@@ -59,7 +59,7 @@
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
 }
 
-// headerError says why a segment cannot be read.
+// headerError describes why a segment header cannot be read.
 type headerError string
 
 func (e headerError) Error() string { return string(e) }
@@ -67,23 +67,23 @@
 func parseSegmentHeader(raw []byte, number uint64) (h segmentHeader, err error) {
 	switch {
 	case len(raw) < segmentHeaderBytes:
-		return h, headerError("the head is cut short")
+		return h, headerError("header is truncated")
 	case string(raw[:8]) != segmentMagic:
-		return h, headerError("this is no segment")
+		return h, headerError("not a segment file")
 	case crc32.Checksum(raw[:segmentHeaderBytes-4], castagnoli) != binary.LittleEndian.Uint32(raw[segmentHeaderBytes-4:]):
-		return h, headerError("the head's checksum is wrong")
+		return h, headerError("header checksum mismatch")
 	}
 	if v := binary.LittleEndian.Uint16(raw[8:]); v != segmentVersion {
-		return h, headerError(fmt.Sprintf("version %d is not known, only %d", v, segmentVersion))
+		return h, headerError(fmt.Sprintf("unsupported version %d; only %d is supported", v, segmentVersion))
 	}
 	if n := binary.LittleEndian.Uint64(raw[10:]); n != number {
-		return h, headerError(fmt.Sprintf("it says that it is number %d", n))
+		return h, headerError(fmt.Sprintf("header has segment number %d", n))
 	}
 	h.firstSeq, h.syncedSeq, h.powerLossSafe = binary.LittleEndian.Uint64(raw[18:]), binary.LittleEndian.Uint64(raw[26:]), raw[34] == 1
 	return h, nil
 }
 
-// appendFrame writes a record with its number.
+// appendFrame appends an encoded record with its sequence number.
 func appendFrame(dst []byte, r record, seq uint64) []byte {
 	start := len(dst)
 	dst = append(dst, frameMagic, r.kind)
@@ -95,7 +95,7 @@
 	return append(dst, r.payload...)
 }
 
-// parseFrame takes a record from the front; size 0 if none is whole there.
+// parseFrame parses the record at the front; size 0 if there is no complete one.
 func parseFrame(raw []byte) (r record, seq uint64, size int) {
 	if len(raw) < frameHeaderBytes || raw[0] != frameMagic {
 		return r, 0, 0
@@ -112,8 +112,8 @@
 	return record{raw[1], raw[frameHeaderBytes : frameHeaderBytes+length]}, binary.LittleEndian.Uint64(raw[6:]), frameHeaderBytes + length
 }
 
-// scanRecords goes through the records of a segment: each that is whole, with its number; where one is not, the next whole one
-// behind it is looked for. It gives how many bytes at the end hold none.
+// scanRecords calls each for every complete record of a segment; after an incomplete one it searches for the next
+// complete one. It returns the number of bytes after the last complete record.
 func scanRecords(raw []byte, each func(r record, seq uint64, size int)) (tail int) {
 	end, probes := 0, 0
 	for at := 0; at < len(raw); {
--- a/internal/delivery/ledger/state.go
+++ b/internal/delivery/ledger/state.go
@@ -10,29 +10,29 @@
 	"emberquay/control"
 )
 
-// Text is a text as it was taken on, and how far it has come.
+// Text is an accepted text with its progress.
 type Text struct {
 	ID             string       `json:"id"`
 	Product        string       `json:"product"`
 	Destination    int64        `json:"dest"`
-	IdempotencyKey string       `json:"mark,omitempty"`  // by which a repeat is known, as it came
-	Key            string       `json:"key,omitempty"`   // texts of one key go in order, where their product asks for it
-	Brand          string       `json:"brand,omitempty"` // whose it is, where brands have shares
+	IdempotencyKey string       `json:"mark,omitempty"`  // identifies repeated requests; as received
+	Key            string       `json:"key,omitempty"`   // texts with the same key are delivered in order if their product requires it
+	Brand          string       `json:"brand,omitempty"` // owner, if brands have quotas
 	Retry          bool         `json:"retry,omitempty"`
 	Returned       bool         `json:"returned,omitempty"`
-	AcceptedAt     control.Time `json:"at,omitempty"` // 0: not known
+	AcceptedAt     control.Time `json:"at,omitempty"` // 0: unknown
 	ValidUntil     control.Time `json:"until"`
 	Body           []byte       `json:"-"`
 
 	Attempts     int          `json:"submits,omitempty"`
-	FirstRunAt   control.Time `json:"ran,omitempty"` // when the first submit that may have run was sent
+	FirstRunAt   control.Time `json:"ran,omitempty"` // when the first attempt that may have run was sent; 0: none
 	FirstRunZone string       `json:"zone,omitempty"`
 
-	Seq               uint64 `json:"order,omitempty"` // of arrival
-	FirstRunTentative bool   `json:"out,omitempty"`   // RanSince holds the submit that is out; it goes if that one never ran
+	Seq               uint64 `json:"order,omitempty"` // order of acceptance
+	FirstRunTentative bool   `json:"out,omitempty"`   // FirstRunAt is that of the attempt in flight, and is cleared if that one did not run
 }
 
-// Notice is the end of a text that the platform has yet to hear of.
+// Notice is the end of a text that the platform is still to be told.
 type Notice struct {
 	ID         string       `json:"id"`
 	Nack       bool         `json:"nack,omitempty"`
@@ -41,17 +41,17 @@
 	Seq        uint64       `json:"order,omitempty"`
 }
 
-// The kinds of record.
+// The record kinds.
 const (
 	kindAccepted         = 'T'
 	kindAttempt          = 'S'
 	kindNotRun           = 'N'
 	kindEnded            = 'E'
 	kindEndedOwingNotice = 'U' // ended, and a notice is owed
-	kindSyncMark         = 'M' // all up to a number is on the disk
+	kindSyncMark         = 'M' // every record up to a sequence number is on disk
 )
 
-// isKnownKind says whether records of a kind are ever written.
+// isKnownKind reports whether records of a kind are ever written.
 func isKnownKind(kind byte) bool {
 	switch kind {
 	case kindAccepted, kindAttempt, kindNotRun, kindEnded, kindEndedOwingNotice, kindSyncMark:
@@ -62,7 +62,7 @@
 
 type attemptRecord struct {
 	ID     string       `json:"id"`
-	Number int          `json:"n,omitempty"` // how many there are with it: it may be written twice
+	Number int          `json:"n,omitempty"` // of attempts including this one, as the record may be written twice
 	At     control.Time `json:"at"`
 	Zone   string       `json:"zone,omitempty"`
 }
@@ -71,24 +71,23 @@
 	ID string `json:"id"`
 }
 
-// state is what is live: it is made by records, one after the other, and gives records that make it anew. It does no
-// I/O.
+// state is the live state, built by applying records in order; recordOf returns records that rebuild it. It does no I/O.
 type state struct {
 	texts      map[string]*Text
 	notices    map[string]*Notice
 	lastSeq    uint64
-	lastID     string          // the id in the last record
-	unknownIDs map[string]bool // named by a record, and not there: perhaps a lost text; bounded
+	lastID     string          // id in the last record
+	unknownIDs map[string]bool // ids of records without a text: perhaps lost texts; limited
 }
 
-// maxUnknownIDs bounds the ids that are remembered for the log.
+// maxUnknownIDs limits the unknown ids that are kept for the log.
 const maxUnknownIDs = 64
 
 func newState() *state {
 	return &state{texts: map[string]*Text{}, notices: map[string]*Notice{}, unknownIDs: map[string]bool{}}
 }
 
-// apply does what a record says; false if it makes no sense.
+// apply applies a record; false if it is invalid.
 func (s *state) apply(kind byte, payload []byte) bool {
 	switch kind {
 	case kindAccepted:
@@ -142,7 +141,7 @@
 	return true
 }
 
-// addUnknown notes an id that a record names and no text has.
+// addUnknown stores an id that a record names and that no text has.
 func (s *state) addUnknown(id string) {
 	if len(s.unknownIDs) < maxUnknownIDs {
 		s.unknownIDs[id] = true
@@ -156,7 +155,7 @@
 	}
 }
 
-// clearTentativeRun: the submit that was out never ran.
+// clearTentativeRun records that the attempt in flight did not run.
 func (t *Text) clearTentativeRun() {
 	if t.FirstRunTentative {
 		t.FirstRunAt, t.FirstRunZone, t.FirstRunTentative = 0, "", false
@@ -187,8 +186,8 @@
 	delete(s.notices, id)
 }
 
-// assumeAllMayHaveRun: records were lost, and nobody knows what of. A text that is held may have been submitted in them, at the
-// earliest when it was taken; or it may have ended. So it counts as one that may have run.
+// assumeAllMayHaveRun handles lost records. They may have recorded an attempt of any held text, at the earliest when it
+// was accepted, or its end; so each counts as possibly run.
 func (s *state) assumeAllMayHaveRun() {
 	for _, t := range s.texts {
 		t.Attempts++
@@ -198,7 +197,7 @@
 	}
 }
 
-// latestTime is the latest instant that anything of what is held tells of.
+// latestTime returns the latest time in the recorded state.
 func (s *state) latestTime() (at control.Time) {
 	for _, t := range s.texts {
 		at = max(at, t.AcceptedAt, t.FirstRunAt)
@@ -206,8 +205,8 @@
 	return at
 }
 
-// adjustForClockStep: the clock was put back since, by so much at least. How long ago anything was cannot be known any more: the
-// time in which a repeat is known counts as over, and validity periods end sooner by what is known.
+// adjustForClockStep handles a clock that was set back by at least step since the last record. The age of anything is
+// no longer known: the time in which repeats are detected counts as over, and validity periods are shortened by step.
 func (s *state) adjustForClockStep(step control.Time) {
 	for _, t := range s.texts {
 		t.ValidUntil -= step
@@ -218,13 +217,13 @@
 	}
 }
 
-// unfinished gives the texts that have no end yet, in the order they were taken, and the notices that are due.
+// unfinished returns the texts that have not ended, in order of acceptance, and the undelivered notices.
 func (s *state) unfinished() ([]*Text, []*Notice) {
 	return slices.SortedFunc(maps.Values(s.texts), func(a, b *Text) int { return int(int64(a.Seq - b.Seq)) }),
 		slices.SortedFunc(maps.Values(s.notices), func(a, b *Notice) int { return int(int64(a.Seq - b.Seq)) })
 }
 
-// recordOf gives the record that makes what is live of an id again; false if nothing is.
+// recordOf returns the record that rebuilds the live state of an id; false if it has none.
 func (s *state) recordOf(id string) (record, bool) {
 	if t := s.texts[id]; t != nil {
 		return t.toRecord(), true
@@ -235,7 +234,7 @@
 	return record{}, false
 }
 
-// record is one, without its number and checksum.
+// record is a record without its sequence number and checksum.
 type record struct {
 	kind    byte
 	payload []byte
@@ -251,7 +250,7 @@
 
 func jsonRecord(kind byte, value any) record { return record{kind, mustMarshal(value)} }
 
-// mustMarshal cannot fail: what is written has only plain fields.
+// mustMarshal encodes a value; it cannot fail, as all values have plain fields only.
 func mustMarshal(value any) []byte {
 	b, err := json.Marshal(value)
 	if err != nil {
@@ -260,7 +259,7 @@
 	return b
 }
 
-// parseID reads the id of what is written in a record.
+// parseID returns the id in an encoded record.
 func parseID(meta []byte) string {
 	var n idRecord
 	if json.Unmarshal(meta, &n) != nil {
--- a/internal/delivery/ledger/sync.go
+++ b/internal/delivery/ledger/sync.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// forceSync has everything on the disk, names too.
+// forceSync syncs the tail and the file names, in both modes.
 func (l *Ledger) forceSync() error {
 	if l.tail != nil {
 		if err := l.tail.Sync(); err != nil {
@@ -16,8 +16,8 @@
 	return nil
 }
 
-// Sync has on the disk what was written, where the ledger is kept so. After an error nothing that was written since the
-// last Sync may be told to anybody but ends.
+// Sync makes the written records durable if the ledger is power loss safe. After an error nothing written since the last
+// successful Sync may be made known, except ends.
 func (l *Ledger) Sync() error {
 	if l.unavailable {
 		return nil
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// markAllSynced: all that was written is on the disk.
+// markAllSynced records that everything written is on disk.
 func (l *Ledger) markAllSynced() {
 	l.dirty, l.dirUnsynced, l.syncedSeq, l.unsynced = false, false, l.lastSeq, nil
 }
--- a/internal/delivery/ledger/take.go
+++ b/internal/delivery/ledger/take.go
@@ -7,7 +7,7 @@
 	"emberquay/control"
 )
 
-// RecordAccepted keeps a text. Once that fails the text must be refused.
+// RecordAccepted stores a text. If it fails, the text must be refused.
 func (l *Ledger) RecordAccepted(t *Text) error {
 	if l.unavailable {
 		return errUnavailable
@@ -23,43 +23,43 @@
 	})
 }
 
-// RecordAttempt keeps that a submit goes out; without that it must not.
+// RecordAttempt records that an attempt is about to be sent; if it fails, the attempt must not be sent.
 func (l *Ledger) RecordAttempt(id string, at control.Time, zone string) error {
 	t := l.state.texts[id]
 	if t == nil {
 		return fmt.Errorf("text %s is not held", id)
 	}
-	// Where somebody else fills the disk, submits use what is held back as long as that is plenty for the ends.
+	// If other programs fill the disk, attempts may use the reserve as long as it is more than enough for the ends.
 	useReserve := int64(len(l.state.texts))*endRecordBytes < l.reserveSize/2
 	return l.write(jsonRecord(kindAttempt, attemptRecord{id, t.Attempts + 1, at, zone}), useReserve, func() { t.startAttempt(t.Attempts+1, at, zone) })
 }
 
-// RecordResult keeps what became of the submit that was out.
-func (l *Ledger) RecordResult(id string, ran bool) error {
+// RecordResult records whether the attempt in flight may have run.
+func (l *Ledger) RecordResult(id string, mayHaveRun bool) error {
 	t := l.state.texts[id]
 	if t == nil || !t.FirstRunTentative {
 		return nil
 	}
-	if ran {
-		t.FirstRunTentative = false // as the file says already
+	if mayHaveRun {
+		t.FirstRunTentative = false // as already recorded
 		return nil
 	}
 	t.clearTentativeRun()
 	return l.write(jsonRecord(kindNotRun, idRecord{id}), false, nil)
 }
 
-// RecordEnd keeps that a text is over, or its notice has arrived, and that nothing more is owed. Where it cannot be written
-// it is tried again with each write and Sync to come.
+// RecordEnd records that a text has ended, or that its notice was delivered, and that nothing more is owed. If the write
+// fails, each later write and Sync retries it.
 func (l *Ledger) RecordEnd(id string) error {
 	if l.state.texts[id] == nil && l.state.notices[id] == nil {
-		return nil // it was never kept
+		return nil // it was never recorded
 	}
 	l.state.remove(id)
 	l.layout.Drop(id)
 	return l.writeEnd(jsonRecord(kindEnded, idRecord{id}))
 }
 
-// RecordEndOwingNotice keeps that a text is over and that the platform is owed a notice. It is tried again as Ended is.
+// RecordEndOwingNotice records that a text has ended and that the platform is owed a notice. It is retried like RecordEnd.
 func (l *Ledger) RecordEndOwingNotice(n *Notice) error {
 	l.state.remove(n.ID)
 	l.layout.Drop(n.ID)
@@ -68,7 +68,7 @@
 	return l.writeEnd(jsonRecord(kindEndedOwingNotice, n))
 }
 
-// writeEnd writes an end: it finds room whenever there is any.
+// writeEnd writes an end, which may use the reserve.
 func (l *Ledger) writeEnd(r record) error {
 	err := l.write(r, true, func() { l.updateLayout(r) })
 	if err != nil && !l.unavailable {
@@ -77,7 +77,7 @@
 	return err
 }
 
-// updateLayout tells the layout where a record of what is live lies.
+// updateLayout tells the layout where the record of a live text or notice is.
 func (l *Ledger) updateLayout(r record) {
 	id := ""
 	switch r.kind {
--- a/internal/delivery/ledger/write.go
+++ b/internal/delivery/ledger/write.go
@@ -10,7 +10,7 @@
 	"emberquay/internal/vfs"
 )
 
-// flushUnwritten writes the ends that could not be written when they came.
+// flushUnwritten writes the ends that could not be written before.
 func (l *Ledger) flushUnwritten() error {
 	for len(l.unwritten) > 0 {
 		if err := l.appendRecord(l.unwritten[0], true, l.layout.AddWritten); err != nil {
@@ -25,8 +25,7 @@
 	return nil
 }
 
-// write appends a record whole or not at all, does then what follows from it, and cleans a little. What is held back
-// may be used for ends.
+// write appends a record completely or not at all, calls onWritten, and does some cleaning. An end may use the reserve.
 func (l *Ledger) write(r record, isEnd bool, onWritten func()) error {
 	if l.unavailable {
 		return errUnavailable
@@ -34,7 +33,7 @@
 	if err := l.flushUnwritten(); err != nil {
 		return err
 	}
-	// It takes a pass over the segments at most.
+	// This takes at most one pass over the segments.
 	for passes := l.layout.Stats().Segments; l.layout.MustCleanFirst(r.size()) && passes > 0; {
 		l.layout.CountForced()
 		before := l.layout.OldestSegment()
@@ -51,7 +50,7 @@
 	if err := l.appendRecord(r, isEnd, l.layout.AddWritten); err != nil {
 		return err
 	}
-	if onWritten != nil { // before anything is moved: where it lies must be known
+	if onWritten != nil { // before any record is moved, as the layout must be current
 		onWritten()
 	}
 	for l.layout.CleaningDue() {
@@ -63,16 +62,16 @@
 	return nil
 }
 
-// cleanStep moves one record out of the oldest segment, or removes it once nothing in it is live.
+// cleanStep moves one record out of the oldest segment, or removes the segment if it has no live record.
 func (l *Ledger) cleanStep() error {
 	if id, _ := l.layout.NextToMove(); id != "" {
 		return l.rewriteLive(id)
 	}
 	number, ok := l.layout.RemovableSegment()
 	if !ok {
-		return errors.New("nothing is left to clean")
+		return errors.New("nothing left to clean")
 	}
-	// What was moved out of it must be on the disk before it goes, and it before the next one.
+	// The moved records must be on disk before the segment is removed, and its removal before that of the next.
 	if l.opt.PowerLossSafe {
 		if err := l.Sync(); err != nil {
 			return err
@@ -92,7 +91,7 @@
 	return nil
 }
 
-// rewriteLive writes what is live of an id anew, in one record: half of it would be less than was kept.
+// rewriteLive rewrites the live state of an id in one record: several could be split by a crash, and a part is not enough.
 func (l *Ledger) rewriteLive(id string) error {
 	r, ok := l.state.recordOf(id)
 	if !ok {
@@ -106,7 +105,7 @@
 	return nil
 }
 
-// appendRecord writes a record to the tail, a new one if need be.
+// appendRecord appends a record to the tail, or to a new one if necessary.
 func (l *Ledger) appendRecord(r record, isEnd bool, account func(int64)) error {
 	if l.tail == nil || l.layout.NeedsNewSegment(r.size()) {
 		if err := l.startSegment(); err != nil && !(isEnd && l.releaseReserve(err) && l.startSegment() == nil) {
@@ -114,15 +113,15 @@
 		}
 	}
 	l.buffer = appendFrame(l.buffer[:0], r, l.lastSeq+1)
-	n, err := l.tail.WriteAt(l.buffer, l.tailBytes)
+	written, err := l.tail.WriteAt(l.buffer, l.tailBytes)
 	if err != nil && isEnd && l.releaseReserve(err) {
-		n, err = l.tail.WriteAt(l.buffer, l.tailBytes)
+		written, err = l.tail.WriteAt(l.buffer, l.tailBytes)
 	}
 	if err != nil {
-		// With no room the next write takes the same place. Anything else may be the file's fault: another one.
+		// If the disk is full, the next write uses the same position. Other errors may be the file's: start another.
 		if !vfs.IsFull(err) {
 			l.closeTail()
-			account(int64(n))
+			account(int64(written))
 		}
 		return fmt.Errorf("the lasting folder: %w", err)
 	}
@@ -139,8 +138,8 @@
 	return nil
 }
 
-// closeTail ends the use of the tail. What was not synced in it is written again, elsewhere: what became of it is not known,
-// and a later sync need not tell.
+// closeTail closes the tail. Its unsynced records are written again to another segment: their state is unknown,
+// and a later sync need not report the error.
 func (l *Ledger) closeTail() {
 	if l.tail != nil {
 		l.tail.Close()
@@ -152,7 +151,7 @@
 	l.unsynced, l.dirty = nil, false
 }
 
-// startSegment begins another segment.
+// startSegment creates the next segment.
 func (l *Ledger) startSegment() error {
 	if l.tail != nil && l.opt.PowerLossSafe && l.dirty {
 		err := l.tail.Sync()
@@ -172,8 +171,8 @@
 	}
 	l.lastSegment++
 	l.dirUnsynced = true
-	head := encodeSegmentHeader(l.lastSegment, l.lastSeq+1, l.opt.PowerLossSafe, l.syncedSeq)
-	if _, err := f.WriteAt(head, 0); err != nil {
+	header := encodeSegmentHeader(l.lastSegment, l.lastSeq+1, l.opt.PowerLossSafe, l.syncedSeq)
+	if _, err := f.WriteAt(header, 0); err != nil {
 		f.Close()
 		l.files.Remove(l.path(segmentName(l.lastSegment)))
 		return err
@@ -184,7 +183,7 @@
 	return nil
 }
 
-// writeSyncMark notes in the log how far it is synced. It need not be on the disk itself.
+// writeSyncMark records up to which record the log is synced. The mark itself need not be synced.
 func (l *Ledger) writeSyncMark() {
 	r := record{kindSyncMark, binary.LittleEndian.AppendUint64(nil, l.syncedSeq)}
 	b := appendFrame(nil, r, 0)
@@ -194,7 +193,7 @@
 	}
 }
 
-// Compact writes everything that is live anew and removes all else: a snapshot.
+// Compact rewrites all live records into new segments and removes the old ones.
 func (l *Ledger) Compact() error {
 	if l.unavailable {
 		return errUnavailable
--- a/internal/delivery/notices/notices.go
+++ b/internal/delivery/notices/notices.go
@@ -1,4 +1,4 @@
-// Package notices tells the platform how texts ended that were taken on and not delivered.
+// Package notices tells the platform how accepted texts ended that were not delivered.
 package notices
 
 import (
@@ -20,18 +20,18 @@
 
 const noticePath = "/v2/finals"
 
-// Notifier is the actor that sends notices, several at once where they have gathered, each until it is taken.
+// Notifier sends notices to the platform, in batches if several are queued, and retries each until it is accepted.
 type Notifier struct {
 	limits      config.Limits
 	queue       chan *ledger.Notice
-	onDelivered func([]*ledger.Notice) // they have arrived
+	onDelivered func([]*ledger.Notice) // called with delivered notices
 	client      *http.Client
 
 	mu     sync.Mutex
 	target *target
 }
 
-// target is where notices go; its context ends once they go elsewhere.
+// target is the address that notices are sent to; its context is cancelled when the address changes.
 type target struct {
 	url    string
 	ctx    context.Context
@@ -39,12 +39,13 @@
 }
 
 func newTarget(addr string) *target {
-	p := &target{url: "http://" + addr + noticePath}
-	p.ctx, p.cancel = context.WithCancel(context.Background())
-	return p
+	t := &target{url: "http://" + addr + noticePath}
+	t.ctx, t.cancel = context.WithCancel(context.Background())
+	return t
 }
 
-// New makes the actor; told hears of what has arrived. Owed notices fit in the mailbox beside the texts held.
+// New returns a notifier that calls onDelivered with delivered notices. Its queue has space for all notices owed and
+// those of all held texts.
 func New(addr string, limits config.Limits, onDelivered func([]*ledger.Notice)) *Notifier {
 	return &Notifier{target: newTarget(addr), limits: limits, onDelivered: onDelivered,
 		queue: make(chan *ledger.Notice, 2*limits.MaxTexts+limits.MailboxSize),
@@ -54,8 +55,8 @@
 		}}
 }
 
-// SetAddr sends what is not told yet to another address from now on, what is under way too: the old one may take
-// no more. A notice that comes twice does no harm.
+// SetAddr sends all undelivered notices to another address from now on, including those being sent: the old one may not
+// accept any more. A duplicate notice does no harm.
 func (d *Notifier) SetAddr(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -69,7 +70,7 @@
 	return d.target
 }
 
-// Post hands over a notice without waiting; false if there is no room.
+// Post queues a notice without blocking; false if the queue is full.
 func (d *Notifier) Post(n *ledger.Notice) bool {
 	select {
 	case d.queue <- n:
@@ -79,14 +80,14 @@
 	}
 }
 
-// wireNotice is one notice as it is written.
+// wireNotice is a notice as encoded on the wire.
 type wireNotice struct {
 	Message string `json:"message"`
 	Outcome string `json:"outcome"`
 	RetryMs int64  `json:"retry_in_ms,omitempty"`
 }
 
-// Run sends what is posted until the context ends.
+// Run sends queued notices until the context ends.
 func (d *Notifier) Run(ctx context.Context) {
 	var pending []*ledger.Notice
 	delay := d.limits.MinRetryDelay
@@ -107,7 +108,7 @@
 				more = false
 			}
 		}
-		// After a fault one goes alone, and to the back if it fails: none may hold up the others for ever.
+		// After a failure notices are sent one at a time, and a failed one goes to the back: none may block the others forever.
 		batchLimit := len(pending)
 		if delay > d.limits.MinRetryDelay {
 			batchLimit = 1
@@ -138,17 +139,17 @@
 	}
 }
 
-// attemptTimeout is how long a try waits for its answer. The first, on a connection that was kept and may say nothing more,
-// leaves time for a second before the end of a text counts as late; a platform that is slow gets more each
-// time, as the pause before it grows.
+// attemptTimeout returns how long an attempt waits for its response. The first may use a kept connection that is dead,
+// so it leaves time for a second one before the end of a text counts as late; as the delay between attempts grows,
+// the timeout grows with it, for a slow platform.
 func (d *Notifier) attemptTimeout(delay time.Duration) time.Duration {
 	return d.limits.NoticeTimeout * min(max(1, delay/max(1, d.limits.MinRetryDelay)), maxTimeoutFactor)
 }
 
-// maxTimeoutFactor bounds by how much that grows.
+// maxTimeoutFactor limits the growth of that timeout.
 const maxTimeoutFactor = 8
 
-// encodeBatch writes as many notices as one body may hold, and says how many.
+// encodeBatch encodes as many notices as fit one body and returns their number.
 func (d *Notifier) encodeBatch(pending []*ledger.Notice) ([]byte, int) {
 	var body bytes.Buffer
 	encoder := json.NewEncoder(&body)
@@ -160,7 +161,7 @@
 			w.Outcome, w.RetryMs = "handed_back", int64((n.RetryAfter+perMs-1)/perMs)
 		}
 		complete := body.Len()
-		encoder.Encode(w) // strings and a number always encode, and a buffer takes them
+		encoder.Encode(w) // cannot fail: strings and a number, written to a buffer
 		if i > 0 && int64(body.Len()) > d.limits.MaxBodyBytes {
 			return body.Bytes()[:complete], i
 		}
@@ -183,7 +184,7 @@
 	defer resp.Body.Close()
 	io.Copy(io.Discard, io.LimitReader(resp.Body, d.limits.MaxBodyBytes))
 	if resp.StatusCode != http.StatusNoContent {
-		return fmt.Errorf("the platform answered %s", resp.Status)
+		return fmt.Errorf("platform responded with status %s", resp.Status)
 	}
 	return nil
 }
--- a/internal/delivery/notices/notices_test.go
+++ b/internal/delivery/notices/notices_test.go
@@ -14,19 +14,19 @@
 	"emberquay/internal/delivery/ledger"
 )
 
-func newNotifier(t *testing.T, texts int, platform http.HandlerFunc) (*Notifier, <-chan []string) {
+func newNotifier(t *testing.T, maxTexts int, platform http.HandlerFunc) (*Notifier, <-chan []string) {
 	t.Helper()
 	s := httptest.NewServer(platform)
 	t.Cleanup(s.Close)
-	told := make(chan []string, 99)
-	return New(s.Listener.Addr().String(), config.Limits{MaxTexts: texts, MailboxSize: 4, MaxBodyBytes: 1024, NoticeTimeout: time.Second,
+	delivered := make(chan []string, 99)
+	return New(s.Listener.Addr().String(), config.Limits{MaxTexts: maxTexts, MailboxSize: 4, MaxBodyBytes: 1024, NoticeTimeout: time.Second,
 		MinRetryDelay: time.Millisecond, MaxRetryDelay: 5 * time.Millisecond}, func(all []*ledger.Notice) {
 		var ids []string
 		for _, n := range all {
 			ids = append(ids, n.ID)
 		}
-		told <- ids
-	}), told
+		delivered <- ids
+	}), delivered
 }
 
 func runNotifier(t *testing.T, d *Notifier) {
@@ -36,9 +36,9 @@
 	t.Cleanup(func() { cancel(); <-done })
 }
 
-func TestNoticesAreWrittenAsTheProtocolSays(t *testing.T) {
+func TestWireFormatOfNotices(t *testing.T) {
 	bodies := make(chan string, 9)
-	d, told := newNotifier(t, 4, func(w http.ResponseWriter, r *http.Request) {
+	d, delivered := newNotifier(t, 4, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		bodies <- r.Method + r.URL.Path + " " + string(b)
 		w.WriteHeader(http.StatusNoContent)
@@ -52,38 +52,38 @@
 	if got := <-bodies; got != want {
 		t.Errorf("%s", got)
 	}
-	if got := <-told; !slices.Equal(got, []string{"a<1", "b", "c"}) {
+	if got := <-delivered; !slices.Equal(got, []string{"a<1", "b", "c"}) {
 		t.Error(got)
 	}
 }
 
-// A kept connection to the platform says nothing more just as a notice goes out on it. Its text's end counts as late
-// 0.3 s after its time: a second try on a new connection comes before.
+// A kept connection to the platform is dead when a notice is sent on it. The end of a text counts as late after
+// 0.3 s, so a second attempt on a new connection must come before.
 func TestASilentConnectionCostsOneTry(t *testing.T) {
-	came, kept, fresh := 0, "", ""
-	d, told := newNotifier(t, 4, func(w http.ResponseWriter, r *http.Request) {
+	requests, keptAddr, newAddr := 0, "", ""
+	d, delivered := newNotifier(t, 4, func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
-		switch came++; came {
+		switch requests++; requests {
 		case 1:
-			kept = r.RemoteAddr
+			keptAddr = r.RemoteAddr
 		case 2:
-			if r.RemoteAddr != kept {
+			if r.RemoteAddr != keptAddr {
 				t.Error("the connection was not kept")
 			}
 			<-r.Context().Done()
 			return
 		default:
-			fresh = r.RemoteAddr
+			newAddr = r.RemoteAddr
 		}
 		w.WriteHeader(http.StatusNoContent)
 	})
 	runNotifier(t, d)
 	for _, id := range []string{"a", "b"} {
 		d.Post(&ledger.Notice{ID: id})
-		<-told
+		<-delivered
 	}
-	if came != 3 || fresh == kept {
-		t.Errorf("%d tries, at last from %s, before from %s", came, fresh, kept)
+	if requests != 3 || newAddr == keptAddr {
+		t.Errorf("%d attempts, last from %s, first from %s", requests, newAddr, keptAddr)
 	}
 	conf, err := config.Parse([]byte(`{"name":"n","listen":":1","discovery":":2","state":"s","settings":{"RequestClasses":[{"Name":"a"}]}}`),
 		func(string) string { return "" })
@@ -93,14 +93,14 @@
 	d.limits = conf.Limits
 	first, second, last := d.attemptTimeout(d.limits.MinRetryDelay), d.attemptTimeout(2*d.limits.MinRetryDelay), d.attemptTimeout(d.limits.MaxRetryDelay)
 	if late := 300 * time.Millisecond; first+d.limits.MinRetryDelay+second/2 > late || last < late {
-		t.Errorf("%s, then %s, at last %s", first, second, last)
+		t.Errorf("timeouts: %s, then %s, last %s", first, second, last)
 	}
 }
 
-// The platform may be down, or choke on one notice: all others arrive, and that one is tried on.
+// The platform may be down, or reject one notice: all others are delivered, and that one is retried.
 func TestNoticesAreRetried(t *testing.T) {
 	n := 0
-	d, told := newNotifier(t, 4, func(w http.ResponseWriter, r *http.Request) {
+	d, delivered := newNotifier(t, 4, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		n++
 		switch {
@@ -119,10 +119,10 @@
 	var all []string
 	for len(all) < 3 {
 		select {
-		case ids := <-told:
+		case ids := <-delivered:
 			all = append(all, ids...)
 		case <-time.After(5 * time.Second):
-			t.Fatal("not told: ", all)
+			t.Fatal("timeout; delivered: ", all)
 		}
 	}
 	if slices.Sort(all); !slices.Equal(all, []string{"!", "b", "c"}) {
@@ -130,8 +130,8 @@
 	}
 }
 
-// The platform takes no more than one body holds.
-func TestManyNoticesGoInSeveralBodies(t *testing.T) {
+// The platform accepts a limited body size.
+func TestManyNoticesAreSplitIntoBodies(t *testing.T) {
 	d, _ := newNotifier(t, 4, nil)
 	var due []*ledger.Notice
 	for range 50 {
@@ -147,7 +147,7 @@
 	}
 }
 
-func TestDeskIsBounded(t *testing.T) {
+func TestQueueIsBounded(t *testing.T) {
 	d, _ := newNotifier(t, 1, nil)
 	n := 0
 	for d.Post(&ledger.Notice{ID: "a"}) && n < 1000 {
--- a/internal/delivery/protocol/message.go
+++ b/internal/delivery/protocol/message.go
@@ -6,37 +6,37 @@
 	"strings"
 )
 
-// Section says which part of a message comes next.
+// Section is the part of a message that comes next.
 type Section int
 
-// The parts.
+// The sections.
 const (
 	Head Section = iota
 	Body
-	UncountedBody // the body ends with the connection, or its pieces tell their own lengths
+	UncountedBody // ends with the connection, or is chunked
 	Complete
 )
 
-// Message follows one HTTP/1.1 message through the bytes of its connection. Net/http does not show its users
-// where one ended, what was left out of its head, or the first line of one that it could not read.
+// Message follows one HTTP/1.1 message in the bytes of its connection. Package net/http does not tell where a message
+// ended, which headers were dropped, or the first line of a message that it could not parse.
 type Message struct {
-	IsRequest      bool // else an answer
+	IsRequest      bool // else a response
 	Section        Section
-	Started        bool // some of it has come
-	Status         int  // of an answer; 0 before a first line that can be read
-	LengthConflict bool // it has a length and pieces, so that two readers may see two bodies
+	Started        bool // some bytes were received
+	Status         int  // of a response; 0 before a valid first line
+	LengthConflict bool // both Content-Length and Transfer-Encoding: two readers may see different bodies
 
-	line          []byte // of the head, the present one, as far as it matters
-	firstLineSeen bool   // the first line has come
-	hasLength     bool   // was told
+	line          []byte // start of the current header line
+	firstLineSeen bool
+	hasLength     bool // Content-Length was received
 	chunked       bool
-	bodyRemaining int64 // of the body
+	bodyRemaining int64
 }
 
-// maxLineBytes is as much of a line as is looked at.
+// maxLineBytes is how much of a header line is examined.
 const maxLineBytes = 128
 
-// Feed follows the next bytes and says how many of them belong to the message.
+// Feed processes the next bytes and returns how many of them belong to the message.
 func (m *Message) Feed(b []byte) int {
 	at := 0
 	for at < len(b) {
@@ -66,7 +66,7 @@
 	return at
 }
 
-// parseLine takes one line of the head.
+// parseLine parses one line of the header.
 func (m *Message) parseLine(line string) {
 	name, value, _ := strings.Cut(line, ":")
 	switch {
@@ -100,7 +100,7 @@
 	}
 }
 
-// parseStatus reads the first line of an answer; 0 if it makes no sense.
+// parseStatus parses the first line of a response; 0 if it is invalid.
 func parseStatus(line string) int {
 	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
--- a/internal/delivery/protocol/peek.go
+++ b/internal/delivery/protocol/peek.go
@@ -5,8 +5,8 @@
 	"syscall"
 )
 
-// Peek looks at what a connection holds unread, without taking it: whether there is something, and whether the
-// other side has ended it. A connection that cannot be looked at holds nothing and lives.
+// Peek checks without reading whether a connection has unread data and whether the other side has closed it.
+// One that cannot be examined counts as open without data.
 func Peek(c net.Conn) (unread, ended bool) {
 	tcp, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/delivery/protocol/protocol.go
+++ b/internal/delivery/protocol/protocol.go
@@ -1,4 +1,4 @@
-// Package protocol holds what more than one peer's side needs of the protocol on sockets.
+// Package protocol contains the definitions of the socket protocol that several packages need.
 package protocol
 
 import (
@@ -10,18 +10,18 @@
 // The headers that clients send and receivers get.
 const (
 	IDHeader             = "X-Call-Id"
-	IdempotencyKeyHeader = "Idempotency-Key" // by which a repeat is known
-	BudgetHeader         = "X-Budget"        // seconds, with decimals
+	IdempotencyKeyHeader = "Idempotency-Key" // identifies repeated requests
+	BudgetHeader         = "X-Budget"        // in seconds, with decimals
 )
 
-// Tick is the module's unit of time.
+// Tick is the time unit of package control.
 const Tick = time.Second / time.Duration(control.Second)
 
-// Ticks counts the whole ticks of a span, rounded down.
+// Ticks converts a duration to ticks, rounded down.
 func Ticks(d time.Duration) control.Time { return control.Time(d / Tick) }
 
-// Duration is the time that so many ticks take.
+// Duration converts ticks to a duration.
 func Duration(t control.Time) time.Duration { return time.Duration(t) * Tick }
 
-// UnixTicks is an instant in whole ticks, rounded down.
+// UnixTicks converts a time to ticks since the Unix epoch, rounded down.
 func UnixTicks(t time.Time) control.Time { return control.Time(t.UnixNano() / int64(Tick)) }
--- a/internal/delivery/simwire/simwire.go
+++ b/internal/delivery/simwire/simwire.go
@@ -1,7 +1,7 @@
-// Package simwire reads and writes the lines of the wire onyx-7696.
+// Package simwire reads the lines of the simulator's wire format onyx-7696.
 //
-// A line is a name and then field=value pairs, set apart by single spaces. A
-// reading fault is told once, with the number of the line and the field.
+// A line is a name and then field=value pairs, separated by single spaces. Only the
+// first error of a line is reported, with the number of the line and the field.
 package simwire
 
 import (
@@ -14,16 +14,16 @@
 	"strings"
 )
 
-// Reader takes lines off the wire, however long they are.
+// Reader reads lines of any length.
 type Reader struct {
 	in         *bufio.Reader
 	lineNumber int
 }
 
-// NewReader reads from r.
+// NewReader returns a reader for r.
 func NewReader(r io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(r, 1<<20)} }
 
-// Next gives the next line; io.EOF at a clean end of input.
+// Next returns the next line; io.EOF at the end of input.
 func (r *Reader) Next() (*Line, error) {
 	raw, err := r.in.ReadString('\n')
 	if err != nil && (raw == "" || !errors.Is(err, io.EOF)) {
@@ -33,7 +33,7 @@
 	return parse(strings.TrimSuffix(raw, "\n"), r.lineNumber)
 }
 
-// Line is one message; its getters note the first fault, which Err returns.
+// Line is one message; its getters store the first error, which Err returns.
 type Line struct {
 	Name   string
 	Number int
@@ -41,7 +41,7 @@
 	err    error
 }
 
-// Field is one name=value pair as it stood on the line.
+// Field is one name=value pair as received.
 type Field struct{ Name, Value string }
 
 func parse(raw string, number int) (*Line, error) {
@@ -53,7 +53,7 @@
 	for _, p := range parts[1:] {
 		name, value, ok := strings.Cut(p, "=")
 		if !ok || name == "" {
-			return nil, fmt.Errorf("line %d: %s: %q is no field=value", number, l.Name, p)
+			return nil, fmt.Errorf("line %d: %s: %q is not field=value", number, l.Name, p)
 		}
 		l.Fields = append(l.Fields, Field{name, value})
 	}
@@ -69,17 +69,17 @@
 	return "", false
 }
 
-// RecordError records what is wrong with a field, unless something already was.
+// RecordError stores what is wrong with a field, unless an error was stored before.
 func (l *Line) RecordError(field, what string) {
 	if l.err == nil {
 		l.err = fmt.Errorf("line %d: %s: field %s: %s", l.Number, l.Name, field, what)
 	}
 }
 
-// Err is the first fault found in the line.
+// Err returns the first error found in the line.
 func (l *Line) Err() error { return l.err }
 
-// Required gives a field that must be there.
+// Required returns the value of a required field.
 func (l *Line) Required(name string) string {
 	v, ok := l.lookup(name)
 	if !ok || v == "" {
@@ -88,13 +88,13 @@
 	return v
 }
 
-// Optional gives a field that may be absent.
+// Optional returns the value of an optional field.
 func (l *Line) Optional(name string) string {
 	v, _ := l.lookup(name)
 	return v
 }
 
-// Int gives a whole number that must be there, within [low, high].
+// Int returns the required integer of a field, within [low, high].
 func (l *Line) Int(name string, low, high int64) int64 {
 	v := l.Required(name)
 	if l.err != nil {
@@ -107,7 +107,7 @@
 	return n
 }
 
-// OptionalInt is Whole with nought for an absent field.
+// OptionalInt is Int with 0 for an absent field.
 func (l *Line) OptionalInt(name string, low, high int64) int64 {
 	if l.Optional(name) == "" {
 		return 0
@@ -115,7 +115,7 @@
 	return l.Int(name, low, high)
 }
 
-// Uint gives an unsigned whole number that must be there.
+// Uint returns the required unsigned integer of a field.
 func (l *Line) Uint(name string) uint64 {
 	n, err := strconv.ParseUint(l.Required(name), 10, 64)
 	if err != nil {
@@ -124,7 +124,7 @@
 	return n
 }
 
-// Bool gives a bool; an absent one is false.
+// Bool returns the flag of a field; an absent one is false.
 func (l *Line) Bool(name string) bool {
 	switch v := l.Optional(name); v {
 	case "1":
@@ -137,7 +137,7 @@
 	}
 }
 
-// OptionalFloat gives a finite number of nought or more; an absent one is nought.
+// OptionalFloat returns the finite non-negative number of a field; an absent one is 0.
 func (l *Line) OptionalFloat(name string) float64 {
 	v := l.Optional(name)
 	if v == "" {
@@ -146,21 +146,21 @@
 	return l.parseFloat(name, v)
 }
 
-// Floats gives a comma-joined row; what is left empty is NaN.
+// Floats returns a comma-separated list of numbers; an empty element is NaN.
 func (l *Line) Floats(name string) []float64 {
 	v := l.Optional(name)
 	if v == "" {
 		return nil
 	}
-	var row []float64
+	var numbers []float64
 	for _, p := range strings.Split(v, ",") {
 		n := math.NaN()
 		if p != "" {
 			n = l.parseFloat(name, p)
 		}
-		row = append(row, n)
+		numbers = append(numbers, n)
 	}
-	return row
+	return numbers
 }
 
 func (l *Line) parseFloat(name, v string) float64 {
--- a/internal/delivery/simwire/simwire_test.go
+++ b/internal/delivery/simwire/simwire_test.go
@@ -20,14 +20,14 @@
 		t.Errorf("read %+v, row %v", l, row)
 	}
 	if l, err = r.Next(); err != nil || l.Name != "COMMIT" {
-		t.Errorf("a last line without its end: %v, %v", l, err)
+		t.Errorf("last line without a newline: %v, %v", l, err)
 	}
 	if _, err = r.Next(); !errors.Is(err, io.EOF) {
-		t.Errorf("at the end: %v", err)
+		t.Errorf("at the end of input: %v", err)
 	}
 }
 
-func TestFaultsNameLineAndField(t *testing.T) {
+func TestErrorsNameLineAndField(t *testing.T) {
 	for raw, use := range map[string]func(*Line){
 		"X A=x":   func(l *Line) { l.Int("A", 0, 9) },
 		"X A=10":  func(l *Line) { l.Int("A", 0, 9) },
@@ -48,7 +48,7 @@
 	}
 	for _, raw := range []string{"X A", "X  A=1", "X =1", ""} {
 		if _, err := NewReader(strings.NewReader(raw + "\n")).Next(); err == nil {
-			t.Errorf("%q was taken", raw)
+			t.Errorf("%q was accepted", raw)
 		}
 	}
 }
--- a/internal/delivery/warmstart/warmstart.go
+++ b/internal/delivery/warmstart/warmstart.go
@@ -1,11 +1,11 @@
-// Package warmstart keeps what a sender has learnt of its receivers from one process to the next: a file that is written
-// when it stops and read, once, when the next one starts.
+// Package warmstart hands over the receiver histories of one sender process to the next, in a file that is written at
+// the stop and read once at the next start.
 //
-//	known, err := warmstart.Read(path, now) // nil, nil where there is none
+//	known, err := warmstart.Read(path, now) // nil, nil if there is no file
 //	err = warmstart.Write(path, now, receivers)
 //
-// What cannot be read, or was written by a clock ahead of ours, is an error and counts for nothing: the sender then
-// starts afresh, as it does without the file.
+// A file that is invalid, or written by a clock ahead of the current one, is an error; the sender then starts without
+// histories, as it does without the file.
 package warmstart
 
 import (
@@ -19,8 +19,8 @@
 	"emberquay/control"
 )
 
-// Receiver is one lesson and whose it is. The three that say whose have to be found again in the new list: an address that has
-// become another destination's means nothing any more.
+// Receiver is the history of one receiver. It applies only if the new list has a receiver with the same address,
+// destination and kind: the history of an address that now belongs to another destination is meaningless.
 type Receiver struct {
 	Addr        string `json:"addr"`
 	Destination int64  `json:"dest"`
@@ -33,15 +33,15 @@
 	Receivers []Receiver   `json:"receivers"`
 }
 
-// The most that is written and read: a file that somebody else made large must not fill the memory.
+// The limits for writing and reading: a file made large by another program must not fill the memory.
 const (
 	maxReceivers = 4096
 	maxFileBytes = 4 << 20
 )
 
-// Write replaces the file, whole or not at all.
-func Write(path string, now control.Time, all []Receiver) error {
-	raw, err := json.Marshal(fileContent{now, all[:min(len(all), maxReceivers)]})
+// Write replaces the file atomically.
+func Write(path string, now control.Time, receivers []Receiver) error {
+	raw, err := json.Marshal(fileContent{now, receivers[:min(len(receivers), maxReceivers)]})
 	if err != nil {
 		return err
 	}
@@ -51,7 +51,7 @@
 	return os.Rename(path+".new", path)
 }
 
-// Read reads it.
+// Read reads the histories from the file.
 func Read(path string, now control.Time) ([]Receiver, error) {
 	f, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -66,7 +66,7 @@
 		return nil, err
 	}
 	if len(raw) > maxFileBytes {
-		return nil, fmt.Errorf("%s: over %d bytes", path, maxFileBytes)
+		return nil, fmt.Errorf("%s: larger than %d bytes", path, maxFileBytes)
 	}
 	return parse(path, raw, now)
 }
@@ -78,14 +78,14 @@
 	}
 	switch {
 	case content.At <= 0 || content.At > now:
-		return nil, fmt.Errorf("%s: at: written at %d, which is not before now", path, content.At)
+		return nil, fmt.Errorf("%s: at: time of writing %d is not in the past", path, content.At)
 	case len(content.Receivers) > maxReceivers:
-		return nil, fmt.Errorf("%s: receivers: over %d", path, maxReceivers)
+		return nil, fmt.Errorf("%s: receivers: more than %d", path, maxReceivers)
 	}
 	for i, r := range content.Receivers {
 		for _, at := range append([]control.Time{r.RecoveredAt, r.FailedSince, r.RefusedSince, r.RefusedAt, r.RefusedBelowLimit}, r.CallTimes...) {
 			if at < 0 || at > content.At {
-				return nil, fmt.Errorf("%s: receivers.%d: a moment that is not before it was written", path, i)
+				return nil, fmt.Errorf("%s: receivers.%d: a time after that of writing", path, i)
 			}
 		}
 		if r.Addr == "" || r.RetryAfterUntil < 0 || r.Failures < 0 || r.CallDuration < 0 || len(r.CallTimes) > maxReceivers {
--- a/internal/delivery/warmstart/warmstart_test.go
+++ b/internal/delivery/warmstart/warmstart_test.go
@@ -12,17 +12,17 @@
 
 var sampleReceiver = Receiver{"127.0.0.1:9", 7, "one", control.ReceiverHistory{RetryAfterUntil: 90, RecoveredAt: 20, Failures: 2, FailedSince: 10, RefusedSince: 5, RefusedAt: 6, RefusedBelowLimit: 6, CallTimes: []control.Time{30}, CallDuration: 4.5}}
 
-func TestWrittenAndRead(t *testing.T) {
+func TestWriteAndRead(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "learnt.json")
 	if got, err := Read(path, 50); got != nil || err != nil {
-		t.Errorf("none there: %v %v", got, err)
+		t.Errorf("without a file: %v %v", got, err)
 	}
 	written := Write(path, 40, []Receiver{sampleReceiver})
 	if got, err := Read(path, 50); written != nil || err != nil || !reflect.DeepEqual(got, []Receiver{sampleReceiver}) {
 		t.Errorf("%+v %v %v", got, written, err)
 	}
-	if _, err := Read(path, 39); err == nil { // by a clock ahead of ours
-		t.Error("taken over from the future")
+	if _, err := Read(path, 39); err == nil { // written by a clock ahead of the current one
+		t.Error("accepted a file written in the future")
 	}
 	written = os.WriteFile(path, make([]byte, maxFileBytes+1), 0o600)
 	if _, err := Read(path, 50); written != nil || err == nil || !strings.Contains(err.Error(), "bytes") {
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestWhatMakesNoSenseIsNamed(t *testing.T) {
+func TestInvalidFilesAreRejected(t *testing.T) {
 	for text, want := range map[string]string{
 		`x`:                         "invalid",
 		`{}`:                        "at:",
