--- a/internal/delivery/directory/directory_test.go
+++ b/internal/delivery/directory/directory_test.go
@@ -129,7 +129,7 @@
 	expectRequests(t, requests, "?stream=1&index=41", "?stream=1&index=41")
 }
 
-// In a large fleet a sender waited up to five seconds after a silence of 4.5, and changes made meanwhile counted as announced.
+// In a large fleet a sender waited up to five seconds after a silence of 4.5 seconds, and changes made meanwhile counted as announced.
 func TestASilentWatchIsOpenedAgainAtOnce(t *testing.T) {
 	before := retryWindow
 	defer func() { retryWindow = before }()
--- a/internal/delivery/ledger/state.go
+++ b/internal/delivery/ledger/state.go
@@ -32,7 +32,7 @@
 	FirstRunTentative bool   `json:"out,omitempty"`   // FirstRunAt is that of the attempt in flight, and is cleared if that one did not run
 }
 
-// Notice is the end of a text that the platform is still to be told.
+// Notice reports the end of a text to the platform; it is kept until it is delivered.
 type Notice struct {
 	ID         string       `json:"id"`
 	Nack       bool         `json:"nack,omitempty"`
--- a/internal/delivery/simwire/simwire.go
+++ b/internal/delivery/simwire/simwire.go
@@ -102,7 +102,7 @@
 	}
 	n, err := strconv.ParseInt(v, 10, 64)
 	if err != nil || n < low || n > high {
-		l.RecordError(name, fmt.Sprintf("%q is no whole number from %d to %d", v, low, high))
+		l.RecordError(name, fmt.Sprintf("%q is not an integer from %d to %d", v, low, high))
 	}
 	return n
 }
@@ -119,7 +119,7 @@
 func (l *Line) Uint(name string) uint64 {
 	n, err := strconv.ParseUint(l.Required(name), 10, 64)
 	if err != nil {
-		l.RecordError(name, "no whole number")
+		l.RecordError(name, "not an unsigned integer")
 	}
 	return n
 }
@@ -166,7 +166,7 @@
 func (l *Line) parseFloat(name, v string) float64 {
 	n, err := strconv.ParseFloat(v, 64)
 	if err != nil || n < 0 || math.IsInf(n, 0) || math.IsNaN(n) {
-		l.RecordError(name, fmt.Sprintf("%q is no number of nought or more", v))
+		l.RecordError(name, fmt.Sprintf("%q is not a finite non-negative number", v))
 	}
 	return n
 }
--- a/internal/delivery/warmstart/warmstart.go
+++ b/internal/delivery/warmstart/warmstart.go
@@ -85,7 +85,7 @@
 	for i, r := range content.Receivers {
 		for _, at := range append([]control.Time{r.RecoveredAt, r.FailedSince, r.RefusedSince, r.RefusedAt, r.RefusedBelowLimit}, r.CallTimes...) {
 			if at < 0 || at > content.At {
-				return nil, fmt.Errorf("%s: receivers.%d: a time after that of writing", path, i)
+				return nil, fmt.Errorf("%s: receivers.%d: a time is negative or after that of writing", path, i)
 			}
 		}
 		if r.Addr == "" || r.RetryAfterUntil < 0 || r.Failures < 0 || r.CallDuration < 0 || len(r.CallTimes) > maxReceivers {
