--- a/cmd/emberquay/config.go
+++ b/cmd/emberquay/config.go
@@ -12,19 +12,19 @@
 	"emberquay/internal/tier/routing"
 )
 
-// configCmd are the commands on the operator's configuration.
+// configCmd has the commands on the configuration of the serving tier.
 type configCmd struct {
-	Check   configCheckCmd   `cmd:"" help:"Read a configuration and say what it comes to."`
-	Diff    configDiffCmd    `cmd:"" help:"Name the items by which two configurations differ."`
-	Read    configReadCmd    `cmd:"" help:"Print the configuration that is in force."`
-	Replace configReplaceCmd `cmd:"" help:"Put a configuration into force."`
+	Check   configCheckCmd   `cmd:"" help:"Check a configuration file and print a summary."`
+	Diff    configDiffCmd    `cmd:"" help:"List the items that differ between two configuration files."`
+	Read    configReadCmd    `cmd:"" help:"Print the current configuration."`
+	Replace configReplaceCmd `cmd:"" help:"Replace the current configuration."`
 }
 
-// readConfiguration reads and checks a file.
+// readConfiguration reads and validates a configuration file.
 func readConfiguration(path string) (*routing.Snapshot, error) {
 	body, err := os.ReadFile(path)
 	if err != nil {
-		return nil, err // it names the path
+		return nil, err // contains the path
 	}
 	snapshot, err := routing.Parse(body)
 	if err != nil {
@@ -34,10 +34,10 @@
 }
 
 type configCheckCmd struct {
-	File string `arg:"" help:"The configuration (JSON)." type:"path"`
+	File string `arg:"" help:"The configuration file (JSON)." type:"path"`
 }
 
-// Run prints what the configuration holds, or the first key that makes no sense.
+// Run prints a summary of the configuration, or an error that names the first invalid key.
 func (c *configCheckCmd) Run() error {
 	snapshot, err := readConfiguration(c.File)
 	if err != nil {
@@ -51,11 +51,11 @@
 }
 
 type configDiffCmd struct {
-	Before string `arg:"" help:"A configuration (JSON)." type:"path"`
-	After  string `arg:"" help:"Another one." type:"path"`
+	Before string `arg:"" help:"The earlier configuration file (JSON)." type:"path"`
+	After  string `arg:"" help:"The later configuration file (JSON)." type:"path"`
 }
 
-// Run prints a line for each item that differs.
+// Run prints a line for each difference.
 func (c *configDiffCmd) Run() error {
 	before, err := readConfiguration(c.Before)
 	if err != nil {
@@ -88,11 +88,11 @@
 
 // operatorFlags are the flags of the commands that call the operator's API.
 type operatorFlags struct {
-	Control []string      `help:"Control addresses, host:port; the next one is called where one does not answer." required:"" placeholder:"ADDRESS"`
-	Timeout time.Duration `help:"How long to try." default:"10s"`
+	Control []string      `help:"Addresses (host:port) of control planes; if one does not answer, the next one is tried." required:"" placeholder:"ADDRESS"`
+	Timeout time.Duration `help:"Time limit for all attempts." default:"10s"`
 }
 
-// Validate refuses what is no address before anything is called.
+// Validate rejects malformed addresses before the first call.
 func (o operatorFlags) Validate() error {
 	for _, address := range o.Control {
 		if _, _, err := net.SplitHostPort(address); err != nil {
@@ -103,7 +103,7 @@
 }
 
 func (o operatorFlags) client() *operatorClient {
-	return &operatorClient{addresses: o.Control, pause: operatorPause}
+	return &operatorClient{addresses: o.Control, retryDelay: operatorRetryDelay}
 }
 
 func (o operatorFlags) context() (context.Context, context.CancelFunc) {
@@ -112,7 +112,7 @@
 
 type configReadCmd struct{ operatorFlags }
 
-// Run prints the configuration as it was sent.
+// Run prints the current configuration, byte for byte as it was submitted.
 func (c *configReadCmd) Run() error {
 	ctx, cancel := c.context()
 	defer cancel()
@@ -126,18 +126,18 @@
 
 type configReplaceCmd struct {
 	operatorFlags
-	File string `arg:"" help:"The configuration (JSON)." type:"path"`
-	Base uint64 `help:"The version that it replaces; 0 for the first." required:""`
+	File string `arg:"" help:"The configuration file (JSON)." type:"path"`
+	Base uint64 `help:"The version to replace; 0 for the first configuration." required:""`
 }
 
-// Run checks the configuration and sends it until there is a clear answer.
+// Run validates the configuration and sends it until a control plane accepts or refuses it.
 func (c *configReplaceCmd) Run() error {
 	snapshot, err := readConfiguration(c.File)
 	if err != nil {
 		return err
 	}
 	if snapshot.Version <= c.Base {
-		return eris.Errorf("%s: version: %d is not above %d, which it replaces", c.File, snapshot.Version, c.Base)
+		return eris.Errorf("%s: version: %d is not above %d, the version to replace", c.File, snapshot.Version, c.Base)
 	}
 	ctx, cancel := c.context()
 	defer cancel()
--- a/cmd/emberquay/config_test.go
+++ b/cmd/emberquay/config_test.go
@@ -16,179 +16,179 @@
 	`{"name":"r","authority":"a.example","path_prefix":"/a/","timeout_ms":900,"service":"s"}]}`
 
 var _ = Describe("config check", func() {
-	It("says what a configuration comes to", func() {
-		expectSays("version=7 routes=1 services=1", "config", "check", fileOf("c.json", tierConfiguration))
+	It("prints a summary of the configuration", func() {
+		expectOutput("version=7 routes=1 services=1", "config", "check", writeFile("c.json", tierConfiguration))
 	})
 
-	DescribeTable("ends badly and names file and key",
+	DescribeTable("fails with the file and the key",
 		func(old, new, want string) {
-			expectRefused(want, "config", "check", fileOf("c.json", strings.Replace(tierConfiguration, old, new, 1)))
+			expectError(want, "config", "check", writeFile("c.json", strings.Replace(tierConfiguration, old, new, 1)))
 		},
-		Entry("no time-out", `"timeout_ms":900`, `"timeout_ms":0`, "c.json: routes[r].timeout_ms: is missing or 0"),
-		Entry("a service that is not there", `"service":"s"`, `"service":"t"`, "c.json: routes[r].service: there is no service"),
-		Entry("an end that is missing", "}]}", "}]", "c.json: this is no whole JSON document"),
+		Entry("no timeout", `"timeout_ms":900`, `"timeout_ms":0`, "c.json: routes[r].timeout_ms: is missing or 0"),
+		Entry("an unknown service", `"service":"s"`, `"service":"t"`, "c.json: routes[r].service: there is no service"),
+		Entry("truncated JSON", "}]}", "}]", "c.json: this is no whole JSON document"),
 	)
 
-	It("names a file that is not there", func() {
-		expectRefused("/none.json", "config", "check", "/none.json")
+	It("names a missing file", func() {
+		expectError("/none.json", "config", "check", "/none.json")
 	})
 })
 
 var _ = Describe("config diff", func() {
-	It("names what differs", func() {
+	It("lists the differences", func() {
 		after := strings.Replace(tierConfiguration, `"version":7,"services":[{"name":"s"}]`,
 			`"version":9,"limits":{},"services":[{"name":"s","health_path":"/h"},{"name":"t"}]`, 1)
 		after = strings.Replace(after, `"name":"r"`, `"name":"q"`, 1)
-		said, status := asProgram("config", "diff", fileOf("before.json", tierConfiguration), fileOf("after.json", after))
-		Expect(status).To(BeZero(), said)
-		Expect(said).To(Equal("version=9 before=7\nroute=\"q\" added\nroute=\"r\" removed\n" +
+		output, status := runProgram("config", "diff", writeFile("before.json", tierConfiguration), writeFile("after.json", after))
+		Expect(status).To(BeZero(), output)
+		Expect(output).To(Equal("version=9 before=7\nroute=\"q\" added\nroute=\"r\" removed\n" +
 			"service=\"t\" added\nservice=\"s\" changed\nlimits changed\n"))
 	})
 
-	It("names the file that is invalid", func() {
-		expectRefused("after.json: version: is missing", "config", "diff", fileOf("before.json", tierConfiguration), fileOf("after.json", "{}"))
+	It("names the invalid file", func() {
+		expectError("after.json: version: is missing", "config", "diff", writeFile("before.json", tierConfiguration), writeFile("after.json", "{}"))
 	})
 })
 
-// controlNode is a stand-in of a control node; it answers what it is told to, one answer after the other.
-type controlNode struct {
+// fakeControlNode is a control plane with prepared responses, used in order; the last one repeats.
+type fakeControlNode struct {
 	*httptest.Server
-	mu      sync.Mutex
-	answers []http.HandlerFunc
-	seen    []string // method, path, base version and body of each call
+	mu        sync.Mutex
+	responses []http.HandlerFunc
+	received  []string // method, path, base version and body of each request
 }
 
-func newControlNode(answers ...http.HandlerFunc) *controlNode {
-	node := &controlNode{answers: answers}
+func newFakeControlNode(responses ...http.HandlerFunc) *fakeControlNode {
+	node := &fakeControlNode{responses: responses}
 	node.Server = httptest.NewServer(http.HandlerFunc(node.serve))
 	DeferCleanup(node.Close)
 	return node
 }
 
-func (n *controlNode) serve(w http.ResponseWriter, r *http.Request) {
+func (n *fakeControlNode) serve(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	n.mu.Lock()
-	n.seen = append(n.seen, strings.Join([]string{r.Method, r.URL.Path, r.Header.Get("Emberquay-Base-Version"), string(body)}, " "))
-	answer := n.answers[0]
-	if len(n.answers) > 1 {
-		n.answers = n.answers[1:]
+	n.received = append(n.received, strings.Join([]string{r.Method, r.URL.Path, r.Header.Get("Emberquay-Base-Version"), string(body)}, " "))
+	respond := n.responses[0]
+	if len(n.responses) > 1 {
+		n.responses = n.responses[1:]
 	}
 	n.mu.Unlock()
-	answer(w, r)
+	respond(w, r)
 }
 
-func (n *controlNode) calls() []string {
+func (n *fakeControlNode) calls() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.seen
+	return n.received
 }
 
-func (n *controlNode) address() string { return n.Listener.Addr().String() }
+func (n *fakeControlNode) address() string { return n.Listener.Addr().String() }
 
-// answer gives a status and a body.
-func answer(status int, body string) http.HandlerFunc {
+// respondWith responds with a status and a body.
+func respondWith(status int, body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
 		io.WriteString(w, body)
 	}
 }
 
-// lost closes the connection without an answer.
-func lost(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+// dropConnection closes the connection without a response.
+func dropConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
 var _ = Describe("config read", func() {
-	It("prints what is in force, byte for byte", func() {
-		node := newControlNode(answer(http.StatusOK, tierConfiguration))
-		said, status := asProgram("config", "read", "--control", node.address())
-		Expect(status).To(BeZero(), said)
-		Expect(said).To(Equal(tierConfiguration))
+	It("prints the current configuration byte for byte", func() {
+		node := newFakeControlNode(respondWith(http.StatusOK, tierConfiguration))
+		output, status := runProgram("config", "read", "--control", node.address())
+		Expect(status).To(BeZero(), output)
+		Expect(output).To(Equal(tierConfiguration))
 		Expect(node.calls()).To(Equal([]string{"GET /api/Config.Read  "}))
 	})
 
-	It("goes on to the next address", func() {
-		first, second := newControlNode(lost), newControlNode(answer(http.StatusOK, "{}"))
-		expectSays("{}", "config", "read", "--control", first.address()+","+second.address())
+	It("tries the next address", func() {
+		first, second := newFakeControlNode(dropConnection), newFakeControlNode(respondWith(http.StatusOK, "{}"))
+		expectOutput("{}", "config", "read", "--control", first.address()+","+second.address())
 		Expect(first.calls()).To(HaveLen(1))
 	})
 
-	It("follows to another node, twice at most", func() {
-		node := newControlNode(answer(http.StatusOK, "{}"))
-		to := func(n *controlNode) http.HandlerFunc {
+	It("follows at most two redirects", func() {
+		node := newFakeControlNode(respondWith(http.StatusOK, "{}"))
+		to := func(n *fakeControlNode) http.HandlerFunc {
 			return func(w http.ResponseWriter, r *http.Request) {
 				http.Redirect(w, r, n.URL+r.URL.Path, http.StatusTemporaryRedirect)
 			}
 		}
-		second := newControlNode(to(node))
-		first := newControlNode(to(second))
-		expectSays("{}", "config", "read", "--control", first.address())
-		zeroth := newControlNode(to(first))
-		other := newControlNode(answer(http.StatusOK, "other"))
-		expectSays("other", "config", "read", "--control", zeroth.address()+","+other.address())
+		second := newFakeControlNode(to(node))
+		first := newFakeControlNode(to(second))
+		expectOutput("{}", "config", "read", "--control", first.address())
+		zeroth := newFakeControlNode(to(first))
+		other := newFakeControlNode(respondWith(http.StatusOK, "other"))
+		expectOutput("other", "config", "read", "--control", zeroth.address()+","+other.address())
 		Expect(node.calls()).To(HaveLen(1))
 	})
 
-	It("tells a refusal with what it says", func() {
-		node := newControlNode(answer(http.StatusNotFound, "none\nyet"))
-		expectRefused("refused with 404: none yet", "config", "read", "--control", node.address())
+	It("reports a refusal with its reason", func() {
+		node := newFakeControlNode(respondWith(http.StatusNotFound, "none\nyet"))
+		expectError("refused with 404: none yet", "config", "read", "--control", node.address())
 	})
 
-	It("tells an address that is none", func() {
-		expectRefused("missing port", "config", "read", "--control", "10.0.0.1")
+	It("reports a malformed address", func() {
+		expectError("missing port", "config", "read", "--control", "10.0.0.1")
 	})
 
-	It("tells that nobody answers", func() {
-		node := newControlNode(lost)
-		expectRefused("no clear answer", "config", "read", "--timeout", "50ms", "--control", node.address())
+	It("reports that nobody answers", func() {
+		node := newFakeControlNode(dropConnection)
+		expectError("no clear answer", "config", "read", "--timeout", "50ms", "--control", node.address())
 	})
 })
 
 var _ = Describe("config replace", func() {
-	It("sends the file as it is, on the version named", func() {
-		node := newControlNode(answer(http.StatusOK, ""))
-		path := fileOf("c.json", tierConfiguration+"\n")
-		expectSays("acknowledged version=7", "config", "replace", "--control", node.address(), "--base", "5", path)
+	It("sends the file unchanged, with the given base version", func() {
+		node := newFakeControlNode(respondWith(http.StatusOK, ""))
+		path := writeFile("c.json", tierConfiguration+"\n")
+		expectOutput("acknowledged version=7", "config", "replace", "--control", node.address(), "--base", "5", path)
 		Expect(node.calls()).To(Equal([]string{"POST /api/Config.Replace 5 " + tierConfiguration + "\n"}))
 	})
 
-	It("sends the same again until there is a clear answer", func() {
-		node := newControlNode(lost, answer(http.StatusServiceUnavailable, ""), answer(http.StatusTooManyRequests, ""), answer(http.StatusOK, ""))
-		path := fileOf("c.json", tierConfiguration)
-		expectSays("acknowledged", "config", "replace", "--control", node.address(), "--base", "5", path)
+	It("repeats the same request until there is a final answer", func() {
+		node := newFakeControlNode(dropConnection, respondWith(http.StatusServiceUnavailable, ""), respondWith(http.StatusTooManyRequests, ""), respondWith(http.StatusOK, ""))
+		path := writeFile("c.json", tierConfiguration)
+		expectOutput("acknowledged", "config", "replace", "--control", node.address(), "--base", "5", path)
 		calls := node.calls()
 		Expect(calls).To(HaveLen(4))
 		Expect(calls).To(HaveEach(calls[0]))
 	})
 
-	It("sends the same to a node that it is led to", func() {
-		node := newControlNode(answer(http.StatusOK, ""))
-		first := newControlNode(func(w http.ResponseWriter, r *http.Request) {
+	It("sends the same request to the target of a redirect", func() {
+		node := newFakeControlNode(respondWith(http.StatusOK, ""))
+		first := newFakeControlNode(func(w http.ResponseWriter, r *http.Request) {
 			http.Redirect(w, r, node.URL+r.URL.Path, http.StatusTemporaryRedirect)
 		})
-		path := fileOf("c.json", tierConfiguration)
-		expectSays("acknowledged", "config", "replace", "--control", first.address(), "--base", "5", path)
+		path := writeFile("c.json", tierConfiguration)
+		expectOutput("acknowledged", "config", "replace", "--control", first.address(), "--base", "5", path)
 		Expect(node.calls()).To(Equal(first.calls()))
 	})
 
-	DescribeTable("ends at a refusal",
+	DescribeTable("stops at a refusal",
 		func(status int, want string) {
-			node := newControlNode(answer(status, "because"), answer(http.StatusOK, ""))
-			path := fileOf("c.json", tierConfiguration)
-			expectRefused(want, "config", "replace", "--control", node.address(), "--base", "5", path)
+			node := newFakeControlNode(respondWith(status, "because"), respondWith(http.StatusOK, ""))
+			path := writeFile("c.json", tierConfiguration)
+			expectError(want, "config", "replace", "--control", node.address(), "--base", "5", path)
 			Expect(node.calls()).To(HaveLen(1))
 		},
-		Entry("another version is in force", http.StatusPreconditionFailed, "refused with 412, another version is in force: because"),
-		Entry("invalid", http.StatusBadRequest, "refused with 400: because"),
+		Entry("another base version", http.StatusPreconditionFailed, "refused with 412, another version is in force: because"),
+		Entry("an invalid configuration", http.StatusBadRequest, "refused with 400: because"),
 	)
 
-	It("sends nothing that is invalid", func() {
-		node := newControlNode(answer(http.StatusOK, ""))
-		path := fileOf("c.json", strings.Replace(tierConfiguration, "900", "0", 1))
-		expectRefused("timeout_ms", "config", "replace", "--control", node.address(), "--base", "5", path)
-		expectRefused("version: 7 is not above 7", "config", "replace", "--control", node.address(), "--base", "7", fileOf("c.json", tierConfiguration))
+	It("does not send an invalid configuration", func() {
+		node := newFakeControlNode(respondWith(http.StatusOK, ""))
+		path := writeFile("c.json", strings.Replace(tierConfiguration, "900", "0", 1))
+		expectError("timeout_ms", "config", "replace", "--control", node.address(), "--base", "5", path)
+		expectError("version: 7 is not above 7", "config", "replace", "--control", node.address(), "--base", "7", writeFile("c.json", tierConfiguration))
 		Expect(node.calls()).To(BeEmpty())
 	})
 
-	It("needs a base", func() {
-		expectRefused("--base", "config", "replace", "--control", "127.0.0.1:1", os.DevNull)
+	It("requires a base version", func() {
+		expectError("--base", "config", "replace", "--control", "127.0.0.1:1", os.DevNull)
 	})
 })
--- a/cmd/emberquay/disk_print.go
+++ b/cmd/emberquay/disk_print.go
@@ -25,11 +25,11 @@
 			m.ID, m.Node, m.Zone, m.Address, m.Retiring, m.Replaced)
 	}
 	for _, end := range []struct {
-		name  string
-		place *store.TurnLocation
+		name     string
+		location *store.TurnLocation
 	}{{"oldest", found.Turns.Oldest}, {"newest", found.Turns.Newest}} {
-		if end.place != nil {
-			fmt.Printf("%s turn=%q file=%s offset=%d\n", end.name, end.place.ID, end.place.File, end.place.Offset)
+		if end.location != nil {
+			fmt.Printf("%s turn=%q file=%s offset=%d\n", end.name, end.location.ID, end.location.File, end.location.Offset)
 		}
 	}
 	turns, programs := found.Turns, found.Programs
@@ -67,7 +67,7 @@
 	fmt.Printf("configuration=%d bytes=%d accepted_changes=%d refused_changes=%d\n",
 		s.ConfigurationVersion, s.ConfigurationBytes, s.AcceptedChanges, s.RefusedChanges)
 	fmt.Printf("store_epoch=%d stores=%d retirements=%d\n", s.StoreEpoch, s.Stores, s.Retirements)
-	fmt.Printf("epoch=%d members=%d chain=%s\n", found.View.Epoch, len(found.View.Members), listed(found.View.Chain))
+	fmt.Printf("epoch=%d members=%d chain=%s\n", found.View.Epoch, len(found.View.Members), joinIDs(found.View.Chain))
 	fmt.Printf("member=%d sequence=%d committed=%d known=%d findings=%d\n",
 		found.Member.ID, found.LastSequence, found.Committed, found.SavedEntries, found.Findings.Count)
 }
@@ -78,10 +78,10 @@
 			s.Sequence, s.File, s.FileBytes, s.Records, s.RecordBytes, s.End, s.Stop)
 	}
 	fmt.Printf("files=%d segments=%d records=%d generation=%d lost=%v\n",
-		ring.Files, len(ring.Segments), recordsOf(ring), ring.Generation, ring.Lost)
+		ring.Files, len(ring.Segments), recordCount(ring), ring.Generation, ring.Lost)
 }
 
-func recordsOf(ring *journal.Inspection) int {
+func recordCount(ring *journal.Inspection) int {
 	records := 0
 	for _, s := range ring.Segments {
 		records += s.Records
@@ -100,11 +100,11 @@
 
 func printJSON(value any) error { return json.NewEncoder(os.Stdout).Encode(value) }
 
-// listed gives ids with commas between them.
-func listed(ids []int64) string {
-	var texts []string
+// joinIDs returns the ids separated by commas.
+func joinIDs(ids []int64) string {
+	var parts []string
 	for _, id := range ids {
-		texts = append(texts, strconv.FormatInt(id, 10))
+		parts = append(parts, strconv.FormatInt(id, 10))
 	}
-	return strings.Join(texts, ",")
+	return strings.Join(parts, ",")
 }
--- a/cmd/emberquay/disk_test.go
+++ b/cmd/emberquay/disk_test.go
@@ -23,9 +23,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// storeFolder is the folder of a store that has kept a conversation of two turns, one of another whose
-// beginning it lacks, and a reservation.
-func storeFolder() string {
+// newStoreDir creates the directory of a store with a conversation of two turns, a turn of another conversation whose
+// first turn is missing, and a reservation.
+func newStoreDir() string {
 	GinkgoHelper()
 	ctx := context.Background()
 	dir := GinkgoT().TempDir()
@@ -55,15 +55,15 @@
 	return dir
 }
 
-// controlFolder is the folder of a control plane that is the only one and has taken a configuration.
-func controlFolder() string {
+// newControlDir creates the directory of a single control plane that has accepted a configuration.
+func newControlDir() string {
 	GinkgoHelper()
 	dir := GinkgoT().TempDir()
 	client := transport.NewClient()
 	defer client.Close()
-	const nobody = "127.0.0.1:1"
+	const unreachable = "127.0.0.1:1"
 	r, err := replica.Open(replica.Options{
-		Name: "front-1", Address: nobody, Zone: "a", Seeds: []string{nobody}, Bootstrap: true, Voter: true,
+		Name: "front-1", Address: unreachable, Zone: "a", Seeds: []string{unreachable}, Bootstrap: true, Voter: true,
 		Files: vfs.OS{}, Dir: dir, JournalBytes: 1 << 20,
 		NewStateMachine: func() chain.StateMachine { return controlstate.New() },
 		Client:          client, Mux: transport.NewMux(), Log: &log.Logger{Handler: discard.Default},
@@ -78,8 +78,8 @@
 	return dir
 }
 
-// ledgerFolder is the folder of a sender.
-func ledgerFolder() string {
+// newLedgerDir creates the ledger directory of a sender.
+func newLedgerDir() string {
 	GinkgoHelper()
 	dir := GinkgoT().TempDir()
 	l, err := ledger.Open(vfs.OS{}, dir, ledger.Options{MaxBytes: 3e6})
@@ -88,12 +88,12 @@
 	return dir
 }
 
-func noFolder() string { return "/none/at/all" }
+func missingDir() string { return "/none/at/all" }
 
-func emptyFolder() string { return GinkgoT().TempDir() }
+func emptyDir() string { return GinkgoT().TempDir() }
 
-// contents are the bytes of all files of a folder.
-func contents(dir string) map[string]string {
+// readFiles returns the contents of all files of a directory by path.
+func readFiles(dir string) map[string]string {
 	GinkgoHelper()
 	files := map[string]string{}
 	names, err := filepath.Glob(filepath.Join(dir, "*"))
@@ -106,8 +106,8 @@
 	return files
 }
 
-// spoilt flips a byte of a file.
-func spoilt(dir, name string, offset int64) string {
+// flipBit flips one bit of a file and returns dir.
+func flipBit(dir, name string, offset int64) string {
 	GinkgoHelper()
 	file, err := os.OpenFile(filepath.Join(dir, name), os.O_RDWR, 0)
 	Expect(err).NotTo(HaveOccurred())
@@ -120,86 +120,86 @@
 	return dir
 }
 
-var _ = Describe("the commands on the tier's disks", func() {
-	DescribeTable("read a folder and leave it as it is",
-		func(folder func() string, want string, args ...string) {
-			dir := folder()
-			before := contents(dir)
-			expectSays(want, append(args, dir)...)
-			Expect(contents(dir)).To(Equal(before))
+var _ = Describe("the commands on the directories of the serving tier", func() {
+	DescribeTable("read a directory without changing it",
+		func(newDir func() string, want string, args ...string) {
+			dir := newDir()
+			before := readFiles(dir)
+			expectOutput(want, append(args, dir)...)
+			Expect(readFiles(dir)).To(Equal(before))
 		},
-		Entry("a store's", storeFolder, "turns=3 bytes=", "store", "inspect"),
-		Entry("its conversations", storeFolder, "conversations=2 whole=2 partial=1 missing=1\n", "store", "inspect"),
-		Entry("its programs", storeFolder, "program=\"p\" open=1 most=6 settled=0\n", "store", "inspect"),
-		Entry("its view", storeFolder, "complete=true unsettled=false fence=3 view=3 members=1 tolerance=0 findings=0\n",
+		Entry("turns of a store", newStoreDir, "turns=3 bytes=", "store", "inspect"),
+		Entry("conversations of a store", newStoreDir, "conversations=2 whole=2 partial=1 missing=1\n", "store", "inspect"),
+		Entry("programs of a store", newStoreDir, "program=\"p\" open=1 most=6 settled=0\n", "store", "inspect"),
+		Entry("view of a store", newStoreDir, "complete=true unsettled=false fence=3 view=3 members=1 tolerance=0 findings=0\n",
 			"store", "inspect"),
-		Entry("its ring", storeFolder, "files=1 segments=1 records=", "store", "inspect"),
-		Entry("the turn that is elsewhere", storeFolder, `elsewhere turn="u-0" root="u-0" next="u-1" file=ring-0000`,
+		Entry("ring of a store", newStoreDir, "files=1 segments=1 records=", "store", "inspect"),
+		Entry("missing turn of a store", newStoreDir, `elsewhere turn="u-0" root="u-0" next="u-1" file=ring-0000`,
 			"store", "verify"),
-		Entry("all of it", storeFolder, "sound segments=1 records=6 turns=3 whole=2 partial=1 programs=1\n",
+		Entry("verification of a store", newStoreDir, "sound segments=1 records=6 turns=3 whole=2 partial=1 programs=1\n",
 			"store", "verify"),
-		Entry("as JSON", storeFolder, `"turns":{"count":3,`, "store", "inspect", "--json"),
-		Entry("the verdict as JSON", storeFolder, `{"sound":true,"findings":{"count":0,`,
+		Entry("a store as JSON", newStoreDir, `"turns":{"count":3,`, "store", "inspect", "--json"),
+		Entry("verification of a store as JSON", newStoreDir, `{"sound":true,"findings":{"count":0,`,
 			"store", "verify", "--json"),
-		Entry("a control plane's", controlFolder, "epoch=1 members=1 chain=", "control-plane", "inspect"),
-		Entry("its state", controlFolder, "configuration=7 bytes=", "control-plane", "inspect"),
-		Entry("its vote", controlFolder, "sealed=false promised=0/0 accepted=0/0 ", "control-plane", "inspect"),
-		Entry("its records", controlFolder, "identities=1 adoptions=1 additions=1 ", "control-plane", "inspect"),
-		Entry("all of it", controlFolder, "sound segments=1 records=3 epoch=1 sequence=1 configuration=7\n",
+		Entry("view of a control plane", newControlDir, "epoch=1 members=1 chain=", "control-plane", "inspect"),
+		Entry("state of a control plane", newControlDir, "configuration=7 bytes=", "control-plane", "inspect"),
+		Entry("vote of a control plane", newControlDir, "sealed=false promised=0/0 accepted=0/0 ", "control-plane", "inspect"),
+		Entry("records of a control plane", newControlDir, "identities=1 adoptions=1 additions=1 ", "control-plane", "inspect"),
+		Entry("verification of a control plane", newControlDir, "sound segments=1 records=3 epoch=1 sequence=1 configuration=7\n",
 			"control-plane", "verify"),
-		Entry("as JSON", controlFolder, `"configuration_version":7`, "control-plane", "inspect", "--json"),
-		Entry("the verdict as JSON", controlFolder, `{"sound":true,`, "control-plane", "verify", "--json"),
+		Entry("a control plane as JSON", newControlDir, `"configuration_version":7`, "control-plane", "inspect", "--json"),
+		Entry("verification of a control plane as JSON", newControlDir, `{"sound":true,`, "control-plane", "verify", "--json"),
 	)
 
-	It("are a whole JSON object", func() {
-		said, status := asProgram("store", "inspect", "--json", storeFolder())
+	It("print one complete JSON object", func() {
+		output, status := runProgram("store", "inspect", "--json", newStoreDir())
 		Expect(status).To(BeZero())
 		var found store.Inspection
-		Expect(json.Unmarshal([]byte(said), &found)).To(Succeed())
+		Expect(json.Unmarshal([]byte(output), &found)).To(Succeed())
 		Expect(found.Turns.Missing).To(HaveLen(1))
 		Expect(found.View.Members[0].Node).To(Equal("store-1"))
 	})
 
-	DescribeTable("end badly with the first place that cannot be read",
-		func(folder func() string, want string, args ...string) {
-			said, status := asProgram(append(args, spoilt(folder(), "ring-0000", 60))...)
+	DescribeTable("fail with the first unreadable location",
+		func(newDir func() string, want string, args ...string) {
+			output, status := runProgram(append(args, flipBit(newDir(), "ring-0000", 60))...)
 			Expect(status).To(Equal(1))
-			Expect(said).To(ContainSubstring("damaged file=ring-0000 offset=40 problem="))
-			Expect(said).To(MatchRegexp(`\nemberquay: error: [^\n]*: not sound: findings: 1, ` + want + `[^\n]*\n$`))
+			Expect(output).To(ContainSubstring("damaged file=ring-0000 offset=40 problem="))
+			Expect(output).To(MatchRegexp(`\nemberquay: error: [^\n]*: not sound: findings: 1, ` + want + `[^\n]*\n$`))
 		},
-		Entry("a store's", storeFolder, "the first in ring-0000 at 40: unreadable record",
+		Entry("a store", newStoreDir, "the first in ring-0000 at 40: unreadable record",
 			"store", "verify"),
-		Entry("a control plane's", controlFolder, "the first in ring-0000 at 40: unreadable record",
+		Entry("a control plane", newControlDir, "the first in ring-0000 at 40: unreadable record",
 			"control-plane", "verify"),
 	)
 
-	It("inspect what is left of a damaged folder", func() {
-		expectSays("findings=1\ndamaged file=ring-0000", "store", "inspect", spoilt(storeFolder(), "ring-0000", 60))
+	It("inspect the readable part of a damaged directory", func() {
+		expectOutput("findings=1\ndamaged file=ring-0000", "store", "inspect", flipBit(newStoreDir(), "ring-0000", 60))
 	})
 
-	It("say in JSON as well that a folder is not sound", func() {
-		said, status := asProgram("store", "verify", "--json", spoilt(storeFolder(), "ring-0000", 60))
+	It("report a damaged directory in JSON as well", func() {
+		output, status := runProgram("store", "verify", "--json", flipBit(newStoreDir(), "ring-0000", 60))
 		Expect(status).To(Equal(1))
-		Expect(said).To(HavePrefix(`{"sound":false,"findings":{"count":1,"listed":[{"file":"ring-0000","offset":40,`))
+		Expect(output).To(HavePrefix(`{"sound":false,"findings":{"count":1,"listed":[{"file":"ring-0000","offset":40,`))
 	})
 
-	DescribeTable("refuse what is no such folder, with one line",
-		func(folder func() string, want string, args ...string) {
-			expectRefused(want, append(args, folder())...)
+	DescribeTable("reject any other directory with one line",
+		func(newDir func() string, want string, args ...string) {
+			expectError(want, append(args, newDir())...)
 		},
-		Entry("a store's: not there", noFolder, "no such file", "store", "inspect"),
-		Entry("a store's: empty", emptyFolder, "no ring of files is in it", "store", "verify"),
-		Entry("a store's: a control plane's", controlFolder, "it belongs to a control plane", "store", "inspect"),
-		Entry("a store's: a sender's", ledgerFolder, "it belongs to the delivery service", "store", "verify"),
-		Entry("a control plane's: not there", noFolder, "no such file", "control-plane", "verify"),
-		Entry("a control plane's: empty", emptyFolder, "no ring of files is in it",
+		Entry("store: missing directory", missingDir, "no such file", "store", "inspect"),
+		Entry("store: empty directory", emptyDir, "no ring of files is in it", "store", "verify"),
+		Entry("store: directory of a control plane", newControlDir, "the directory belongs to a control plane", "store", "inspect"),
+		Entry("store: directory of a sender", newLedgerDir, "the directory belongs to the delivery service", "store", "verify"),
+		Entry("control plane: missing directory", missingDir, "no such file", "control-plane", "verify"),
+		Entry("control plane: empty directory", emptyDir, "no ring of files is in it",
 			"control-plane", "inspect"),
-		Entry("a control plane's: a store's", storeFolder, "it belongs to a store", "control-plane", "verify"),
-		Entry("a control plane's: a sender's", ledgerFolder, "it belongs to the delivery service", "control-plane", "inspect"),
+		Entry("control plane: directory of a store", newStoreDir, "the directory belongs to a store", "control-plane", "verify"),
+		Entry("control plane: directory of a sender", newLedgerDir, "the directory belongs to the delivery service", "control-plane", "inspect"),
 	)
 
-	DescribeTable("still start the planes without a command's name",
-		func(args ...string) { expectRefused("/none.toml", append(args, "--settings", "/none.toml")...) },
+	DescribeTable("start a plane with or without the subcommand run",
+		func(args ...string) { expectError("/none.toml", append(args, "--settings", "/none.toml")...) },
 		Entry(nil, "store"), Entry(nil, "store", "run"), Entry(nil, "control-plane"), Entry(nil, "control-plane", "run"),
 		Entry(nil, "proxy"),
 	)
--- a/cmd/emberquay/ledger.go
+++ b/cmd/emberquay/ledger.go
@@ -14,39 +14,40 @@
 	"emberquay/internal/vfs"
 )
 
-// ledgerCmd are the commands on a folder that lasts. All but compact only read, and work beside a sender that runs.
+// ledgerCmd has the commands on the ledger directory of a sender. All but compact only read, also while a sender uses the
+// directory.
 type ledgerCmd struct {
-	Inspect inspectCmd `cmd:"" help:"Say what a folder holds: segments, texts, notices."`
-	Verify  verifyCmd  `cmd:"" help:"Read all of it; the exit status is 0 if nothing that was kept is missing."`
-	Compact compactCmd `cmd:"" help:"Write what is live anew and remove the rest; not beside a sender that runs."`
-	Export  exportCmd  `cmd:"" help:"Write what is live as JSON lines, texts in the order they were taken, then notices."`
+	Inspect inspectCmd `cmd:"" help:"List the segments and count texts and notices."`
+	Verify  verifyCmd  `cmd:"" help:"Read all records; the exit status is 0 if no stored data is missing."`
+	Compact compactCmd `cmd:"" help:"Write a snapshot of the live records and remove the rest; fails while a sender uses the directory."`
+	Export  exportCmd  `cmd:"" help:"Print live records as JSON lines: texts in the order of acceptance, then notices."`
 }
 
-type folder struct {
-	Dir string `arg:"" help:"The folder that lasts (GW_STATE)." type:"existingdir"`
+type ledgerFlags struct {
+	Dir string `arg:"" help:"The ledger directory (GW_STATE)." type:"existingdir"`
 }
 
-// errUnsound ends verify with a status that says so, and a sender that found a file of the old form in that state.
-var errUnsound = errors.New("something that was kept is missing")
+// errDataMissing is returned by verify, and by a sender that found unreadable data in a file of the old format.
+var errDataMissing = errors.New("stored data is missing")
 
-// inspect reads the folder, and says plainly if there is no ledger in it.
-func (f folder) inspect() (*ledger.Inspection, []*ledger.Text, []*ledger.Notice, error) {
+// inspect reads the directory; it returns a clear error if the directory contains no ledger.
+func (f ledgerFlags) inspect() (*ledger.Inspection, []*ledger.Text, []*ledger.Notice, error) {
 	names, err := ledger.FileNames(vfs.OS{}, f.Dir)
 	if err != nil {
 		return nil, nil, nil, err
 	}
 	if len(names) == 0 {
-		return nil, nil, nil, fmt.Errorf("%s: %w: no ledger is in it", f.Dir, fs.ErrNotExist)
+		return nil, nil, nil, fmt.Errorf("%s: %w: the directory contains no ledger", f.Dir, fs.ErrNotExist)
 	}
 	return ledger.Inspect(vfs.OS{}, f.Dir)
 }
 
 type inspectCmd struct {
-	folder
-	JSON bool `help:"As one JSON object."`
+	ledgerFlags
+	JSON bool `help:"Print one JSON object."`
 }
 
-// Run prints what is there.
+// Run prints the segments and the counts of texts and notices.
 func (c *inspectCmd) Run() error {
 	found, texts, notices, err := c.inspect()
 	if err != nil {
@@ -58,26 +59,26 @@
 	for _, s := range found.Segments {
 		fmt.Printf("segment=%d bytes=%d records=%d torn=%d bad=%q\n", s.Number, s.Bytes, s.Records, s.Torn, s.Bad)
 	}
-	printOldBad(found)
+	printOldFormatProblem(found)
 	fmt.Printf("segments=%d records=%d texts=%d notices=%d torn=%d lost=%d old_form=%v sound=%v\n", len(found.Segments), found.Records,
 		found.Texts, found.Notices, found.Torn, found.Lost, found.Old, found.Intact())
 	now := protocol.UnixTicks(time.Now())
-	mayHaveRun, late := 0, 0
+	mayHaveRun, expired := 0, 0
 	for _, t := range texts {
 		if t.FirstRunAt > 0 {
 			mayHaveRun++
 		}
 		if t.ValidUntil <= now {
-			late++
+			expired++
 		}
 	}
-	fmt.Printf("held=%d may_have_run=%d past_validity=%d notices_owed=%d\n", len(texts), mayHaveRun, late, len(notices))
+	fmt.Printf("held=%d may_have_run=%d past_validity=%d notices_owed=%d\n", len(texts), mayHaveRun, expired, len(notices))
 	return nil
 }
 
-type verifyCmd struct{ folder }
+type verifyCmd struct{ ledgerFlags }
 
-// Run reads all and says whether it is sound.
+// Run reads all records and returns an error if data is missing.
 func (c *verifyCmd) Run() error {
 	found, _, _, err := c.inspect()
 	if err != nil {
@@ -88,34 +89,34 @@
 			fmt.Printf("segment=%d bad=%q\n", s.Number, s.Bad)
 		}
 	}
-	printOldBad(found)
+	printOldFormatProblem(found)
 	if !found.Intact() {
-		return unsound(c.Dir, found)
+		return dataMissingError(c.Dir, found)
 	}
 	fmt.Printf("sound segments=%d records=%d texts=%d notices=%d\n", len(found.Segments), found.Records, found.Texts, found.Notices)
 	return nil
 }
 
-func printOldBad(found *ledger.Inspection) {
+func printOldFormatProblem(found *ledger.Inspection) {
 	if found.OldBad != "" {
 		fmt.Printf("file=ledger bad=%q\n", found.OldBad)
 	}
 }
 
-// unsound says what is missing. How many records a file of the old form lacks cannot be known.
-func unsound(dir string, found *ledger.Inspection) error {
+// dataMissingError describes the missing data. The number of records missing from a file of the old format is unknown.
+func dataMissingError(dir string, found *ledger.Inspection) error {
 	if found.OldBad != "" {
-		return fmt.Errorf("%s: %w: file ledger: %s; texts that are named and not there: %v", dir, errUnsound, found.OldBad, found.Unknown)
+		return fmt.Errorf("%s: %w: file ledger: %s; texts referenced but not stored: %v", dir, errDataMissing, found.OldBad, found.Unknown)
 	}
-	return fmt.Errorf("%s: %w: %d records; texts that are named and not there: %v", dir, errUnsound, found.Lost, found.Unknown)
+	return fmt.Errorf("%s: %w: %d records; texts referenced but not stored: %v", dir, errDataMissing, found.Lost, found.Unknown)
 }
 
 type compactCmd struct {
-	folder
-	DiskMB float64 `help:"The folder's room, as in the configuration." default:"3"`
+	ledgerFlags
+	DiskMB float64 `help:"Capacity of the directory in MB, as in the configuration." default:"3"`
 }
 
-// Run writes a snapshot.
+// Run writes a snapshot of the live records.
 func (c *compactCmd) Run() error {
 	if _, _, _, err := c.inspect(); err != nil {
 		return err
@@ -133,10 +134,10 @@
 	return l.Close()
 }
 
-type exportCmd struct{ folder }
+type exportCmd struct{ ledgerFlags }
 
-// exported is a text as a line of JSON; times are Unix time in milliseconds.
-type exported struct {
+// exportedText is the JSON form of a text; times are Unix milliseconds.
+type exportedText struct {
 	*ledger.Text
 	Kind    string `json:"kind"`
 	Body    []byte `json:"body"` // base64
@@ -144,16 +145,16 @@
 	UntilMs int64  `json:"until_ms"`
 }
 
-// Run writes the lines.
+// Run prints texts and notices as JSON lines.
 func (c *exportCmd) Run() error {
 	_, texts, notices, err := c.inspect()
 	if err != nil {
 		return err
 	}
 	out := json.NewEncoder(os.Stdout)
-	ms := func(t control.Time) int64 { return int64(protocol.Duration(t) / time.Millisecond) }
+	millis := func(t control.Time) int64 { return int64(protocol.Duration(t) / time.Millisecond) }
 	for _, t := range texts {
-		if err := out.Encode(exported{t, "text", t.Body, ms(t.AcceptedAt), ms(t.ValidUntil)}); err != nil {
+		if err := out.Encode(exportedText{t, "text", t.Body, millis(t.AcceptedAt), millis(t.ValidUntil)}); err != nil {
 			return err
 		}
 	}
--- a/cmd/emberquay/ledger_test.go
+++ b/cmd/emberquay/ledger_test.go
@@ -15,15 +15,16 @@
 	"emberquay/internal/vfs"
 )
 
-// asProgram runs the program with arguments and gives what it says and its status.
-func asProgram(args ...string) (string, int) {
+// runProgram runs the program and returns its output and exit status.
+func runProgram(args ...string) (string, int) {
 	cmd := exec.Command(os.Args[0], args...)
 	cmd.Env = append(os.Environ(), "EMBERQUAY_AS_PROGRAM=1")
 	out, _ := cmd.CombinedOutput()
 	return string(out), cmd.ProcessState.ExitCode()
 }
 
-// The commands on a folder: reading goes on beside its owner, writing does not, and the status says if it is sound.
+// The ledger commands: reading works while a sender uses the directory, compaction is refused, and the exit status of verify
+// shows damage.
 func TestLedgerCommands(t *testing.T) {
 	dir := t.TempDir()
 	l, err := ledger.Open(vfs.OS{}, dir, ledger.Options{MaxBytes: 3e6})
@@ -37,35 +38,35 @@
 	}
 	l.RecordAttempt("b", 5, "")
 	l.RecordEndOwingNotice(&ledger.Notice{ID: "c", Nack: true, RetryAfter: 7})
-	says := func(status int, want string, args ...string) {
+	expect := func(status int, want string, args ...string) {
 		t.Helper()
-		out, code := asProgram(append([]string{"ledger"}, args...)...)
+		out, code := runProgram(append([]string{"ledger"}, args...)...)
 		if code != status || !strings.Contains(out, want) {
 			t.Errorf("%v: status %d, %s", args, code, out)
 		}
 	}
-	says(0, "texts=2 notices=1 torn=0 lost=0 old_form=false sound=true", "inspect", dir)
-	says(0, "held=2 may_have_run=1 past_validity=2 notices_owed=1", "inspect", dir)
-	says(0, `"Texts":2`, "inspect", "--json", dir)
-	says(0, "sound segments=1", "verify", dir)
-	says(0, `"id":"a","product":"order","dest":0,"at":10000,"until":20000,"order":1,"kind":"text","body":"AGJvZHk=","taken_ms":1000,"until_ms":2000`, "export", dir)
-	says(0, `"kind":"notice","id":"c","nack":true`, "export", dir)
-	says(1, "in use by another process (process ", "compact", dir)
+	expect(0, "texts=2 notices=1 torn=0 lost=0 old_form=false sound=true", "inspect", dir)
+	expect(0, "held=2 may_have_run=1 past_validity=2 notices_owed=1", "inspect", dir)
+	expect(0, `"Texts":2`, "inspect", "--json", dir)
+	expect(0, "sound segments=1", "verify", dir)
+	expect(0, `"id":"a","product":"order","dest":0,"at":10000,"until":20000,"order":1,"kind":"text","body":"AGJvZHk=","taken_ms":1000,"until_ms":2000`, "export", dir)
+	expect(0, `"kind":"notice","id":"c","nack":true`, "export", dir)
+	expect(1, "in use by another process (process ", "compact", dir)
 	l.Close()
-	says(0, "segments=1", "compact", dir)
-	says(0, "texts=2 notices=1", "verify", dir)
-	says(1, "no ledger is in it", "verify", t.TempDir())
-	// A record in the middle is spoilt.
+	expect(0, "segments=1", "compact", dir)
+	expect(0, "texts=2 notices=1", "verify", dir)
+	expect(1, "the directory contains no ledger", "verify", t.TempDir())
+	// Corrupt a record in the middle.
 	names, _ := filepath.Glob(filepath.Join(dir, "seg-*"))
 	raw, _ := os.ReadFile(names[0])
 	raw[60] ^= 1
 	os.WriteFile(names[0], raw, 0o600)
-	says(1, "something that was kept is missing", "verify", dir)
-	says(0, "sound=false", "inspect", dir)
+	expect(1, "stored data is missing", "verify", dir)
+	expect(0, "sound=false", "inspect", dir)
 }
 
-// noise is 4 KiB that are the same on every run.
-func noise() []byte {
+// randomBytes returns 4 KiB of random data, the same on every run.
+func randomBytes() []byte {
 	random := rand.New(rand.NewPCG(4096, 7))
 	b := make([]byte, 4096)
 	for i := range b {
@@ -74,52 +75,52 @@
 	return b
 }
 
-// A file of the old form that cannot be read: the commands say so, and their status.
-func TestOldFormThatCannotBeRead(t *testing.T) {
+// The commands report an unreadable file of the old format, and verify fails.
+func TestLedgerCommandsOnUnreadableOldFormat(t *testing.T) {
 	dir := t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, "ledger"), noise(), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, "ledger"), randomBytes(), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	out, code := asProgram("ledger", "verify", dir)
+	out, code := runProgram("ledger", "verify", dir)
 	if code != 1 || !strings.Contains(out, `file=ledger bad="4096 bytes from byte 0 on are no records"`) ||
-		!strings.Contains(out, "something that was kept is missing") {
+		!strings.Contains(out, "stored data is missing") {
 		t.Errorf("verify: status %d, %s", code, out)
 	}
-	if out, _ := asProgram("ledger", "inspect", dir); !strings.Contains(out, "old_form=true sound=false") || !strings.Contains(out, "file=ledger bad=") {
+	if out, _ := runProgram("ledger", "inspect", dir); !strings.Contains(out, "old_form=true sound=false") || !strings.Contains(out, "file=ledger bad=") {
 		t.Errorf("inspect: %s", out)
 	}
 }
 
-// A sender serves all the same, says what it could not read, keeps it aside, and its end tells it again; the next start
-// has nothing to tell.
-func TestServeOnOldFormThatCannotBeRead(t *testing.T) {
+// A sender starts with an unreadable file of the old format, logs it, renames it to bad-ledger and exits with status 1. The
+// next run does not report it again.
+func TestServeOnUnreadableOldFormat(t *testing.T) {
 	p := newProgram(t)
 	dir := filepath.Dir(p.config)
-	if err := os.WriteFile(filepath.Join(dir, "ledger"), noise(), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, "ledger"), randomBytes(), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	p.start()
-	err := p.end(syscall.SIGTERM)
+	err := p.stop(syscall.SIGTERM)
 	var status *exec.ExitError
 	if !errors.As(err, &status) || status.ExitCode() != 1 {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("first run: exit error %v", err)
 	}
-	said := p.log.String()
-	if !strings.Contains(said, "event=damaged") || !strings.Contains(said, "4096 bytes from byte 0 on are no records") ||
-		!strings.Contains(said, "something that was kept is missing") {
-		t.Errorf("it said %s", said)
+	output := p.log.String()
+	if !strings.Contains(output, "event=damaged") || !strings.Contains(output, "4096 bytes from byte 0 on are no records") ||
+		!strings.Contains(output, "stored data is missing") {
+		t.Errorf("log: %s", output)
 	}
-	if kept, err := os.ReadFile(filepath.Join(dir, "bad-ledger")); err != nil || !bytes.Equal(kept, noise()) {
-		t.Errorf("%d bytes set aside, %v", len(kept), err)
+	if setAside, err := os.ReadFile(filepath.Join(dir, "bad-ledger")); err != nil || !bytes.Equal(setAside, randomBytes()) {
+		t.Errorf("%d bytes set aside, %v", len(setAside), err)
 	}
 	p.start()
-	if err := p.end(syscall.SIGTERM); err != nil {
-		t.Errorf("the next one ended with %v", err)
+	if err := p.stop(syscall.SIGTERM); err != nil {
+		t.Errorf("second run: exit error %v", err)
 	}
 }
 
-// Two senders on one folder: the second one ends with a message that says who has it.
-func TestSecondSenderOnTheFolder(t *testing.T) {
+// A second sender on the same directory fails with an error that names the lock's owner.
+func TestSecondSenderOnSameDirectory(t *testing.T) {
 	p := newProgram(t)
 	p.start()
 	cmd := exec.Command(os.Args[0], "serve")
--- a/cmd/emberquay/main.go
+++ b/cmd/emberquay/main.go
@@ -1,4 +1,5 @@
-// Command emberquay is one sender on sockets.
+// Command emberquay runs a sender of the delivery service or a process of the serving tier. Further commands check their
+// configurations, inspect their directories and query running processes.
 package main
 
 import (
@@ -15,38 +16,38 @@
 )
 
 var cli struct {
-	Serve  serveCmd  `cmd:"" help:"Serve clients until told to stop."`
-	Check  checkCmd  `cmd:"" help:"Read the configuration and say what it comes to."`
-	Ledger ledgerCmd `cmd:"" help:"Look into the folder that lasts."`
+	Serve  serveCmd  `cmd:"" help:"Run a sender of the delivery service until SIGTERM or SIGINT."`
+	Check  checkCmd  `cmd:"" help:"Check the configuration of a sender and print a summary."`
+	Ledger ledgerCmd `cmd:"" help:"Inspect or compact the ledger directory of a sender."`
 
 	Proxy        proxyCmd        `cmd:"" help:"Run the data plane of the serving tier on this machine."`
-	ControlPlane controlPlaneCmd `cmd:"" help:"Run the control plane on this machine, or look into its folder."`
-	Store        storeCmd        `cmd:"" help:"Run a store on this machine, or look into its folder."`
+	ControlPlane controlPlaneCmd `cmd:"" help:"Run the control plane on this machine, or inspect its directory."`
+	Store        storeCmd        `cmd:"" help:"Run a store on this machine, or inspect its directory."`
 
-	Node     nodeCmd     `cmd:"" help:"Ask the running processes of the serving tier."`
-	Settings settingsCmd `cmd:"" help:"Look at a settings file of the serving tier."`
-	Config   configCmd   `cmd:"" help:"The configuration of the serving tier: check, compare, read, replace."`
-	Version  versionCmd  `cmd:"" help:"Say which build this is."`
+	Node     nodeCmd     `cmd:"" help:"Query running processes of the serving tier."`
+	Settings settingsCmd `cmd:"" help:"Check a settings file of the serving tier."`
+	Config   configCmd   `cmd:"" help:"Check, compare, read or replace the configuration of the serving tier."`
+	Version  versionCmd  `cmd:"" help:"Print version, revision and Go version of this build."`
 }
 
-// where are the flags that the commands which read the configuration share.
-type where struct {
+// configFlags are the flags of the commands that read the configuration of a sender.
+type configFlags struct {
 	Config string `help:"The configuration file." env:"GW_CONFIG" required:"" type:"path"`
-	With   string `help:"A file of our own (TOML) with what the configuration does not know." type:"path"`
+	With   string `help:"A TOML file with options that the platform's configuration does not have." type:"path"`
 }
 
-func (w where) read() (*config.Config, *config.Options, error) {
+func (w configFlags) load() (*config.Config, *config.Options, error) {
 	conf, err := config.Read(w.Config, os.Getenv)
 	if err != nil {
 		return nil, nil, err
 	}
-	own, err := config.ReadOptions(w.With)
-	return conf, own, err
+	options, err := config.ReadOptions(w.With)
+	return conf, options, err
 }
 
-// checked reads both and looks whether the settings and the list make sense.
-func (w where) checked() (*config.Config, *config.Options, error) {
-	conf, own, err := w.read()
+// loadAndValidate reads both files and checks the settings and the receiver list.
+func (w configFlags) loadAndValidate() (*config.Config, *config.Options, error) {
+	conf, options, err := w.load()
 	if err != nil {
 		return nil, nil, err
 	}
@@ -58,38 +59,38 @@
 			return nil, nil, fmt.Errorf("known: %w", err)
 		}
 	}
-	return conf, own, nil
+	return conf, options, nil
 }
 
 func main() {
 	ctx := kong.Parse(&cli, kong.Name("emberquay"), kong.Description("A delivery service for outbound texts."))
-	if !serves(ctx) {
+	if !commandHandlesSignals(ctx) {
 		signals.RestoreDefaults()
 	}
 	ctx.FatalIfErrorf(ctx.Run())
 }
 
-// server is a command that takes the process's signals itself.
-type server interface{ takesSignals() }
+// signalHandler is implemented by commands that handle SIGTERM, SIGINT and SIGHUP themselves.
+type signalHandler interface{ handlesSignals() }
 
-func serves(ctx *kong.Context) bool {
-	_, ok := ctx.Selected().Target.Addr().Interface().(server)
+func commandHandlesSignals(ctx *kong.Context) bool {
+	_, ok := ctx.Selected().Target.Addr().Interface().(signalHandler)
 	return ok
 }
 
-type checkCmd struct{ where }
+type checkCmd struct{ configFlags }
 
 func (c *checkCmd) Run() error {
-	conf, own, err := c.checked()
+	conf, options, err := c.loadAndValidate()
 	if err != nil {
 		return err
 	}
-	l := conf.Limits
+	limits := conf.Limits
 	fmt.Printf("name=%s listen=%s discovery=%s state=%s settings=%d products=%d\n",
 		conf.Name, conf.ListenAddr, conf.DiscoveryAddr, conf.StateDir, len(conf.Settings), len(conf.Products))
 	fmt.Printf("cores=%d memory=%d disk=%d client_conns=%d receiver_conns=%d slots=%d texts=%d\n",
-		l.Cores, l.MemoryBytes, l.DiskBytes, l.MaxClientConns, l.MaxReceiverConns, l.MaxCalls, l.MaxTexts)
-	fmt.Printf("log_format=%s log_level=%s durability=%s\n", own.Log.Format, own.Log.Level, own.Ledger.Durability)
+		limits.Cores, limits.MemoryBytes, limits.DiskBytes, limits.MaxClientConns, limits.MaxReceiverConns, limits.MaxCalls, limits.MaxTexts)
+	fmt.Printf("log_format=%s log_level=%s durability=%s\n", options.Log.Format, options.Log.Level, options.Ledger.Durability)
 	return nil
 }
 
@@ -98,7 +99,7 @@
 func (versionCmd) Run() error {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
-		return fmt.Errorf("this build tells nothing of itself")
+		return fmt.Errorf("the binary contains no build information")
 	}
 	revision := "unknown"
 	for _, s := range info.Settings {
--- a/cmd/emberquay/main_test.go
+++ b/cmd/emberquay/main_test.go
@@ -20,7 +20,7 @@
 	"time"
 )
 
-// TestMain lets the test binary be the program itself, so that it can be killed.
+// TestMain lets the test binary run as the program itself, in a process that tests can kill.
 func TestMain(m *testing.M) {
 	if os.Getenv("EMBERQUAY_AS_PROGRAM") == "1" {
 		main()
@@ -36,24 +36,24 @@
   "Specifics":{"MaxCalls":8},"RequestClasses":[{"Name":"free","Repeat":"safe","ObjectiveUs":500000,
   "HardLimitUs":9000000,"RepeatWindowUs":0,"Value":1,"LateShare":0.3}]}}`
 
-// handIn is a hand-in as bytes, but for its id.
-const handIn = "POST /api HTTP/1.1\r\nHost: a\r\nX-Call-Id: %s\r\nX-Call-Class: free\r\nX-Budget: 9\r\n" +
+// requestFormat is an HTTP request that submits a text; the argument is its id.
+const requestFormat = "POST /api HTTP/1.1\r\nHost: a\r\nX-Call-Id: %s\r\nX-Call-Class: free\r\nX-Budget: 9\r\n" +
 	"X-Envelope: dest=3\r\nContent-Length: 1\r\n\r\nx"
 
-// program is one sender as the platform runs it, between stand-ins of a receiver and of the platform.
+// program is a sender process with a fake receiver and a fake platform.
 type program struct {
-	t       *testing.T
-	env     []string
-	listen  string
-	config  string
-	flags   []string // after serve
-	cmd     *exec.Cmd
-	log     bytes.Buffer
-	silent  atomic.Bool // the receiver says nothing
-	calls   atomic.Int64
-	notices atomic.Int64
-	stuck   atomic.Int64 // notices that the platform does not answer
-	hold    chan bool    // the receiver answers once it is closed
+	t              *testing.T
+	env            []string
+	listen         string
+	config         string
+	flags          []string // after the serve command
+	cmd            *exec.Cmd
+	log            bytes.Buffer
+	unresponsive   atomic.Bool // the receiver does not respond
+	calls          atomic.Int64
+	notices        atomic.Int64
+	stalledNotices atomic.Int64 // above 0: the platform does not answer notices and counts them here, from 1
+	respond        chan bool    // if not nil, the receiver responds once it is closed
 
 	delivered sync.Map // ids
 }
@@ -62,26 +62,26 @@
 	t.Helper()
 	p := &program{t: t}
 	receiver := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		io.Copy(io.Discard, r.Body) // else the server does not see that the caller goes
+		io.Copy(io.Discard, r.Body) // otherwise the server does not notice a closed connection
 		p.calls.Add(1)
-		if p.silent.Load() {
+		if p.unresponsive.Load() {
 			<-r.Context().Done()
 			return
 		}
-		if p.hold != nil {
-			<-p.hold
+		if p.respond != nil {
+			<-p.respond
 		}
 		p.delivered.Store(r.Header.Get("X-Call-Id"), true)
 	}))
 	platform := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.Method == http.MethodGet { // a watch on which nothing happens
+		if r.Method == http.MethodGet { // a watch of the receiver list, without changes
 			w.(http.Flusher).Flush()
 			<-r.Context().Done()
 			return
 		}
-		if p.stuck.Load() > 0 {
+		if p.stalledNotices.Load() > 0 {
 			io.Copy(io.Discard, r.Body)
-			p.stuck.Add(1)
+			p.stalledNotices.Add(1)
 			<-r.Context().Done()
 			return
 		}
@@ -109,7 +109,7 @@
 		"GW_DISCOVERY="+platform.Listener.Addr().String(), "GW_CONFIG="+p.config)
 	t.Cleanup(func() {
 		if p.cmd != nil {
-			p.end(syscall.SIGKILL)
+			p.stop(syscall.SIGKILL)
 		}
 		if t.Failed() {
 			t.Log(p.log.String())
@@ -125,7 +125,7 @@
 	if err := p.cmd.Start(); err != nil {
 		p.t.Fatal(err)
 	}
-	p.until("not ready", func() bool {
+	p.waitFor("not ready", func() bool {
 		r, err := http.Get("http://" + p.listen + "/up")
 		if err == nil {
 			r.Body.Close()
@@ -134,29 +134,29 @@
 	})
 }
 
-// end sends a signal and waits for the process.
-func (p *program) end(s syscall.Signal) error {
+// stop sends a signal and waits until the process ends.
+func (p *program) stop(s syscall.Signal) error {
 	p.cmd.Process.Signal(s)
 	err := p.cmd.Wait()
 	p.cmd = nil
 	return err
 }
 
-func (p *program) until(what string, is func() bool) {
+func (p *program) waitFor(failure string, condition func() bool) {
 	p.t.Helper()
-	for end := time.Now().Add(8 * time.Second); !is(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
-			p.t.Fatal(what)
+	for deadline := time.Now().Add(8 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			p.t.Fatal(failure)
 		}
 	}
 }
 
-func (p *program) hand(id string, budget float64) int {
+func (p *program) submit(id string, budget float64) int {
 	p.t.Helper()
 	req, _ := http.NewRequest(http.MethodPost, "http://"+p.listen+"/api", strings.NewReader("body"))
 	req.Header = http.Header{"X-Call-Id": {id}, "X-Call-Class": {"free"}, "X-Envelope": {"dest=3"},
 		"X-Budget": {fmt.Sprintf("%.3f", budget)}}
-	req.Close = true // a connection that is kept may be closed by the program just then
+	req.Close = true // the program may close an idle connection at the same moment
 	r, err := http.DefaultClient.Do(req)
 	if err != nil {
 		p.t.Fatal(err)
@@ -165,57 +165,57 @@
 	return r.StatusCode
 }
 
-func TestKilledAndStartedAgain(t *testing.T) {
+func TestDeliveryAfterKillAndRestart(t *testing.T) {
 	p := newProgram(t)
-	p.silent.Store(true)
+	p.unresponsive.Store(true)
 	p.start()
-	if s := p.hand("a", 9); s != http.StatusAccepted {
+	if s := p.submit("a", 9); s != http.StatusAccepted {
 		t.Fatal(s)
 	}
-	p.until("no call", func() bool { return p.calls.Load() == 1 })
-	p.end(syscall.SIGKILL)
-	p.silent.Store(false)
+	p.waitFor("no call", func() bool { return p.calls.Load() == 1 })
+	p.stop(syscall.SIGKILL)
+	p.unresponsive.Store(false)
 	p.start()
-	p.until("not delivered after the restart", func() bool { return p.calls.Load() == 2 })
-	p.silent.Store(true)
-	p.hand("b", 0.4)
-	p.until("no notice", func() bool { return p.notices.Load() == 1 })
+	p.waitFor("not delivered after the restart", func() bool { return p.calls.Load() == 2 })
+	p.unresponsive.Store(true)
+	p.submit("b", 0.4)
+	p.waitFor("no notice", func() bool { return p.notices.Load() == 1 })
 }
 
-// After SIGTERM what is out is waited for, what still comes is served, and the process ends by itself.
-func TestAskedToStop(t *testing.T) {
+// After SIGTERM the process still accepts texts, waits for calls in flight and exits by itself.
+func TestGracefulStop(t *testing.T) {
 	p := newProgram(t)
 	p.start()
-	p.hand("a", 9)
-	p.until("no call", func() bool { return p.calls.Load() == 1 })
+	p.submit("a", 9)
+	p.waitFor("no call", func() bool { return p.calls.Load() == 1 })
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	time.Sleep(100 * time.Millisecond)
-	if s := p.hand("b", 9); s != http.StatusAccepted {
+	if s := p.submit("b", 9); s != http.StatusAccepted {
 		t.Error(s)
 	}
-	p.cmd.Process.Signal(syscall.SIGHUP) // neither a new configuration nor a second request to stop breaks a stop off
-	began := time.Now()
-	if err := p.end(syscall.SIGTERM); err != nil || time.Since(began) > 3500*time.Millisecond {
-		t.Errorf("%v after %s", err, time.Since(began))
+	p.cmd.Process.Signal(syscall.SIGHUP) // neither a reload nor a second SIGTERM interrupts the shutdown
+	start := time.Now()
+	if err := p.stop(syscall.SIGTERM); err != nil || time.Since(start) > 3500*time.Millisecond {
+		t.Errorf("%v after %s", err, time.Since(start))
 	}
 	if n := p.calls.Load(); n != 2 {
 		t.Errorf("%d calls", n)
 	}
 }
 
-// On SIGHUP the list and the notices, also one that is under way, move to the new address; a faulty file changes
-// nothing. A restart keeps to what the file says.
-func TestConfigurationReplaced(t *testing.T) {
+// On SIGHUP the receiver list and the notices, including one in flight, switch to the new discovery address; an invalid file
+// changes nothing. After a restart the address in the file still takes precedence over the environment.
+func TestConfigurationReload(t *testing.T) {
 	p := newProgram(t)
-	p.silent.Store(true)
-	asked, notices := make(chan string, 9), make(chan string, 9)
+	p.unresponsive.Store(true)
+	listRequests, notices := make(chan string, 9), make(chan string, 9)
 	other := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if body, _ := io.ReadAll(r.Body); r.Method == http.MethodPost {
 			notices <- string(body)
 			w.WriteHeader(http.StatusNoContent)
 			return
 		}
-		asked <- r.URL.RequestURI()
+		listRequests <- r.URL.RequestURI()
 		if r.URL.RawQuery == "" {
 			io.WriteString(w, `{"version":1,"full":true,"servers":[]}`)
 			return
@@ -225,44 +225,44 @@
 	}))
 	t.Cleanup(other.CloseClientConnections)
 	p.start()
-	p.stuck.Store(1)
-	if s := p.hand("a", 0.4); s != http.StatusAccepted {
+	p.stalledNotices.Store(1)
+	if s := p.submit("a", 0.4); s != http.StatusAccepted {
 		t.Fatal(s)
 	}
-	p.until("no notice", func() bool { return p.stuck.Load() > 1 })
+	p.waitFor("no notice", func() bool { return p.stalledNotices.Load() > 1 })
 	old, _ := os.ReadFile(p.config)
 	for _, text := range []string{`{"name":`, strings.Replace(string(old), `"TryLimit":12`, `"TryLimit":0`, 1),
 		strings.Replace(string(old), `"name"`, fmt.Sprintf(`"discovery":%q,"name"`, other.Listener.Addr()), 1)} {
 		os.WriteFile(p.config, []byte(text), 0o600)
 		time.Sleep(50 * time.Millisecond)
-		if len(asked) > 0 {
-			t.Error("moved by a faulty file")
+		if len(listRequests) > 0 {
+			t.Error("an invalid file or no SIGHUP changed the address")
 		}
 		p.cmd.Process.Signal(syscall.SIGHUP)
 		time.Sleep(50 * time.Millisecond)
 	}
-	p.until("the notice does not move", func() bool { return len(notices) > 0 && len(asked) > 1 })
+	p.waitFor("the notice was not sent to the new address", func() bool { return len(notices) > 0 && len(listRequests) > 1 })
 	if n := <-notices; !strings.Contains(n, `"a"`) {
 		t.Error(n)
 	}
-	p.end(syscall.SIGKILL)
+	p.stop(syscall.SIGKILL)
 	p.start()
-	p.until("a restart asks elsewhere", func() bool { return len(asked) > 2 })
+	p.waitFor("no list request at the new address after a restart", func() bool { return len(listRequests) > 2 })
 }
 
-// Clients go on through a planned restart as long as they are let: every request written is answered, save one
-// that crosses the close of a connection used before, and every text taken on is delivered, by this process or the next.
+// Clients keep submitting during a planned restart. Every request is answered, except one that crosses the close of a reused
+// connection, and every accepted text is delivered by this process or the next one.
 func TestPlannedRestartUnderLoad(t *testing.T) {
 	p := newProgram(t)
 	p.start()
-	taken, done := make(chan string, 9999), make(chan string, 8)
-	var away atomic.Bool // clients open no more connections
+	accepted, done := make(chan string, 9999), make(chan string, 8)
+	var noNewConns atomic.Bool // clients open no more connections
 	client := func(no int) string {
 		var c net.Conn
 		for i := 0; ; i++ {
-			id, fresh := fmt.Sprintf("%d-%d", no, i), c == nil
-			if fresh {
-				if away.Load() {
+			id, isNew := fmt.Sprintf("%d-%d", no, i), c == nil
+			if isNew {
+				if noNewConns.Load() {
 					return ""
 				}
 				var err error
@@ -271,13 +271,13 @@
 				}
 			}
 			c.SetDeadline(time.Now().Add(2 * time.Second))
-			fmt.Fprintf(c, handIn, id)
+			fmt.Fprintf(c, requestFormat, id)
 			r, err := http.ReadResponse(bufio.NewReader(c), nil)
 			switch {
-			case err != nil && fresh:
+			case err != nil && isNew:
 				return "no answer on a new connection: " + err.Error()
 			case err == nil && r.StatusCode == http.StatusAccepted:
-				taken <- id
+				accepted <- id
 			case err == nil && r.StatusCode != http.StatusServiceUnavailable:
 				return r.Status
 			}
@@ -292,32 +292,32 @@
 		go func() { done <- client(no) }()
 	}
 	time.Sleep(300 * time.Millisecond)
-	time.AfterFunc(400*time.Millisecond, func() { away.Store(true) })
-	if err := p.end(syscall.SIGTERM); err != nil {
+	time.AfterFunc(400*time.Millisecond, func() { noNewConns.Store(true) })
+	if err := p.stop(syscall.SIGTERM); err != nil {
 		t.Error(err)
 	}
 	for range cap(done) {
-		if fault := <-done; fault != "" {
-			t.Error(fault)
+		if failure := <-done; failure != "" {
+			t.Error(failure)
 		}
 	}
 	p.start()
-	n := len(taken)
+	n := len(accepted)
 	if n < 20 {
-		t.Errorf("only %d taken", n)
+		t.Errorf("only %d accepted", n)
 	}
 	for range n {
-		id := <-taken
-		p.until(id+" is not delivered", func() bool { _, ok := p.delivered.Load(id); return ok })
+		id := <-accepted
+		p.waitFor(id+" is not delivered", func() bool { _, ok := p.delivered.Load(id); return ok })
 	}
 	if p.notices.Load() > 0 {
 		t.Errorf("%d notices", p.notices.Load())
 	}
 }
 
-// A sender that takes texts on and has nowhere to send them is ended, with warning or without; the next one finds a backlog
-// far longer than what it knows of its destination. Each text is tried: the receiver is called for every one of them.
-func TestABacklogIsTriedAfterARestart(t *testing.T) {
+// A sender accepts texts while no receiver is available and is then stopped or killed. The next process starts with a backlog
+// far above the estimated rate of the receiver, and must still attempt every text instead of shedding it.
+func TestBacklogIsAttemptedAfterRestart(t *testing.T) {
 	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL} {
 		p := newProgram(t)
 		listed, _ := os.ReadFile(p.config)
@@ -325,30 +325,30 @@
 			[]byte(`"Instances"`), []byte(`"WeightSource":"nominal","Instances"`), 1)
 		os.WriteFile(p.config, bytes.Replace(slow, []byte(`"active"`), []byte(`"left"`), 1), 0o600)
 		p.start()
-		for i := range 20 { // the SLA time is half a second: at four texts a second, all but a few would be shed
-			if status := p.hand(fmt.Sprint(i), 9); status != http.StatusAccepted {
+		for i := range 20 { // the SLA time is 0.5 s: at 4 texts a second, all but a few would be shed
+			if status := p.submit(fmt.Sprint(i), 9); status != http.StatusAccepted {
 				t.Fatal(status)
 			}
 		}
-		if err := p.end(s); s == syscall.SIGTERM && err != nil {
+		if err := p.stop(s); s == syscall.SIGTERM && err != nil {
 			t.Error(err)
 		}
 		os.WriteFile(p.config, slow, 0o600)
 		p.start()
 		for i := range 20 {
-			p.until(fmt.Sprint(s, ": ", i, " is not tried"), func() bool { _, ok := p.delivered.Load(fmt.Sprint(i)); return ok })
+			p.waitFor(fmt.Sprint(s, ": ", i, " is not attempted"), func() bool { _, ok := p.delivered.Load(fmt.Sprint(i)); return ok })
 		}
 	}
 }
 
-// A client's last text comes at a stop that had nothing left to do. The process waits for its call, and leaves none
-// of which it does not know whether it ran.
-func TestATextAtTheEndOfAStop(t *testing.T) {
+// A text arrives during the shutdown of an idle sender. The process must wait for its call and not leave a call with an
+// unknown outcome.
+func TestTextAtEndOfStop(t *testing.T) {
 	p := newProgram(t)
-	p.hold = make(chan bool)
+	p.respond = make(chan bool)
 	p.start()
 	p.cmd.Process.Signal(syscall.SIGTERM)
-	var open []net.Conn // the newest last; a connection on which nothing comes is closed in time
+	var open []net.Conn // newest last; the server closes idle connections after a while
 	for {
 		c, err := net.Dial("tcp", p.listen)
 		if err != nil {
@@ -360,51 +360,52 @@
 		}
 		time.Sleep(30 * time.Millisecond)
 	}
-	c := open[len(open)-4] // the last ones may not have been accepted
+	c := open[len(open)-4] // the last ones may not have been accepted by the server
 	c.SetDeadline(time.Now().Add(2 * time.Second))
-	fmt.Fprintf(c, handIn, "a")
+	fmt.Fprintf(c, requestFormat, "a")
 	if r, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || r.StatusCode != http.StatusAccepted {
 		t.Fatal(r, err)
 	}
 	for _, c := range open {
 		c.Close()
 	}
-	p.until("no call", func() bool { return p.calls.Load() == 1 })
+	p.waitFor("no call", func() bool { return p.calls.Load() == 1 })
 	ended := make(chan error, 1)
 	go func() { ended <- p.cmd.Wait() }()
 	select {
 	case err := <-ended:
-		t.Error("it ended with a call out")
+		t.Error("the process ended with a call in flight")
 		ended <- err
 	case <-time.After(300 * time.Millisecond):
 	}
-	close(p.hold)
+	close(p.respond)
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
 	p.cmd = nil
 }
 
-// What cannot be delivered before the end is left to the next start.
-func TestStoppedWithCallsOut(t *testing.T) {
+// Texts that cannot be delivered before the end of the shutdown are delivered after the next start.
+func TestStopWithCallsInFlight(t *testing.T) {
 	p := newProgram(t)
-	p.silent.Store(true)
+	p.unresponsive.Store(true)
 	p.start()
-	p.hand("a", 9)
-	p.until("no call", func() bool { return p.calls.Load() == 1 })
-	if err := p.end(syscall.SIGTERM); err != nil {
+	p.submit("a", 9)
+	p.waitFor("no call", func() bool { return p.calls.Load() == 1 })
+	if err := p.stop(syscall.SIGTERM); err != nil {
 		t.Error(err)
 	}
-	p.silent.Store(false)
+	p.unresponsive.Store(false)
 	before := p.calls.Load()
 	p.start()
-	p.until("not delivered by the next", func() bool { return p.calls.Load() > before })
+	p.waitFor("not delivered after the restart", func() bool { return p.calls.Load() > before })
 }
 
-// The largest bodies, more than the folder holds, all at once: each is answered and memory stays bounded.
+// Bodies of the maximum size, together more than the ledger holds, arrive at once: each gets an answer and memory stays
+// bounded.
 func TestLargeBodiesAtOnce(t *testing.T) {
 	p := newProgram(t)
-	p.silent.Store(true)
+	p.unresponsive.Store(true)
 	p.start()
 	body := strings.Repeat("x", 64<<10)
 	answers := make(chan int, 300)
@@ -435,8 +436,8 @@
 	}
 	_, peak, _ := strings.Cut(string(raw), "VmHWM:")
 	var kb int
-	if fmt.Sscan(peak, &kb); kb == 0 || kb > 187500 { // the 192 MB that a sender has where nothing is said
-		t.Errorf("%d KiB of memory at most", kb)
+	if fmt.Sscan(peak, &kb); kb == 0 || kb > 187500 { // the default limit of a sender is 192 MB
+		t.Errorf("peak memory %d KiB", kb)
 	}
 }
 
@@ -455,29 +456,29 @@
 	}
 }
 
-// What was learnt goes over a stop where a file is named, and a spoilt file holds no start up.
-func TestLearntGoesOverAStop(t *testing.T) {
+// The receivers' history survives a restart if a file is configured, and a corrupt file does not prevent the start.
+func TestHistorySurvivesRestart(t *testing.T) {
 	p := newProgram(t)
 	dir := t.TempDir()
-	own, kept := filepath.Join(dir, "own.toml"), filepath.Join(dir, "learnt.json")
-	p.flags = []string{"--with", own}
-	os.WriteFile(own, []byte(fmt.Sprintf("[move]\nlearnt = %q\n", kept)), 0o600) // where it fails there is no start
+	options, historyFile := filepath.Join(dir, "own.toml"), filepath.Join(dir, "learnt.json")
+	p.flags = []string{"--with", options}
+	os.WriteFile(options, []byte(fmt.Sprintf("[move]\nlearnt = %q\n", historyFile)), 0o600) // if this fails, the start fails
 	p.start()
-	p.hand("a", 9)
-	p.until("no call", func() bool { _, done := p.delivered.Load("a"); return done })
-	p.end(syscall.SIGTERM)
-	raw, err := os.ReadFile(kept)
+	p.submit("a", 9)
+	p.waitFor("no call", func() bool { _, done := p.delivered.Load("a"); return done })
+	p.stop(syscall.SIGTERM)
+	raw, err := os.ReadFile(historyFile)
 	if err != nil || !bytes.Contains(raw, []byte(`"pace"`)) {
 		t.Fatalf("%s %v", raw, err)
 	}
 	p.start()
-	p.end(syscall.SIGTERM)
-	os.WriteFile(kept, []byte("{"), 0o600) // where it fails it is recalled once more
+	p.stop(syscall.SIGTERM)
+	os.WriteFile(historyFile, []byte("{"), 0o600) // if this fails, the history is loaded again
 	p.start()
-	p.end(syscall.SIGTERM)
+	p.stop(syscall.SIGTERM)
 	for _, line := range []string{"event=recalled part=serve", "receivers=1", "event=not_recalled"} {
 		if !strings.Contains(p.log.String(), line) {
-			t.Errorf("no %s in the log", line)
+			t.Errorf("%s is missing from the log", line)
 		}
 	}
 }
--- a/cmd/emberquay/node.go
+++ b/cmd/emberquay/node.go
@@ -18,28 +18,28 @@
 	"emberquay/internal/tier/transport"
 )
 
-// nodeCmd are the commands on running processes of the tier.
+// nodeCmd has the commands on running processes of the serving tier.
 type nodeCmd struct {
-	Status nodeStatusCmd `cmd:"" help:"Ask a running process of the tier what it is and what it knows."`
+	Status nodeStatusCmd `cmd:"" help:"Print the status of running processes of the serving tier."`
 }
 
 type nodeStatusCmd struct {
 	Address  string        `arg:"" optional:"" help:"The internal address of the process, host:port."`
-	Settings string        `help:"Ask the processes of this machine by its settings file instead." type:"path"`
-	Role     string        `help:"Of these only proxy, control-plane or store." enum:"proxy,control-plane,store," default:""`
-	Timeout  time.Duration `help:"How long to wait for an answer." default:"2s"`
-	JSON     bool          `help:"As one JSON object a process."`
+	Settings string        `help:"Query the processes of this machine, found by its settings file." type:"path"`
+	Role     string        `help:"Query only this role of the settings file: proxy, control-plane or store." enum:"proxy,control-plane,store," default:""`
+	Timeout  time.Duration `help:"Time limit for each process." default:"2s"`
+	JSON     bool          `help:"Print one JSON object per process."`
 }
 
-// Validate refuses what names no process, or two.
+// Validate requires exactly one way to name the processes.
 func (c *nodeStatusCmd) Validate() error {
 	switch {
 	case (c.Address == "") == (c.Settings == ""):
-		return eris.New("either an address or --settings")
+		return eris.New("want either an address or --settings")
 	case c.Address != "" && c.Role != "":
 		return eris.New("--role goes with --settings: an address names one process")
 	case c.Timeout <= 0:
-		return eris.New("--timeout: has to be above 0")
+		return eris.New("--timeout: must be above 0")
 	}
 	if c.Address != "" {
 		if _, _, err := net.SplitHostPort(c.Address); err != nil {
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// Run asks one process after the other, and prints those that answer.
+// Run queries the processes one after the other and prints the status of those that answer.
 func (c *nodeStatusCmd) Run() error {
 	addresses, err := c.addresses()
 	if err != nil {
@@ -59,7 +59,7 @@
 	defer client.Close()
 	var failed []string
 	for _, address := range addresses {
-		status, err := c.ask(client, address)
+		status, err := c.query(client, address)
 		if err != nil {
 			failed = append(failed, err.Error())
 			continue
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// addresses are where the processes listen.
+// addresses returns the internal addresses of the processes to query.
 func (c *nodeStatusCmd) addresses() ([]string, error) {
 	if c.Address != "" {
 		return []string{c.Address}, nil
@@ -85,27 +85,27 @@
 	}
 	var addresses []string
 	for _, kind := range []settings.ProcessKind{settings.Proxy, settings.ControlPlane, settings.Store} {
-		if c.wants(node, kind) {
+		if c.selects(node, kind) {
 			addresses = append(addresses, node.InternalAddress(kind))
 		}
 	}
 	if len(addresses) == 0 {
-		return nil, eris.Errorf("%s: it names no role of the tier and nothing that is served: --role says what to ask",
+		return nil, eris.Errorf("%s: the file has neither a role nor services of the serving tier; use --role",
 			c.Settings)
 	}
 	return addresses, nil
 }
 
-// servedBy is what a process of a kind serves.
-var servedBy = map[settings.ProcessKind]string{
+// serviceOf maps a kind of process to the entry of `serves` in the settings.
+var serviceOf = map[settings.ProcessKind]string{
 	settings.Proxy:        settings.ServesFront,
 	settings.ControlPlane: settings.ServesControl,
 	settings.Store:        settings.ServesStore,
 }
 
-// wants says whether a process of the kind is to be asked: the one that --role names, else the one that the file is
-// for, else all that serve what the file names.
-func (c *nodeStatusCmd) wants(node *settings.Node, kind settings.ProcessKind) bool {
+// selects reports whether to query a process of the kind: the one of --role, else the one of the file's own role, else
+// every one whose service the file lists.
+func (c *nodeStatusCmd) selects(node *settings.Node, kind settings.ProcessKind) bool {
 	roles := []string{settings.Proxy.String(), settings.ControlPlane.String(), settings.Store.String()}
 	switch {
 	case c.Role != "":
@@ -113,10 +113,10 @@
 	case slices.Contains(roles, node.Role):
 		return node.Role == kind.String()
 	}
-	return node.ServesFor(servedBy[kind])
+	return node.ServesFor(serviceOf[kind])
 }
 
-func (c *nodeStatusCmd) ask(client *transport.Client, address string) (nodestatus.Status, error) {
+func (c *nodeStatusCmd) query(client *transport.Client, address string) (nodestatus.Status, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
 	status, err := nodestatus.Fetch(ctx, client, address)
@@ -141,7 +141,7 @@
 	return out.Flush()
 }
 
-// statusRow is a line of the table.
+// statusRow is a row of the printed table.
 type statusRow struct{ name, text string }
 
 func statusRows(s nodestatus.Status) []statusRow {
@@ -177,15 +177,15 @@
 
 func controlRows(c *nodestatus.Control) []statusRow {
 	rows := []statusRow{
-		{"view", fmt.Sprintf("epoch %d, %d members, member of it: %s", c.Epoch, len(c.Members), yes(c.Member))},
+		{"view", fmt.Sprintf("epoch %d, %d members, member of it: %s", c.Epoch, len(c.Members), yesOrNo(c.Member))},
 		{"member id", fmt.Sprint(c.ID)},
 	}
 	for _, m := range c.Members {
-		place := "not in the chain"
-		if at := slices.Index(c.Chain, m.ID); at >= 0 {
-			place = fmt.Sprintf("%d of %d in the chain", at+1, len(c.Chain))
+		position := "not in the chain"
+		if index := slices.Index(c.Chain, m.ID); index >= 0 {
+			position = fmt.Sprintf("%d of %d in the chain", index+1, len(c.Chain))
 		}
-		rows = append(rows, statusRow{"member", fmt.Sprintf("%d at %s, %s", m.ID, m.Address, place)})
+		rows = append(rows, statusRow{"member", fmt.Sprintf("%d at %s, %s", m.ID, m.Address, position)})
 	}
 	return append(rows, statusRow{"store view", fmt.Sprintf("epoch %d", c.StoreEpoch)})
 }
@@ -193,9 +193,9 @@
 func storeRows(s *nodestatus.Store) []statusRow {
 	return []statusRow{
 		{"store id", s.ID},
-		{"complete", yes(s.Complete)},
-		{"store view", fmt.Sprintf("epoch %d, %d members, member of it: %s", s.Epoch, s.Members, yes(s.Member))},
-		{"retiring", yes(s.Retiring)},
+		{"complete", yesOrNo(s.Complete)},
+		{"store view", fmt.Sprintf("epoch %d, %d members, member of it: %s", s.Epoch, s.Members, yesOrNo(s.Member))},
+		{"retiring", yesOrNo(s.Retiring)},
 		{"turns", fmt.Sprintf("%d, %d bytes", s.Turns, s.TurnBytes)},
 		{"programs", fmt.Sprintf("%d, %d reservations", s.Programs, s.Reservations)},
 		{"ring", fmt.Sprintf("%d bytes, %d free", s.RingBytes, s.FreeBytes)},
@@ -204,13 +204,13 @@
 
 func proxyRows(p *nodestatus.Proxy) []statusRow {
 	return []statusRow{
-		{"ready", yes(p.Ready)},
+		{"ready", yesOrNo(p.Ready)},
 		{"in hand", fmt.Sprint(p.InFlight)},
 		{"to admission", fmt.Sprintf("%d since the start, %d refused", p.Arrived, p.Refused)},
 	}
 }
 
-func yes(b bool) string {
+func yesOrNo(b bool) string {
 	if b {
 		return "yes"
 	}
--- a/cmd/emberquay/node_test.go
+++ b/cmd/emberquay/node_test.go
@@ -25,14 +25,14 @@
 	. "github.com/onsi/gomega"
 )
 
-// The blocks 127.firstBlock to 127.firstBlock+blocks-1 may be taken for a machine; the laboratory has others.
+// A test may use the address blocks 127.firstBlock to 127.firstBlock+blocks-1 for its machine; the laboratory uses others.
 const (
 	firstBlock = 230
 	blocks     = 20
-	holdPort   = 7999
+	lockPort   = 7999
 )
 
-// machineSettings are those of a machine that is the whole tier: its address, the folder, role and what it serves.
+// machineSettings are the settings of a machine that forms the whole tier. Arguments: role, serves, address, data directory.
 const machineSettings = `node_name = "one"
 role = %q
 machine_class = "front"
@@ -75,13 +75,13 @@
 catch_up_s = 2
 `
 
-// machineAddress is a loopback address that nobody else has.
+// machineAddress returns a loopback address that no other process of the tests uses; a listener reserves it.
 func machineAddress() string {
 	GinkgoHelper()
 	for i := range blocks {
 		ip := fmt.Sprintf("127.%d.1.1", firstBlock+(os.Getpid()+i)%blocks)
-		if hold, err := net.Listen("tcp4", fmt.Sprintf("%s:%d", ip, holdPort)); err == nil {
-			DeferCleanup(hold.Close)
+		if listener, err := net.Listen("tcp4", fmt.Sprintf("%s:%d", ip, lockPort)); err == nil {
+			DeferCleanup(listener.Close)
 			return ip
 		}
 	}
@@ -89,8 +89,8 @@
 	return ""
 }
 
-// settingsOf writes the settings file of a role on the machine.
-func settingsOf(role, ip string, serves ...string) string {
+// writeSettings writes the settings file of a role and returns its path.
+func writeSettings(role, ip string, serves ...string) string {
 	GinkgoHelper()
 	for i := range serves {
 		serves[i] = fmt.Sprintf("%q", serves[i])
@@ -102,55 +102,55 @@
 	return path
 }
 
-// run starts a plane by its settings and ends it with the test.
-func run[P lifecycle.Plane](path string, start func(*settings.Node, log.Interface) (P, error)) {
+// startPlane starts a plane with a settings file and shuts it down after the test.
+func startPlane[P lifecycle.Plane](path string, start func(*settings.Node, log.Interface) (P, error)) {
 	GinkgoHelper()
 	node, err := settings.LoadFile(path)
 	Expect(err).NotTo(HaveOccurred())
 	plane, err := start(node, &log.Logger{Handler: discard.Default})
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(func() {
-		ended, end := context.WithCancel(context.Background())
-		end()
-		plane.Shutdown(ended, time.Now())
+		ctx, cancel := context.WithCancel(context.Background())
+		cancel()
+		plane.Shutdown(ctx, time.Now())
 	})
 }
 
-// statusByJSON asks once.
-func statusByJSON(path string) nodestatus.Status {
+// queryStatus runs `node status --json` once.
+func queryStatus(path string) nodestatus.Status {
 	GinkgoHelper()
-	said, code := asProgram("node", "status", "--json", "--timeout", "10s", "--settings", path)
-	Expect(code).To(BeZero(), said)
+	output, code := runProgram("node", "status", "--json", "--timeout", "10s", "--settings", path)
+	Expect(code).To(BeZero(), output)
 	var status nodestatus.Status
-	Expect(json.Unmarshal([]byte(said), &status)).To(Succeed())
+	Expect(json.Unmarshal([]byte(output), &status)).To(Succeed())
 	return status
 }
 
 var _ = Describe("node status", func() {
-	It("asks the running planes of a machine", func(ctx SpecContext) {
+	It("queries the running planes of a machine", func(ctx SpecContext) {
 		ip := machineAddress()
-		control := settingsOf("control-plane", ip, "control")
-		kept := settingsOf("store", ip, "store")
-		proxy := settingsOf("proxy", ip, "front")
-		run(control, controlplane.Start)
-		run(kept, storeplane.Start)
-		run(proxy, dataplane.Start)
+		control := writeSettings("control-plane", ip, "control")
+		kept := writeSettings("store", ip, "store")
+		proxy := writeSettings("proxy", ip, "front")
+		startPlane(control, controlplane.Start)
+		startPlane(kept, storeplane.Start)
+		startPlane(proxy, dataplane.Start)
 		Eventually(ctx, func() bool {
-			s := statusByJSON(kept).Store
+			s := queryStatus(kept).Store
 			return s.Member && s.Complete
 		}).Should(BeTrue())
-		Eventually(ctx, func() int { return len(statusByJSON(proxy).Nodes) }).Should(Equal(3))
-		c := statusByJSON(control)
+		Eventually(ctx, func() int { return len(queryStatus(proxy).Nodes) }).Should(Equal(3))
+		c := queryStatus(control)
 		Expect(c.Role).To(Equal("control"))
 		Expect(c.Control.Member).To(BeTrue())
 		Expect(c.Control.Chain).To(Equal([]int64{c.Control.ID}))
 		Expect(c.ConfigurationVersion).To(BeZero())
-		expectSays("view           epoch 1, 1 members, member of it: yes\n", "node", "status", ip+":7381")
-		expectSays("store view  ", "node", "status", "--settings", kept)
-		expectSays("ready          no\n", "node", "status", "--role", "proxy", "--settings", control)
+		expectOutput("view           epoch 1, 1 members, member of it: yes\n", "node", "status", ip+":7381")
+		expectOutput("store view  ", "node", "status", "--settings", kept)
+		expectOutput("ready          no\n", "node", "status", "--role", "proxy", "--settings", control)
 	}, NodeTimeout(time.Minute))
 
-	It("prints what the process says", func() {
+	It("prints the status of a process", func() {
 		mux := transport.NewMux()
 		nodestatus.Register(mux, func(context.Context) (nodestatus.Status, error) {
 			return nodestatus.Status{
@@ -163,9 +163,9 @@
 		server, err := transport.Listen("127.0.0.1:0", mux)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(server.Close)
-		said, code := asProgram("node", "status", server.Address())
+		output, code := runProgram("node", "status", server.Address())
 		Expect(code).To(BeZero())
-		Expect(said).To(Equal(strings.Join([]string{
+		Expect(output).To(Equal(strings.Join([]string{
 			"node           front-1 (proxy) at 127.0.0.1:7380, zone a",
 			"incarnation    5",
 			"uptime         1m1.5s",
@@ -178,31 +178,31 @@
 		}, "\n")))
 	})
 
-	It("says in one line that a process does not answer", func() {
-		silent, err := net.Listen("tcp4", "127.0.0.1:0") // it takes connections and says nothing
+	It("reports a process that does not answer in one line", func() {
+		silent, err := net.Listen("tcp4", "127.0.0.1:0") // accepts connections and never answers
 		Expect(err).NotTo(HaveOccurred())
 		address := silent.Addr().String()
-		expectRefused(address+" does not answer: ", "node", "status", "--timeout", "50ms", address)
+		expectError(address+" does not answer: ", "node", "status", "--timeout", "50ms", address)
 		Expect(silent.Close()).To(Succeed())
-		expectRefused(address+" does not answer: connect to", "node", "status", address)
+		expectError(address+" does not answer: connect to", "node", "status", address)
 	})
 
-	It("says in one line that a process does not know the question", func() {
+	It("reports a process that does not know the method in one line", func() {
 		server, err := transport.Listen("127.0.0.1:0", transport.NewMux())
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(server.Close)
-		expectRefused(server.Address()+" answers, but not for its status: unknown method node.status",
+		expectError(server.Address()+" answers, but not for its status: unknown method node.status",
 			"node", "status", server.Address())
 	})
 
-	DescribeTable("refuses what names no process",
-		func(want string, args ...string) { expectRefused(want, append([]string{"node", "status"}, args...)...) },
-		Entry("nothing", "either an address or --settings"),
-		Entry("two", "either an address or --settings", "127.0.0.1:1", "--settings", "x"),
-		Entry("no address", `"nowhere": address nowhere: missing port`, "nowhere"),
-		Entry("a role of an address", "--role goes with --settings", "127.0.0.1:1", "--role", "store"),
-		Entry("no role that there is", "--role must be one of", "--settings", "x", "--role", "head"),
-		Entry("no time", "--timeout: has to be above 0", "127.0.0.1:1", "--timeout", "0s"),
-		Entry("a file that is not there", "/none.toml", "--settings", "/none.toml"),
+	DescribeTable("rejects invalid arguments",
+		func(want string, args ...string) { expectError(want, append([]string{"node", "status"}, args...)...) },
+		Entry("no process", "want either an address or --settings"),
+		Entry("two ways to name a process", "want either an address or --settings", "127.0.0.1:1", "--settings", "x"),
+		Entry("a malformed address", `"nowhere": address nowhere: missing port`, "nowhere"),
+		Entry("a role with an address", "--role goes with --settings", "127.0.0.1:1", "--role", "store"),
+		Entry("an unknown role", "--role must be one of", "--settings", "x", "--role", "head"),
+		Entry("no timeout", "--timeout: must be above 0", "127.0.0.1:1", "--timeout", "0s"),
+		Entry("a missing file", "/none.toml", "--settings", "/none.toml"),
 	)
 })
--- a/cmd/emberquay/operator.go
+++ b/cmd/emberquay/operator.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	// operatorPause is the pause before the second try; it doubles with each.
-	operatorPause = 100 * time.Millisecond
-	// operatorMostPause bounds the pause between two tries.
-	operatorMostPause = time.Second
-	// operatorCall bounds one try, so that the next address gets its turn.
-	operatorCall = 3 * time.Second
-	// operatorRedirects is how many 307 in a row the protocol lets callers follow.
-	operatorRedirects = 2
-	// operatorReason bounds what is shown of the body of a refusal.
-	operatorReason = 300
+	// operatorRetryDelay is the delay before the first retry; it doubles with each retry.
+	operatorRetryDelay = 100 * time.Millisecond
+	// operatorMaxRetryDelay bounds the delay between two attempts.
+	operatorMaxRetryDelay = time.Second
+	// operatorCallTimeout bounds one attempt, so that the next address is tried in time.
+	operatorCallTimeout = 3 * time.Second
+	// operatorMaxRedirects is the number of consecutive 307 responses that the protocol lets callers follow.
+	operatorMaxRedirects = 2
+	// operatorMaxReasonBytes bounds the part of a refusal's body that is shown.
+	operatorMaxReasonBytes = 300
 )
 
-// errOpenFate: the order may be in force or not. It may be sent again unchanged.
-var errOpenFate = errors.New("no clear answer")
+// errOutcomeUnknown means that a change may or may not have been applied. It may be sent again unchanged.
+var errOutcomeUnknown = errors.New("no clear answer")
 
-// operatorRefusal is a clear answer other than success.
+// operatorRefusal is a final response other than 200 OK.
 type operatorRefusal struct {
 	status int
 	reason string
@@ -45,54 +45,54 @@
 	return fmt.Sprintf("refused with %d: %s", e.status, e.reason)
 }
 
-// operatorClient calls the operator's API. One call after the other goes to the next address until there is a clear answer
-// or the context ends; what is sent stays the same, so that a repeat is acknowledged again.
+// operatorClient calls the operator API. It tries the addresses in turn until one gives a final answer or the context ends;
+// all attempts send the same request, so that a repeated change is acknowledged again.
 type operatorClient struct {
-	addresses []string
-	pause     time.Duration
+	addresses  []string
+	retryDelay time.Duration
 }
 
-// read gives the configuration in force.
+// read returns the current configuration.
 func (c *operatorClient) read(ctx context.Context) ([]byte, error) {
-	return c.order(ctx, http.MethodGet, "/api/Config.Read", nil, nil)
+	return c.callUntilAnswered(ctx, http.MethodGet, "/api/Config.Read", nil, nil)
 }
 
-// replace puts a whole configuration into force.
+// replace replaces the whole configuration.
 func (c *operatorClient) replace(ctx context.Context, base uint64, body []byte) error {
 	header := http.Header{"Content-Type": {"application/json"}, "Emberquay-Base-Version": {strconv.FormatUint(base, 10)}}
-	_, err := c.order(ctx, http.MethodPost, "/api/Config.Replace", header, body)
+	_, err := c.callUntilAnswered(ctx, http.MethodPost, "/api/Config.Replace", header, body)
 	return err
 }
 
-// order repeats one call until there is a clear answer.
-func (c *operatorClient) order(ctx context.Context, method, path string, header http.Header, body []byte) ([]byte, error) {
-	pause := c.pause
-	for try := 0; ; try++ {
-		address := c.addresses[try%len(c.addresses)]
-		answer, err := c.call(ctx, method, "http://"+address+path, header, body)
+// callUntilAnswered repeats a call until there is a final answer.
+func (c *operatorClient) callUntilAnswered(ctx context.Context, method, path string, header http.Header, body []byte) ([]byte, error) {
+	delay := c.retryDelay
+	for attempt := 0; ; attempt++ {
+		address := c.addresses[attempt%len(c.addresses)]
+		response, err := c.call(ctx, method, "http://"+address+path, header, body)
 		var refused *operatorRefusal
-		if err == nil || errors.As(err, &refused) && !mayPass(refused.status) {
-			return answer, err
+		if err == nil || errors.As(err, &refused) && !isRetryable(refused.status) {
+			return response, err
 		}
-		timer := time.NewTimer(pause)
+		timer := time.NewTimer(delay)
 		select {
 		case <-ctx.Done():
 			timer.Stop()
-			return nil, fmt.Errorf("%s%s: %w: %w", address, path, errOpenFate, err)
+			return nil, fmt.Errorf("%s%s: %w: %w", address, path, errOutcomeUnknown, err)
 		case <-timer.C:
 		}
-		pause = min(2*pause, operatorMostPause)
+		delay = min(2*delay, operatorMaxRetryDelay)
 	}
 }
 
-// mayPass says of a status that the order may be taken when it is sent again.
-func mayPass(status int) bool {
+// isRetryable reports whether the same request may succeed after a response with this status.
+func isRetryable(status int) bool {
 	return status >= http.StatusInternalServerError || status == http.StatusRequestTimeout || status == http.StatusTooManyRequests
 }
 
-// call makes one call.
+// call makes one attempt.
 func (c *operatorClient) call(ctx context.Context, method, url string, header http.Header, body []byte) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, operatorCall)
+	ctx, cancel := context.WithTimeout(ctx, operatorCallTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
@@ -108,26 +108,26 @@
 		return nil, err
 	}
 	defer response.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, routing.MaxBodyBytes+1))
+	responseBody, err := io.ReadAll(io.LimitReader(response.Body, routing.MaxBodyBytes+1))
 	switch {
 	case err != nil:
 		return nil, err
-	case len(answer) > routing.MaxBodyBytes:
-		return nil, eris.Errorf("an answer of over %d bytes", routing.MaxBodyBytes)
+	case len(responseBody) > routing.MaxBodyBytes:
+		return nil, eris.Errorf("response body exceeds %d bytes", routing.MaxBodyBytes)
 	case response.StatusCode != http.StatusOK:
-		return nil, &operatorRefusal{status: response.StatusCode, reason: reasonOf(answer)}
+		return nil, &operatorRefusal{status: response.StatusCode, reason: reasonText(responseBody)}
 	}
-	return answer, nil
+	return responseBody, nil
 }
 
 func checkRedirect(_ *http.Request, via []*http.Request) error {
-	if len(via) > operatorRedirects {
-		return eris.Errorf("over %d redirects in a row", operatorRedirects)
+	if len(via) > operatorMaxRedirects {
+		return eris.Errorf("more than %d consecutive redirects", operatorMaxRedirects)
 	}
 	return nil
 }
 
-// reasonOf gives what a refusal says, on one line.
-func reasonOf(answer []byte) string {
-	return strings.Join(strings.Fields(string(answer[:min(len(answer), operatorReason)])), " ")
+// reasonText returns the start of a refusal's body on one line.
+func reasonText(responseBody []byte) string {
+	return strings.Join(strings.Fields(string(responseBody[:min(len(responseBody), operatorMaxReasonBytes)])), " ")
 }
--- a/cmd/emberquay/serve.go
+++ b/cmd/emberquay/serve.go
@@ -26,45 +26,45 @@
 	"emberquay/internal/vfs"
 )
 
-type serveCmd struct{ where }
+type serveCmd struct{ configFlags }
 
-func (serveCmd) takesSignals() {}
+func (serveCmd) handlesSignals() {}
 
-// Run puts the parts together and serves until SIGTERM or SIGINT.
+// Run starts a sender and serves clients until SIGTERM or SIGINT.
 func (c *serveCmd) Run() error {
-	told := signals.StopRequested()
-	conf, own, err := c.read()
+	stopRequested := signals.StopRequested()
+	conf, options, err := c.load()
 	if err != nil {
 		return err
 	}
-	logs.Setup(os.Stderr, conf.Limits.LogLinesPerSecond, own.Log)
+	logs.Setup(os.Stderr, conf.Limits.LogLinesPerSecond, options.Log)
 	runtime.GOMAXPROCS(conf.Limits.Cores)
-	debug.SetMemoryLimit(conf.Limits.MemoryBytes * 6 / 10) // files, stacks and the program itself take the rest
+	debug.SetMemoryLimit(conf.Limits.MemoryBytes * 6 / 10) // the rest is for files, stacks and the program itself
 
-	kept, err := openLedger(conf, own)
+	textLedger, err := openLedger(conf, options)
 	if errors.Is(err, vfs.ErrLocked) {
 		return err
 	}
-	if err != nil { // texts are refused, the process lives
+	if err != nil { // the sender refuses texts but keeps running
 		slog.Error("unread", "part", "ledger", "err", err)
 	}
-	s, err := sender.New(conf, kept, receivers.New(conf.Limits, conf.ReportNames))
+	s, err := sender.New(conf, textLedger, receivers.New(conf.Limits, conf.ReportNames))
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	s.LogCounts(time.Duration(own.Log.CountIntervalSeconds * float64(time.Second)))
-	recall(s, own.Handover.HistoryFile)
-	// The list as last known goes in before anything that is owed is looked at.
-	tell := s.LoadReceivers
-	list := directory.New(conf.DiscoveryAddr, conf.Seed, conf.Limits, func(n directory.Update) { tell(n) })
+	s.LogCounts(time.Duration(options.Log.CountIntervalSeconds * float64(time.Second)))
+	restoreHistory(s, options.Handover.HistoryFile)
+	// The last known receiver list is applied before recovered texts and notices are handled.
+	applyList := s.LoadReceivers
+	receiverList := directory.New(conf.DiscoveryAddr, conf.Seed, conf.Limits, func(n directory.Update) { applyList(n) })
 	if conf.CachedList != nil {
-		if err := list.Restore(conf.CachedList); err != nil {
+		if err := receiverList.Restore(conf.CachedList); err != nil {
 			slog.Warn("bad_known", "part", "config", "err", err)
 		}
 	}
-	tell = s.UpdateReceivers
-	desk := notices.New(conf.DiscoveryAddr, conf.Limits, s.NoticesDelivered)
-	s.Recover(desk)
+	applyList = s.UpdateReceivers
+	noticeSender := notices.New(conf.DiscoveryAddr, conf.Limits, s.NoticesDelivered)
+	s.Recover(noticeSender)
 
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -73,11 +73,11 @@
 		defer close(stopped)
 		s.Run(stop)
 	}()
-	go list.Run(ctx)
-	go desk.Run(ctx)
-	go func(now *config.Config) {
+	go receiverList.Run(ctx)
+	go noticeSender.Run(ctx)
+	go func(current *config.Config) {
 		for range signals.ReloadRequested() {
-			now = c.reload(now, list.SetAddr, desk.SetAddr)
+			current = c.reload(current, receiverList.SetAddr, noticeSender.SetAddr)
 		}
 	}(conf)
 
@@ -85,67 +85,67 @@
 	if err != nil {
 		return err
 	}
-	front := clients.New(conf, s)
+	clientServer := clients.New(conf, s)
 	failed := make(chan error, 1)
-	go func() { failed <- front.Serve(listener) }()
+	go func() { failed <- clientServer.Serve(listener) }()
 	slog.Info("ready", "part", "serve", "name", conf.Name, "listen", conf.ListenAddr)
 
 	select {
 	case err := <-failed:
 		return err
-	case at := <-told:
+	case at := <-stopRequested:
 		slog.Info("stopping", "part", "serve")
-		windDown(conf.Limits, front, s, at)
+		shutDown(conf.Limits, clientServer, s, at)
 	}
 	cancel()
 	close(stop)
 	<-stopped
-	if own.Handover.HistoryFile != "" {
-		at, all := s.History()
-		err := warmstart.Write(own.Handover.HistoryFile, at, all)
-		slog.Info("learnt_kept", "part", "serve", "file", own.Handover.HistoryFile, "receivers", len(all), "err", err)
+	if options.Handover.HistoryFile != "" {
+		at, history := s.History()
+		err := warmstart.Write(options.Handover.HistoryFile, at, history)
+		slog.Info("learnt_kept", "part", "serve", "file", options.Handover.HistoryFile, "receivers", len(history), "err", err)
 	}
 	if err := s.CloseLedger(); err != nil {
 		return err
 	}
-	if bad := kept.LegacyDamage(); bad != "" { // said at the start, where nobody may have looked
-		return fmt.Errorf("%s: %w: file ledger: %s", conf.StateDir, errUnsound, bad)
+	if problem := textLedger.LegacyDamage(); problem != "" { // also logged at the start, but the exit status is more likely to be seen
+		return fmt.Errorf("%s: %w: file ledger: %s", conf.StateDir, errDataMissing, problem)
 	}
 	return nil
 }
 
-// recall hands on what the process before has learnt. What cannot be read holds no start up.
-func recall(s *sender.Sender, path string) {
+// restoreHistory loads the receivers' history that the previous process saved. An unreadable file does not prevent the start.
+func restoreHistory(s *sender.Sender, path string) {
 	if path == "" {
 		return
 	}
-	all, err := warmstart.Read(path, protocol.UnixTicks(time.Now()))
+	history, err := warmstart.Read(path, protocol.UnixTicks(time.Now()))
 	if err != nil {
 		slog.Warn("not_recalled", "part", "serve", "err", err)
 		return
 	}
-	slog.Info("recalled", "part", "serve", "file", path, "receivers", len(all))
-	s.RestoreHistory(all)
+	slog.Info("recalled", "part", "serve", "file", path, "receivers", len(history))
+	s.RestoreHistory(history)
 }
 
-// lockWait is how long a start waits for the process before it to let go of the folder.
-const lockWait = time.Second
+// lockTimeout bounds the wait for the previous process to release the lock of the ledger directory.
+const lockTimeout = time.Second
 
-// openLedger opens the folder that lasts.
-func openLedger(conf *config.Config, own *config.Options) (*ledger.Ledger, error) {
-	opt := ledger.Options{MaxBytes: conf.Limits.DiskBytes, PowerLossSafe: own.Ledger.Durability == "power"}
-	for began := time.Now(); ; time.Sleep(50 * time.Millisecond) {
+// openLedger opens the ledger, and waits up to lockTimeout for its lock.
+func openLedger(conf *config.Config, options *config.Options) (*ledger.Ledger, error) {
+	opt := ledger.Options{MaxBytes: conf.Limits.DiskBytes, PowerLossSafe: options.Ledger.Durability == "power"}
+	for start := time.Now(); ; time.Sleep(50 * time.Millisecond) {
 		l, err := ledger.Open(vfs.OS{}, conf.StateDir, opt)
-		if !errors.Is(err, vfs.ErrLocked) || time.Since(began) > lockWait {
+		if !errors.Is(err, vfs.ErrLocked) || time.Since(start) > lockTimeout {
 			return l, err
 		}
 	}
 }
 
-// reload reads the configuration anew, as a sender that has been told to, and moves what follows discovery. A
-// faulty one changes nothing.
-func (c *serveCmd) reload(old *config.Config, moves ...func(addr string)) *config.Config {
-	conf, own, err := c.checked()
+// reload reads the configuration again on SIGHUP and passes a changed discovery address to setAddress. An invalid
+// configuration changes nothing; a change of any other key needs a restart.
+func (c *serveCmd) reload(old *config.Config, setAddress ...func(addr string)) *config.Config {
+	conf, options, err := c.loadAndValidate()
 	if err != nil {
 		slog.Warn("refused", "part", "config", "err", err)
 		return old
@@ -153,11 +153,11 @@
 	if keys := old.ChangedRestartKeys(conf); len(keys) > 0 {
 		slog.Warn("needs_restart", "part", "config", "keys", strings.Join(keys, ","))
 	}
-	logs.Setup(os.Stderr, conf.Limits.LogLinesPerSecond, own.Log)
+	logs.Setup(os.Stderr, conf.Limits.LogLinesPerSecond, options.Log)
 	slog.Info("reloaded", "part", "config", "discovery", conf.DiscoveryAddr, "before", old.DiscoveryAddr)
 	if conf.DiscoveryAddr != old.DiscoveryAddr {
-		for _, move := range moves {
-			move(conf.DiscoveryAddr)
+		for _, set := range setAddress {
+			set(conf.DiscoveryAddr)
 		}
 	}
 	next := *old
@@ -165,17 +165,17 @@
 	return &next
 }
 
-// windDown serves what still comes, works on what is owed for as long as there is time, and leaves the
-// rest to the ledger. Nothing is left to do only once clients can bring no more: what they bring after a moment without
-// work would else be cut off in the midst of its call. Its times run from the signal.
-func windDown(limits config.Limits, front *clients.Server, s *sender.Sender, began time.Time) {
-	front.DisableKeepAlives()
-	time.Sleep(time.Until(began.Add(limits.StopListeningAfter)))
-	freeze := time.AfterFunc(time.Until(began.Add(limits.StopSendingAfter)), s.StopSending)
+// shutDown still serves requests, delivers pending texts and notices until the deadline, and leaves the rest in the ledger.
+// The sender is stopped only once clients can submit no more: otherwise a text that arrives after an idle moment would be
+// interrupted in the middle of its call. The limits count from signalTime.
+func shutDown(limits config.Limits, clientServer *clients.Server, s *sender.Sender, signalTime time.Time) {
+	clientServer.DisableKeepAlives()
+	time.Sleep(time.Until(signalTime.Add(limits.StopListeningAfter)))
+	freeze := time.AfterFunc(time.Until(signalTime.Add(limits.StopSendingAfter)), s.StopSending)
 	defer freeze.Stop()
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(limits.ExitAfter))
+	ctx, cancel := context.WithDeadline(context.Background(), signalTime.Add(limits.ExitAfter))
 	defer cancel()
-	if err := front.Shutdown(ctx); err != nil {
+	if err := clientServer.Shutdown(ctx); err != nil {
 		slog.Warn("shutdown", "part", "serve", "err", err)
 	}
 	s.Stop()
@@ -184,7 +184,7 @@
 	case <-ctx.Done():
 	}
 	c, _ := s.Status()
-	slog.Info("stopped", "part", "serve", "after", time.Since(began).Round(time.Millisecond), "taken", c.Accepted,
+	slog.Info("stopped", "part", "serve", "after", time.Since(signalTime).Round(time.Millisecond), "taken", c.Accepted,
 		"refused", c.Rejected, "delivered", c.Delivered, "nacked", c.Nacked, "undeliverable", c.Undeliverable,
 		"held", c.Held, "owed", c.PendingNotices)
 }
--- a/cmd/emberquay/settings.go
+++ b/cmd/emberquay/settings.go
@@ -7,16 +7,16 @@
 	"emberquay/internal/tier/settings"
 )
 
-// settingsCmd are the commands on a settings file of the tier.
+// settingsCmd has the commands on a settings file of the serving tier.
 type settingsCmd struct {
-	Check settingsCheckCmd `cmd:"" help:"Read a settings file and say what it comes to."`
+	Check settingsCheckCmd `cmd:"" help:"Check a settings file and print a summary."`
 }
 
 type settingsCheckCmd struct {
 	File string `arg:"" help:"The settings file (EMBERQUAY_NODE_FILE)." type:"path"`
 }
 
-// Run prints what the file says, or the first key that makes no sense.
+// Run prints a summary of the settings, or an error that names the first invalid key.
 func (c *settingsCheckCmd) Run() error {
 	node, err := settings.LoadFile(c.File)
 	if err != nil {
--- a/cmd/emberquay/settings_test.go
+++ b/cmd/emberquay/settings_test.go
@@ -24,21 +24,21 @@
 `
 
 var _ = Describe("settings check", func() {
-	It("says what a file comes to", func() {
-		expectSays("store=10.1.0.41:7382 seeds=10.1.0.38:7381", "settings", "check", fileOf("boot.toml", tierSettings))
+	It("prints a summary of the settings", func() {
+		expectOutput("store=10.1.0.41:7382 seeds=10.1.0.38:7381", "settings", "check", writeFile("boot.toml", tierSettings))
 	})
 
-	DescribeTable("ends badly and names file and key",
+	DescribeTable("fails with the file and the key",
 		func(old, new, want string) {
-			expectRefused(want, "settings", "check", fileOf("boot.toml", strings.Replace(tierSettings, old, new, 1)))
+			expectError(want, "settings", "check", writeFile("boot.toml", strings.Replace(tierSettings, old, new, 1)))
 		},
 		Entry("a wrong type", "memory_mb = 254", `memory_mb = "254"`, "boot.toml: limits.memory_mb: must be a number"),
-		Entry("a key that is missing", `zone = "a"`, "", "boot.toml: zone: is missing"),
-		Entry("no TOML", "[limits]", "[limits", "boot.toml: line 10"),
+		Entry("a missing key", `zone = "a"`, "", "boot.toml: zone: is missing"),
+		Entry("invalid TOML", "[limits]", "[limits", "boot.toml: line 10"),
 	)
 
-	It("names a file that is not there", func() {
+	It("names a missing file", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "none.toml")
-		expectRefused(path, "settings", "check", path)
+		expectError(path, "settings", "check", path)
 	})
 })
--- a/cmd/emberquay/suite_test.go
+++ b/cmd/emberquay/suite_test.go
@@ -11,30 +11,30 @@
 
 func TestCommandsOfTheTier(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "Commands of the tier")
+	RunSpecs(t, "Commands of the serving tier")
 }
 
-// fileOf writes a file into a folder of its own and gives its path.
-func fileOf(name, text string) string {
+// writeFile writes a file into a new temporary directory and returns its path.
+func writeFile(name, text string) string {
 	GinkgoHelper()
 	path := filepath.Join(GinkgoT().TempDir(), name)
 	Expect(os.WriteFile(path, []byte(text), 0o600)).To(Succeed())
 	return path
 }
 
-// expectRefused runs the program, which has to end badly with one line that says why.
-func expectRefused(want string, args ...string) {
+// expectError runs the program and expects a failure with one line that contains want.
+func expectError(want string, args ...string) {
 	GinkgoHelper()
-	said, status := asProgram(args...)
+	output, status := runProgram(args...)
 	Expect(status).NotTo(BeZero())
-	Expect(said).To(ContainSubstring(want))
-	Expect(said).To(MatchRegexp(`^emberquay: error: [^\n]*\n$`))
+	Expect(output).To(ContainSubstring(want))
+	Expect(output).To(MatchRegexp(`^emberquay: error: [^\n]*\n$`))
 }
 
-// expectSays runs the program, which has to end well.
-func expectSays(want string, args ...string) {
+// expectOutput runs the program and expects success with output that contains want.
+func expectOutput(want string, args ...string) {
 	GinkgoHelper()
-	said, status := asProgram(args...)
-	Expect(status).To(BeZero(), said)
-	Expect(said).To(ContainSubstring(want))
+	output, status := runProgram(args...)
+	Expect(status).To(BeZero(), output)
+	Expect(output).To(ContainSubstring(want))
 }
