--- a/internal/lateness/lateness.go
+++ b/internal/lateness/lateness.go
@@ -32,7 +32,7 @@
 
 // StartMonitor starts a monitor, which observes until stop is closed.
 func StartMonitor(stop <-chan struct{}) *Monitor {
-	m := &Monitor{windows: windows{began: time.Now()}}
+	m := &Monitor{windows: windows{start: time.Now()}}
 	m.worst.Store(int64(InitialMax))
 	go m.run(stop)
 	return m
@@ -59,20 +59,20 @@
 
 // windows keeps the worst observation of the window under way and of the one before it.
 type windows struct {
-	began         time.Time // of the window under way
-	full          bool      // one window has passed
-	present, last time.Duration
+	start             time.Time // of the window under way
+	complete          bool      // one window has passed
+	current, previous time.Duration
 }
 
 // observe takes one observation and gives the worst that counts.
 func (w *windows) observe(now time.Time, late time.Duration) time.Duration {
-	if now.Sub(w.began) >= Window {
-		w.last, w.present = w.present, 0
-		w.began, w.full = now, true
+	if now.Sub(w.start) >= Window {
+		w.previous, w.current = w.current, 0
+		w.start, w.complete = now, true
 	}
-	w.present = max(w.present, late)
-	if !w.full {
-		return max(InitialMax, w.present)
+	w.current = max(w.current, late)
+	if !w.complete {
+		return max(InitialMax, w.current)
 	}
-	return max(w.present, w.last)
+	return max(w.current, w.previous)
 }
--- a/internal/lateness/lateness_test.go
+++ b/internal/lateness/lateness_test.go
@@ -9,7 +9,7 @@
 // What counts is the worst of the window under way and of the one before it.
 func TestObserve(t *testing.T) {
 	start := time.Unix(1, 0)
-	w := windows{began: start}
+	w := windows{start: start}
 	for _, c := range []struct{ at, late, want time.Duration }{
 		{0, time.Millisecond, InitialMax}, // a few looks show little
 		{time.Second, 40 * time.Millisecond, 40 * time.Millisecond},
--- a/internal/layout_test.go
+++ b/internal/layout_test.go
@@ -18,37 +18,37 @@
 
 // rule says what the files below some folders must not import, tests included.
 type rule struct {
-	below  []string // folders of the module
-	never  []string
-	except []string // of below: folders to which it does not apply
+	importers []string // folders of the module
+	forbidden []string
+	exempt    []string // of below: folders to which it does not apply
 }
 
 var rules = []rule{
-	{below: []string{"internal/tier/"}, never: []string{"internal/delivery/", "internal/lab/"}},
-	{below: []string{"internal/delivery/"}, never: []string{"internal/tier/", "internal/lab/"}},
-	{below: []string{"cmd/"}, never: []string{"internal/lab/"}, except: []string{"cmd/quaylab/"}},
-	{below: []string{"admission/", "control/", "coordination/"}, never: []string{"internal/tier/", "internal/delivery/", "internal/lab/", "cmd/"}},
-	{below: []string{"internal/"}, never: []string{"cmd/"}},
+	{importers: []string{"internal/tier/"}, forbidden: []string{"internal/delivery/", "internal/lab/"}},
+	{importers: []string{"internal/delivery/"}, forbidden: []string{"internal/tier/", "internal/lab/"}},
+	{importers: []string{"cmd/"}, forbidden: []string{"internal/lab/"}, exempt: []string{"cmd/quaylab/"}},
+	{importers: []string{"admission/", "control/", "coordination/"}, forbidden: []string{"internal/tier/", "internal/delivery/", "internal/lab/", "cmd/"}},
+	{importers: []string{"internal/"}, forbidden: []string{"cmd/"}},
 	{ // what both products use, beside the three
-		below: []string{"internal/"}, never: []string{"internal/tier/", "internal/delivery/", "internal/lab/"},
-		except: []string{"internal/tier/", "internal/delivery/", "internal/lab/"},
+		importers: []string{"internal/"}, forbidden: []string{"internal/tier/", "internal/delivery/", "internal/lab/"},
+		exempt: []string{"internal/tier/", "internal/delivery/", "internal/lab/"},
 	},
 }
 
-// under says whether a folder of the module lies below one of these.
-func under(folder string, roots []string) bool {
+// isBelow says whether a folder of the module lies below one of these.
+func isBelow(folder string, roots []string) bool {
 	return slices.ContainsFunc(roots, func(root string) bool { return strings.HasPrefix(folder+"/", root) })
 }
 
-// breaks gives the rules by which a folder must not import another.
-func breaks(folder, imported string) bool {
+// violates gives the rules by which a folder must not import another.
+func violates(folder, imported string) bool {
 	return slices.ContainsFunc(rules, func(r rule) bool {
-		return under(folder, r.below) && !under(folder, r.except) && under(imported, r.never)
+		return isBelow(folder, r.importers) && !isBelow(folder, r.exempt) && isBelow(imported, r.forbidden)
 	})
 }
 
-// imports gives the folders of the module that a file imports.
-func imports(t *testing.T, file string) []string {
+// moduleImports gives the folders of the module that a file imports.
+func moduleImports(t *testing.T, file string) []string {
 	t.Helper()
 	parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.ImportsOnly)
 	if err != nil {
@@ -57,7 +57,7 @@
 	var all []string
 	for _, spec := range parsed.Imports {
 		name, _ := strconv.Unquote(spec.Path.Value) // the parser has read it as a string
-		if folder, ours := strings.CutPrefix(name, module); ours {
+		if folder, inModule := strings.CutPrefix(name, module); inModule {
 			all = append(all, folder)
 		}
 	}
@@ -66,15 +66,15 @@
 
 // The two products do not import each other, and neither imports the laboratory that plays them.
 func TestImports(t *testing.T) {
-	seen := map[string]int{}
+	filesRead := map[string]int{}
 	err := filepath.WalkDir("..", func(file string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || path.Ext(file) != ".go" {
 			return err
 		}
 		folder := filepath.ToSlash(filepath.Dir(strings.TrimPrefix(file, "../")))
-		seen[strings.Join(strings.SplitN(folder, "/", 3)[:min(2, strings.Count(folder, "/")+1)], "/")]++
-		for _, imported := range imports(t, file) {
-			if breaks(folder, imported) {
+		filesRead[strings.Join(strings.SplitN(folder, "/", 3)[:min(2, strings.Count(folder, "/")+1)], "/")]++
+		for _, imported := range moduleImports(t, file) {
+			if violates(folder, imported) {
 				t.Errorf("%s imports %s", strings.TrimPrefix(file, "../"), imported)
 			}
 		}
@@ -84,7 +84,7 @@
 		t.Fatal(err)
 	}
 	for _, product := range []string{"internal/tier", "internal/delivery", "internal/lab", "cmd/emberquay"} {
-		if seen[product] == 0 {
+		if filesRead[product] == 0 {
 			t.Errorf("no file below %s was read", product)
 		}
 	}
@@ -108,7 +108,7 @@
 		{"internal/tier/proxy", "internal/lateness", false},
 		{"internal/tier/store", "internal/tier/journal", false},
 	} {
-		if got := breaks(c.folder, c.imported); got != c.want {
+		if got := violates(c.folder, c.imported); got != c.want {
 			t.Errorf("%s imports %s: against a rule %v, want %v", c.folder, c.imported, got, c.want)
 		}
 	}
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -29,12 +29,12 @@
 func DefaultOptions() Options { return Options{Format: "text", Level: "info"} }
 
 // Setup makes the default logger write to w, so many lines a second at most.
-func Setup(w io.Writer, most int, o Options) {
-	b := &RateLimitedWriter{to: w, most: most, now: time.Now, json: o.Format == "json"}
-	slog.SetDefault(slog.New(handler(b, o)))
+func Setup(w io.Writer, maxLinesPerSecond int, o Options) {
+	b := &RateLimitedWriter{out: w, maxLinesPerSecond: maxLinesPerSecond, now: time.Now, json: o.Format == "json"}
+	slog.SetDefault(slog.New(newHandler(b, o)))
 }
 
-func handler(w io.Writer, o Options) slog.Handler {
+func newHandler(w io.Writer, o Options) slog.Handler {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(o.Level)); err != nil {
 		level = slog.LevelInfo
@@ -52,11 +52,11 @@
 }
 
 // NewLibraryLogger gives a logger for a library that writes lines of its own, as net/http does; each becomes one event.
-func NewLibraryLogger(part string) *log.Logger { return log.New(lines(part), "", 0) }
+func NewLibraryLogger(part string) *log.Logger { return log.New(libraryWriter(part), "", 0) }
 
-type lines string
+type libraryWriter string
 
-func (part lines) Write(line []byte) (int, error) {
+func (part libraryWriter) Write(line []byte) (int, error) {
 	slog.Warn("library", "part", string(part), "said", strings.TrimSpace(string(line)))
 	return len(line), nil
 }
@@ -64,33 +64,33 @@
 // RateLimitedWriter writes log lines, so many a second at most: peers that misbehave must not have the sender write all
 // day. What is left out is counted and told.
 type RateLimitedWriter struct {
-	to   io.Writer
-	most int
-	json bool
-	now  func() time.Time
+	out               io.Writer
+	maxLinesPerSecond int
+	json              bool
+	now               func() time.Time
 
-	mu      sync.Mutex
-	second  time.Time // the present one began
-	lines   int       // in it
-	dropped int
+	mu          sync.Mutex
+	windowStart time.Time // the present one began
+	windowLines int       // in it
+	dropped     int
 }
 
 func (b *RateLimitedWriter) Write(line []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if now := b.now(); now.Sub(b.second) >= time.Second {
+	if now := b.now(); now.Sub(b.windowStart) >= time.Second {
 		if b.dropped > 0 {
-			form := "level=WARN event=dropped part=log lines=%d\n"
+			format := "level=WARN event=dropped part=log lines=%d\n"
 			if b.json {
-				form = `{"level":"WARN","event":"dropped","part":"log","lines":%d}` + "\n"
+				format = `{"level":"WARN","event":"dropped","part":"log","lines":%d}` + "\n"
 			}
-			fmt.Fprintf(b.to, form, b.dropped)
+			fmt.Fprintf(b.out, format, b.dropped)
 		}
-		b.second, b.lines, b.dropped = now, 0, 0
+		b.windowStart, b.windowLines, b.dropped = now, 0, 0
 	}
-	if b.lines++; b.lines > b.most {
+	if b.windowLines++; b.windowLines > b.maxLinesPerSecond {
 		b.dropped++
 		return len(line), nil
 	}
-	return b.to.Write(line)
+	return b.out.Write(line)
 }
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -15,7 +15,7 @@
 	for _, json := range []bool{false, true} {
 		var out bytes.Buffer
 		now := time.Unix(100, 0)
-		b := &RateLimitedWriter{to: &out, most: 2, json: json, now: func() time.Time { return now }}
+		b := &RateLimitedWriter{out: &out, maxLinesPerSecond: 2, json: json, now: func() time.Time { return now }}
 		for range 5 {
 			fmt.Fprintln(b, "line")
 		}
@@ -33,19 +33,19 @@
 
 func TestFormatAndLevel(t *testing.T) {
 	var out bytes.Buffer
-	say := func(o Options) string {
+	logTwoEvents := func(o Options) string {
 		out.Reset()
-		l := slog.New(handler(&out, o))
+		l := slog.New(newHandler(&out, o))
 		l.Info("ready", "part", "serve")
 		l.Warn("call_failed", "part", "receivers", "err", "a b")
 		return out.String()
 	}
-	text := say(DefaultOptions())
+	text := logTwoEvents(DefaultOptions())
 	if !strings.Contains(text, `level=INFO event=ready part=serve`) || !strings.Contains(text, `event=call_failed part=receivers err="a b"`) {
 		t.Error(text)
 	}
-	var one map[string]string
-	if err := json.Unmarshal([]byte(say(Options{Format: "json", Level: "warn"})), &one); err != nil || one["event"] != "call_failed" {
-		t.Error(err, one) // and no second line
+	var event map[string]string
+	if err := json.Unmarshal([]byte(logTwoEvents(Options{Format: "json", Level: "warn"})), &event); err != nil || event["event"] != "call_failed" {
+		t.Error(err, event) // and no second line
 	}
 }
--- a/internal/rapidseed/rapidseed.go
+++ b/internal/rapidseed/rapidseed.go
@@ -20,10 +20,10 @@
 // SetSeed sets the seed, for packages whose TestMain does more.
 func SetSeed() {
 	flag.Parse()
-	given := false
-	flag.Visit(func(f *flag.Flag) { given = given || f.Name == "rapid.seed" })
+	seedGiven := false
+	flag.Visit(func(f *flag.Flag) { seedGiven = seedGiven || f.Name == "rapid.seed" })
 	for name, value := range map[string]string{"rapid.seed": "7", "rapid.nofailfile": "true"} {
-		if f := flag.Lookup(name); f != nil && !(given && name == "rapid.seed") {
+		if f := flag.Lookup(name); f != nil && !(seedGiven && name == "rapid.seed") {
 			if err := f.Value.Set(value); err != nil {
 				panic(err)
 			}
--- a/internal/signals/early_cgo_test.go
+++ b/internal/signals/early_cgo_test.go
@@ -9,7 +9,7 @@
 
 var _ = Describe("A SIGHUP that comes before the runtime begins", func() {
 	It("is ignored", func() {
-		out, err := child("unread").Output()
+		out, err := childCommand("unread").Output()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(string(out)).To(Equal("starts"))
 	})
--- a/internal/signals/signals.go
+++ b/internal/signals/signals.go
@@ -17,30 +17,30 @@
 
 // The signals that are held. One that comes again before it is taken counts once.
 var (
-	stop   = held(syscall.SIGTERM, syscall.SIGINT)
-	reload = held(syscall.SIGHUP)
+	stop   = subscribe(syscall.SIGTERM, syscall.SIGINT)
+	reload = subscribe(syscall.SIGHUP)
 )
 
-func held(list ...os.Signal) chan os.Signal {
-	came := make(chan os.Signal, 1)
-	signal.Notify(came, list...)
-	return came
+func subscribe(watched ...os.Signal) chan os.Signal {
+	received := make(chan os.Signal, 1)
+	signal.Notify(received, watched...)
+	return received
 }
 
 // ReloadRequested tells of each SIGHUP.
 func ReloadRequested() <-chan os.Signal { return reload }
 
 // StopRequested gives the instant at which the first SIGTERM or SIGINT came, whatever its reader does meanwhile. It is called once.
-func StopRequested() <-chan time.Time { return instant(stop) }
+func StopRequested() <-chan time.Time { return firstArrival(stop) }
 
-// instant notes when the first signal comes.
-func instant(came <-chan os.Signal) <-chan time.Time {
-	at := make(chan time.Time, 1)
+// firstArrival notes when the first signal comes.
+func firstArrival(received <-chan os.Signal) <-chan time.Time {
+	arrival := make(chan time.Time, 1)
 	go func() {
-		<-came
-		at <- time.Now()
+		<-received
+		arrival <- time.Now()
 	}()
-	return at
+	return arrival
 }
 
 // RestoreDefaults gives the signals their usual action back; one that has come already takes it now.
@@ -49,14 +49,14 @@
 	restoreEarly()
 	select {
 	case s := <-stop:
-		raise(s)
+		sendToSelf(s)
 	case s := <-reload:
-		raise(s)
+		sendToSelf(s)
 	default:
 	}
 }
 
-func raise(s os.Signal) {
+func sendToSelf(s os.Signal) {
 	if self, err := os.FindProcess(os.Getpid()); err == nil {
 		_ = self.Signal(s) // it may be ignored, as under nohup
 	}
--- a/internal/signals/signals_test.go
+++ b/internal/signals/signals_test.go
@@ -21,17 +21,17 @@
 func TestMain(m *testing.M) {
 	switch os.Getenv(childVariable) {
 	case "serve":
-		raise(syscall.SIGHUP) // as if it came in the midst of the start
+		sendToSelf(syscall.SIGHUP) // as if it came in the midst of the start
 		<-ReloadRequested()
 		os.Stdout.WriteString("reloads\n")
 		<-StopRequested()
 		os.Stdout.WriteString("stops\n")
 	case "unread":
 		signal.Reset(syscall.SIGHUP) // back to what the runtime found
-		raise(syscall.SIGHUP)
+		sendToSelf(syscall.SIGHUP)
 		os.Stdout.WriteString("starts")
 	case "released":
-		raise(syscall.SIGHUP)
+		sendToSelf(syscall.SIGHUP)
 		for len(reload) == 0 { // it is told by the runtime a moment later
 			runtime.Gosched()
 		}
@@ -47,15 +47,15 @@
 	RunSpecs(t, "Signals")
 }
 
-func child(what string) *exec.Cmd {
+func childCommand(mode string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), childVariable+"="+what)
+	cmd.Env = append(os.Environ(), childVariable+"="+mode)
 	return cmd
 }
 
 var _ = Describe("The signals of a process", func() {
 	It("are held while it starts, and told to a command that serves", func() {
-		cmd := child("serve")
+		cmd := childCommand("serve")
 		out, err := cmd.StdoutPipe()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(cmd.Start()).To(Succeed())
@@ -69,7 +69,7 @@
 	})
 
 	It("have their usual action where they are released, also those that came before", func() {
-		err := child("released").Run()
+		err := childCommand("released").Run()
 		var ended *exec.ExitError
 		Expect(err).To(BeAssignableToTypeOf(ended))
 		Expect(err.(*exec.ExitError).Sys().(syscall.WaitStatus).Signal()).To(Equal(syscall.SIGHUP))
@@ -77,7 +77,7 @@
 
 	It("are noted by their instant", func() {
 		came := make(chan os.Signal, 1)
-		at := instant(came)
+		at := firstArrival(came)
 		before := time.Now()
 		came <- syscall.SIGTERM
 		var noted time.Time
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -30,25 +30,25 @@
 	dec := toml.NewDecoder(bytes.NewReader(raw)).DisallowUnknownFields()
 	err := dec.Decode(into)
 	var unknown *toml.StrictMissingError
-	var bad *toml.DecodeError
+	var decodeErr *toml.DecodeError
 	switch {
 	case errors.As(err, &unknown):
 		first := unknown.Errors[0]
 		line, _ := first.Position()
 		return fmt.Errorf("line %d: %s: this key is not known; allowed: %s", line, strings.Join(first.Key(), "."),
 			strings.Join(keysAt(reflect.TypeOf(into), first.Key()), ", "))
-	case errors.As(err, &bad):
-		line, _ := bad.Position()
-		if key := bad.Key(); len(key) > 0 {
+	case errors.As(err, &decodeErr):
+		line, _ := decodeErr.Position()
+		if key := decodeErr.Key(); len(key) > 0 {
 			if f, ok := fieldAt(reflect.TypeOf(into), key); ok {
-				return fmt.Errorf("line %d: %s: the value has the wrong type; allowed: %s", line, strings.Join(key, "."), allowed(f))
+				return fmt.Errorf("line %d: %s: the value has the wrong type; allowed: %s", line, strings.Join(key, "."), describeAllowed(f))
 			}
 		}
-		return fmt.Errorf("line %d: %s", line, strings.TrimPrefix(bad.Error(), "toml: "))
+		return fmt.Errorf("line %d: %s", line, strings.TrimPrefix(decodeErr.Error(), "toml: "))
 	case err != nil:
 		return err
 	}
-	return (&checker{lines: linesOf(raw)}).check(reflect.ValueOf(into).Elem(), "", "")
+	return (&checker{lines: keyLines(raw)}).check(reflect.ValueOf(into).Elem(), "", "")
 }
 
 // Encode writes a value as a file, with the comments of its tags.
@@ -68,7 +68,7 @@
 	return t, t.Kind() == reflect.Struct
 }
 
-func nameOf(f reflect.StructField) string {
+func keyOf(f reflect.StructField) string {
 	name, _, _ := strings.Cut(f.Tag.Get("toml"), ",")
 	return name
 }
@@ -79,7 +79,7 @@
 	for i := 0; ok && i < t.NumField(); i++ {
 		f := t.Field(i)
 		switch {
-		case nameOf(f) != key[0]:
+		case keyOf(f) != key[0]:
 		case len(key) == 1:
 			return f, true
 		default:
@@ -101,7 +101,7 @@
 	var keys []string
 	if t, ok := structOf(t); ok {
 		for i := range t.NumField() {
-			if name := nameOf(t.Field(i)); name != "" && name != "-" {
+			if name := keyOf(t.Field(i)); name != "" && name != "-" {
 				keys = append(keys, name)
 			}
 		}
@@ -109,14 +109,14 @@
 	return keys
 }
 
-// allowed says in words what a field takes.
-func allowed(f reflect.StructField) string {
-	t, many := f.Type, ""
+// describeAllowed says in words what a field takes.
+func describeAllowed(f reflect.StructField) string {
+	t, prefix := f.Type, ""
 	if t.Kind() == reflect.Slice {
-		t, many = t.Elem(), "a list, each "
+		t, prefix = t.Elem(), "a list, each "
 	}
-	if one := f.Tag.Get("oneof"); one != "" {
-		return many + strings.Join(strings.Fields(one), ", ")
+	if choices := f.Tag.Get("oneof"); choices != "" {
+		return prefix + strings.Join(strings.Fields(choices), ", ")
 	}
 	kind := map[reflect.Kind]string{reflect.Bool: "true or false", reflect.String: "text in quotes", reflect.Struct: "a table",
 		reflect.Float64: "a number", reflect.Int: "a whole number", reflect.Int64: "a whole number", reflect.Uint64: "a whole number"}[t.Kind()]
@@ -125,7 +125,7 @@
 			kind += fmt.Sprintf(", %v to %v", low, high)
 		}
 	}
-	return many + kind
+	return prefix + kind
 }
 
 // bounds reads the tag range. A tag that makes no sense is a fault of the program.
@@ -143,24 +143,24 @@
 // checker holds the lines on which keys stand.
 type checker struct{ lines map[string]int }
 
-func (c *checker) fail(path, shown, why string, f reflect.StructField) error {
+func (c *checker) errorAt(path, display, problem string, f reflect.StructField) error {
 	line := ""
 	if n := c.lines[path]; n > 0 {
 		line = fmt.Sprintf("line %d: ", n)
 	}
-	return fmt.Errorf("%s%s: %s; allowed: %s", line, shown, why, allowed(f))
+	return fmt.Errorf("%s%s: %s; allowed: %s", line, display, problem, describeAllowed(f))
 }
 
 // check goes through all fields, the untold too: defaults must be in range as well. path has the places of lists
 // in it, shown has not.
-func (c *checker) check(v reflect.Value, path, shown string) error {
+func (c *checker) check(v reflect.Value, path, display string) error {
 	for i := range v.NumField() {
 		f := v.Type().Field(i)
-		name := nameOf(f)
+		name := keyOf(f)
 		if name == "" || name == "-" {
 			continue
 		}
-		p, s := path+name, shown+name
+		p, s := path+name, display+name
 		if err := c.field(v.Field(i), f, p, s); err != nil {
 			return err
 		}
@@ -168,23 +168,23 @@
 	return nil
 }
 
-func (c *checker) field(v reflect.Value, f reflect.StructField, path, shown string) error {
+func (c *checker) field(v reflect.Value, f reflect.StructField, path, display string) error {
 	switch v.Kind() {
 	case reflect.Struct:
-		return c.check(v, path+".", shown+".")
+		return c.check(v, path+".", display+".")
 	case reflect.Slice:
 		for i := range v.Len() {
-			at := path
+			itemPath := path
 			if v.Index(i).Kind() == reflect.Struct {
-				at = fmt.Sprintf("%s[%d]", path, i)
+				itemPath = fmt.Sprintf("%s[%d]", path, i)
 			}
-			if err := c.field(v.Index(i), f, at, shown); err != nil {
+			if err := c.field(v.Index(i), f, itemPath, display); err != nil {
 				return err
 			}
 		}
 	case reflect.String:
-		if one := strings.Fields(f.Tag.Get("oneof")); len(one) > 0 && !slices.Contains(one, v.String()) {
-			return c.fail(path, shown, fmt.Sprintf("%q is not known", v.String()), f)
+		if choices := strings.Fields(f.Tag.Get("oneof")); len(choices) > 0 && !slices.Contains(choices, v.String()) {
+			return c.errorAt(path, display, fmt.Sprintf("%q is not known", v.String()), f)
 		}
 	case reflect.Float64, reflect.Int, reflect.Int64:
 		n := 0.0
@@ -194,14 +194,14 @@
 			n = float64(v.Int())
 		}
 		if low, high, ok := bounds(f); ok && !(n >= low && n <= high) {
-			return c.fail(path, shown, strconv.FormatFloat(n, 'g', -1, 64)+" is out of range", f)
+			return c.errorAt(path, display, strconv.FormatFloat(n, 'g', -1, 64)+" is out of range", f)
 		}
 	}
 	return nil
 }
 
-// linesOf finds the line of each key; tables of a list are numbered from nought.
-func linesOf(raw []byte) map[string]int {
+// keyLines finds the line of each key; tables of a list are numbered from nought.
+func keyLines(raw []byte) map[string]int {
 	lines, count := map[string]int{}, map[string]int{}
 	var p unstable.Parser
 	p.Reset(raw)
@@ -219,10 +219,10 @@
 		}
 		switch e.Kind {
 		case unstable.Table:
-			table = numbered(key, count) + "."
+			table = indexedKey(key, count) + "."
 			lines[strings.TrimSuffix(table, ".")] = line
 		case unstable.ArrayTable:
-			at := numbered(key, count)
+			at := indexedKey(key, count)
 			table = fmt.Sprintf("%s[%d].", at, count[at])
 			lines[strings.TrimSuffix(table, ".")] = line
 			count[at]++
@@ -233,15 +233,15 @@
 	return lines
 }
 
-// numbered writes a table's key with the places of the lists above it.
-func numbered(key string, count map[string]int) string {
+// indexedKey writes a table's key with the places of the lists above it.
+func indexedKey(key string, count map[string]int) string {
 	parts := strings.Split(key, ".")
-	at := parts[0]
+	indexed := parts[0]
 	for _, part := range parts[1:] {
-		if n := count[at]; n > 0 {
-			at = fmt.Sprintf("%s[%d]", at, n-1)
+		if n := count[indexed]; n > 0 {
+			indexed = fmt.Sprintf("%s[%d]", indexed, n-1)
 		}
-		at += "." + part
+		indexed += "." + part
 	}
-	return at
+	return indexed
 }
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -18,10 +18,10 @@
 	Many  []inner   `toml:"many"`
 }
 
-func fresh() *outer { return &outer{Count: 2, Deep: inner{Name: "red", Size: 1}} }
+func newDefaults() *outer { return &outer{Count: 2, Deep: inner{Name: "red", Size: 1}} }
 
 // Each class of mistake is told with its line, its key and what is allowed.
-func TestMistakes(t *testing.T) {
+func TestErrorsNameLineKeyAndAllowedValues(t *testing.T) {
 	for text, want := range map[string]string{
 		"count = 1\ncolour = 3":    "line 2: colour: this key is not known; allowed: count, on, row, deep, many",
 		"[deep]\nsice = 1":         "line 2: deep.sice: this key is not known; allowed: name, size",
@@ -36,21 +36,21 @@
 		"count = ":             "line 1: ",
 		"count = 1\ncount = 2": "line 2: ",
 	} {
-		if err := Decode([]byte(text), fresh()); err == nil || !strings.HasPrefix(err.Error(), want) {
+		if err := Decode([]byte(text), newDefaults()); err == nil || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("%q: %v, want %s", text, err, want)
 		}
 	}
 }
 
-func TestUntoldKeepsItsValue(t *testing.T) {
-	o := fresh()
+func TestAbsentKeysKeepDefaults(t *testing.T) {
+	o := newDefaults()
 	if err := Decode([]byte("row = [0, 1]\n[deep]\nsize = 3"), o); err != nil || o.Count != 2 || o.Deep != (inner{"red", 3}) || len(o.Row) != 2 {
 		t.Errorf("%+v %v", o, err)
 	}
 }
 
-func TestWrittenAndReadAgain(t *testing.T) {
-	raw, err := Encode(fresh())
+func TestEncodeDecodeRoundTrip(t *testing.T) {
+	raw, err := Encode(newDefaults())
 	if err != nil || !strings.Contains(string(raw), "# metres") {
 		t.Fatalf("%s %v", raw, err)
 	}
@@ -61,5 +61,5 @@
 
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte("count = 1\n[[many]]\nname='red'\n[many.x]\n[deep]\nsize=3"))
-	f.Fuzz(func(t *testing.T, raw []byte) { Decode(raw, fresh()) }) // must not panic
+	f.Fuzz(func(t *testing.T, raw []byte) { Decode(raw, newDefaults()) }) // must not panic
 }
--- a/internal/vfs/memfs/memfs.go
+++ b/internal/vfs/memfs/memfs.go
@@ -61,36 +61,36 @@
 	Hook          func(Call) Fault // asked before each call that changes or reads; nil: all goes well
 	CapacityBytes int64            // bytes of all files together; 0: any
 
-	mu      sync.Mutex
-	names   map[string]*inode
-	durable map[string]*inode // names as they are on the disk
-	unsaid  []dirOp           // made since
-	calls   int
-	dead    bool
-	locks   map[string]bool
+	mu           sync.Mutex
+	names        map[string]*inode
+	durableNames map[string]*inode // names as they are on the disk
+	unsyncedOps  []dirOp           // made since
+	calls        int
+	crashed      bool
+	locks        map[string]bool
 }
 
 type inode struct {
-	data   []byte
-	synced []byte
-	dirty  []write // since the last sync, in order
-	writes uint64  // ever, dirty ones last
+	data       []byte
+	synced     []byte
+	unsynced   []write // since the last sync, in order
+	writeCount uint64  // ever, dirty ones last
 }
 
 type write struct {
-	at   int64
-	data []byte
+	offset int64
+	data   []byte
 }
 
 type dirOp struct {
-	name string
-	node *inode // nil: removed
-	more *dirOp // the other half of a rename; both or neither
+	name   string
+	node   *inode // nil: removed
+	paired *dirOp // the other half of a rename; both or neither
 }
 
 // New makes an empty one.
 func New() *FS {
-	return &FS{names: map[string]*inode{}, durable: map[string]*inode{}, locks: map[string]bool{}}
+	return &FS{names: map[string]*inode{}, durableNames: map[string]*inode{}, locks: map[string]bool{}}
 }
 
 // CallCount counts the calls so far.
@@ -132,22 +132,22 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := &inode{data: slices.Clone(data), synced: slices.Clone(data)}
-	m.names[name], m.durable[name] = n, n
+	m.names[name], m.durableNames[name] = n, n
 }
 
 // AfterCrash gives the file system as it is found after a crash; nothing of the old one can be used any more.
-func (m *FS) AfterCrash(mode CrashMode, chance *rand.Rand) *FS {
+func (m *FS) AfterCrash(mode CrashMode, random *rand.Rand) *FS {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.dead = true
+	m.crashed = true
 	next := New()
 	found := maps.Clone(m.names)
 	if mode == PowerLoss {
-		found = maps.Clone(m.durable)
-		all, none := chance.IntN(4) == 0, chance.IntN(4) == 0
-		for _, op := range m.unsaid { // each may have got through by itself
-			if all || !none && chance.IntN(2) == 0 {
-				for o := &op; o != nil; o = o.more {
+		found = maps.Clone(m.durableNames)
+		all, none := random.IntN(4) == 0, random.IntN(4) == 0
+		for _, op := range m.unsyncedOps { // each may have got through by itself
+			if all || !none && random.IntN(2) == 0 {
+				for o := &op; o != nil; o = o.paired {
 					if o.node == nil {
 						delete(found, o.name)
 					} else {
@@ -161,102 +161,102 @@
 		n := found[name]
 		data := slices.Clone(n.data)
 		if mode == PowerLoss {
-			data = n.survives(chance)
+			data = n.afterPowerLoss(random)
 		}
 		next.Put(name, data)
 	}
 	return next
 }
 
-// survives is what may be left of a file: what was synced, and any part of what was written since.
-func (n *inode) survives(chance *rand.Rand) []byte {
+// afterPowerLoss is what may be left of a file: what was synced, and any part of what was written since.
+func (n *inode) afterPowerLoss(random *rand.Rand) []byte {
 	data := slices.Clone(n.synced)
-	all, none := chance.IntN(4) == 0, chance.IntN(4) == 0
-	for _, w := range n.dirty {
+	all, none := random.IntN(4) == 0, random.IntN(4) == 0
+	for _, w := range n.unsynced {
 		switch {
 		case all:
-			data = overlay(data, w.at, w.data)
+			data = overlay(data, w.offset, w.data)
 		case none:
-		case chance.IntN(3) == 0:
-		case chance.IntN(3) == 0: // torn
-			data = overlay(data, w.at, w.data[:chance.IntN(len(w.data)+1)])
+		case random.IntN(3) == 0:
+		case random.IntN(3) == 0: // torn
+			data = overlay(data, w.offset, w.data[:random.IntN(len(w.data)+1)])
 		default:
-			data = overlay(data, w.at, w.data)
+			data = overlay(data, w.offset, w.data)
 		}
 	}
 	return data
 }
 
 // overlay writes over bytes, with zeros where there were none before.
-func overlay(data []byte, at int64, with []byte) []byte {
-	if end := int(at) + len(with); end > len(data) && len(with) > 0 {
+func overlay(data []byte, offset int64, with []byte) []byte {
+	if end := int(offset) + len(with); end > len(data) && len(with) > 0 {
 		data = append(data, make([]byte, end-len(data))...)
 	}
-	copy(data[min(int(at), len(data)):], with)
+	copy(data[min(int(offset), len(data)):], with)
 	return data
 }
 
-// call asks the hook; the lock is held.
-func (m *FS) call(op, name string, bytes int) (Fault, error) {
-	if m.dead {
+// beginCall asks the hook; the lock is held.
+func (m *FS) beginCall(op, name string, bytes int) (Fault, error) {
+	if m.crashed {
 		return Fault{}, ErrCrashed
 	}
 	c := Call{m.calls, op, name, bytes}
 	m.calls++
-	var v Fault
+	var fault Fault
 	if m.Hook != nil {
-		v = m.Hook(c)
+		fault = m.Hook(c)
 	}
-	if v.Crash {
-		m.dead = true
-		return v, ErrCrashed
+	if fault.Crash {
+		m.crashed = true
+		return fault, ErrCrashed
 	}
-	if v.Err != nil {
-		return v, &fs.PathError{Op: op, Path: name, Err: v.Err}
+	if fault.Err != nil {
+		return fault, &fs.PathError{Op: op, Path: name, Err: fault.Err}
 	}
-	return v, nil
+	return fault, nil
 }
 
 // MkdirAll makes nothing: there is one folder.
 func (m *FS) MkdirAll(dir string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	_, err := m.call("mkdir", dir, 0)
+	_, err := m.beginCall("mkdir", dir, 0)
 	return err
 }
 
 type file struct {
-	m    *FS
-	n    *inode
-	name string
-	ro   bool
+	m        *FS
+	node     *inode
+	name     string
+	readOnly bool
 }
 
 // Create makes a file, or empties it.
 func (m *FS) Create(name string) (vfs.File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if _, err := m.call("create", name, 0); err != nil {
+	if _, err := m.beginCall("create", name, 0); err != nil {
 		return nil, err
 	}
 	n := &inode{}
 	m.names[name] = n
-	m.unsaid = append(m.unsaid, dirOp{name: name, node: n})
-	return &file{m: m, n: n, name: name}, nil
+	m.unsyncedOps = append(m.unsyncedOps, dirOp{name: name, node: n})
+	return &file{m: m, node: n, name: name}, nil
 }
 
 // Open opens a file for reading.
 func (m *FS) Open(name string) (vfs.File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if _, err := m.call("open", name, 0); err != nil {
+	if _, err := m.beginCall("open", name, 0); err != nil {
 		return nil, err
 	}
 	n := m.names[name]
 	if n == nil {
 		return nil, &fs.PathError{Op: "open", Path: name, Err: fs.ErrNotExist}
 	}
-	return &file{m: m, n: n, name: name, ro: true}, nil
+	return &file{m: m, node: n, name: name, readOnly: true}, nil
 }
 
 // OpenReadWrite opens a file that is there for reading and writing, as it is.
@@ -266,7 +266,7 @@
 		return nil, err
 	}
 	opened := f.(*file)
-	opened.ro = false
+	opened.readOnly = false
 	return opened, nil
 }
 
@@ -274,14 +274,14 @@
 func (m *FS) Remove(name string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if _, err := m.call("remove", name, 0); err != nil {
+	if _, err := m.beginCall("remove", name, 0); err != nil {
 		return err
 	}
 	if m.names[name] == nil {
 		return &fs.PathError{Op: "remove", Path: name, Err: fs.ErrNotExist}
 	}
 	delete(m.names, name)
-	m.unsaid = append(m.unsaid, dirOp{name: name})
+	m.unsyncedOps = append(m.unsyncedOps, dirOp{name: name})
 	return nil
 }
 
@@ -289,7 +289,7 @@
 func (m *FS) Rename(from, to string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if _, err := m.call("rename", from, 0); err != nil {
+	if _, err := m.beginCall("rename", from, 0); err != nil {
 		return err
 	}
 	n := m.names[from]
@@ -298,7 +298,7 @@
 	}
 	delete(m.names, from)
 	m.names[to] = n
-	m.unsaid = append(m.unsaid, dirOp{name: from, more: &dirOp{name: to, node: n}})
+	m.unsyncedOps = append(m.unsyncedOps, dirOp{name: from, paired: &dirOp{name: to, node: n}})
 	return nil
 }
 
@@ -306,7 +306,7 @@
 func (m *FS) List(dir string) ([]string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if _, err := m.call("list", dir, 0); err != nil {
+	if _, err := m.beginCall("list", dir, 0); err != nil {
 		return nil, err
 	}
 	var names []string
@@ -323,10 +323,10 @@
 func (m *FS) SyncDir(dir string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if _, err := m.call("syncdir", dir, 0); err != nil {
+	if _, err := m.beginCall("syncdir", dir, 0); err != nil {
 		return err
 	}
-	m.durable, m.unsaid = maps.Clone(m.names), nil
+	m.durableNames, m.unsyncedOps = maps.Clone(m.names), nil
 	return nil
 }
 
@@ -346,7 +346,7 @@
 func (m *FS) Lock(name string) (io.Closer, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if _, err := m.call("lock", name, 0); err != nil {
+	if _, err := m.beginCall("lock", name, 0); err != nil {
 		return nil, err
 	}
 	if m.locks[name] {
@@ -356,50 +356,50 @@
 	return lock{m, name}, nil
 }
 
-func (f *file) ReadAt(p []byte, at int64) (int, error) {
+func (f *file) ReadAt(p []byte, offset int64) (int, error) {
 	f.m.mu.Lock()
 	defer f.m.mu.Unlock()
-	if _, err := f.m.call("read", f.name, 0); err != nil {
+	if _, err := f.m.beginCall("read", f.name, 0); err != nil {
 		return 0, err
 	}
-	if at >= int64(len(f.n.data)) {
+	if offset >= int64(len(f.node.data)) {
 		return 0, io.EOF
 	}
-	n := copy(p, f.n.data[at:])
+	n := copy(p, f.node.data[offset:])
 	if n < len(p) {
 		return n, io.EOF
 	}
 	return n, nil
 }
 
-func (f *file) WriteAt(p []byte, at int64) (int, error) {
+func (f *file) WriteAt(p []byte, offset int64) (int, error) {
 	m := f.m
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if f.ro {
+	if f.readOnly {
 		return 0, &fs.PathError{Op: "write", Path: f.name, Err: syscall.EBADF}
 	}
-	v, err := m.call("write", f.name, len(p))
+	fault, err := m.beginCall("write", f.name, len(p))
 	n := len(p)
 	if err != nil {
 		n = 0
-		if v.Crash || v.Err != nil {
-			n = max(0, min(v.PartialBytes, len(p)))
+		if fault.Crash || fault.Err != nil {
+			n = max(0, min(fault.PartialBytes, len(p)))
 		}
 	} else if m.CapacityBytes > 0 {
 		used := int64(0)
 		for _, o := range m.names {
 			used += int64(len(o.data))
 		}
-		if free := m.CapacityBytes - used; at+int64(n)-int64(len(f.n.data)) > free {
-			n = int(max(0, min(int64(n), free+int64(len(f.n.data))-at)))
+		if free := m.CapacityBytes - used; offset+int64(n)-int64(len(f.node.data)) > free {
+			n = int(max(0, min(int64(n), free+int64(len(f.node.data))-offset)))
 			err = &fs.PathError{Op: "write", Path: f.name, Err: syscall.ENOSPC}
 		}
 	}
 	if n > 0 {
-		f.n.data = overlay(f.n.data, at, p[:n])
-		f.n.dirty = append(f.n.dirty, write{at, slices.Clone(p[:n])})
-		f.n.writes++
+		f.node.data = overlay(f.node.data, offset, p[:n])
+		f.node.unsynced = append(f.node.unsynced, write{offset, slices.Clone(p[:n])})
+		f.node.writeCount++
 	}
 	return n, err
 }
@@ -407,51 +407,51 @@
 func (f *file) Sync() error {
 	f.m.mu.Lock()
 	defer f.m.mu.Unlock()
-	v, err := f.m.call("sync", f.name, 0)
+	fault, err := f.m.beginCall("sync", f.name, 0)
 	if err != nil {
 		return err
 	}
-	data, through := slices.Clone(f.n.data), f.n.writes
-	if v.StallUntil != nil {
+	data, syncedWrites := slices.Clone(f.node.data), f.node.writeCount
+	if fault.StallUntil != nil {
 		f.m.mu.Unlock()
-		<-v.StallUntil
+		<-fault.StallUntil
 		f.m.mu.Lock()
-		if f.m.dead {
+		if f.m.crashed {
 			return ErrCrashed
 		}
 	}
-	f.n.synchronize(data, through)
+	f.node.finishSync(data, syncedWrites)
 	return nil
 }
 
-// synchronize has on the disk what was written up to a count of writes, unless a later sync ended before.
-func (n *inode) synchronize(data []byte, through uint64) {
-	unsynced := n.writes - through
-	if unsynced > uint64(len(n.dirty)) {
+// finishSync has on the disk what was written up to a count of writes, unless a later sync ended before.
+func (n *inode) finishSync(data []byte, syncedWrites uint64) {
+	unsynced := n.writeCount - syncedWrites
+	if unsynced > uint64(len(n.unsynced)) {
 		return
 	}
 	n.synced = data
-	n.dirty = n.dirty[uint64(len(n.dirty))-unsynced:]
+	n.unsynced = n.unsynced[uint64(len(n.unsynced))-unsynced:]
 }
 
 func (f *file) Size() (int64, error) {
 	f.m.mu.Lock()
 	defer f.m.mu.Unlock()
-	if f.m.dead {
+	if f.m.crashed {
 		return 0, ErrCrashed
 	}
-	return int64(len(f.n.data)), nil
+	return int64(len(f.node.data)), nil
 }
 
 // Grow counts as a write of zeros.
 func (f *file) Grow(size int64) error {
 	f.m.mu.Lock()
-	present := int64(len(f.n.data))
+	current := int64(len(f.node.data))
 	f.m.mu.Unlock()
-	if present >= size {
+	if current >= size {
 		return nil
 	}
-	_, err := f.WriteAt(make([]byte, size-present), present)
+	_, err := f.WriteAt(make([]byte, size-current), current)
 	return err
 }
 
--- a/internal/vfs/memfs/memfs_test.go
+++ b/internal/vfs/memfs/memfs_test.go
@@ -20,8 +20,8 @@
 
 const name = "dir/file"
 
-// written is a file system with a file whose name is on the disk.
-func written(bytes string) (*memfs.FS, vfs.File) {
+// newFile is a file system with a file whose name is on the disk.
+func newFile(bytes string) (*memfs.FS, vfs.File) {
 	m := memfs.New()
 	f, err := m.Create(name)
 	Expect(err).NotTo(HaveOccurred())
@@ -30,13 +30,13 @@
 	return m, f
 }
 
-func write(f vfs.File, bytes string, at int64) {
-	_, err := f.WriteAt([]byte(bytes), at)
+func write(f vfs.File, bytes string, offset int64) {
+	_, err := f.WriteAt([]byte(bytes), offset)
 	Expect(err).NotTo(HaveOccurred())
 }
 
-// worst is what is certain to be there after power was lost: the shortest of many draws.
-func worst(m *memfs.FS) string {
+// shortestAfterPowerLoss is what is certain to be there after power was lost: the shortest of many draws.
+func shortestAfterPowerLoss(m *memfs.FS) string {
 	shortest := "more than was written"
 	for seed := range uint64(200) {
 		left := string(m.AfterCrash(memfs.PowerLoss, rand.New(rand.NewPCG(seed, 1))).Data(name))
@@ -54,7 +54,7 @@
 	var ended chan error
 
 	BeforeEach(func() {
-		m, f = written("one")
+		m, f = newFile("one")
 		release, ended = make(chan struct{}), make(chan error, 1)
 		asked := make(chan struct{})
 		m.Hook = func(c memfs.Call) memfs.Fault {
@@ -72,7 +72,7 @@
 		write(f, "two", 3)
 		Expect(f.Size()).To(BeEquivalentTo(6))
 		Expect(ended).NotTo(Receive())
-		Expect(worst(m)).To(BeEmpty())
+		Expect(shortestAfterPowerLoss(m)).To(BeEmpty())
 		close(release)
 		Expect(<-ended).To(MatchError(memfs.ErrCrashed))
 	})
@@ -81,13 +81,13 @@
 		write(f, "two", 3)
 		close(release)
 		Expect(<-ended).To(Succeed())
-		Expect(worst(m)).To(Equal("one"))
+		Expect(shortestAfterPowerLoss(m)).To(Equal("one"))
 	})
 })
 
 var _ = Describe("a full disk", func() {
 	It("takes a part, says so, and takes the rest once there is room", func() {
-		m, f := written("one")
+		m, f := newFile("one")
 		m.CapacityBytes = 4
 		n, err := f.WriteAt([]byte("two"), 3)
 		Expect(n).To(Equal(1))
@@ -96,6 +96,6 @@
 		m.CapacityBytes = 6
 		write(f, "two", 3)
 		Expect(f.Sync()).To(Succeed())
-		Expect(worst(m)).To(Equal("onetwo"))
+		Expect(shortestAfterPowerLoss(m)).To(Equal("onetwo"))
 	})
 })
--- a/internal/vfs/vfs.go
+++ b/internal/vfs/vfs.go
@@ -70,8 +70,8 @@
 }
 
 func (f osFile) Grow(size int64) error {
-	present, err := f.Size()
-	if err != nil || present >= size {
+	current, err := f.Size()
+	if err != nil || current >= size {
 		return err
 	}
 	return f.Truncate(size)
@@ -146,10 +146,10 @@
 		return nil, err
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		who, _ := os.ReadFile(name)
+		owner, _ := os.ReadFile(name)
 		f.Close()
 		if errors.Is(err, syscall.EWOULDBLOCK) {
-			return nil, fmt.Errorf("%s: %w (%s)", name, ErrLocked, strings.TrimSpace(string(who)))
+			return nil, fmt.Errorf("%s: %w (%s)", name, ErrLocked, strings.TrimSpace(string(owner)))
 		}
 		return nil, err
 	}
--- a/tools/testverdict/main.go
+++ b/tools/testverdict/main.go
@@ -22,29 +22,29 @@
 	"strings"
 )
 
-// test names a test, or with an empty name a package as a whole.
-type test struct{ pkg, name string }
+// testID names a test, or with an empty name a package as a whole.
+type testID struct{ pkg, name string }
 
-// specs is how the specs of a suite ended.
-type specs struct{ passed, failed, left int } // left: pending or skipped
+// specCounts is how the specs of a suite ended.
+type specCounts struct{ passed, failed, notRun int } // left: pending or skipped
 
-// summary is the line with which Ginkgo ends a suite, without its colours.
-var summary = regexp.MustCompile(`(\d+) Passed \| (\d+) Failed \| (\d+) Pending \| (\d+) Skipped`)
+// ginkgoSummary is the line with which Ginkgo ends a suite, without its colours.
+var ginkgoSummary = regexp.MustCompile(`(\d+) Passed \| (\d+) Failed \| (\d+) Pending \| (\d+) Skipped`)
 
-// colours are what a terminal is told of them.
-var colours = regexp.MustCompile(`\x1b\[[0-9;]*m`)
+// ansiColors are what a terminal is told of them.
+var ansiColors = regexp.MustCompile(`\x1b\[[0-9;]*m`)
 
-// specsOf reads a suite's last line; false if a line is another one.
-func specsOf(line string) (specs, bool) {
-	found := summary.FindStringSubmatch(colours.ReplaceAllString(line, ""))
+// parseGinkgoSummary reads a suite's last line; false if a line is another one.
+func parseGinkgoSummary(line string) (specCounts, bool) {
+	found := ginkgoSummary.FindStringSubmatch(ansiColors.ReplaceAllString(line, ""))
 	if found == nil {
-		return specs{}, false
+		return specCounts{}, false
 	}
 	var counts [4]int
 	for i := range counts {
 		counts[i], _ = strconv.Atoi(found[i+1]) // digits
 	}
-	return specs{passed: counts[0], failed: counts[1], left: counts[2] + counts[3]}, true
+	return specCounts{passed: counts[0], failed: counts[1], notRun: counts[2] + counts[3]}, true
 }
 
 // event is what is read of a line of `go test -json`.
@@ -56,19 +56,19 @@
 	Output     string
 }
 
-// verdict collects the events of a run.
-type verdict struct {
-	output         map[test][]string
-	build          map[string][]string // of packages that did not build
-	passed, failed []test
-	packages       []test // that failed as a whole
+// testRun collects the events of a run.
+type testRun struct {
+	output         map[testID][]string
+	buildOutput    map[string][]string // of packages that did not build
+	passed, failed []testID
+	failedPackages []testID // that failed as a whole
 	skipped        int
-	suites         map[test]specs
+	suites         map[testID]specCounts
 	unfinished     map[string]bool // packages that began and have no result
 }
 
-func newVerdict() *verdict {
-	return &verdict{output: map[test][]string{}, build: map[string][]string{}, suites: map[test]specs{}, unfinished: map[string]bool{}}
+func newTestRun() *testRun {
+	return &testRun{output: map[testID][]string{}, buildOutput: map[string][]string{}, suites: map[testID]specCounts{}, unfinished: map[string]bool{}}
 }
 
 func main() {
@@ -76,23 +76,23 @@
 		fmt.Fprintln(os.Stderr, "usage: testverdict KNOWN-RED.txt < events")
 		os.Exit(2)
 	}
-	listed, err := readList(os.Args[1])
+	knownRed, err := readKnownRed(os.Args[1])
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(2)
 	}
-	v := newVerdict()
-	if err := v.read(os.Stdin); err != nil {
+	run := newTestRun()
+	if err := run.read(os.Stdin); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(2)
 	}
-	if !v.report(os.Stdout, listed) {
+	if !run.report(os.Stdout, knownRed) {
 		os.Exit(1)
 	}
 }
 
-// readList reads the known red tests with their causes. No file is an empty list.
-func readList(path string) (map[test]string, error) {
+// readKnownRed reads the known red tests with their causes. No file is an empty list.
+func readKnownRed(path string) (map[testID]string, error) {
 	data, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -100,7 +100,7 @@
 	if err != nil {
 		return nil, err
 	}
-	listed := map[test]string{}
+	knownRed := map[testID]string{}
 	for number, line := range strings.Split(string(data), "\n") {
 		line = strings.TrimSpace(line)
 		if line == "" || strings.HasPrefix(line, "#") {
@@ -111,12 +111,12 @@
 		if !found || len(fields) != 2 || strings.TrimSpace(cause) == "" {
 			return nil, fmt.Errorf("%s:%d: want \"PACKAGE TEST: cause, issue\"", path, number+1)
 		}
-		listed[test{fields[0], fields[1]}] = strings.TrimSpace(cause)
+		knownRed[testID{fields[0], fields[1]}] = strings.TrimSpace(cause)
 	}
-	return listed, nil
+	return knownRed, nil
 }
 
-func (v *verdict) read(r io.Reader) error {
+func (v *testRun) read(r io.Reader) error {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, 16<<20)
 	for scanner.Scan() {
@@ -124,13 +124,13 @@
 		if err := json.Unmarshal(scanner.Bytes(), &e); err != nil {
 			return fmt.Errorf("not an event of go test -json: %q", scanner.Text())
 		}
-		v.take(e)
+		v.handleEvent(e)
 	}
 	return scanner.Err()
 }
 
-func (v *verdict) take(e event) {
-	t := test{e.Package, e.Test}
+func (v *testRun) handleEvent(e event) {
+	t := testID{e.Package, e.Test}
 	if e.Test == "" && (e.Action == "pass" || e.Action == "fail" || e.Action == "skip") {
 		delete(v.unfinished, e.Package)
 	}
@@ -138,10 +138,10 @@
 	case "start":
 		v.unfinished[e.Package] = true
 	case "build-output":
-		v.build[e.ImportPath] = append(v.build[e.ImportPath], e.Output)
+		v.buildOutput[e.ImportPath] = append(v.buildOutput[e.ImportPath], e.Output)
 	case "output":
 		v.output[t] = append(v.output[t], e.Output)
-		if s, ended := specsOf(e.Output); ended {
+		if s, ended := parseGinkgoSummary(e.Output); ended {
 			v.suites[t] = s
 		}
 	case "skip":
@@ -155,7 +155,7 @@
 		}
 	case "fail":
 		if e.Test == "" {
-			v.packages = append(v.packages, t)
+			v.failedPackages = append(v.failedPackages, t)
 			return
 		}
 		v.failed = append(v.failed, t)
@@ -163,52 +163,52 @@
 }
 
 // report prints what failed and says whether the run is good.
-func (v *verdict) report(w io.Writer, listed map[test]string) bool {
-	good := true
-	for path, lines := range v.build {
+func (v *testRun) report(w io.Writer, knownRed map[testID]string) bool {
+	success := true
+	for path, lines := range v.buildOutput {
 		fmt.Fprintf(w, "does not build: %s\n%s", path, strings.Join(lines, ""))
-		good = false
+		success = false
 	}
 	for _, t := range v.failed {
-		if cause, known := listed[t]; known {
+		if cause, known := knownRed[t]; known {
 			fmt.Fprintf(w, "known red: %s %s: %s\n", t.pkg, t.name, cause)
 			continue
 		}
 		fmt.Fprintf(w, "FAIL %s %s\n%s", t.pkg, t.name, strings.Join(v.output[t], ""))
-		good = false
+		success = false
 	}
-	for _, p := range v.packages { // one that failed with no test of its own: a panic, a time-out, a build
-		if !slices.ContainsFunc(v.failed, func(t test) bool { return t.pkg == p.pkg }) {
+	for _, p := range v.failedPackages { // one that failed with no test of its own: a panic, a time-out, a build
+		if !slices.ContainsFunc(v.failed, func(t testID) bool { return t.pkg == p.pkg }) {
 			fmt.Fprintf(w, "FAIL %s\n%s", p.pkg, strings.Join(v.output[p], ""))
-			good = false
+			success = false
 		}
 	}
-	for t := range listed {
+	for t := range knownRed {
 		if !slices.Contains(v.failed, t) {
 			fmt.Fprintf(w, "listed as known red but it did not fail: %s %s\n", t.pkg, t.name)
-			good = false
+			success = false
 		}
 	}
 	for pkg := range v.unfinished {
 		fmt.Fprintf(w, "FAIL %s: it did not end\n", pkg)
-		good = false
+		success = false
 	}
 	if len(v.passed) == 0 {
 		fmt.Fprintln(w, "no test passed")
-		good = false
+		success = false
 	}
 	passed, failed, skipped := v.counts()
 	fmt.Fprintf(w, "%d passed, %d failed, %d skipped\n", passed, failed, skipped)
-	return good
+	return success
 }
 
 // counts counts tests, and of suites the specs.
-func (v *verdict) counts() (passed, failed, skipped int) {
+func (v *testRun) counts() (passed, failed, skipped int) {
 	passed, failed, skipped = len(v.passed), len(v.failed), v.skipped
 	for t, s := range v.suites {
 		passed += s.passed
 		failed += s.failed
-		skipped += s.left
+		skipped += s.notRun
 		if slices.Contains(v.failed, t) {
 			failed--
 		} else if slices.Contains(v.passed, t) {
--- a/tools/testverdict/main_test.go
+++ b/tools/testverdict/main_test.go
@@ -14,22 +14,22 @@
 {"Action":"fail","Package":"p"}
 `
 
-func judge(t *testing.T, events string, list string) (bool, string) {
+func reportOf(t *testing.T, events string, list string) (bool, string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "KNOWN-RED.txt")
 	if err := os.WriteFile(path, []byte(list), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	listed, err := readList(path)
+	knownRed, err := readKnownRed(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := newVerdict()
-	if err := v.read(strings.NewReader(events)); err != nil {
+	run := newTestRun()
+	if err := run.read(strings.NewReader(events)); err != nil {
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	return v.report(&out, listed), out.String()
+	return run.report(&out, knownRed), out.String()
 }
 
 func TestVerdict(t *testing.T) {
@@ -49,7 +49,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			good, out := judge(t, c.events, c.list)
+			good, out := reportOf(t, c.events, c.list)
 			if good != c.good || !strings.Contains(out, c.says) {
 				t.Errorf("good=%v, output:\n%s", good, out)
 			}
@@ -57,18 +57,18 @@
 	}
 }
 
-func TestListIsChecked(t *testing.T) {
+func TestKnownRedEntryNeedsCause(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list")
 	if err := os.WriteFile(path, []byte("p TestBad\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := readList(path); err == nil || !strings.Contains(err.Error(), ":1:") {
+	if _, err := readKnownRed(path); err == nil || !strings.Contains(err.Error(), ":1:") {
 		t.Errorf("a line without a cause: %v", err)
 	}
 }
 
-// TestSpecsAreCounted: a suite counts by its specs, whatever its colours.
-func TestSpecsAreCounted(t *testing.T) {
+// TestSuitesCountBySpecs: a suite counts by its specs, whatever its colours.
+func TestSuitesCountBySpecs(t *testing.T) {
 	const suites = `{"Action":"output","Package":"p","Test":"TestSuite","Output":"\u001b[1mSUCCESS!\u001b[0m -- \u001b[1m20 Passed\u001b[0m | \u001b[91m0 Failed\u001b[0m | 1 Pending | 2 Skipped\n"}
 {"Action":"pass","Package":"p","Test":"TestSuite"}
 {"Action":"pass","Package":"p","Test":"TestPlain"}
@@ -76,7 +76,7 @@
 {"Action":"fail","Package":"q","Test":"TestOther"}
 {"Action":"fail","Package":"q"}
 `
-	good, says := judge(t, suites, "")
+	good, says := reportOf(t, suites, "")
 	if good || !strings.Contains(says, "28 passed, 3 failed, 3 skipped\n") {
 		t.Errorf("good: %v, %s", good, says)
 	}
