--- a/internal/lateness/lateness.go
+++ b/internal/lateness/lateness.go
@@ -1,12 +1,11 @@
-// Package lateness measures how late the process gets its processor: a timer that should have fired at an instant and
-// is seen later shows what every wake-up of the process may lose at that time, to other processes, to a quota, to a
-// collection of garbage. A time-out learnt from an idle moment says nothing on a machine that is busy a moment later;
-// who sets one adds what is measured here.
+// Package lateness measures the scheduling delay of the process. The time between the expiry of a timer and its handling
+// shows the delay of any wake-up at that time, caused by other processes, a CPU quota or garbage collection. A timeout
+// derived from measurements on an idle machine is too short once the machine is busy, so callers add this delay to it.
 //
-//	monitor := lateness.Watch(stop)   // until stop is closed
-//	bound := calls * monitor.Worst()
+//	monitor := lateness.StartMonitor(stop) // until stop is closed
+//	bound := calls * monitor.Max()
 //
-// One goroutine owns the windows; Worst may be called from any.
+// One goroutine owns the windows; Max is safe for concurrent use.
 package lateness
 
 import (
@@ -15,22 +14,22 @@
 )
 
 const (
-	// SampleInterval is how often the monitor looks: 50 wake-ups a second, some 0.05% of a core.
+	// SampleInterval is the time between two samples: 50 wake-ups a second use about 0.05% of a core.
 	SampleInterval = 20 * time.Millisecond
-	// Window is how long an observation counts: at least this, at most twice this.
+	// Window is the shortest time for which a sample counts; the longest is twice as long.
 	Window = 10 * time.Second
-	// InitialMax is what counts as the worst until the first window is full, as a few looks show little: a scheduler's
-	// round of eight threads at 3 ms each, the default slice of Linux.
+	// InitialMax is the lower bound of Max until the first window is complete, because a few samples show little. It
+	// is a scheduling round of eight threads with the default time slice of Linux, 3 ms.
 	InitialMax = 25 * time.Millisecond
 )
 
-// Monitor keeps the worst lateness of late. Its zero value has observed nothing.
+// Monitor holds the maximum recent lateness. Its zero value has no samples.
 type Monitor struct {
 	windows windows
-	worst   atomic.Int64 // of windows, as a time.Duration
+	worst   atomic.Int64 // maximum of windows, a time.Duration
 }
 
-// StartMonitor starts a monitor, which observes until stop is closed.
+// StartMonitor starts a monitor that samples until stop is closed.
 func StartMonitor(stop <-chan struct{}) *Monitor {
 	m := &Monitor{windows: windows{start: time.Now()}}
 	m.worst.Store(int64(InitialMax))
@@ -38,7 +37,7 @@
 	return m
 }
 
-// Max is the worst lateness observed within the last one to two windows; Unobserved or more until the first is full.
+// Max returns the maximum lateness within the last one to two windows; at least InitialMax until the first is complete.
 func (m *Monitor) Max() time.Duration { return time.Duration(m.worst.Load()) }
 
 func (m *Monitor) run(stop <-chan struct{}) {
@@ -57,14 +56,14 @@
 	}
 }
 
-// windows keeps the worst observation of the window under way and of the one before it.
+// windows holds the maxima of the current and of the previous window.
 type windows struct {
-	start             time.Time // of the window under way
-	complete          bool      // one window has passed
+	start             time.Time // of the current window
+	complete          bool      // at least one window has ended
 	current, previous time.Duration
 }
 
-// observe takes one observation and gives the worst that counts.
+// observe adds a sample and returns the maximum of both windows.
 func (w *windows) observe(now time.Time, late time.Duration) time.Duration {
 	if now.Sub(w.start) >= Window {
 		w.previous, w.current = w.current, 0
--- a/internal/layout_test.go
+++ b/internal/layout_test.go
@@ -1,5 +1,5 @@
-// Package internal holds no code of its own: tier and delivery are the two products, lab plays them, and what lies beside
-// these is used by both.
+// Package internal only has this test. tier and delivery are the two products, lab simulates them, and the other folders are
+// shared by both products.
 package internal
 
 import (
@@ -16,11 +16,11 @@
 
 const module = "emberquay/"
 
-// rule says what the files below some folders must not import, tests included.
+// rule forbids imports by the files below some folders, including tests.
 type rule struct {
 	importers []string // folders of the module
 	forbidden []string
-	exempt    []string // of below: folders to which it does not apply
+	exempt    []string // folders below importers to which the rule does not apply
 }
 
 var rules = []rule{
@@ -29,25 +29,25 @@
 	{importers: []string{"cmd/"}, forbidden: []string{"internal/lab/"}, exempt: []string{"cmd/quaylab/"}},
 	{importers: []string{"admission/", "control/", "coordination/"}, forbidden: []string{"internal/tier/", "internal/delivery/", "internal/lab/", "cmd/"}},
 	{importers: []string{"internal/"}, forbidden: []string{"cmd/"}},
-	{ // what both products use, beside the three
+	{ // code shared by both products
 		importers: []string{"internal/"}, forbidden: []string{"internal/tier/", "internal/delivery/", "internal/lab/"},
 		exempt: []string{"internal/tier/", "internal/delivery/", "internal/lab/"},
 	},
 }
 
-// isBelow says whether a folder of the module lies below one of these.
+// isBelow reports whether a folder is one of the roots or below one.
 func isBelow(folder string, roots []string) bool {
 	return slices.ContainsFunc(roots, func(root string) bool { return strings.HasPrefix(folder+"/", root) })
 }
 
-// violates gives the rules by which a folder must not import another.
+// violates reports whether a rule forbids a folder to import another.
 func violates(folder, imported string) bool {
 	return slices.ContainsFunc(rules, func(r rule) bool {
 		return isBelow(folder, r.importers) && !isBelow(folder, r.exempt) && isBelow(imported, r.forbidden)
 	})
 }
 
-// moduleImports gives the folders of the module that a file imports.
+// moduleImports returns the folders of the module that a file imports.
 func moduleImports(t *testing.T, file string) []string {
 	t.Helper()
 	parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.ImportsOnly)
@@ -56,7 +56,7 @@
 	}
 	var all []string
 	for _, spec := range parsed.Imports {
-		name, _ := strconv.Unquote(spec.Path.Value) // the parser has read it as a string
+		name, _ := strconv.Unquote(spec.Path.Value) // the parser has checked that it is a string literal
 		if folder, inModule := strings.CutPrefix(name, module); inModule {
 			all = append(all, folder)
 		}
@@ -64,7 +64,7 @@
 	return all
 }
 
-// The two products do not import each other, and neither imports the laboratory that plays them.
+// The two products do not import each other, and neither imports the laboratory that simulates them.
 func TestImports(t *testing.T) {
 	filesRead := map[string]int{}
 	err := filepath.WalkDir("..", func(file string, entry fs.DirEntry, err error) error {
@@ -90,7 +90,7 @@
 	}
 }
 
-// The rules say what they are meant to say.
+// The rules forbid what they are meant to forbid, and no more.
 func TestRules(t *testing.T) {
 	for _, c := range []struct {
 		folder, imported string
@@ -109,7 +109,7 @@
 		{"internal/tier/store", "internal/tier/journal", false},
 	} {
 		if got := violates(c.folder, c.imported); got != c.want {
-			t.Errorf("%s imports %s: against a rule %v, want %v", c.folder, c.imported, got, c.want)
+			t.Errorf("%s imports %s: forbidden %v, want %v", c.folder, c.imported, got, c.want)
 		}
 	}
 }
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,11 +1,10 @@
-// Package logs sets up the program's structured logs: log/slog, as key=value or JSON, bounded in lines a second.
+// Package logs configures log/slog: key=value or JSON lines, with a limit of lines per second.
 //
 //	logs.Setup(os.Stderr, 50, logs.Options{Format: "json", Level: "warn"})
 //	slog.Warn("call_failed", "part", "receivers", "addr", addr, "err", err)
 //
 // writes {"time":...,"level":"WARN","event":"call_failed","part":"receivers",...}. The message is a short event
-// name of one word; who says it stands under "part". Setup may be called again, as on SIGHUP: what is logged from
-// then on follows the new options.
+// name of one word; "part" names the component. Setup may be called again, as on SIGHUP: later lines follow the new options.
 package logs
 
 import (
@@ -18,17 +17,17 @@
 	"time"
 )
 
-// Options say how logs are written; the zero value is key=value text from level info on.
+// Options configure the log; the zero value writes key=value lines from level info on.
 type Options struct {
 	Format               string  `toml:"format" oneof:"text json" comment:"text: key=value; json: one object a line"`
 	Level                string  `toml:"level" oneof:"debug info warn error" comment:"the least that is written"`
 	CountIntervalSeconds float64 `toml:"count_s" range:"0 3600" comment:"a line of what was done each so many seconds; 0: none"`
 }
 
-// DefaultOptions are the options where no file says otherwise.
+// DefaultOptions returns the options that apply without a file.
 func DefaultOptions() Options { return Options{Format: "text", Level: "info"} }
 
-// Setup makes the default logger write to w, so many lines a second at most.
+// Setup makes slog's default logger write to w, at most maxLinesPerSecond.
 func Setup(w io.Writer, maxLinesPerSecond int, o Options) {
 	b := &RateLimitedWriter{out: w, maxLinesPerSecond: maxLinesPerSecond, now: time.Now, json: o.Format == "json"}
 	slog.SetDefault(slog.New(newHandler(b, o)))
@@ -51,7 +50,7 @@
 	return slog.NewTextHandler(w, opts)
 }
 
-// NewLibraryLogger gives a logger for a library that writes lines of its own, as net/http does; each becomes one event.
+// NewLibraryLogger returns a logger for a library that takes a *log.Logger, such as net/http; each line becomes one event.
 func NewLibraryLogger(part string) *log.Logger { return log.New(libraryWriter(part), "", 0) }
 
 type libraryWriter string
@@ -61,8 +60,8 @@
 	return len(line), nil
 }
 
-// RateLimitedWriter writes log lines, so many a second at most: peers that misbehave must not have the sender write all
-// day. What is left out is counted and told.
+// RateLimitedWriter limits the log lines per second, so that misbehaving peers cannot flood the log. Dropped lines are
+// counted and reported.
 type RateLimitedWriter struct {
 	out               io.Writer
 	maxLinesPerSecond int
@@ -70,8 +69,8 @@
 	now               func() time.Time
 
 	mu          sync.Mutex
-	windowStart time.Time // the present one began
-	windowLines int       // in it
+	windowStart time.Time // of the current second
+	windowLines int       // lines in the current second
 	dropped     int
 }
 
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// A peer that misbehaves must not fill the log; what is left out is told.
+// The limit drops lines and reports their number in the next second.
 func TestBounded(t *testing.T) {
 	for _, json := range []bool{false, true} {
 		var out bytes.Buffer
@@ -46,6 +46,6 @@
 	}
 	var event map[string]string
 	if err := json.Unmarshal([]byte(logTwoEvents(Options{Format: "json", Level: "warn"})), &event); err != nil || event["event"] != "call_failed" {
-		t.Error(err, event) // and no second line
+		t.Error(err, event) // Unmarshal fails on a second line
 	}
 }
--- a/internal/rapidseed/rapidseed.go
+++ b/internal/rapidseed/rapidseed.go
@@ -1,8 +1,8 @@
-// Package rapidseed gives random test runs the same seed each time, so that CI comes to the same verdict:
+// Package rapidseed fixes the seed of property-based tests (pgregory.net/rapid), so that CI results are reproducible:
 //
 //	func TestMain(m *testing.M) { rapidseed.Main(m) }
 //
-// Only tests use it. Other seeds: go test -rapid.seed=N.
+// Only tests use this package. To run another seed: go test -rapid.seed=N.
 package rapidseed
 
 import (
@@ -11,13 +11,13 @@
 	"testing"
 )
 
-// Main runs the tests with seed 7, unless the command line names another, and leaves no files of failures behind.
+// Main runs the tests with seed 7, unless the command line sets another, and without writing failure files.
 func Main(m *testing.M) {
 	SetSeed()
 	os.Exit(m.Run())
 }
 
-// SetSeed sets the seed, for packages whose TestMain does more.
+// SetSeed sets the seed for packages that have their own TestMain.
 func SetSeed() {
 	flag.Parse()
 	seedGiven := false
--- a/internal/signals/early_cgo.go
+++ b/internal/signals/early_cgo.go
@@ -3,10 +3,10 @@
 /*
 #include <signal.h>
 
-static struct sigaction atStart; // what SIGHUP does by the word of who started the process
+static struct sigaction atStart; // the action of SIGHUP inherited from the parent process
 
-// Runs before the Go runtime, which takes some milliseconds until it has handlers. The runtime never leaves SIGHUP blocked
-// but honours that it is ignored, until a channel is notified of it.
+// Runs before the Go runtime, which needs some milliseconds to install its handlers. The runtime unblocks SIGHUP if it is
+// blocked, but leaves it ignored until signal.Notify is called for it.
 __attribute__((constructor)) static void ignoreReload(void) {
 	struct sigaction ignored = {.sa_handler = SIG_IGN};
 	sigaction(SIGHUP, &ignored, &atStart);
@@ -16,5 +16,5 @@
 */
 import "C"
 
-// restoreEarly gives SIGHUP back the action that it had when the process was started.
+// restoreEarly restores the action that SIGHUP had when the process was started.
 func restoreEarly() { C.restoreReload() }
--- a/internal/signals/early_cgo_test.go
+++ b/internal/signals/early_cgo_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("A SIGHUP that comes before the runtime begins", func() {
+var _ = Describe("A SIGHUP that arrives before the Go runtime starts", func() {
 	It("is ignored", func() {
 		out, err := childCommand("unread").Output()
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/signals/early_other.go
+++ b/internal/signals/early_other.go
@@ -2,5 +2,5 @@
 
 package signals
 
-// restoreEarly does nothing: without C nothing runs before the Go runtime.
+// restoreEarly does nothing: without cgo, no code runs before the Go runtime.
 func restoreEarly() {}
--- a/internal/signals/signals.go
+++ b/internal/signals/signals.go
@@ -1,11 +1,10 @@
-// Package signals holds the signals by which a process of ours is told to stop or to read its files again, from before
-// other packages are initialised.
+// Package signals captures SIGTERM, SIGINT and SIGHUP from the initialization of this package on.
 //
-// Their default action ends a process. A start takes milliseconds, on a small machine tens of them, and a SIGHUP that
-// says that a settings file has changed must not end the process in the midst of it. So they are held from the first;
-// a command that serves takes them with Stop and Reload, and any other calls Release, so that they end it as usual. Where
-// the program is linked against the C library, SIGHUP is ignored before the Go runtime begins: no settings have been read by
-// then. One that comes while the dynamic linker still loads the program ends it.
+// Their default action terminates the process. A start takes milliseconds, on a small machine tens of milliseconds, and a
+// SIGHUP for a changed settings file must not terminate the process meanwhile. Commands that serve receive the captured
+// signals from StopRequested and ReloadRequested; all others call RestoreDefaults, so that the signals terminate them as
+// usual. In a program linked against the C library, SIGHUP is also ignored before the Go runtime starts, as no settings have
+// been read by then. A SIGHUP that arrives while the dynamic linker still loads the program terminates it.
 package signals
 
 import (
@@ -15,7 +14,7 @@
 	"time"
 )
 
-// The signals that are held. One that comes again before it is taken counts once.
+// The captured signals. A signal that is repeated before it is received counts once.
 var (
 	stop   = subscribe(syscall.SIGTERM, syscall.SIGINT)
 	reload = subscribe(syscall.SIGHUP)
@@ -27,13 +26,14 @@
 	return received
 }
 
-// ReloadRequested tells of each SIGHUP.
+// ReloadRequested returns a channel that receives each SIGHUP.
 func ReloadRequested() <-chan os.Signal { return reload }
 
-// StopRequested gives the instant at which the first SIGTERM or SIGINT came, whatever its reader does meanwhile. It is called once.
+// StopRequested returns a channel that receives the arrival time of the first SIGTERM or SIGINT, even if it is read later.
+// It must be called only once.
 func StopRequested() <-chan time.Time { return firstArrival(stop) }
 
-// firstArrival notes when the first signal comes.
+// firstArrival records the arrival time of the first signal.
 func firstArrival(received <-chan os.Signal) <-chan time.Time {
 	arrival := make(chan time.Time, 1)
 	go func() {
@@ -43,7 +43,7 @@
 	return arrival
 }
 
-// RestoreDefaults gives the signals their usual action back; one that has come already takes it now.
+// RestoreDefaults restores the original actions of the signals and raises again one that has already arrived.
 func RestoreDefaults() {
 	signal.Reset(syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	restoreEarly()
@@ -58,6 +58,6 @@
 
 func sendToSelf(s os.Signal) {
 	if self, err := os.FindProcess(os.Getpid()); err == nil {
-		_ = self.Signal(s) // it may be ignored, as under nohup
+		_ = self.Signal(s) // the signal may be ignored, as under nohup
 	}
 }
--- a/internal/signals/signals_test.go
+++ b/internal/signals/signals_test.go
@@ -14,29 +14,29 @@
 	. "github.com/onsi/gomega"
 )
 
-// childVariable tells the test's program what to do as a process of its own.
+// childVariable selects what the test binary does as a child process.
 const childVariable = "SIGNALS_TEST_CHILD"
 
-// The child is told by main: before that its packages are initialised, this one among the first.
+// The child runs in TestMain, after the initialization of all packages, including this one.
 func TestMain(m *testing.M) {
 	switch os.Getenv(childVariable) {
 	case "serve":
-		sendToSelf(syscall.SIGHUP) // as if it came in the midst of the start
+		sendToSelf(syscall.SIGHUP) // as if it arrived during the start
 		<-ReloadRequested()
 		os.Stdout.WriteString("reloads\n")
 		<-StopRequested()
 		os.Stdout.WriteString("stops\n")
 	case "unread":
-		signal.Reset(syscall.SIGHUP) // back to what the runtime found
+		signal.Reset(syscall.SIGHUP) // restore the action that the runtime found at its start
 		sendToSelf(syscall.SIGHUP)
 		os.Stdout.WriteString("starts")
 	case "released":
 		sendToSelf(syscall.SIGHUP)
-		for len(reload) == 0 { // it is told by the runtime a moment later
+		for len(reload) == 0 { // the runtime delivers it a moment later
 			runtime.Gosched()
 		}
 		RestoreDefaults()
-		select {} // SIGHUP ends it
+		select {} // SIGHUP terminates the process
 	default:
 		os.Exit(m.Run())
 	}
@@ -54,7 +54,7 @@
 }
 
 var _ = Describe("The signals of a process", func() {
-	It("are held while it starts, and told to a command that serves", func() {
+	It("are captured during the start and received by a command that serves", func() {
 		cmd := childCommand("serve")
 		out, err := cmd.StdoutPipe()
 		Expect(err).NotTo(HaveOccurred())
@@ -68,14 +68,14 @@
 		Expect(cmd.Wait()).To(Succeed())
 	})
 
-	It("have their usual action where they are released, also those that came before", func() {
+	It("have their default action after RestoreDefaults, also if they arrived before", func() {
 		err := childCommand("released").Run()
 		var ended *exec.ExitError
 		Expect(err).To(BeAssignableToTypeOf(ended))
 		Expect(err.(*exec.ExitError).Sys().(syscall.WaitStatus).Signal()).To(Equal(syscall.SIGHUP))
 	})
 
-	It("are noted by their instant", func() {
+	It("are recorded with their arrival time", func() {
 		came := make(chan os.Signal, 1)
 		at := firstArrival(came)
 		before := time.Now()
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,5 +1,5 @@
-// Package tomlfile reads our own TOML files strictly: a key that is not known, a value of the wrong type or one out
-// of range is an error that names line, key and what is allowed. Struct tags say what that is:
+// Package tomlfile decodes TOML files strictly: an unknown key, a value of the wrong type or out of range is an error that
+// names the line, the key and the allowed values. Struct tags define them:
 //
 //	type Load struct {
 //		Rate  float64 `toml:"texts_per_s" range:"0.1 500" comment:"handed in by clients, a second"`
@@ -8,8 +8,8 @@
 //	load := Load{Rate: 60, Shape: "flat"} // defaults
 //	err := tomlfile.Decode(raw, &load)    // line 2: texts_per_s: 0 is out of range; allowed: 0.1 to 500
 //
-// range holds for numbers (for lists: for each member) and takes in both ends. What a file does not name keeps the
-// value that it had before. Encode writes a value as a file, with the comments.
+// range applies to numbers (in a list: to each element) and includes both ends. Keys that are absent from the file keep
+// their previous values. Encode writes a value with the comments of its tags.
 package tomlfile
 
 import (
@@ -25,7 +25,7 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Decode reads a file into a pointer to a struct that holds the defaults.
+// Decode decodes raw into a pointer to a struct that holds the defaults.
 func Decode(raw []byte, into any) error {
 	dec := toml.NewDecoder(bytes.NewReader(raw)).DisallowUnknownFields()
 	err := dec.Decode(into)
@@ -51,7 +51,7 @@
 	return (&checker{lines: keyLines(raw)}).check(reflect.ValueOf(into).Elem(), "", "")
 }
 
-// Encode writes a value as a file, with the comments of its tags.
+// Encode encodes a value as TOML with the comments of its tags.
 func Encode(v any) ([]byte, error) {
 	var out bytes.Buffer
 	enc := toml.NewEncoder(&out)
@@ -60,7 +60,7 @@
 	return out.Bytes(), err
 }
 
-// structOf follows pointers and lists down to a struct.
+// structOf dereferences pointers and slices to a struct type.
 func structOf(t reflect.Type) (reflect.Type, bool) {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice {
 		t = t.Elem()
@@ -73,7 +73,7 @@
 	return name
 }
 
-// fieldAt finds the field that a key names.
+// fieldAt returns the struct field of a key.
 func fieldAt(t reflect.Type, key []string) (reflect.StructField, bool) {
 	t, ok := structOf(t)
 	for i := 0; ok && i < t.NumField(); i++ {
@@ -89,7 +89,7 @@
 	return reflect.StructField{}, false
 }
 
-// keysAt lists what may stand beside a key that is not known.
+// keysAt returns the keys allowed in the table of an unknown key.
 func keysAt(t reflect.Type, key []string) []string {
 	for len(key) > 1 {
 		f, ok := fieldAt(t, key[:1])
@@ -109,7 +109,7 @@
 	return keys
 }
 
-// describeAllowed says in words what a field takes.
+// describeAllowed describes the allowed values of a field.
 func describeAllowed(f reflect.StructField) string {
 	t, prefix := f.Type, ""
 	if t.Kind() == reflect.Slice {
@@ -128,19 +128,19 @@
 	return prefix + kind
 }
 
-// bounds reads the tag range. A tag that makes no sense is a fault of the program.
+// bounds parses the range tag. An invalid tag is a programming error.
 func bounds(f reflect.StructField) (low, high float64, ok bool) {
 	tag, ok := f.Tag.Lookup("range")
 	if !ok {
 		return 0, 0, false
 	}
 	if _, err := fmt.Sscan(tag, &low, &high); err != nil {
-		panic(fmt.Sprintf("field %s: range %q", f.Name, tag))
+		panic(fmt.Sprintf("field %s: invalid range tag %q", f.Name, tag))
 	}
 	return low, high, true
 }
 
-// checker holds the lines on which keys stand.
+// checker checks ranges and choices; lines maps keys to line numbers.
 type checker struct{ lines map[string]int }
 
 func (c *checker) errorAt(path, display, problem string, f reflect.StructField) error {
@@ -151,8 +151,8 @@
 	return fmt.Errorf("%s%s: %s; allowed: %s", line, display, problem, describeAllowed(f))
 }
 
-// check goes through all fields, the untold too: defaults must be in range as well. path has the places of lists
-// in it, shown has not.
+// check checks all fields, including absent ones: defaults must be in range as well. path contains list indexes, display
+// does not.
 func (c *checker) check(v reflect.Value, path, display string) error {
 	for i := range v.NumField() {
 		f := v.Type().Field(i)
@@ -200,7 +200,7 @@
 	return nil
 }
 
-// keyLines finds the line of each key; tables of a list are numbered from nought.
+// keyLines returns the line number of each key; tables of a list are numbered from 0.
 func keyLines(raw []byte) map[string]int {
 	lines, count := map[string]int{}, map[string]int{}
 	var p unstable.Parser
@@ -233,7 +233,7 @@
 	return lines
 }
 
-// indexedKey writes a table's key with the places of the lists above it.
+// indexedKey adds the current list indexes to the key of a table.
 func indexedKey(key string, count map[string]int) string {
 	parts := strings.Split(key, ".")
 	indexed := parts[0]
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -20,7 +20,7 @@
 
 func newDefaults() *outer { return &outer{Count: 2, Deep: inner{Name: "red", Size: 1}} }
 
-// Each class of mistake is told with its line, its key and what is allowed.
+// Each kind of error names its line, its key and the allowed values.
 func TestErrorsNameLineKeyAndAllowedValues(t *testing.T) {
 	for text, want := range map[string]string{
 		"count = 1\ncolour = 3":    "line 2: colour: this key is not known; allowed: count, on, row, deep, many",
--- a/internal/vfs/memfs/memfs.go
+++ b/internal/vfs/memfs/memfs.go
@@ -1,14 +1,14 @@
-// Package memfs is a file system in memory that fails as disks do, for tests: it can end at any call and at
-// any byte of a write, lose what was not synced, keep what was written out of order, tear writes, flip bits,
-// run full, stall, and give errors. How to use it:
+// Package memfs is an in-memory file system with fault injection, for tests. It can crash at any call and at any byte of a
+// write, lose unsynced data, persist writes out of order, tear writes, flip bits, run out of space, stall syncs and return
+// errors. Usage:
 //
 //	m := memfs.New()
 //	m.Hook = func(c memfs.Call) memfs.Fault { return memfs.Fault{Crash: c.Index == 7, PartialBytes: c.Bytes / 2} }
 //	... use m as a vfs.FS until it has crashed ...
-//	again := m.AfterCrash(memfs.ProcessCrash, nil) // as a killed process leaves it
-//	again = m.AfterCrash(memfs.PowerLoss, chance) // as a machine that lost power may
+//	next := m.AfterCrash(memfs.ProcessCrash, nil) // the state after the process was killed
+//	next = m.AfterCrash(memfs.PowerLoss, random)  // a possible state after a loss of power
 //
-// All files are in one folder as far as syncing names goes. It is safe for use by several goroutines.
+// SyncDir treats all files as members of one directory. An FS is safe for concurrent use.
 package memfs
 
 import (
@@ -26,45 +26,45 @@
 	"emberquay/internal/vfs"
 )
 
-// ErrCrashed is what every call gives after the crash.
+// ErrCrashed is returned by every call after a crash.
 var ErrCrashed = errors.New("the process is gone")
 
-// Call is one call on the file system, before it is made.
+// Call describes a call on the file system before it is executed.
 type Call struct {
 	Index int // from 0
 	Op    string
 	Name  string
-	Bytes int // of a write
+	Bytes int // length of a write
 }
 
-// Fault says what becomes of a call.
+// Fault is the fault to inject into a call; the zero value lets it succeed.
 type Fault struct {
-	Crash        bool  // the process ends within it
-	PartialBytes int   // of a write that crashes or fails: so many bytes are written
-	Err          error // it fails with this
-	// StallUntil, of a sync: it returns only once this is closed; other calls go on meanwhile. What was written
-	// after the sync began is not covered by it.
+	Crash        bool  // the process crashes during the call
+	PartialBytes int   // bytes that a crashing or failing write still writes
+	Err          error // the call returns this error
+	// StallUntil delays a sync until the channel is closed, without blocking other calls. The sync does not cover
+	// writes made after it began.
 	StallUntil <-chan struct{}
 }
 
-// CrashMode is how much a crash loses.
+// CrashMode selects what a crash loses.
 type CrashMode int
 
 // The modes.
 const (
-	ProcessCrash CrashMode = iota // all that was written stays
-	PowerLoss                     // what was not synced may be lost, in any order
+	ProcessCrash CrashMode = iota // all written data survives
+	PowerLoss                     // unsynced data may be lost, in any order
 )
 
-// FS is the file system.
+// FS is an in-memory vfs.FS.
 type FS struct {
-	Hook          func(Call) Fault // asked before each call that changes or reads; nil: all goes well
-	CapacityBytes int64            // bytes of all files together; 0: any
+	Hook          func(Call) Fault // called before each call except Size and Close; nil: no faults
+	CapacityBytes int64            // limit of the bytes of all files; 0: none
 
 	mu           sync.Mutex
 	names        map[string]*inode
-	durableNames map[string]*inode // names as they are on the disk
-	unsyncedOps  []dirOp           // made since
+	durableNames map[string]*inode // names as persisted by the last SyncDir
+	unsyncedOps  []dirOp           // name changes since the last SyncDir
 	calls        int
 	crashed      bool
 	locks        map[string]bool
@@ -73,8 +73,8 @@
 type inode struct {
 	data       []byte
 	synced     []byte
-	unsynced   []write // since the last sync, in order
-	writeCount uint64  // ever, dirty ones last
+	unsynced   []write // writes since the last sync, in order
+	writeCount uint64  // writes ever made; the last ones are in unsynced
 }
 
 type write struct {
@@ -84,30 +84,30 @@
 
 type dirOp struct {
 	name   string
-	node   *inode // nil: removed
-	paired *dirOp // the other half of a rename; both or neither
+	node   *inode // nil: the name is removed
+	paired *dirOp // the other half of a rename: both persist or neither
 }
 
-// New makes an empty one.
+// New returns an empty file system.
 func New() *FS {
 	return &FS{names: map[string]*inode{}, durableNames: map[string]*inode{}, locks: map[string]bool{}}
 }
 
-// CallCount counts the calls so far.
+// CallCount returns the number of calls so far.
 func (m *FS) CallCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.calls
 }
 
-// FileNames lists what is there.
+// FileNames returns the names of all files, sorted.
 func (m *FS) FileNames() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Sorted(maps.Keys(m.names))
 }
 
-// UsedBytes counts the bytes of all files, each in whole blocks of 512.
+// UsedBytes returns the size of all files, each rounded up to blocks of 512 bytes.
 func (m *FS) UsedBytes() (sum int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -117,7 +117,7 @@
 	return sum
 }
 
-// Data gives the bytes of a file; they may be changed, as a bad disk does.
+// Data returns the bytes of a file; the caller may change them to simulate corruption.
 func (m *FS) Data(name string) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// Put lays a file down, as if it had always been there.
+// Put adds a file whose name and data are already persisted.
 func (m *FS) Put(name string, data []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -135,7 +135,7 @@
 	m.names[name], m.durableNames[name] = n, n
 }
 
-// AfterCrash gives the file system as it is found after a crash; nothing of the old one can be used any more.
+// AfterCrash returns the file system as found after a crash. All further calls on the old one fail.
 func (m *FS) AfterCrash(mode CrashMode, random *rand.Rand) *FS {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -145,7 +145,7 @@
 	if mode == PowerLoss {
 		found = maps.Clone(m.durableNames)
 		all, none := random.IntN(4) == 0, random.IntN(4) == 0
-		for _, op := range m.unsyncedOps { // each may have got through by itself
+		for _, op := range m.unsyncedOps { // each may have been persisted on its own
 			if all || !none && random.IntN(2) == 0 {
 				for o := &op; o != nil; o = o.paired {
 					if o.node == nil {
@@ -168,7 +168,7 @@
 	return next
 }
 
-// afterPowerLoss is what may be left of a file: what was synced, and any part of what was written since.
+// afterPowerLoss returns a possible content of the file: the synced data and any part of the later writes.
 func (n *inode) afterPowerLoss(random *rand.Rand) []byte {
 	data := slices.Clone(n.synced)
 	all, none := random.IntN(4) == 0, random.IntN(4) == 0
@@ -187,7 +187,7 @@
 	return data
 }
 
-// overlay writes over bytes, with zeros where there were none before.
+// overlay writes bytes at an offset and fills a gap with zeros.
 func overlay(data []byte, offset int64, with []byte) []byte {
 	if end := int(offset) + len(with); end > len(data) && len(with) > 0 {
 		data = append(data, make([]byte, end-len(data))...)
@@ -196,7 +196,7 @@
 	return data
 }
 
-// beginCall asks the hook; the lock is held.
+// beginCall counts the call and applies the hook; the caller holds mu.
 func (m *FS) beginCall(op, name string, bytes int) (Fault, error) {
 	if m.crashed {
 		return Fault{}, ErrCrashed
@@ -217,7 +217,7 @@
 	return fault, nil
 }
 
-// MkdirAll makes nothing: there is one folder.
+// MkdirAll has no effect: directories exist implicitly.
 func (m *FS) MkdirAll(dir string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -232,7 +232,7 @@
 	readOnly bool
 }
 
-// Create makes a file, or empties it.
+// Create creates a file or replaces it with an empty one.
 func (m *FS) Create(name string) (vfs.File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -259,7 +259,7 @@
 	return &file{m: m, node: n, name: name, readOnly: true}, nil
 }
 
-// OpenReadWrite opens a file that is there for reading and writing, as it is.
+// OpenReadWrite opens an existing file for reading and writing without truncating it.
 func (m *FS) OpenReadWrite(name string) (vfs.File, error) {
 	f, err := m.Open(name)
 	if err != nil {
@@ -285,7 +285,7 @@
 	return nil
 }
 
-// Rename gives a file another name.
+// Rename renames a file.
 func (m *FS) Rename(from, to string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -302,7 +302,7 @@
 	return nil
 }
 
-// List names the files of a folder.
+// List returns the sorted names of the files in a directory.
 func (m *FS) List(dir string) ([]string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -319,7 +319,7 @@
 	return names, nil
 }
 
-// SyncDir has the names on the disk.
+// SyncDir persists the names of all files.
 func (m *FS) SyncDir(dir string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -342,7 +342,7 @@
 	return nil
 }
 
-// Lock takes a name.
+// Lock locks a name.
 func (m *FS) Lock(name string) (io.Closer, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -424,7 +424,7 @@
 	return nil
 }
 
-// finishSync has on the disk what was written up to a count of writes, unless a later sync ended before.
+// finishSync persists data, which includes the first syncedWrites writes, unless a later sync has already finished.
 func (n *inode) finishSync(data []byte, syncedWrites uint64) {
 	unsynced := n.writeCount - syncedWrites
 	if unsynced > uint64(len(n.unsynced)) {
@@ -443,7 +443,7 @@
 	return int64(len(f.node.data)), nil
 }
 
-// Grow counts as a write of zeros.
+// Grow extends the file by a write of zeros.
 func (f *file) Grow(size int64) error {
 	f.m.mu.Lock()
 	current := int64(len(f.node.data))
--- a/internal/vfs/memfs/memfs_test.go
+++ b/internal/vfs/memfs/memfs_test.go
@@ -20,7 +20,7 @@
 
 const name = "dir/file"
 
-// newFile is a file system with a file whose name is on the disk.
+// newFile returns a file system with a file whose name is persisted and whose data is not.
 func newFile(bytes string) (*memfs.FS, vfs.File) {
 	m := memfs.New()
 	f, err := m.Create(name)
@@ -35,7 +35,7 @@
 	Expect(err).NotTo(HaveOccurred())
 }
 
-// shortestAfterPowerLoss is what is certain to be there after power was lost: the shortest of many draws.
+// shortestAfterPowerLoss returns the data that is certain to survive a loss of power: the shortest of many random outcomes.
 func shortestAfterPowerLoss(m *memfs.FS) string {
 	shortest := "more than was written"
 	for seed := range uint64(200) {
@@ -47,7 +47,7 @@
 	return shortest
 }
 
-var _ = Describe("a sync that stalls", func() {
+var _ = Describe("a stalled sync", func() {
 	var m *memfs.FS
 	var f vfs.File
 	var release chan struct{}
@@ -68,7 +68,7 @@
 		<-asked
 	})
 
-	It("holds up no other call, and has nothing on the disk before it returns", func() {
+	It("blocks no other call and persists nothing before it returns", func() {
 		write(f, "two", 3)
 		Expect(f.Size()).To(BeEquivalentTo(6))
 		Expect(ended).NotTo(Receive())
@@ -77,7 +77,7 @@
 		Expect(<-ended).To(MatchError(memfs.ErrCrashed))
 	})
 
-	It("covers what was written before it began, and no more", func() {
+	It("covers only writes made before it began", func() {
 		write(f, "two", 3)
 		close(release)
 		Expect(<-ended).To(Succeed())
@@ -86,7 +86,7 @@
 })
 
 var _ = Describe("a full disk", func() {
-	It("takes a part, says so, and takes the rest once there is room", func() {
+	It("writes a part, reports the error, and writes the rest once there is space", func() {
 		m, f := newFile("one")
 		m.CapacityBytes = 4
 		n, err := f.WriteAt([]byte("two"), 3)
--- a/internal/vfs/vfs.go
+++ b/internal/vfs/vfs.go
@@ -1,13 +1,13 @@
-// Package vfs is the seam between what is kept and the disk: the few calls that a keeper makes on files, so that tests
-// can lose, tear, fill and break what a disk may (internal/vfs/memfs). How to use it:
+// Package vfs abstracts the file operations of the packages that store data, so that tests can inject disk faults (see
+// internal/vfs/memfs). Usage:
 //
 //	fs := vfs.OS{}
 //	f, err := fs.Create(filepath.Join(dir, "seg-00000001"))
 //	_, err = f.WriteAt(record, 0)
-//	err = f.Sync()       // what was written is on the disk
-//	err = fs.SyncDir(dir) // and so is the name
+//	err = f.Sync()        // persists the data
+//	err = fs.SyncDir(dir) // persists the name
 //
-// Without the two syncs what was written outlasts the process, but not the machine's loss of power.
+// Without both syncs the data survives the end of the process, but not a loss of power.
 package vfs
 
 import (
@@ -27,36 +27,35 @@
 	io.Closer
 	Sync() error
 	Size() (int64, error)
-	// Grow makes the file at least size bytes long; what is new reads as zeros.
+	// Grow extends the file to at least size bytes; the added bytes read as zeros.
 	Grow(size int64) error
 }
 
-// FS is a file system as far as a keeper needs one. Errors are those of package os, so errors.Is(err, fs.ErrNotExist)
-// and IsFull work on them.
+// FS is a file system. Its errors are those of package os, so errors.Is(err, fs.ErrNotExist) and IsFull work on them.
 type FS interface {
 	MkdirAll(dir string) error
-	Create(name string) (File, error) // for reading and writing, empty
+	Create(name string) (File, error) // for reading and writing; truncates an existing file
 	Open(name string) (File, error)   // for reading
-	// OpenReadWrite opens a file that is there for reading and writing, as it is.
+	// OpenReadWrite opens an existing file for reading and writing without truncating it.
 	OpenReadWrite(name string) (File, error)
 	Remove(name string) error
 	Rename(from, to string) error
-	List(dir string) ([]string, error) // names of plain files, sorted
+	List(dir string) ([]string, error) // sorted names of the regular files
 	SyncDir(dir string) error
-	// Lock takes a file for one process, which is told in it; ErrLocked if another has it. It ends with Close, or with
-	// the process.
+	// Lock locks a file for this process and writes the owner into it; ErrLocked if another process holds the lock.
+	// The lock ends with Close or with the process.
 	Lock(name string) (io.Closer, error)
 }
 
-// ErrLocked says that another process has the lock.
+// ErrLocked means that another process holds the lock.
 var ErrLocked = errors.New("in use by another process")
 
-// IsFull says whether an error means that there is no room on the disk.
+// IsFull reports whether an error means that the disk is out of space.
 func IsFull(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) || errors.Is(err, syscall.EFBIG)
 }
 
-// OS is the real file system.
+// OS is the file system of the operating system.
 type OS struct{}
 
 type osFile struct{ *os.File }
@@ -77,10 +76,10 @@
 	return f.Truncate(size)
 }
 
-// MkdirAll makes a folder for its owner alone.
+// MkdirAll creates a directory that only its owner can access.
 func (OS) MkdirAll(dir string) error { return os.MkdirAll(dir, 0o700) }
 
-// Create makes a file, or empties it.
+// Create creates a file or truncates an existing one.
 func (OS) Create(name string) (File, error) {
 	f, err := os.OpenFile(name, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
@@ -98,7 +97,7 @@
 	return osFile{f}, nil
 }
 
-// OpenReadWrite opens a file that is there for reading and writing, as it is.
+// OpenReadWrite opens an existing file for reading and writing without truncating it.
 func (OS) OpenReadWrite(name string) (File, error) {
 	f, err := os.OpenFile(name, os.O_RDWR, 0)
 	if err != nil {
@@ -110,10 +109,10 @@
 // Remove removes a file.
 func (OS) Remove(name string) error { return os.Remove(name) }
 
-// Rename gives a file another name, at once.
+// Rename renames a file atomically.
 func (OS) Rename(from, to string) error { return os.Rename(from, to) }
 
-// List names the files of a folder.
+// List returns the sorted names of the regular files of a directory.
 func (OS) List(dir string) ([]string, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -129,7 +128,7 @@
 	return names, nil
 }
 
-// SyncDir has the names of a folder on the disk.
+// SyncDir persists the names in a directory.
 func (OS) SyncDir(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
@@ -139,7 +138,7 @@
 	return d.Sync()
 }
 
-// Lock takes a file by flock.
+// Lock locks a file with flock.
 func (OS) Lock(name string) (io.Closer, error) {
 	f, err := os.OpenFile(name, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -153,7 +152,7 @@
 		}
 		return nil, err
 	}
-	// Who has it, for the one that is refused. A full disk is no reason not to lock.
+	// Record the owner for the error of other processes. A full disk must not prevent the lock.
 	if f.Truncate(0) == nil {
 		f.WriteAt(fmt.Appendf(nil, "process %d\n", os.Getpid()), 0)
 	}
--- a/tools/testverdict/main.go
+++ b/tools/testverdict/main.go
@@ -1,11 +1,11 @@
-// Command testverdict reads the events of `go test -json` and gives the verdict of a run, passing over the tests
-// that KNOWN-RED.txt lists:
+// Command testverdict reads the events of `go test -json` and reports whether the run passed, except for the tests that
+// KNOWN-RED.txt lists:
 //
 //	go test -json ./... | go run ./tools/testverdict KNOWN-RED.txt
 //
-// A line of the list is "PACKAGE TEST: cause, issue". A listed test may fail and is printed. A listed test that
-// passes or did not run fails the run, as does any failure that is not listed. The last line counts the tests; a suite
-// of Ginkgo counts by its specs, so that one that is taken out shows.
+// A line of the list is "PACKAGE TEST: cause, issue". The failure of a listed test is printed and ignored. A listed test
+// that passes or does not run fails the run, as does any failure that is not listed. The last line counts the tests; a Ginkgo
+// suite counts by its specs, so that a removed spec changes the count.
 package main
 
 import (
@@ -22,19 +22,19 @@
 	"strings"
 )
 
-// testID names a test, or with an empty name a package as a whole.
+// testID identifies a test, or a whole package if the name is empty.
 type testID struct{ pkg, name string }
 
-// specCounts is how the specs of a suite ended.
-type specCounts struct{ passed, failed, notRun int } // left: pending or skipped
+// specCounts counts the results of a suite's specs.
+type specCounts struct{ passed, failed, notRun int } // notRun: pending or skipped
 
-// ginkgoSummary is the line with which Ginkgo ends a suite, without its colours.
+// ginkgoSummary matches the last line of a Ginkgo suite without ANSI colors.
 var ginkgoSummary = regexp.MustCompile(`(\d+) Passed \| (\d+) Failed \| (\d+) Pending \| (\d+) Skipped`)
 
-// ansiColors are what a terminal is told of them.
+// ansiColors matches ANSI color sequences.
 var ansiColors = regexp.MustCompile(`\x1b\[[0-9;]*m`)
 
-// parseGinkgoSummary reads a suite's last line; false if a line is another one.
+// parseGinkgoSummary parses the last line of a suite; it returns false for any other line.
 func parseGinkgoSummary(line string) (specCounts, bool) {
 	found := ginkgoSummary.FindStringSubmatch(ansiColors.ReplaceAllString(line, ""))
 	if found == nil {
@@ -42,12 +42,12 @@
 	}
 	var counts [4]int
 	for i := range counts {
-		counts[i], _ = strconv.Atoi(found[i+1]) // digits
+		counts[i], _ = strconv.Atoi(found[i+1]) // only digits match
 	}
 	return specCounts{passed: counts[0], failed: counts[1], notRun: counts[2] + counts[3]}, true
 }
 
-// event is what is read of a line of `go test -json`.
+// event has the fields of a `go test -json` line that are used.
 type event struct {
 	Action     string
 	Package    string
@@ -56,15 +56,15 @@
 	Output     string
 }
 
-// testRun collects the events of a run.
+// testRun collects the events of a test run.
 type testRun struct {
 	output         map[testID][]string
-	buildOutput    map[string][]string // of packages that did not build
+	buildOutput    map[string][]string // by import path of packages that did not build
 	passed, failed []testID
-	failedPackages []testID // that failed as a whole
+	failedPackages []testID // packages that failed
 	skipped        int
 	suites         map[testID]specCounts
-	unfinished     map[string]bool // packages that began and have no result
+	unfinished     map[string]bool // packages that started and have no result
 }
 
 func newTestRun() *testRun {
@@ -91,7 +91,7 @@
 	}
 }
 
-// readKnownRed reads the known red tests with their causes. No file is an empty list.
+// readKnownRed reads the known red tests and their causes. A missing file is an empty list.
 func readKnownRed(path string) (map[testID]string, error) {
 	data, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -162,7 +162,7 @@
 	}
 }
 
-// report prints what failed and says whether the run is good.
+// report prints the failures and the counts, and returns whether the run passed.
 func (v *testRun) report(w io.Writer, knownRed map[testID]string) bool {
 	success := true
 	for path, lines := range v.buildOutput {
@@ -177,7 +177,7 @@
 		fmt.Fprintf(w, "FAIL %s %s\n%s", t.pkg, t.name, strings.Join(v.output[t], ""))
 		success = false
 	}
-	for _, p := range v.failedPackages { // one that failed with no test of its own: a panic, a time-out, a build
+	for _, p := range v.failedPackages { // a package without a failed test: a panic, a timeout or a build failure
 		if !slices.ContainsFunc(v.failed, func(t testID) bool { return t.pkg == p.pkg }) {
 			fmt.Fprintf(w, "FAIL %s\n%s", p.pkg, strings.Join(v.output[p], ""))
 			success = false
@@ -190,7 +190,7 @@
 		}
 	}
 	for pkg := range v.unfinished {
-		fmt.Fprintf(w, "FAIL %s: it did not end\n", pkg)
+		fmt.Fprintf(w, "FAIL %s: the package did not finish\n", pkg)
 		success = false
 	}
 	if len(v.passed) == 0 {
@@ -202,7 +202,7 @@
 	return success
 }
 
-// counts counts tests, and of suites the specs.
+// counts counts the tests; a Ginkgo suite counts by its specs instead of as one test.
 func (v *testRun) counts() (passed, failed, skipped int) {
 	passed, failed, skipped = len(v.passed), len(v.failed), v.skipped
 	for t, s := range v.suites {
--- a/tools/testverdict/main_test.go
+++ b/tools/testverdict/main_test.go
@@ -39,12 +39,12 @@
 		says               string
 	}{
 		{"a failure fails the run", events, "", false, "what went wrong"},
-		{"a listed failure is passed over and printed", events, "p TestBad: a cause, issue 1\n", true, "known red: p TestBad: a cause, issue 1"},
+		{"a listed failure is ignored and printed", events, "p TestBad: a cause, issue 1\n", true, "known red: p TestBad: a cause, issue 1"},
 		{"a listed test that passes fails the run", events, "p TestBad: a, 1\np TestGood: a, 1\n", false, "did not fail: p TestGood"},
-		{"a listed test that is not there fails the run", events, "p TestBad: a, 1\np TestNone: a, 1\n", false, "did not fail: p TestNone"},
+		{"a listed test that does not run fails the run", events, "p TestBad: a, 1\np TestNone: a, 1\n", false, "did not fail: p TestNone"},
 		{"a package that ends without a failed test fails the run", `{"Action":"pass","Package":"q","Test":"T"}` + "\n" + `{"Action":"fail","Package":"p"}`, "", false, "FAIL p"},
-		{"a build that fails fails the run", events + `{"Action":"build-output","ImportPath":"q","Output":"no such thing\n"}`, "p TestBad: a, 1", false, "no such thing"},
-		{"a package that does not end fails the run", `{"Action":"start","Package":"r"}` + "\n" + `{"Action":"pass","Package":"q","Test":"T"}`, "", false, "FAIL r"},
+		{"a build failure fails the run", events + `{"Action":"build-output","ImportPath":"q","Output":"no such thing\n"}`, "p TestBad: a, 1", false, "no such thing"},
+		{"a package that does not finish fails the run", `{"Action":"start","Package":"r"}` + "\n" + `{"Action":"pass","Package":"q","Test":"T"}`, "", false, "FAIL r"},
 		{"no test fails the run", "", "", false, "no test passed"},
 	}
 	for _, c := range cases {
@@ -67,7 +67,7 @@
 	}
 }
 
-// TestSuitesCountBySpecs: a suite counts by its specs, whatever its colours.
+// A Ginkgo suite counts by its specs, with or without ANSI colors.
 func TestSuitesCountBySpecs(t *testing.T) {
 	const suites = `{"Action":"output","Package":"p","Test":"TestSuite","Output":"\u001b[1mSUCCESS!\u001b[0m -- \u001b[1m20 Passed\u001b[0m | \u001b[91m0 Failed\u001b[0m | 1 Pending | 2 Skipped\n"}
 {"Action":"pass","Package":"p","Test":"TestSuite"}
