--- a/internal/tier/registration/snapshot/snapshot.go
+++ b/internal/tier/registration/snapshot/snapshot.go
@@ -1,14 +1,14 @@
-// Package snapshot keeps entries of the cluster's table that a control node knows on its disk, so that the
-// tier knows them again at once when all of it was down: the receivers above all, to which nothing could be
-// sent until each has sent a heartbeat.
+// Package snapshot stores a control node's entries of the cluster's table on disk, so that the tier has them at once
+// after all of it was down. This matters above all for receivers: without their entries nothing could be sent to a
+// receiver until it has sent a heartbeat.
 //
 //	file := snapshot.File{FS: vfs.OS{}, Dir: dir}
 //	entries, err := file.Load()
 //	err = file.Save(entries)
 //
-// The list is soft state: what the file lacks is learnt anew, and what is outdated in it is replaced by newer
-// stamps or, of a receiver, found out by the first call, as each call names the instance that it means. So a
-// file that is not there or not whole is an empty list.
+// The entries are soft state. Missing ones are learnt again from the cluster. Outdated ones are replaced by entries
+// with newer stamps; an outdated receiver is also found by the first call to it, since each call names the instance
+// that it is for. A missing or corrupt file therefore counts as empty.
 package snapshot
 
 import (
@@ -24,18 +24,18 @@
 	"emberquay/internal/vfs"
 )
 
-// FileName is the file's name in its folder.
+// FileName is the name of the file in File.Dir.
 const FileName = "known"
 
 const (
-	// newName is that of the next one, which is written beside it first.
-	newName = "known.new"
-	// maxBytes bounds the file: the largest configuration and many receivers.
-	maxBytes = 12 << 20
-	sumBytes = 8
+	// tempName is the name under which the next version is written before it replaces the file.
+	tempName = "known.new"
+	// maxBytes limits the file's size; it has room for the largest configuration and many receivers.
+	maxBytes      = 12 << 20
+	checksumBytes = 8
 )
 
-type entry struct {
+type entryRecord struct {
 	Key      string `avro:"key"`
 	Value    []byte `avro:"value"`
 	Epoch    int64  `avro:"epoch"`
@@ -43,11 +43,11 @@
 	Origin   string `avro:"origin"`
 }
 
-type list struct {
-	Entries []entry `avro:"entries"`
+type fileRecord struct {
+	Entries []entryRecord `avro:"entries"`
 }
 
-var lists = transport.MustCodec[list](`{"type":"record","name":"List","fields":[
+var fileCodec = transport.MustCodec[fileRecord](`{"type":"record","name":"List","fields":[
 	{"name":"entries","type":{"type":"array","items":{"type":"record","name":"Entry","fields":[
 		{"name":"key","type":"string"},
 		{"name":"value","type":"bytes"},
@@ -55,16 +55,16 @@
 		{"name":"sequence","type":"long"},
 		{"name":"origin","type":"string"}]}}}]}`)
 
-// File is where the list is kept.
+// File is the location of the stored entries.
 type File struct {
 	FS  vfs.FS
 	Dir string
 }
 
-// ErrCorrupt: the file is not a whole list.
+// ErrCorrupt is returned where the file's size, checksum or encoding is wrong.
 var ErrCorrupt = eris.New("not a whole list of known entries")
 
-// Load reads the list; nil where there is none or not a whole one. Errors: those of the disk.
+// Load reads the entries. It returns nil for a missing or corrupt file, and an error only for a failure of the disk.
 func (f File) Load() ([]cluster.Entry, error) {
 	entries, err := f.LoadStrict()
 	if errors.Is(err, ErrCorrupt) {
@@ -73,7 +73,7 @@
 	return entries, err
 }
 
-// LoadStrict reads the list as Load does; nil where there is none. Errors: ErrCorrupt, or the disk's.
+// LoadStrict reads the entries as Load does, but returns ErrCorrupt for a corrupt file.
 func (f File) LoadStrict() ([]cluster.Entry, error) {
 	file, err := f.FS.Open(filepath.Join(f.Dir, FileName))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -87,7 +87,7 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "known entries")
 	}
-	if size < sumBytes || size > maxBytes {
+	if size < checksumBytes || size > maxBytes {
 		return nil, ErrCorrupt
 	}
 	raw := make([]byte, size)
@@ -97,50 +97,50 @@
 	return parse(raw)
 }
 
-// parse reads the bytes of a list. Error: ErrCorrupt.
+// parse decodes the bytes of the file. The only error is ErrCorrupt.
 func parse(raw []byte) ([]cluster.Entry, error) {
-	body := raw[:len(raw)-sumBytes]
-	if string(raw[len(body):]) != string(sum(body)) {
+	body := raw[:len(raw)-checksumBytes]
+	if string(raw[len(body):]) != string(checksum(body)) {
 		return nil, ErrCorrupt
 	}
-	kept, err := lists.Decode(body)
+	record, err := fileCodec.Decode(body)
 	if err != nil {
 		return nil, ErrCorrupt
 	}
-	entries := make([]cluster.Entry, 0, len(kept.Entries))
-	for _, e := range kept.Entries {
+	entries := make([]cluster.Entry, 0, len(record.Entries))
+	for _, e := range record.Entries {
 		stamp := cluster.Stamp{Epoch: uint64(e.Epoch), Sequence: uint64(e.Sequence), Origin: e.Origin}
 		entries = append(entries, cluster.Entry{Key: e.Key, Value: e.Value, Stamp: stamp})
 	}
 	return entries, nil
 }
 
-func sum(body []byte) []byte {
+func checksum(body []byte) []byte {
 	digest := xxhash.New()
 	_, _ = digest.Write(body)
 	return digest.Sum(nil)
 }
 
-// Save writes the list in the place of the one before, in one step. It is on the disk when it returns nil.
+// Save replaces the file's entries atomically. They are durable when it returns nil.
 func (f File) Save(entries []cluster.Entry) error {
-	kept := list{Entries: make([]entry, 0, len(entries))}
+	record := fileRecord{Entries: make([]entryRecord, 0, len(entries))}
 	for _, e := range entries {
-		kept.Entries = append(kept.Entries, entry{Key: e.Key, Value: e.Value, Epoch: int64(e.Stamp.Epoch),
+		record.Entries = append(record.Entries, entryRecord{Key: e.Key, Value: e.Value, Epoch: int64(e.Stamp.Epoch),
 			Sequence: int64(e.Stamp.Sequence), Origin: e.Stamp.Origin})
 	}
-	body, err := lists.Encode(kept)
-	if err != nil || len(body) > maxBytes-sumBytes {
+	body, err := fileCodec.Encode(record)
+	if err != nil || len(body) > maxBytes-checksumBytes {
 		return eris.Wrapf(err, "known entries: %d bytes", len(body))
 	}
-	if err := f.write(append(body, sum(body)...)); err != nil {
+	if err := f.write(append(body, checksum(body)...)); err != nil {
 		return eris.Wrap(err, "known entries")
 	}
 	return nil
 }
 
 func (f File) write(raw []byte) error {
-	from := filepath.Join(f.Dir, newName)
-	file, err := f.FS.Create(from)
+	tempPath := filepath.Join(f.Dir, tempName)
+	file, err := f.FS.Create(tempPath)
 	if err != nil {
 		return err
 	}
@@ -148,13 +148,13 @@
 	if err == nil {
 		err = file.Sync()
 	}
-	if closing := file.Close(); err == nil {
-		err = closing
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
 	}
 	if err != nil {
 		return err
 	}
-	if err := f.FS.Rename(from, filepath.Join(f.Dir, FileName)); err != nil {
+	if err := f.FS.Rename(tempPath, filepath.Join(f.Dir, FileName)); err != nil {
 		return err
 	}
 	return f.FS.SyncDir(f.Dir)
--- a/internal/tier/registration/snapshot/snapshot_test.go
+++ b/internal/tier/registration/snapshot/snapshot_test.go
@@ -19,28 +19,28 @@
 	RunSpecs(t, "snapshot")
 }
 
-func entries() []cluster.Entry {
+func exampleEntries() []cluster.Entry {
 	return []cluster.Entry{
 		{Key: "receiver/i-1", Value: []byte("one"), Stamp: cluster.Stamp{Epoch: 4, Origin: "front-1"}},
 		{Key: "receiver/i-2", Value: []byte("two"), Stamp: cluster.Stamp{Epoch: 1 << 62, Sequence: 1, Origin: "front-2"}},
 	}
 }
 
-var _ = Describe("what is kept of the table", func() {
-	It("is empty where there is none", func() {
+var _ = Describe("the stored entries", func() {
+	It("are empty without a file", func() {
 		Expect(snapshot.File{FS: vfs.OS{}, Dir: GinkgoT().TempDir()}.Load()).To(BeEmpty())
 	})
 
-	It("comes back with its stamps, the newest written", func() {
+	It("are loaded with their stamps, as last saved", func() {
 		file := snapshot.File{FS: vfs.OS{}, Dir: GinkgoT().TempDir()}
-		Expect(file.Save(entries()[:1])).To(Succeed())
-		Expect(file.Save(entries())).To(Succeed())
-		Expect(file.Load()).To(Equal(entries()))
+		Expect(file.Save(exampleEntries()[:1])).To(Succeed())
+		Expect(file.Save(exampleEntries())).To(Succeed())
+		Expect(file.Load()).To(Equal(exampleEntries()))
 	})
 
-	It("is empty where its bytes are not whole", func() {
+	It("are empty where the file is corrupt", func() {
 		file := snapshot.File{FS: vfs.OS{}, Dir: GinkgoT().TempDir()}
-		Expect(file.Save(entries())).To(Succeed())
+		Expect(file.Save(exampleEntries())).To(Succeed())
 		damaged, err := vfs.OS{}.OpenReadWrite(filepath.Join(file.Dir, "known"))
 		Expect(err).NotTo(HaveOccurred())
 		_, err = damaged.WriteAt([]byte{0xff}, 3)
@@ -51,12 +51,12 @@
 		Expect(err).To(MatchError(snapshot.ErrCorrupt))
 	})
 
-	It("outlasts a loss of power once it was saved", func() {
+	It("survive a loss of power once they are saved", func() {
 		disk := memfs.New()
 		file := snapshot.File{FS: disk, Dir: "/data"}
 		Expect(disk.MkdirAll("/data")).To(Succeed())
-		Expect(file.Save(entries())).To(Succeed())
-		Expect(snapshot.File{FS: disk.AfterCrash(memfs.PowerLoss, rand.New(rand.NewPCG(1, 2))), Dir: "/data"}.Load()).To(Equal(entries()))
+		Expect(file.Save(exampleEntries())).To(Succeed())
+		Expect(snapshot.File{FS: disk.AfterCrash(memfs.PowerLoss, rand.New(rand.NewPCG(1, 2))), Dir: "/data"}.Load()).To(Equal(exampleEntries()))
 	})
 })
 
--- a/internal/tier/routing/diff.go
+++ b/internal/tier/routing/diff.go
@@ -9,45 +9,45 @@
 	"github.com/tidwall/gjson"
 )
 
-// Difference tells how one configuration differs from another.
+// Difference describes how two configurations differ.
 type Difference struct {
 	Routes, Services Changes
-	Limits           bool // they differ
+	Limits           bool // whether the limits differ
 }
 
-// Changes are the names of the items that differ, each list in order of the alphabet.
+// Changes lists the names of the items that differ, each list sorted.
 type Changes struct{ Added, Removed, Changed []string }
 
-// Empty says whether there are none.
+// Empty reports whether no item differs.
 func (c Changes) Empty() bool { return len(c.Added)+len(c.Removed)+len(c.Changed) == 0 }
 
-// Diff compares two configurations item by item: every key counts, also those that this package does not know, but not
-// how they are written or in which order they stand.
+// Diff compares two configurations item by item. Every key counts, including those that this package does not know;
+// the order of keys and items and the way values are written do not.
 func Diff(before, after *Snapshot) Difference {
 	old, new := gjson.ParseBytes(before.Body), gjson.ParseBytes(after.Body)
 	return Difference{
-		Routes:   compare(byName(old.Get("routes")), byName(new.Get("routes"))),
-		Services: compare(byName(old.Get("services")), byName(new.Get("services"))),
-		Limits:   !same(old.Get("limits").Raw, new.Get("limits").Raw),
+		Routes:   diffItems(rawByName(old.Get("routes")), rawByName(new.Get("routes"))),
+		Services: diffItems(rawByName(old.Get("services")), rawByName(new.Get("services"))),
+		Limits:   !equalJSON(old.Get("limits").Raw, new.Get("limits").Raw),
 	}
 }
 
-func byName(list gjson.Result) map[string]string {
-	raws := map[string]string{}
+func rawByName(list gjson.Result) map[string]string {
+	rawItems := map[string]string{}
 	for _, item := range list.Array() {
-		raws[item.Get("name").Str] = item.Raw
+		rawItems[item.Get("name").Str] = item.Raw
 	}
-	return raws
+	return rawItems
 }
 
-func compare(before, after map[string]string) Changes {
+func diffItems(before, after map[string]string) Changes {
 	var changes Changes
 	for _, name := range slices.Sorted(maps.Keys(after)) {
 		raw, there := before[name]
 		switch {
 		case !there:
 			changes.Added = append(changes.Added, name)
-		case !same(raw, after[name]):
+		case !equalJSON(raw, after[name]):
 			changes.Changed = append(changes.Changed, name)
 		}
 	}
@@ -59,8 +59,8 @@
 	return changes
 }
 
-// same compares two values by what they mean.
-func same(a, b string) bool {
+// equalJSON reports whether two JSON texts have the same value.
+func equalJSON(a, b string) bool {
 	if a == b {
 		return true
 	}
--- a/internal/tier/routing/fuzz_test.go
+++ b/internal/tier/routing/fuzz_test.go
@@ -8,10 +8,10 @@
 	"emberquay/internal/tier/routing"
 )
 
-// FuzzParse: whatever the body, it is either refused or gives a configuration that holds what it promises.
+// FuzzParse checks that any body is either refused or parsed into a snapshot whose invariants hold.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(example))
-	f.Add([]byte(small))
+	f.Add([]byte(exampleConfig))
+	f.Add([]byte(smallConfig))
 	f.Add([]byte(`{"version":1,"services":[{"name":"s"}],"routes":[{"name":"r","authority":"a:1","path_prefix":"/","timeout_ms":1,"service":"s"}]}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		snapshot, err := routing.Parse(body)
@@ -19,7 +19,7 @@
 			return
 		}
 		if !json.Valid(body) {
-			t.Fatal("taken, but no JSON")
+			t.Fatal("accepted a body that is not JSON")
 		}
 		checkSnapshot(t, snapshot)
 	})
@@ -36,21 +36,21 @@
 		}
 		found, ok := snapshot.Match(route.Authority, route.PathPrefix)
 		if !ok || found != route {
-			t.Fatalf("route %q is not found at its own place", route.Name)
+			t.Fatalf("route %q is not found by its own host and prefix", route.Name)
 		}
 		for _, unit := range []float64{0, 0.5, 1} {
 			if snapshot.Services[route.ChooseTarget(unit).Service] == nil {
-				t.Fatalf("route %q leads to no service", route.Name)
+				t.Fatalf("route %q has a target that is not a service", route.Name)
 			}
 		}
 	}
 }
 
-// FuzzModify: whatever the change, it is either refused or gives a document whose version is the change's and that
-// differs from the one before in nothing that the change does not name.
+// FuzzModify checks that any change is either refused or gives a JSON document to which the same change adds nothing,
+// and which differs from the document before only in items that the change names.
 func FuzzModify(f *testing.F) {
-	f.Add([]byte(small), []byte(`{"version":5,"upsert":{"routes":[{"name":"c"}],"limits":{}},"remove":{"services":["s"]}}`))
-	f.Add([]byte(example), []byte(`{"version":9,"upsert":{"services":[{"name":"wuno96b","max_connections":1}]}}`))
+	f.Add([]byte(smallConfig), []byte(`{"version":5,"upsert":{"routes":[{"name":"c"}],"limits":{}},"remove":{"services":["s"]}}`))
+	f.Add([]byte(exampleConfig), []byte(`{"version":9,"upsert":{"services":[{"name":"wuno96b","max_connections":1}]}}`))
 	f.Add([]byte(""), []byte(`{"version":1}`))
 	f.Fuzz(func(t *testing.T, current, patch []byte) {
 		body, err := routing.Modify(current, patch)
@@ -58,9 +58,9 @@
 			return
 		}
 		if !json.Valid(body) {
-			t.Fatalf("no JSON: %q", body)
+			t.Fatalf("result is not JSON: %q", body)
 		}
-		// Sent again on top of what came of it, a change alters nothing any more.
+		// A change is idempotent: applied to its own result, it changes nothing.
 		again, err := routing.Modify(body, patch)
 		if err != nil || string(again) != string(body) {
 			t.Fatalf("%v\n%q\n%q", err, body, again)
@@ -74,26 +74,26 @@
 			return
 		}
 		checkSnapshot(t, after)
-		checkNamed(t, routing.Diff(before, after), patch)
+		checkOnlyNamedItemsDiffer(t, routing.Diff(before, after), patch)
 	})
 }
 
-// checkNamed looks whether a change names the items that differ.
-func checkNamed(t *testing.T, difference routing.Difference, patch []byte) {
+// checkOnlyNamedItemsDiffer fails the test if removed routes or changed services are not named by the change.
+func checkOnlyNamedItemsDiffer(t *testing.T, difference routing.Difference, patch []byte) {
 	t.Helper()
 	var named struct {
 		Upsert map[string]json.RawMessage
 		Remove map[string][]string
 	}
 	if err := json.Unmarshal(patch, &named); err != nil {
-		return // encoding/json takes other keys for the same
+		return // encoding/json also matches keys that differ in case
 	}
 	for _, gone := range difference.Routes.Removed {
 		if !slices.Contains(named.Remove["routes"], gone) {
-			t.Fatalf("route %q is gone", gone)
+			t.Fatalf("route %q was removed but is not named", gone)
 		}
 	}
 	if changed := len(difference.Services.Added) + len(difference.Services.Changed); changed > 0 && named.Upsert["services"] == nil {
-		t.Fatalf("services changed: %+v", difference.Services)
+		t.Fatalf("services changed but are not named: %+v", difference.Services)
 	}
 }
--- a/internal/tier/routing/items.go
+++ b/internal/tier/routing/items.go
@@ -8,54 +8,54 @@
 	"github.com/tidwall/gjson"
 )
 
-// items are the items of one list, as routes or services, in their order.
-type items struct {
-	list []member       // name and bytes
-	at   map[string]int // name to place in list
+// itemList holds the items of one list, such as routes or services, in order.
+type itemList struct {
+	members []member       // item names with their bytes
+	indexes map[string]int // index in members by name
 }
 
-// readItems reads the items of one list. Two of the same name, or one without, are told as errors.
-func readItems(o *object, key string) *items {
-	read := &items{at: map[string]int{}}
+// readItems reads the items of one list. A duplicate or missing name is recorded as an error.
+func readItems(o *object, key string) *itemList {
+	list := &itemList{indexes: map[string]int{}}
 	values := o.list(key)
 	for i, item := range o.objects(key) {
-		name := item.requiredText("name")
-		if _, twice := read.at[name]; twice {
-			item.fail("name", "another item has the same one")
+		name := item.requiredString("name")
+		if _, twice := list.indexes[name]; twice {
+			item.fail("name", "another item has the same name")
 		}
-		read.put(name, values[i].Raw)
+		list.set(name, values[i].Raw)
 	}
-	return read
+	return list
 }
 
-// put replaces the item of that name, or adds it at the end.
-func (s *items) put(name, raw string) {
-	if at, ok := s.at[name]; ok {
-		s.list[at].raw = raw
+// set replaces the item with that name, or appends it.
+func (s *itemList) set(name, raw string) {
+	if index, ok := s.indexes[name]; ok {
+		s.members[index].raw = raw
 		return
 	}
-	s.at[name] = len(s.list)
-	s.list = append(s.list, member{key: name, raw: raw})
+	s.indexes[name] = len(s.members)
+	s.members = append(s.members, member{key: name, raw: raw})
 }
 
-// without drops the items of those names.
-func (s *items) without(names []string) {
-	gone := make(map[string]bool, len(names))
+// remove deletes the items with those names.
+func (s *itemList) remove(names []string) {
+	removed := make(map[string]bool, len(names))
 	for _, name := range names {
-		gone[name] = true
+		removed[name] = true
 	}
-	s.list = slices.DeleteFunc(s.list, func(m member) bool { return gone[m.key] })
-	clear(s.at)
-	for i, m := range s.list {
-		s.at[m.key] = i
+	s.members = slices.DeleteFunc(s.members, func(m member) bool { return removed[m.key] })
+	clear(s.indexes)
+	for i, m := range s.members {
+		s.indexes[m.key] = i
 	}
 }
 
-// encode writes the items as a list.
-func (s *items) encode() string {
+// encode returns the items as a JSON array.
+func (s *itemList) encode() string {
 	var out strings.Builder
 	out.WriteByte('[')
-	for i, m := range s.list {
+	for i, m := range s.members {
 		if i > 0 {
 			out.WriteByte(',')
 		}
@@ -65,11 +65,11 @@
 	return out.String()
 }
 
-// alter gives the members after the changes of upsert and remove, in that order. Lists are altered item by item, under
-// whatever key they stand; what is no list, as limits, is replaced.
-func alter(members []member, document, upsert, remove *object) []member {
-	changed := map[string]*items{}
-	list := func(key string) *items {
+// applyChanges returns the members after the changes of upsert and remove, in that order. Lists under any key are
+// changed item by item; other values, such as limits, are replaced.
+func applyChanges(members []member, document, upsert, remove *object) []member {
+	changed := map[string]*itemList{}
+	itemsOf := func(key string) *itemList {
 		if changed[key] == nil {
 			changed[key] = readItems(document, key)
 		}
@@ -77,30 +77,31 @@
 	}
 	for _, key := range upsert.keys() {
 		if value := upsert.values[key]; !value.IsArray() {
-			members = replaceWhole(members, document, upsert, key, value)
+			members = replaceValue(members, document, upsert, key, value)
 			continue
 		}
-		into := list(key)
-		for _, item := range readItems(upsert, key).list {
-			into.put(item.key, item.raw)
+		items := itemsOf(key)
+		for _, item := range readItems(upsert, key).members {
+			items.set(item.key, item.raw)
 		}
 	}
 	for _, key := range remove.keys() {
-		names := remove.texts(key)
-		checkNotBoth(upsert, remove, key, names)
+		names := remove.stringList(key)
+		checkConflicts(upsert, remove, key, names)
 		if _, there := document.values[key]; !there && changed[key] == nil {
-			continue // there is nothing to remove from
+			continue // there is no list to remove from
 		}
-		list(key).without(names)
+		itemsOf(key).remove(names)
 	}
 	for _, key := range slices.Sorted(maps.Keys(changed)) {
-		members = set(members, key, changed[key].encode())
+		members = setMember(members, key, changed[key].encode())
 	}
 	return members
 }
 
-// replaceWhole replaces what is no list. A list stays one: else all of its items would go at once.
-func replaceWhole(members []member, document, upsert *object, key string, value gjson.Result) []member {
+// replaceValue replaces a value that is not a list. It refuses to replace a list by another value, since that would
+// remove all items of the list at once.
+func replaceValue(members []member, document, upsert *object, key string, value gjson.Result) []member {
 	if value.Type == gjson.Null {
 		return members
 	}
@@ -109,20 +110,20 @@
 		return members
 	}
 	if key == "version" {
-		upsert.fail(key, "stands beside upsert, not in it")
+		upsert.fail(key, "must be set beside upsert, not in it")
 		return members
 	}
-	return set(members, key, value.Raw)
+	return setMember(members, key, value.Raw)
 }
 
-// checkNotBoth refuses a change that both puts and removes an item: which of the two is meant cannot be told.
-func checkNotBoth(upsert, remove *object, key string, names []string) {
+// checkConflicts refuses a change that both upserts and removes an item, since its intent is ambiguous.
+func checkConflicts(upsert, remove *object, key string, names []string) {
 	if upsert == nil || !upsert.values[key].IsArray() {
 		return
 	}
-	put := readItems(upsert, key)
+	upserted := readItems(upsert, key)
 	for _, name := range names {
-		if _, both := put.at[name]; both {
+		if _, both := upserted.indexes[name]; both {
 			remove.fail(key, "%q is also in upsert", name)
 		}
 	}
--- a/internal/tier/routing/match.go
+++ b/internal/tier/routing/match.go
@@ -6,44 +6,44 @@
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 )
 
-// keyBuffer is room on the stack for the key of a look-up. Longer keys take memory of the heap.
-const keyBuffer = 512
+// keyBufferBytes is the size of the stack buffer for a lookup key. Longer keys are allocated on the heap.
+const keyBufferBytes = 512
 
-// Match finds the route of a request: among those of the host, the one whose prefix is the longest that begins the path.
-// The host is compared without its port and without regard to case; the path is the request line's, without the query.
+// Match returns the route of a request: the one of that host with the longest prefix of the path. The host is compared
+// without its port and case-insensitively; the path is that of the request line, without the query.
 func (s *Snapshot) Match(host, path string) (*Route, bool) {
-	var buffer [keyBuffer]byte
-	key := appendPlace(buffer[:0], host, path, s.longestKey)
-	_, route, found := s.places.Root().LongestPrefix(key)
+	var buffer [keyBufferBytes]byte
+	key := appendRouteKey(buffer[:0], host, path, s.longestKeyBytes)
+	_, route, found := s.routeTree.Root().LongestPrefix(key)
 	return route, found
 }
 
-// appendPlace appends the key under which a place stands, cut to a length: the host in lower case, then the path. A host
-// holds no slash and a path begins with one, so that two places never have the same key.
-func appendPlace(key []byte, host, path string, length int) []byte {
-	host = withoutPort(host)
+// appendRouteKey appends the tree's key of a host and path, truncated to maxBytes: the host in lower case, then the
+// path. A host has no slash and a path begins with one, so that different pairs never have the same key.
+func appendRouteKey(key []byte, host, path string, maxBytes int) []byte {
+	host = stripPort(host)
 	if strings.IndexByte(host, '/') >= 0 || !strings.HasPrefix(path, "/") {
-		return key // no place has such a key
+		return key // no route has such a key
 	}
-	for i := 0; i < len(host) && len(key) < length; i++ {
-		key = append(key, lower(host[i]))
+	for i := 0; i < len(host) && len(key) < maxBytes; i++ {
+		key = append(key, lowerASCII(host[i]))
 	}
-	if room := length - len(key); len(path) > room {
-		path = path[:room]
+	if remaining := maxBytes - len(key); len(path) > remaining {
+		path = path[:remaining]
 	}
 	return append(key, path...)
 }
 
-// lower folds the letters that hosts are made of.
-func lower(c byte) byte {
+// lowerASCII returns the lower case of an ASCII letter, and any other byte as it is.
+func lowerASCII(c byte) byte {
 	if c >= 'A' && c <= 'Z' {
 		return c + 'a' - 'A'
 	}
 	return c
 }
 
-// withoutPort cuts the port off a host; the colons inside the brackets of an IPv6 address are no port's.
-func withoutPort(host string) string {
+// stripPort returns the host without its port; colons inside the brackets of an IPv6 address do not start a port.
+func stripPort(host string) string {
 	colon := strings.LastIndexByte(host, ':')
 	if colon < 0 || strings.IndexByte(host[colon:], ']') >= 0 {
 		return host
@@ -51,21 +51,21 @@
 	return host[:colon]
 }
 
-// place is the whole key of a route.
-func (r *Route) place() []byte {
-	return appendPlace(nil, r.Authority, r.PathPrefix, len(r.Authority)+len(r.PathPrefix))
+// key returns the route's complete key in the tree.
+func (r *Route) key() []byte {
+	return appendRouteKey(nil, r.Authority, r.PathPrefix, len(r.Authority)+len(r.PathPrefix))
 }
 
-// index builds the tree of the routes' places. Of two routes at one place it gives the second.
-func (s *Snapshot) index() (double *Route) {
+// buildRouteTree builds the tree of the routes by key. It returns the second of two routes with the same key.
+func (s *Snapshot) buildRouteTree() (duplicate *Route) {
 	txn := iradix.New[*Route]().Txn()
 	for _, route := range s.Routes {
-		key := route.place()
+		key := route.key()
 		if _, taken := txn.Insert(key, route); taken {
 			return route
 		}
-		s.longestKey = max(s.longestKey, len(key))
+		s.longestKeyBytes = max(s.longestKeyBytes, len(key))
 	}
-	s.places = txn.Commit()
+	s.routeTree = txn.Commit()
 	return nil
 }
--- a/internal/tier/routing/modify.go
+++ b/internal/tier/routing/modify.go
@@ -8,20 +8,20 @@
 	"github.com/tidwall/gjson"
 )
 
-// member is a key of an object with its value's bytes as they were sent.
+// member is a key of an object with the bytes of its value as they were sent.
 type member struct{ key, raw string }
 
-// Modify applies a change of named items to a configuration and gives the whole document that results. Items that are
-// added or replaced keep the bytes in which they were sent, all others those that they had; the order of items stays, and
-// new ones come last. A name that is to be removed and is not there is no error. An empty current configuration holds
-// nothing. Whether what results is valid is told by Parse.
+// Modify applies a change of named items to a configuration and returns the complete resulting document. Added and
+// replaced items have the bytes in which they were sent, all others keep theirs. Items keep their order and new ones
+// come last. Removing a name that does not exist is not an error. An empty current body is a configuration without
+// items. Modify does not validate the result; Parse does.
 func Modify(current, patch []byte) ([]byte, error) {
 	if len(current) == 0 {
 		current = []byte("{}")
 	}
 	document, err := newDocument(current)
 	if err != nil {
-		return nil, currentError(err)
+		return nil, currentConfigError(err)
 	}
 	change, err := newDocument(patch)
 	if err != nil {
@@ -32,18 +32,18 @@
 	if err := change.err(); err != nil {
 		return nil, err
 	}
-	members := set(orderedMembers(current), "version", change.values["version"].Raw)
-	members = alter(members, document, upsert, remove)
+	members := setMember(orderedMembers(current), "version", change.values["version"].Raw)
+	members = applyChanges(members, document, upsert, remove)
 	if err := document.err(); err != nil {
-		return nil, currentError(err)
+		return nil, currentConfigError(err)
 	}
 	if err := change.err(); err != nil {
 		return nil, err
 	}
-	return encode(members), nil
+	return encodeObject(members), nil
 }
 
-// orderedMembers gives the keys of an object in the order in which they stand there.
+// orderedMembers returns the members of an object in their order in the text.
 func orderedMembers(body []byte) []member {
 	var members []member
 	gjson.ParseBytes(body).ForEach(func(key, value gjson.Result) bool {
@@ -53,18 +53,18 @@
 	return members
 }
 
-// set replaces a member's value, or adds it.
-func set(members []member, key, raw string) []member {
-	at := slices.IndexFunc(members, func(m member) bool { return m.key == key })
-	if at < 0 {
+// setMember replaces the value of a member, or appends the member.
+func setMember(members []member, key, raw string) []member {
+	index := slices.IndexFunc(members, func(m member) bool { return m.key == key })
+	if index < 0 {
 		return append(members, member{key: key, raw: raw})
 	}
-	members[at].raw = raw
+	members[index].raw = raw
 	return members
 }
 
-// encode writes an object of those members.
-func encode(members []member) []byte {
+// encodeObject returns the JSON object of the members.
+func encodeObject(members []member) []byte {
 	var out bytes.Buffer
 	out.WriteByte('{')
 	for i, m := range members {
@@ -77,7 +77,7 @@
 	return out.Bytes()
 }
 
-// currentError tells that what is wrong is not in the change.
-func currentError(err error) error { return fmt.Errorf("the current configuration: %w", err) }
+// currentConfigError marks an error as one of the current configuration rather than of the change.
+func currentConfigError(err error) error { return fmt.Errorf("the current configuration: %w", err) }
 
 func quote(text string) string { return string(gjson.AppendJSONString(nil, text)) }
--- a/internal/tier/routing/object.go
+++ b/internal/tier/routing/object.go
@@ -13,13 +13,13 @@
 	"github.com/tidwall/gjson"
 )
 
-// KeyError is a value that is missing or makes no sense.
+// KeyError reports a missing or invalid value.
 type KeyError struct {
-	Key    string // as in "routes[r-old].timeout_ms"; empty where the text as a whole is meant
+	Key    string // as in "routes[r-old].timeout_ms"; empty for the document as a whole
 	Reason string
 }
 
-// Error gives the key and what is wrong with it.
+// Error returns the key and the reason.
 func (e *KeyError) Error() string {
 	if e.Key == "" {
 		return e.Reason
@@ -27,41 +27,41 @@
 	return e.Key + ": " + e.Reason
 }
 
-// mostNumber bounds all numbers: whole ones up to here are exact in JSON as all read it.
-const mostNumber = 1 << 53
+// maxNumber limits all numbers: integers up to it are exact in every JSON parser.
+const maxNumber = 1 << 53
 
-// mostSeconds keeps a duration inside time.Duration: over 30 years.
-const mostSeconds = 1e9
+// maxSeconds limits durations to the range of time.Duration; it is over 30 years.
+const maxSeconds = 1e9
 
-// object reads the values of one JSON object. The first that is wrong is kept, and reading goes on with zero values.
+// object reads the values of one JSON object. It keeps the first error and continues with default values.
 type object struct {
-	path   string // empty at the top
-	values map[string]gjson.Result
-	first  *error // shared by all objects of a text
+	path     string // empty for the top-level object
+	values   map[string]gjson.Result
+	firstErr *error // shared by all objects of a document
 }
 
-// newDocument reads the top object of a text that stands for itself: nothing may come before or after it.
+// newDocument reads the top-level object of a JSON document; nothing but white space may surround it.
 func newDocument(body []byte) (*object, error) {
 	if len(body) > MaxBodyBytes {
-		return nil, &KeyError{Reason: fmt.Sprintf("%d bytes, %d at most", len(body), MaxBodyBytes)}
+		return nil, &KeyError{Reason: fmt.Sprintf("%d bytes, at most %d are allowed", len(body), MaxBodyBytes)}
 	}
 	if !utf8.Valid(body) {
-		return nil, &KeyError{Reason: "this is no UTF-8"}
+		return nil, &KeyError{Reason: "document is not valid UTF-8"}
 	}
-	if depth(body) > maxDepth {
+	if nestingDepth(body) > maxDepth {
 		return nil, &KeyError{Reason: fmt.Sprintf("nested deeper than %d levels", maxDepth)}
 	}
 	if !gjson.ValidBytes(body) {
 		return nil, &KeyError{Reason: "this is no whole JSON document"}
 	}
-	top := &object{first: new(error)}
-	top.fill(gjson.ParseBytes(body))
+	top := &object{firstErr: new(error)}
+	top.readKeys(gjson.ParseBytes(body))
 	return top, top.err()
 }
 
-// depth gives how deep brackets nest. What is no JSON may give anything.
-func depth(body []byte) int {
-	deepest, now := 0, 0
+// nestingDepth returns the nesting depth of brackets. Its result has no meaning for a text that is not valid JSON.
+func nestingDepth(body []byte) int {
+	deepest, level := 0, 0
 	quoted := false
 	for i := 0; i < len(body); i++ {
 		switch c := body[i]; {
@@ -71,25 +71,26 @@
 			quoted = !quoted
 		case quoted:
 		case c == '{' || c == '[':
-			now++
-			deepest = max(deepest, now)
+			level++
+			deepest = max(deepest, level)
 		case c == '}' || c == ']':
-			now--
+			level--
 		}
 	}
 	return deepest
 }
 
-// fill takes the object's keys. A key that stands there twice would be read one way by some and another by others.
-func (o *object) fill(value gjson.Result) {
+// readKeys reads the object's keys and refuses a duplicate key, since JSON parsers differ in which of its values they
+// take.
+func (o *object) readKeys(value gjson.Result) {
 	if !value.IsObject() {
-		o.failWhole("must be an object")
+		o.failObject("must be an object")
 		return
 	}
 	o.values = map[string]gjson.Result{}
 	value.ForEach(func(key, value gjson.Result) bool {
 		if _, twice := o.values[key.Str]; twice {
-			o.fail(key.Str, "stands there twice")
+			o.fail(key.Str, "appears twice")
 			return false
 		}
 		o.values[key.Str] = value
@@ -97,17 +98,17 @@
 	})
 }
 
-func (o *object) err() error { return *o.first }
+func (o *object) err() error { return *o.firstErr }
 
-func (o *object) fail(key, reason string, arguments ...any) {
-	if *o.first == nil {
-		*o.first = &KeyError{Key: o.keyPath(key), Reason: fmt.Sprintf(reason, arguments...)}
+func (o *object) fail(key, reason string, args ...any) {
+	if *o.firstErr == nil {
+		*o.firstErr = &KeyError{Key: o.keyPath(key), Reason: fmt.Sprintf(reason, args...)}
 	}
 }
 
-func (o *object) failWhole(reason string) {
-	if *o.first == nil {
-		*o.first = &KeyError{Key: o.path, Reason: reason}
+func (o *object) failObject(reason string) {
+	if *o.firstErr == nil {
+		*o.firstErr = &KeyError{Key: o.path, Reason: reason}
 	}
 }
 
@@ -118,13 +119,13 @@
 	return o.path + "." + key
 }
 
-// has says whether there is a value; null is none.
+// has reports whether the key has a value other than null.
 func (o *object) has(key string) bool {
 	value, ok := o.values[key]
 	return ok && value.Type != gjson.Null
 }
 
-// keys gives the object's keys in order of the alphabet; no object has none.
+// keys returns the sorted keys of the object; a nil object has none.
 func (o *object) keys() []string {
 	if o == nil {
 		return nil
@@ -132,25 +133,25 @@
 	return slices.Sorted(maps.Keys(o.values))
 }
 
-// object gives the object of that name, or nil where there is none.
+// object returns the object under that key, or nil if there is none.
 func (o *object) object(key string) *object {
 	if !o.has(key) {
 		return nil
 	}
-	inner := &object{path: o.keyPath(key), first: o.first}
-	inner.fill(o.values[key])
+	inner := &object{path: o.keyPath(key), firstErr: o.firstErr}
+	inner.readKeys(o.values[key])
 	return inner
 }
 
-// objects gives a list of objects. Those that have a name are told by it in errors, the others by their place.
+// objects returns a list of objects. Errors identify an object by its name, or by its index where it has none.
 func (o *object) objects(key string) []*object {
 	var list []*object
 	for i, value := range o.list(key) {
-		item := &object{path: fmt.Sprintf("%s[%d]", o.keyPath(key), i), first: o.first}
+		item := &object{path: fmt.Sprintf("%s[%d]", o.keyPath(key), i), firstErr: o.firstErr}
 		if name := value.Get("name"); name.Type == gjson.String && name.Str != "" {
 			item.path = fmt.Sprintf("%s[%s]", o.keyPath(key), name.Str)
 		}
-		item.fill(value)
+		item.readKeys(value)
 		list = append(list, item)
 	}
 	return list
@@ -168,11 +169,11 @@
 	return value.Array()
 }
 
-func (o *object) texts(key string) []string {
+func (o *object) stringList(key string) []string {
 	var texts []string
 	for _, value := range o.list(key) {
 		if value.Type != gjson.String {
-			o.fail(key, "must hold texts")
+			o.fail(key, "must be a list of strings")
 			return nil
 		}
 		texts = append(texts, strings.Clone(value.Str))
@@ -180,28 +181,28 @@
 	return texts
 }
 
-// text gives a copy, so that the whole document need not stay in memory for a name.
-func (o *object) text(key string) string {
+// optionalString returns a copy, so that a name does not keep the whole document in memory.
+func (o *object) optionalString(key string) string {
 	if !o.has(key) {
 		return ""
 	}
 	value := o.values[key]
 	if value.Type != gjson.String {
-		o.fail(key, "must be a text")
+		o.fail(key, "must be a string")
 		return ""
 	}
 	return strings.Clone(value.Str)
 }
 
-func (o *object) requiredText(key string) string {
-	text := o.text(key)
+func (o *object) requiredString(key string) string {
+	text := o.optionalString(key)
 	if text == "" {
 		o.fail(key, "is missing or empty")
 	}
 	return text
 }
 
-func (o *object) flag(key string) bool {
+func (o *object) boolean(key string) bool {
 	if !o.has(key) {
 		return false
 	}
@@ -212,42 +213,42 @@
 	return value.Bool()
 }
 
-// number reads a whole number or a fraction that is not negative.
-func (o *object) number(key string, usual float64) float64 {
+// number reads a number that is not negative.
+func (o *object) number(key string, fallback float64) float64 {
 	if !o.has(key) {
-		return usual
+		return fallback
 	}
 	value := o.values[key]
 	if value.Type != gjson.Number {
 		o.fail(key, "must be a number")
-		return usual
+		return fallback
 	}
 	number, err := strconv.ParseFloat(value.Raw, 64)
-	if err != nil || number < 0 || number > mostNumber {
-		o.fail(key, "must be a number from 0 to %d", int64(mostNumber))
-		return usual
+	if err != nil || number < 0 || number > maxNumber {
+		o.fail(key, "must be a number from 0 to %d", int64(maxNumber))
+		return fallback
 	}
 	return number
 }
 
-// whole reads a number without a fraction, as 24 or 24.0.
-func (o *object) whole(key string, usual int) int {
-	number := o.number(key, float64(usual))
+// integer reads a number without a fraction, such as 24 or 24.0.
+func (o *object) integer(key string, fallback int) int {
+	number := o.number(key, float64(fallback))
 	if number != math.Trunc(number) {
 		o.fail(key, "must be a whole number")
-		return usual
+		return fallback
 	}
 	return int(number)
 }
 
-func (o *object) duration(key string, unit, usual time.Duration) time.Duration {
+func (o *object) duration(key string, unit, fallback time.Duration) time.Duration {
 	if !o.has(key) {
-		return usual
+		return fallback
 	}
 	seconds := o.number(key, 0) * unit.Seconds()
-	if seconds > mostSeconds {
+	if seconds > maxSeconds {
 		o.fail(key, "is too long")
-		return usual
+		return fallback
 	}
 	return time.Duration(math.Round(seconds * float64(time.Second)))
 }
--- a/internal/tier/routing/parse.go
+++ b/internal/tier/routing/parse.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Parse reads a configuration and checks it whole. The body is kept and must not be changed. Errors are of type
-// *KeyError and tell the first thing that is wrong; the same body always gives the same one.
+// Parse reads and validates a configuration. The snapshot keeps the body, which must not be modified. Errors are of
+// type *KeyError and report the first fault; the same body always gives the same error.
 func Parse(body []byte) (*Snapshot, error) {
 	top, err := newDocument(body)
 	if err != nil {
@@ -22,9 +22,9 @@
 	if err := top.err(); err != nil {
 		return nil, err
 	}
-	if double := snapshot.index(); double != nil {
+	if duplicate := snapshot.buildRouteTree(); duplicate != nil {
 		reason := "another route has the same host and prefix"
-		return nil, &KeyError{Key: "routes[" + double.Name + "].path_prefix", Reason: reason}
+		return nil, &KeyError{Key: "routes[" + duplicate.Name + "].path_prefix", Reason: reason}
 	}
 	return snapshot, nil
 }
@@ -34,7 +34,7 @@
 		top.fail("version", "is missing")
 		return 0
 	}
-	version := top.whole("version", 0)
+	version := top.integer("version", 0)
 	if version == 0 {
 		top.fail("version", "must be above 0")
 	}
@@ -46,7 +46,7 @@
 	for _, item := range top.objects("services") {
 		service := readService(item)
 		if services[service.Name] != nil {
-			item.fail("name", "another service has the same one")
+			item.fail("name", "another service has the same name")
 		}
 		services[service.Name] = service
 	}
@@ -55,9 +55,9 @@
 
 func readService(item *object) *Service {
 	return &Service{
-		Name:           item.requiredText("name"),
-		HealthPath:     item.text("health_path"),
-		MaxConnections: item.whole("max_connections", 0),
+		Name:           item.requiredString("name"),
+		HealthPath:     item.optionalString("health_path"),
+		MaxConnections: item.integer("max_connections", 0),
 		Engine:         readEngine(item.object("engine")),
 	}
 }
@@ -67,27 +67,27 @@
 		return nil
 	}
 	engine := &Engine{
-		Slots:            item.whole("slots", 0),
-		KVCapacityTokens: item.whole("kv_capacity_tokens", 0),
-		KVTokenBytes:     item.whole("kv_token_bytes", 0),
-		ChunkTokens:      max(1, item.whole("chunk_tokens", 1)),
+		Slots:            item.integer("slots", 0),
+		KVCapacityTokens: item.integer("kv_capacity_tokens", 0),
+		KVTokenBytes:     item.integer("kv_token_bytes", 0),
+		ChunkTokens:      max(1, item.integer("chunk_tokens", 1)),
 	}
 	for _, model := range item.objects("models") {
-		engine.Models = append(engine.Models, model.requiredText("name"))
+		engine.Models = append(engine.Models, model.requiredString("name"))
 	}
 	return engine
 }
 
-// readLimits takes 0 as a limit that is not given: nobody could send anything within it.
+// readLimits treats a limit of 0 as not given, since no request could be sent within it.
 func readLimits(item *object) Limits {
 	limits := defaultLimits
 	if item == nil {
 		return limits
 	}
-	if bytes := item.whole("max_header_bytes", 0); bytes > 0 {
+	if bytes := item.integer("max_header_bytes", 0); bytes > 0 {
 		limits.MaxHeaderBytes = bytes
 	}
-	if bytes := item.whole("max_body_bytes", 0); bytes > 0 {
+	if bytes := item.integer("max_body_bytes", 0); bytes > 0 {
 		limits.MaxBodyBytes = bytes
 	}
 	if timeout := item.duration("header_timeout_ms", time.Millisecond, 0); timeout > 0 {
@@ -105,7 +105,7 @@
 	for _, item := range top.objects("routes") {
 		route := readRoute(item, services)
 		if names[route.Name] {
-			item.fail("name", "another route has the same one")
+			item.fail("name", "another route has the same name")
 		}
 		names[route.Name] = true
 		routes = append(routes, route)
@@ -115,18 +115,18 @@
 
 func readRoute(item *object, services map[string]*Service) *Route {
 	route := &Route{
-		Name:            item.requiredText("name"),
+		Name:            item.requiredString("name"),
 		Authority:       readAuthority(item),
 		PathPrefix:      readPathPrefix(item),
 		Kind:            readKind(item),
 		Timeout:         item.duration("timeout_ms", time.Millisecond, 0),
-		Priority:        item.whole("priority", 0),
+		Priority:        item.integer("priority", 0),
 		Targets:         readTargets(item, services),
-		MaxAttempts:     item.whole("max_attempts", 1),
-		Retained:        item.flag("retained"),
+		MaxAttempts:     item.integer("max_attempts", 1),
+		Retained:        item.boolean("retained"),
 		Retention:       item.duration("retention_s", time.Second, 0),
-		SessionAffinity: item.flag("session_affinity"),
-		Resumable:       item.flag("resumable"),
+		SessionAffinity: item.boolean("session_affinity"),
+		Resumable:       item.boolean("resumable"),
 		TargetEventGap:  item.duration("gap_aim_ms", time.Millisecond, 0),
 	}
 	route.TargetLatency = item.duration("target_latency_ms", time.Millisecond, route.Timeout)
@@ -134,30 +134,30 @@
 		item.fail("timeout_ms", "is missing or 0")
 	}
 	if route.MaxAttempts < 1 {
-		item.fail("max_attempts", "must be 1 at least")
+		item.fail("max_attempts", "must be at least 1")
 	}
 	return route
 }
 
 func readAuthority(item *object) string {
-	authority := item.requiredText("authority")
-	if strings.Contains(authority, "/") || withoutPort(authority) == "" {
-		item.fail("authority", "%q is no host", authority)
+	authority := item.requiredString("authority")
+	if strings.Contains(authority, "/") || stripPort(authority) == "" {
+		item.fail("authority", "%q is not a host", authority)
 	}
 	return authority
 }
 
 func readPathPrefix(item *object) string {
-	prefix := item.requiredText("path_prefix")
+	prefix := item.requiredString("path_prefix")
 	if !strings.HasPrefix(prefix, "/") || !strings.HasSuffix(prefix, "/") {
 		item.fail("path_prefix", "%q does not begin and end with a slash", prefix)
 	}
 	return prefix
 }
 
-// readKind takes a route without a type as one whose requests run once at most: that is never wrong.
+// readKind takes a route without a type as Unsafe: to run its requests at most once is correct for every route.
 func readKind(item *object) Kind {
-	switch text := item.text("route_type"); text {
+	switch text := item.optionalString("route_type"); text {
 	case "", "unsafe":
 		return Unsafe
 	case "safe":
@@ -165,15 +165,15 @@
 	case "streaming":
 		return Streaming
 	default:
-		item.fail("route_type", "%q is not known; safe, unsafe and streaming are", text)
+		item.fail("route_type", "%q is unknown; use safe, unsafe or streaming", text)
 		return Unsafe
 	}
 }
 
-// readTargets reads either weighted targets or the one service. Where both stand there, the weighted ones count. Targets
-// of weight 0 are checked and left out.
+// readTargets reads the weighted targets or the single service. Weighted targets take precedence where both are given.
+// Targets with weight 0 are checked and left out.
 func readTargets(item *object, services map[string]*Service) []Target {
-	service := item.text("service")
+	service := item.optionalString("service")
 	if service != "" {
 		checkService(item, service, services)
 	}
@@ -185,9 +185,9 @@
 		return []Target{{Service: service, Weight: 1}}
 	}
 	var targets []Target
-	for _, one := range weighted {
-		target := Target{Service: one.requiredText("service"), Weight: one.number("weight", 0)}
-		checkService(one, target.Service, services)
+	for _, entry := range weighted {
+		target := Target{Service: entry.requiredString("service"), Weight: entry.number("weight", 0)}
+		checkService(entry, target.Service, services)
 		if target.Weight > 0 {
 			targets = append(targets, target)
 		}
--- a/internal/tier/routing/routing.go
+++ b/internal/tier/routing/routing.go
@@ -8,8 +8,8 @@
 //		service := route.ChooseTarget(random.Float64()).Service
 //	}
 //
-// A Snapshot is valid as a whole and does not change once it was parsed, so it may be read by any number of goroutines
-// and is replaced whole. Keys that are not known are skipped, since the configuration may gain new ones.
+// A Snapshot is fully validated and immutable, so any number of goroutines may read it; a new configuration replaces it
+// as a whole. Unknown keys are ignored, since the configuration may gain new ones.
 package routing
 
 import (
@@ -20,36 +20,36 @@
 )
 
 const (
-	// MaxBodyBytes bounds a configuration, so that a broken one cannot take the memory of a machine. A route takes under
-	// 500 bytes: this holds over 16,000 of them.
+	// MaxBodyBytes limits the size of a configuration, so that a broken one cannot exhaust a machine's memory. A route
+	// takes less than 500 bytes, so the limit admits over 16,000 routes.
 	MaxBodyBytes = 8 << 20
-	// maxDepth bounds how deep a configuration may nest: reading it takes stack for each level.
+	// maxDepth limits the nesting of a configuration, since the parser uses stack for each level.
 	maxDepth = 64
 )
 
-// Snapshot is one whole configuration.
+// Snapshot is one complete configuration.
 type Snapshot struct {
 	Version  uint64 // above 0
-	Body     []byte // as it was sent; not to be changed
+	Body     []byte // as it was sent; must not be modified
 	Routes   []*Route
 	Services map[string]*Service // by name
 	Limits   Limits
 
-	places     *iradix.Tree[*Route] // by place
-	longestKey int                  // bytes of the longest place
+	routeTree       *iradix.Tree[*Route] // by Route.key
+	longestKeyBytes int                  // length of the longest Route.key
 }
 
-// Kind says how often a request may run.
+// Kind determines how often a request of a route may run.
 type Kind int
 
-// The kinds of route.
+// The kinds of route; the route_type of the configuration names them.
 const (
-	Unsafe    Kind = iota // once at most
+	Unsafe    Kind = iota // at most once
 	Safe                  // more than once
-	Streaming             // answered with a series of events; once at most, unless the route is resumable
+	Streaming             // answered with a stream of events; at most once, unless the route is resumable
 )
 
-// String gives the kind as route_type has it.
+// String returns the kind as route_type names it.
 func (k Kind) String() string {
 	switch k {
 	case Safe:
@@ -60,58 +60,58 @@
 	return "unsafe"
 }
 
-// Route says where the requests of a place go and how they are handled.
+// Route determines where the requests for a host and path prefix are sent and how they are handled.
 type Route struct {
 	Name       string
 	Authority  string // the host, as it was sent
 	PathPrefix string // begins and ends with a slash
 	Kind       Kind
 
-	Timeout       time.Duration // above 0: the longest that a request is held
-	TargetLatency time.Duration // within which an answer has its full worth; the time-out where none is given
-	Priority      int           // 0 is the highest rank
-	Targets       []Target      // at least one, each of a weight above 0
-	MaxAttempts   int           // receivers that one try may be sent to; 1 at least
+	Timeout       time.Duration // above 0: the longest time for which a request is held
+	TargetLatency time.Duration // within which a response has its full value; Timeout where none is given
+	Priority      int           // 0 is the highest
+	Targets       []Target      // at least one, each with a weight above 0
+	MaxAttempts   int           // receivers that one try may be sent to; at least 1
 
 	Retained        bool          // turns are kept
-	Retention       time.Duration // for how long
+	Retention       time.Duration // how long turns are kept
 	SessionAffinity bool
-	Resumable       bool          // a stream may be taken up at another receiver
-	TargetEventGap  time.Duration // the longest pause between events; 0 where none is given
+	Resumable       bool          // a stream may be resumed at another receiver
+	TargetEventGap  time.Duration // the longest acceptable time between two events; 0 where none is given
 }
 
-// Target is a service that takes a share of a route's requests.
+// Target is a service that gets a share of a route's requests.
 type Target struct {
 	Service string
-	Weight  float64 // above 0; counts against the sum of the route's weights
+	Weight  float64 // above 0; relative to the sum of the route's weights
 }
 
-// Service are receivers that do the same.
+// Service is a group of interchangeable receivers.
 type Service struct {
 	Name           string
 	HealthPath     string  // empty where none is given
-	MaxConnections int     // that one receiver takes from all callers together; 0 where none is given
+	MaxConnections int     // to one receiver from all callers together; 0 where none is given
 	Engine         *Engine // nil unless the receivers run models
 }
 
-// Engine tells how the receivers of a service run models.
+// Engine describes how the receivers of a service run models.
 type Engine struct {
-	Slots            int // requests in one batch
-	KVCapacityTokens int // tokens that one receiver's memory holds
-	KVTokenBytes     int // bytes of memory for one token
-	ChunkTokens      int // tokens in one event; 1 at least
+	Slots            int // requests in one batch of a receiver
+	KVCapacityTokens int // tokens that fit in one receiver's KV cache
+	KVTokenBytes     int // memory of one token in the KV cache
+	ChunkTokens      int // tokens in one event; at least 1
 	Models           []string
 }
 
-// Limits bound what clients may send.
+// Limits are the limits on requests and connections of clients.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int
-	HeaderTimeout  time.Duration // for the whole head of a request to come
-	IdleTimeout    time.Duration // between two requests of a connection
+	HeaderTimeout  time.Duration // for a complete request header to arrive
+	IdleTimeout    time.Duration // between two requests on a connection
 }
 
-// defaultLimits stand for what a configuration does not hold.
+// defaultLimits are used for the limits that a configuration does not set.
 var defaultLimits = Limits{
 	MaxHeaderBytes: 16 << 10,
 	MaxBodyBytes:   4 << 20,
@@ -119,28 +119,28 @@
 	IdleTimeout:    15 * time.Second,
 }
 
-// HasRoute says whether a route of that name is there.
+// HasRoute reports whether there is a route with that name.
 func (s *Snapshot) HasRoute(name string) bool {
 	return slices.ContainsFunc(s.Routes, func(r *Route) bool { return r.Name == name })
 }
 
-// ChooseTarget picks a target by weight. unit is drawn evenly from 0 up to, but not including, 1.
+// ChooseTarget selects a target by weight. unit is uniformly distributed in [0, 1).
 func (r *Route) ChooseTarget(unit float64) Target {
 	var sum float64
 	for _, target := range r.Targets {
 		sum += target.Weight
 	}
-	left := unit * sum
+	rest := unit * sum
 	for _, target := range r.Targets {
-		if left < target.Weight {
+		if rest < target.Weight {
 			return target
 		}
-		left -= target.Weight
+		rest -= target.Weight
 	}
-	return r.Targets[len(r.Targets)-1] // rounding left something over
+	return r.Targets[len(r.Targets)-1] // reached when rounding leaves a rest
 }
 
-// Repeatable says whether a request may run more than once.
+// Repeatable reports whether a request may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Safe || r.Kind == Streaming && r.Resumable
 }
