--- a/internal/tier/settings/files_test.go
+++ b/internal/tier/settings/files_test.go
@@ -1,6 +1,6 @@
 package settings_test
 
-// frontFile and storeFile are settings as the platform writes them.
+// frontFile and storeFile are settings files of a front and a store machine as the platform writes them.
 const frontFile = `node_name = "front-st-jerome-1"
 role = "my-front"
 machine_class = "front"
--- a/internal/tier/settings/fuzz_test.go
+++ b/internal/tier/settings/fuzz_test.go
@@ -6,7 +6,7 @@
 	"emberquay/internal/tier/settings"
 )
 
-// FuzzParse: whatever the text, it is either refused or gives settings on which the helpers work.
+// FuzzParse checks that any text is either refused or gives settings on which the methods of Node work.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(frontFile))
 	f.Add([]byte(storeFile))
@@ -16,7 +16,7 @@
 		node, err := settings.Parse(raw)
 		if err != nil {
 			if node != nil {
-				t.Fatalf("settings beside the error %v", err)
+				t.Fatalf("settings returned together with the error %v", err)
 			}
 			return
 		}
--- a/internal/tier/settings/parse.go
+++ b/internal/tier/settings/parse.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	mostPort = 1<<16 - 1
-	// mostSeconds keeps a duration inside time.Duration with room to add: over 30 years.
-	mostSeconds = 1e9
+	maxPort = 1<<16 - 1
+	// maxSeconds limits durations to the range of time.Duration, with room for additions; it is over 30 years.
+	maxSeconds = 1e9
 )
 
-// defaultBounds are the usual figures; they stand for those that a file does not hold.
+// defaultBounds are used for the bounds that a file does not set.
 var defaultBounds = Bounds{
 	SeedLag:       3 * time.Second,
 	ReuseAfter:    2 * time.Second,
@@ -34,30 +34,31 @@
 	Settle:        time.Second,
 }
 
-// defaultHeartbeat stands for an interval that a file does not hold.
+// defaultHeartbeat is the heartbeat interval where a file does not set one.
 const defaultHeartbeat = time.Second
 
-// Parse reads the text of a settings file. Errors are of type *KeyError, or name a line where the text is no TOML.
+// Parse reads the text of a settings file. Errors are of type *KeyError, or name the line and column where the text is
+// not valid TOML.
 func Parse(raw []byte) (*Node, error) {
 	top, err := newTable(raw)
 	if err != nil {
 		return nil, err
 	}
 	node := &Node{
-		Name:              top.requiredText("node_name"),
-		Role:              top.text("role"),
-		MachineClass:      top.requiredText("machine_class"),
+		Name:              top.requiredString("node_name"),
+		Role:              top.optionalString("role"),
+		MachineClass:      top.requiredString("machine_class"),
 		IP:                top.ip("ip"),
-		Zone:              top.requiredText("zone"),
-		Region:            top.text("region"),
-		Serves:            top.requiredTexts("serves"),
+		Zone:              top.requiredString("zone"),
+		Region:            top.optionalString("region"),
+		Serves:            top.requiredStrings("serves"),
 		InternalPorts:     top.ports("internal_ports"),
 		Seeds:             top.addresses("seed_nodes"),
-		Bootstrap:         top.flag("bootstrap"),
-		CountsForQuorum:   top.flag("counts_for_quorum"),
-		DataDir:           top.text("data_dir"),
+		Bootstrap:         top.boolean("bootstrap"),
+		CountsForQuorum:   top.boolean("counts_for_quorum"),
+		DataDir:           top.optionalString("data_dir"),
 		HeartbeatInterval: top.duration("heartbeat_ms", time.Millisecond, defaultHeartbeat),
-		Zones:             top.table("zones").textMap(),
+		Zones:             top.table("zones").stringMap(),
 	}
 	if node.HeartbeatInterval == 0 {
 		top.fail("heartbeat_ms", "must be above 0")
@@ -65,7 +66,7 @@
 	node.Metrics = top.metrics("metrics", node.IP)
 	node.Listen = readListen(top.table("listen"), node)
 	node.Limits = readLimits(top.table("limits"))
-	node.FaultTolerance = readTolerance(top.table("fault_tolerance"))
+	node.FaultTolerance = readFaultTolerance(top.table("fault_tolerance"))
 	node.Bounds = readBounds(top.table("bounds"))
 	if err := top.err(); err != nil {
 		return nil, err
@@ -73,22 +74,22 @@
 	return node, nil
 }
 
-// metrics reads where figures are told: "PORT/PATH"; the zero value where the key is missing or empty.
+// metrics reads the endpoint for metrics, "PORT/PATH"; it is the zero value where the key is missing or empty.
 func (t *table) metrics(key, ip string) MetricsEndpoint {
-	text := t.text(key)
+	text := t.optionalString(key)
 	if text == "" {
 		return MetricsEndpoint{}
 	}
 	port, path, _ := strings.Cut(text, "/")
 	number, err := strconv.ParseUint(port, 10, 16)
 	if err != nil || number == 0 || strings.ContainsAny(path, "?# {}") {
-		t.fail(key, "must be PORT/PATH, and %q is not", text)
+		t.fail(key, "must be PORT/PATH; %q is not", text)
 		return MetricsEndpoint{}
 	}
 	return MetricsEndpoint{Address: net.JoinHostPort(ip, port), Path: "/" + path}
 }
 
-// readListen asks for the addresses of what the role serves; others may be there too.
+// readListen requires the addresses of the services in node.Serves; the others are optional.
 func readListen(t *table, node *Node) Listen {
 	front := node.ServesFor(ServesFront)
 	return Listen{
@@ -101,94 +102,94 @@
 func readLimits(t *table) Limits {
 	limits := Limits{
 		CPUShare: t.number("cpu_share", 1),
-		Cores:    t.whole("cores", 1),
-		MemoryMB: t.requiredWhole("memory_mb"),
-		MaxFDs:   t.requiredWhole("max_fds"),
+		Cores:    t.integer("cores", 1),
+		MemoryMB: t.requiredInteger("memory_mb"),
+		MaxFDs:   t.requiredInteger("max_fds"),
 		LinkMbps: t.number("link_mbps", 0),
-		DiskMB:   t.whole("disk_mb", 0),
+		DiskMB:   t.integer("disk_mb", 0),
 	}
-	t.mustBePositive("cpu_share", limits.CPUShare)
-	t.mustBePositive("cores", float64(limits.Cores))
-	t.mustBePositive("memory_mb", float64(limits.MemoryMB))
-	t.mustBePositive("max_fds", float64(limits.MaxFDs))
+	t.requirePositive("cpu_share", limits.CPUShare)
+	t.requirePositive("cores", float64(limits.Cores))
+	t.requirePositive("memory_mb", float64(limits.MemoryMB))
+	t.requirePositive("max_fds", float64(limits.MaxFDs))
 	return limits
 }
 
-func readTolerance(t *table) FaultTolerance {
+func readFaultTolerance(t *table) FaultTolerance {
 	return FaultTolerance{
-		Machines: t.requiredWhole("machines"),
-		Zones:    t.whole("zones", 0),
-		Regions:  t.whole("regions", 0),
+		Machines: t.requiredInteger("machines"),
+		Zones:    t.integer("zones", 0),
+		Regions:  t.integer("regions", 0),
 	}
 }
 
 func readBounds(t *table) Bounds {
-	ms, s, usual := time.Millisecond, time.Second, defaultBounds
+	ms, s, defaults := time.Millisecond, time.Second, defaultBounds
 	return Bounds{
-		SeedLag:       t.duration("seed_lag_s", s, usual.SeedLag),
-		ReuseAfter:    t.duration("reuse_after_s", s, usual.ReuseAfter),
-		Contact:       t.duration("contact_ms", ms, usual.Contact),
-		Ack:           t.duration("ack_ms", ms, usual.Ack),
-		CatchUp:       t.duration("catch_up_s", s, usual.CatchUp),
-		Drain:         t.duration("drain_ms", ms, usual.Drain),
-		Grace:         t.duration("grace_s", s, usual.Grace),
-		LossSlack:     t.duration("loss_slack_ms", ms, usual.LossSlack),
-		ConfigApply:   t.duration("config_apply_ms", ms, usual.ConfigApply),
-		RollbackSlack: t.duration("rollback_slack_ms", ms, usual.RollbackSlack),
-		ClockSkew:     t.duration("clock_skew_ms", ms, usual.ClockSkew),
-		Recovery:      t.duration("recovery_s", s, usual.Recovery),
-		Pass:          t.duration("pass_ms", ms, usual.Pass),
-		Again:         t.duration("again_s", s, usual.Again),
-		Finish:        t.duration("finish_s", s, usual.Finish),
-		Settle:        t.duration("settle_ms", ms, usual.Settle),
+		SeedLag:       t.duration("seed_lag_s", s, defaults.SeedLag),
+		ReuseAfter:    t.duration("reuse_after_s", s, defaults.ReuseAfter),
+		Contact:       t.duration("contact_ms", ms, defaults.Contact),
+		Ack:           t.duration("ack_ms", ms, defaults.Ack),
+		CatchUp:       t.duration("catch_up_s", s, defaults.CatchUp),
+		Drain:         t.duration("drain_ms", ms, defaults.Drain),
+		Grace:         t.duration("grace_s", s, defaults.Grace),
+		LossSlack:     t.duration("loss_slack_ms", ms, defaults.LossSlack),
+		ConfigApply:   t.duration("config_apply_ms", ms, defaults.ConfigApply),
+		RollbackSlack: t.duration("rollback_slack_ms", ms, defaults.RollbackSlack),
+		ClockSkew:     t.duration("clock_skew_ms", ms, defaults.ClockSkew),
+		Recovery:      t.duration("recovery_s", s, defaults.Recovery),
+		Pass:          t.duration("pass_ms", ms, defaults.Pass),
+		Again:         t.duration("again_s", s, defaults.Again),
+		Finish:        t.duration("finish_s", s, defaults.Finish),
+		Settle:        t.duration("settle_ms", ms, defaults.Settle),
 	}
 }
 
-// ports reads the first and the last internal port; each kind of process needs one of its own between them.
+// ports reads the first and the last internal port; the range must have a port for each kind of process.
 func (t *table) ports(key string) [2]int {
 	values, ok := t.list(key, true)
 	if !ok {
 		return [2]int{}
 	}
 	if len(values) != 2 {
-		t.fail(key, "must hold the first and the last port")
+		t.fail(key, "must be a list of the first and the last port")
 		return [2]int{}
 	}
 	var ports [2]int
 	for i, value := range values {
 		port, ok := value.(int64)
 		if !ok {
-			t.fail(key, "must hold whole numbers")
+			t.fail(key, "must be a list of whole numbers")
 			return [2]int{}
 		}
-		if port < 1 || port > mostPort {
-			t.fail(key, "%d is no port", port)
+		if port < 1 || port > maxPort {
+			t.fail(key, "%d is not a port number", port)
 			return [2]int{}
 		}
 		ports[i] = int(port)
 	}
-	if ports[1]-ports[0]+1 < int(kinds) {
-		t.fail(key, "must hold %d ports at least, %d to %d does not", kinds, ports[0], ports[1])
+	if ports[1]-ports[0]+1 < int(processKindCount) {
+		t.fail(key, "must span at least %d ports; %d to %d does not", processKindCount, ports[0], ports[1])
 	}
 	return ports
 }
 
 func (t *table) ip(key string) string {
-	text := t.requiredText(key)
+	text := t.requiredString(key)
 	if text == "" {
-		return "" // told already
+		return "" // already reported
 	}
 	if _, err := netip.ParseAddr(text); err != nil {
-		t.fail(key, "%q is no IP address", text)
+		t.fail(key, "%q is not an IP address", text)
 	}
 	return text
 }
 
 func (t *table) address(key string, required bool) string {
-	text := t.text(key)
+	text := t.optionalString(key)
 	if text == "" {
 		if required {
-			t.fail(key, "is missing, and the role serves it")
+			t.fail(key, "is missing, but the role serves it")
 		}
 		return ""
 	}
@@ -197,7 +198,7 @@
 }
 
 func (t *table) addresses(key string) []string {
-	texts := t.requiredTexts(key)
+	texts := t.requiredStrings(key)
 	for _, text := range texts {
 		t.checkAddress(key, text)
 	}
@@ -205,8 +206,8 @@
 }
 
 func (t *table) checkAddress(key, text string) {
-	at, err := netip.ParseAddrPort(text)
-	if err != nil || at.Port() == 0 {
-		t.fail(key, "%q is no address of the form IP:port", text)
+	address, err := netip.ParseAddrPort(text)
+	if err != nil || address.Port() == 0 {
+		t.fail(key, "%q is not an address of the form IP:port", text)
 	}
 }
--- a/internal/tier/settings/settings.go
+++ b/internal/tier/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads the settings file that the platform gives to a process of the serving tier.
+// Package settings reads the settings file that the platform provides to each process of the serving tier.
 //
 //	node, err := settings.Load()
 //	if err != nil {
@@ -6,8 +6,8 @@
 //	}
 //	listen := node.InternalAddress(settings.Store)
 //
-// A Node does not change once it was read. Fields that are not known are skipped, since the file may gain new ones; what
-// is known has to make sense as a whole, or nothing is returned.
+// A Node is immutable once it is read. Unknown keys are ignored, since the file may gain new ones; if any known key is
+// invalid, only an error is returned.
 package settings
 
 import (
@@ -24,18 +24,19 @@
 const (
 	// FileVariable is the environment variable that holds the path of the settings file.
 	FileVariable = "EMBERQUAY_NODE_FILE"
-	// DefaultFile is read where FileVariable is empty: the platform's own place for the file.
+	// DefaultFile is the path that is read where FileVariable is empty: the one at which the platform puts the file.
 	DefaultFile = "/etc/emberquay/boot.toml"
 )
 
-// What a role may be called for from outside, as in Node.Serves.
+// The services that a role offers to callers outside of the tier, as listed in Node.Serves.
 const (
-	ServesFront   = "front"   // clients
-	ServesControl = "control" // receivers and the operator
-	ServesStore   = "store"   // nobody outside: it keeps data
+	ServesFront   = "front"   // for clients
+	ServesControl = "control" // for receivers and the operator
+	ServesStore   = "store"   // stores data; has no callers outside of the tier
 )
 
-// ProcessKind is one of the tier's processes. Its number is the distance of its internal port from the first one.
+// ProcessKind is a kind of process of the tier. Its number is the offset of the process's internal port from the first
+// internal port.
 type ProcessKind int
 
 // The kinds of process.
@@ -43,10 +44,10 @@
 	Proxy ProcessKind = iota
 	ControlPlane
 	Store
-	kinds // their number: the internal ports that have to be there
+	processKindCount // number of kinds, and so of internal ports needed
 )
 
-// String names a kind as the deploy file names its role.
+// String returns the name that the deploy file uses for the kind's role.
 func (k ProcessKind) String() string {
 	switch k {
 	case Proxy:
@@ -59,78 +60,79 @@
 	return "kind " + strconv.Itoa(int(k))
 }
 
-// Node is what a process is told of itself and of the deployment.
+// Node holds the settings of a process: its machine, its role and the deployment.
 type Node struct {
 	Name         string
-	Role         string // the role's name in the deploy file; may be empty
-	MachineClass string // class of machine
+	Role         string // name of the role in the deploy file; may be empty
+	MachineClass string
 	IP           string // IPv4, of this machine
 	Zone         string
 	Region       string
-	Serves       []string // see ServesFront and the others; may be empty
+	Serves       []string // of ServesFront, ServesControl and ServesStore; may be empty
 
-	InternalPorts [2]int   // first and last port that are free for calls between the tier's processes
+	InternalPorts [2]int   // first and last port of the range for calls between the tier's processes
 	Seeds         []string // control addresses of a few machines, IP:port; may be empty
 
-	Bootstrap       bool // the whole system starts for the first time, on empty disks
+	Bootstrap       bool // the whole system starts for the first time, with empty disks
 	CountsForQuorum bool // the machine counts for FaultTolerance.Machines
 
-	DataDir           string        // empty where the machine has no disk
-	HeartbeatInterval time.Duration // between two heartbeats of a receiver
-	Zones             map[string]string
+	DataDir           string            // empty where the machine has no disk
+	HeartbeatInterval time.Duration     // time between two heartbeats of a receiver
+	Zones             map[string]string // region by zone
 
-	Metrics        MetricsEndpoint // zero: not told
+	Metrics        MetricsEndpoint // zero: metrics are not served
 	Listen         Listen
 	Limits         Limits
 	FaultTolerance FaultTolerance
 	Bounds         Bounds
 }
 
-// MetricsEndpoint is where a process tells its figures.
+// MetricsEndpoint is the address and path at which a process serves its metrics.
 type MetricsEndpoint struct {
 	Address string // IP:port, of this machine
-	Path    string // with its leading slash
+	Path    string // with a leading slash
 }
 
-// Listen are the addresses, IP:port, for what the role serves. Those of what it does not serve may be empty.
+// Listen holds the listening addresses, IP:port, of the services in Node.Serves. Addresses of other services may be
+// empty.
 type Listen struct{ Front, Readiness, Control string }
 
-// Limits are what the machine gives to the process. 0 says that the file does not tell, but for MemoryMB and MaxFDs,
-// which are always there.
+// Limits are the resources that the machine gives to the process. LinkMbps and DiskMB are 0 where the file does not set
+// them; CPUShare and Cores are 1 then. MemoryMB and MaxFDs are always set.
 type Limits struct {
-	CPUShare float64 // of a core, above 0
-	Cores    int     // by how much the core is faster
-	MemoryMB int     // the process is killed above it
+	CPUShare float64 // share of a core, above 0
+	Cores    int     // speed factor of the core
+	MemoryMB int     // the process is killed when it uses more
 	MaxFDs   int
 	LinkMbps float64
 	DiskMB   int
 }
 
-// FaultTolerance is what may be lost at once while all rules hold.
+// FaultTolerance is the number of machines, zones and regions that may be lost at once while all rules hold.
 type FaultTolerance struct{ Machines, Zones, Regions int }
 
-// Bounds are the figures of the rules in force. A rule that is not in force may lack its figure; the default then
-// stands for it.
+// Bounds holds the time limits of the rules in force. The file may omit those of other rules; they have their default
+// then.
 type Bounds struct {
-	SeedLag       time.Duration // by how much the operator's list of control nodes lags
-	ReuseAfter    time.Duration // before the address of a receiver that ended may be another's
-	Contact       time.Duration // without trouble, for a machine to be in touch
-	Ack           time.Duration // for which the operator repeats orders other than configurations
-	CatchUp       time.Duration // for which a machine that is back still counts as lost
-	Drain         time.Duration // within which draining is heeded once it is acknowledged
+	SeedLag       time.Duration // lag of the operator's list of control nodes
+	ReuseAfter    time.Duration // before the address of a receiver that ended may be reused
+	Contact       time.Duration // for a machine to make contact when there are no faults
+	Ack           time.Duration // for which the operator retries commands other than configurations
+	CatchUp       time.Duration // for which a machine that came back still counts as lost
+	Drain         time.Duration // within which draining takes effect once it is acknowledged
 	Grace         time.Duration // between SIGTERM and SIGKILL
-	LossSlack     time.Duration // within which a request may end unserved after its last byte was sent
-	ConfigApply   time.Duration // within which an acknowledged configuration is in force
-	RollbackSlack time.Duration // within which an older configuration may still show
-	ClockSkew     time.Duration // by how much clocks may differ
-	Recovery      time.Duration // after a final fault, within which requests are served again
-	Pass          time.Duration // within which an event of a stream is passed on
+	LossSlack     time.Duration // within which a request may end without service after its last byte was sent
+	ConfigApply   time.Duration // within which an acknowledged configuration takes effect
+	RollbackSlack time.Duration // within which an older configuration may still be observed
+	ClockSkew     time.Duration // maximum difference between clocks
+	Recovery      time.Duration // after the last fault, within which requests are served again
+	Pass          time.Duration // within which an event of a stream is forwarded
 	Again         time.Duration
-	Finish        time.Duration // after the end of traffic, for programs to end
-	Settle        time.Duration // within which a turn that ended counts no more at its most
+	Finish        time.Duration // for programs to end after the end of traffic
+	Settle        time.Duration // within which a turn that ended no longer counts at its maximum
 }
 
-// Load reads the file that FileVariable names, or DefaultFile where that is empty.
+// Load reads the settings file at the path in FileVariable, or at DefaultFile where the variable is empty.
 func Load() (*Node, error) {
 	path := os.Getenv(FileVariable)
 	if path == "" {
@@ -143,7 +145,7 @@
 func LoadFile(path string) (*Node, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, eris.Wrap(err, "settings") // it names the path
+		return nil, eris.Wrap(err, "settings") // the error names the path
 	}
 	node, err := Parse(raw)
 	if err != nil {
@@ -152,31 +154,32 @@
 	return node, nil
 }
 
-// InternalAddress is where a process of that kind listens on this machine for the tier's own calls.
+// InternalAddress returns the address at which a process of that kind on this machine accepts calls of the tier's other
+// processes.
 func (n *Node) InternalAddress(kind ProcessKind) string {
 	return n.InternalAddressAt(n.IP, kind)
 }
 
-// InternalAddressAt is where a process of that kind listens on another machine: ports are alike on all machines.
+// InternalAddressAt returns the InternalAddress of a process on another machine; all machines use the same ports.
 func (n *Node) InternalAddressAt(ip string, kind ProcessKind) string {
 	return net.JoinHostPort(ip, strconv.Itoa(n.InternalPorts[0]+int(kind)))
 }
 
-// SeedInternalAddresses are where the seeds' control planes listen for the tier's own calls, in the order of Seeds.
+// SeedInternalAddresses returns the internal addresses of the seeds' control planes, in the order of Seeds.
 func (n *Node) SeedInternalAddresses() []string {
 	addresses := make([]string, 0, len(n.Seeds))
 	for _, seed := range n.Seeds {
-		at, err := netip.ParseAddrPort(seed)
+		address, err := netip.ParseAddrPort(seed)
 		if err != nil {
-			continue // Parse refuses such a file
+			continue // not reached: Parse refuses such an address
 		}
-		addresses = append(addresses, n.InternalAddressAt(at.Addr().String(), ControlPlane))
+		addresses = append(addresses, n.InternalAddressAt(address.Addr().String(), ControlPlane))
 	}
 	return addresses
 }
 
-// ServesFor says whether the role may be called for that from outside: ServesFront, ServesControl or ServesStore.
-func (n *Node) ServesFor(what string) bool { return slices.Contains(n.Serves, what) }
+// ServesFor reports whether the role offers a service: ServesFront, ServesControl or ServesStore.
+func (n *Node) ServesFor(service string) bool { return slices.Contains(n.Serves, service) }
 
-// HasDisk says whether there is a folder for data.
+// HasDisk reports whether there is a data directory.
 func (n *Node) HasDisk() bool { return n.DataDir != "" }
--- a/internal/tier/settings/table.go
+++ b/internal/tier/settings/table.go
@@ -12,48 +12,48 @@
 	"github.com/rotisserie/eris"
 )
 
-// KeyError is a value that is missing or makes no sense.
+// KeyError reports a missing or invalid value.
 type KeyError struct {
 	Key    string // with its tables, as in "bounds.grace_s"
 	Reason string
 }
 
-// Error gives the key and what is wrong with it.
+// Error returns the key and the reason.
 func (e *KeyError) Error() string { return e.Key + ": " + e.Reason }
 
-// table reads the values of one TOML table. The first that is wrong is kept, and reading goes on with zero values.
+// table reads the values of one TOML table. It keeps the first error and continues with default values.
 type table struct {
-	prefix string
-	values map[string]any
-	first  *error // shared by all tables of a file
+	prefix   string
+	values   map[string]any
+	firstErr *error // shared by all tables of a file
 }
 
 func newTable(raw []byte) (*table, error) {
 	values := map[string]any{}
 	err := toml.NewDecoder(bytes.NewReader(raw)).Decode(&values)
-	var bad *toml.DecodeError
-	if errors.As(err, &bad) {
-		line, column := bad.Position()
-		return nil, eris.Errorf("line %d, column %d: %s", line, column, bad.Error())
+	var decodeErr *toml.DecodeError
+	if errors.As(err, &decodeErr) {
+		line, column := decodeErr.Position()
+		return nil, eris.Errorf("line %d, column %d: %s", line, column, decodeErr.Error())
 	}
 	if err != nil {
-		return nil, eris.Wrap(err, "this is no TOML")
+		return nil, eris.Wrap(err, "invalid TOML")
 	}
-	return &table{values: values, first: new(error)}, nil
+	return &table{values: values, firstErr: new(error)}, nil
 }
 
-func (t *table) err() error { return *t.first }
+func (t *table) err() error { return *t.firstErr }
 
-func (t *table) fail(key, reason string, arguments ...any) {
-	if *t.first != nil {
+func (t *table) fail(key, reason string, args ...any) {
+	if *t.firstErr != nil {
 		return
 	}
-	*t.first = &KeyError{Key: t.prefix + key, Reason: fmt.Sprintf(reason, arguments...)}
+	*t.firstErr = &KeyError{Key: t.prefix + key, Reason: fmt.Sprintf(reason, args...)}
 }
 
-// table gives the table of that name; one that is missing is empty.
+// table returns the table under that key; a missing one is empty.
 func (t *table) table(key string) *table {
-	inner := &table{prefix: t.prefix + key + ".", first: t.first}
+	inner := &table{prefix: t.prefix + key + ".", firstErr: t.firstErr}
 	value, ok := t.values[key]
 	if !ok {
 		return inner
@@ -64,31 +64,31 @@
 	return inner
 }
 
-func (t *table) text(key string) string {
+func (t *table) optionalString(key string) string {
 	value, ok := t.values[key]
 	if !ok {
 		return ""
 	}
 	text, ok := value.(string)
 	if !ok {
-		t.fail(key, "must be a text")
+		t.fail(key, "must be a string")
 	}
 	return text
 }
 
-func (t *table) requiredText(key string) string {
-	if t.missing(key) {
+func (t *table) requiredString(key string) string {
+	if t.reportMissing(key) {
 		return ""
 	}
-	text := t.text(key)
+	text := t.optionalString(key)
 	if text == "" {
 		t.fail(key, "must not be empty")
 	}
 	return text
 }
 
-// missing says that a value that has to be there is not, and tells it.
-func (t *table) missing(key string) bool {
+// reportMissing reports whether a required value is missing, and records the error if it is.
+func (t *table) reportMissing(key string) bool {
 	if _, ok := t.values[key]; ok {
 		return false
 	}
@@ -96,7 +96,7 @@
 	return true
 }
 
-func (t *table) flag(key string) bool {
+func (t *table) boolean(key string) bool {
 	value, ok := t.values[key]
 	if !ok {
 		return false
@@ -123,7 +123,7 @@
 	return list, ok
 }
 
-func (t *table) requiredTexts(key string) []string {
+func (t *table) requiredStrings(key string) []string {
 	list, ok := t.list(key, true)
 	if !ok {
 		return nil
@@ -132,7 +132,7 @@
 	for _, value := range list {
 		text, ok := value.(string)
 		if !ok {
-			t.fail(key, "must hold texts")
+			t.fail(key, "must be a list of strings")
 			return nil
 		}
 		texts = append(texts, text)
@@ -140,8 +140,8 @@
 	return texts
 }
 
-// textMap gives the whole table as texts by key.
-func (t *table) textMap() map[string]string {
+// stringMap returns the whole table as strings by key.
+func (t *table) stringMap() map[string]string {
 	texts := make(map[string]string, len(t.values))
 	keys := make([]string, 0, len(t.values))
 	for key := range t.values {
@@ -149,62 +149,62 @@
 	}
 	slices.Sort(keys) // so that the same file always gives the same error
 	for _, key := range keys {
-		texts[key] = t.text(key)
+		texts[key] = t.optionalString(key)
 	}
 	return texts
 }
 
-// number reads a whole number or a fraction that is not negative.
-func (t *table) number(key string, usual float64) float64 {
+// number reads an integer or a float that is not negative.
+func (t *table) number(key string, fallback float64) float64 {
 	var number float64
 	switch value := t.values[key].(type) {
 	case nil:
-		return usual
+		return fallback
 	case int64:
 		number = float64(value)
 	case float64:
 		number = value
 	default:
 		t.fail(key, "must be a number")
-		return usual
+		return fallback
 	}
 	if math.IsNaN(number) || math.IsInf(number, 0) || number < 0 {
 		t.fail(key, "must be a number that is not negative")
-		return usual
+		return fallback
 	}
 	return number
 }
 
-// whole reads a number without a fraction, as 24 or 24.0.
-func (t *table) whole(key string, usual int) int {
-	number := t.number(key, float64(usual))
+// integer reads a number without a fraction, such as 24 or 24.0.
+func (t *table) integer(key string, fallback int) int {
+	number := t.number(key, float64(fallback))
 	if number != math.Trunc(number) || number > math.MaxInt32 {
 		t.fail(key, "must be a whole number up to %d", math.MaxInt32)
-		return usual
+		return fallback
 	}
 	return int(number)
 }
 
-func (t *table) requiredWhole(key string) int {
-	if t.missing(key) {
+func (t *table) requiredInteger(key string) int {
+	if t.reportMissing(key) {
 		return 0
 	}
-	return t.whole(key, 0)
+	return t.integer(key, 0)
 }
 
-func (t *table) duration(key string, unit, usual time.Duration) time.Duration {
+func (t *table) duration(key string, unit, fallback time.Duration) time.Duration {
 	if _, ok := t.values[key]; !ok {
-		return usual
+		return fallback
 	}
 	seconds := t.number(key, 0) * unit.Seconds()
-	if seconds > mostSeconds {
+	if seconds > maxSeconds {
 		t.fail(key, "is too long")
-		return usual
+		return fallback
 	}
 	return time.Duration(math.Round(seconds * float64(time.Second)))
 }
 
-func (t *table) mustBePositive(key string, number float64) {
+func (t *table) requirePositive(key string, number float64) {
 	if number <= 0 {
 		t.fail(key, "must be above 0")
 	}
