--- a/cmd/emberquay/node.go
+++ b/cmd/emberquay/node.go
@@ -98,9 +98,9 @@
 
 // serviceOf maps a kind of process to the entry of `serves` in the settings.
 var serviceOf = map[settings.ProcessKind]string{
-	settings.Proxy:        settings.ServesFront,
-	settings.ControlPlane: settings.ServesControl,
-	settings.Store:        settings.ServesStore,
+	settings.Proxy:        settings.ServiceFront,
+	settings.ControlPlane: settings.ServiceControl,
+	settings.Store:        settings.ServiceStore,
 }
 
 // selects reports whether to query a process of the kind: the one of --role, else the one of the file's own role, else
@@ -113,7 +113,7 @@
 	case slices.Contains(roles, node.Role):
 		return node.Role == kind.String()
 	}
-	return node.ServesFor(serviceOf[kind])
+	return node.HasService(serviceOf[kind])
 }
 
 func (c *nodeStatusCmd) query(client *transport.Client, address string) (nodestatus.Status, error) {
--- a/internal/lab/tierlab/machine.go
+++ b/internal/lab/tierlab/machine.go
@@ -26,9 +26,9 @@
 }
 
 var (
-	proxyRole   = role{name: "proxy", serves: settings.ServesFront}
-	controlRole = role{name: "control-plane", serves: settings.ServesControl, disk: true}
-	storeRole   = role{name: "store", serves: settings.ServesStore, disk: true}
+	proxyRole   = role{name: "proxy", serves: settings.ServiceFront}
+	controlRole = role{name: "control-plane", serves: settings.ServiceControl, disk: true}
+	storeRole   = role{name: "store", serves: settings.ServiceStore, disk: true}
 )
 
 // process is one of the tier's processes, started anew as the day has it. mu guards what follows it.
@@ -123,7 +123,7 @@
 	defer log.Close()
 	cmd := exec.Command(p.lab.options.Program, p.role.name)
 	cmd.Stdout, cmd.Stderr = log, log
-	cmd.Env = append([]string{"PATH=" + os.Getenv("PATH"), "HOME=" + p.dir(), "TMPDIR=" + p.dir(), settings.FileVariable + "=" + path}, p.lab.options.Env...)
+	cmd.Env = append([]string{"PATH=" + os.Getenv("PATH"), "HOME=" + p.dir(), "TMPDIR=" + p.dir(), settings.PathVariable + "=" + path}, p.lab.options.Env...)
 	if p.role == proxyRole {
 		p.lab.record.see(func(now time.Duration, h *tierrules.History) {
 			h.Starts = append(h.Starts, tierrules.Start{Machine: p.machine, At: now})
--- a/internal/tier/controlplane/alone_test.go
+++ b/internal/tier/controlplane/alone_test.go
@@ -30,7 +30,7 @@
 	ip := "127.0.1." + strconv.Itoa(number)
 	node := &settings.Node{
 		Name: "front-" + strconv.Itoa(number), IP: ip, Zone: "z" + strconv.Itoa(number), Region: "r",
-		Serves: []string{settings.ServesControl}, InternalPorts: ports, Seeds: seeds,
+		Serves: []string{settings.ServiceControl}, InternalPorts: ports, Seeds: seeds,
 		Bootstrap: bootstrap, CountsForQuorum: true, DataDir: dir, HeartbeatInterval: time.Second,
 	}
 	node.Listen.Control = seeds[number-1]
--- a/internal/tier/lifecycle/lifecycle.go
+++ b/internal/tier/lifecycle/lifecycle.go
@@ -66,7 +66,7 @@
 	signalledAt := <-stop
 	close(stopping)
 	logger.WithField("since_signal_ms", time.Since(signalledAt).Milliseconds()).Info("stopping")
-	shutdown(plane, signalledAt, shutdownTimeout(node.Bounds.Grace))
+	shutdown(plane, signalledAt, shutdownTimeout(node.Bounds.TerminationGrace))
 	logger.Info("stopped")
 	return nil
 }
--- a/internal/tier/lifecycle/lifecycle_test.go
+++ b/internal/tier/lifecycle/lifecycle_test.go
@@ -40,7 +40,7 @@
 	missingFile := func() string { return filepath.Join(GinkgoT().TempDir(), "settings.toml") }
 	node := func(grace time.Duration) *settings.Node {
 		n := &settings.Node{}
-		n.Bounds.Grace = grace
+		n.Bounds.TerminationGrace = grace
 		return n
 	}
 
@@ -76,7 +76,7 @@
 	plane := endingPlane{ended: make(chan struct{})}
 	stop, reload := make(chan time.Time, 1), make(chan os.Signal)
 	node := &settings.Node{}
-	node.Bounds.Grace = 8 * time.Second
+	node.Bounds.TerminationGrace = 8 * time.Second
 	go func() {
 		_ = run(path, node, &log.Logger{Handler: discard.New()}, func() (Plane, error) { return plane, nil }, stop, reload)
 	}()
--- a/internal/tier/settings/fuzz_test.go
+++ b/internal/tier/settings/fuzz_test.go
@@ -26,7 +26,7 @@
 		if node.InternalPorts[0]+int(settings.Store) > node.InternalPorts[1] {
 			t.Fatalf("no port for a store in %v", node.InternalPorts)
 		}
-		if node.HeartbeatInterval <= 0 || node.Bounds.Grace < 0 || node.Limits.MemoryMB <= 0 {
+		if node.HeartbeatInterval <= 0 || node.Bounds.TerminationGrace < 0 || node.Limits.MemoryMB <= 0 {
 			t.Fatalf("%+v", node)
 		}
 	})
--- a/internal/tier/settings/parse.go
+++ b/internal/tier/settings/parse.go
@@ -16,22 +16,22 @@
 
 // defaultBounds are used for the bounds that a file does not set.
 var defaultBounds = Bounds{
-	SeedLag:       3 * time.Second,
-	ReuseAfter:    2 * time.Second,
-	Contact:       3 * time.Second,
-	Ack:           4 * time.Second,
-	CatchUp:       4 * time.Second,
-	Drain:         2 * time.Second,
-	Grace:         8 * time.Second,
-	LossSlack:     200 * time.Millisecond,
-	ConfigApply:   2 * time.Second,
-	RollbackSlack: 250 * time.Millisecond,
-	ClockSkew:     5 * time.Second,
-	Recovery:      12 * time.Second,
-	Pass:          120 * time.Millisecond,
-	Again:         0,
-	Finish:        10 * time.Second,
-	Settle:        time.Second,
+	SeedListLag:        3 * time.Second,
+	AddressReuseDelay:  2 * time.Second,
+	ContactTimeout:     3 * time.Second,
+	CommandRetryPeriod: 4 * time.Second,
+	CatchUpTime:        4 * time.Second,
+	DrainDelay:         2 * time.Second,
+	TerminationGrace:   8 * time.Second,
+	LossSlack:          200 * time.Millisecond,
+	ConfigApplyDelay:   2 * time.Second,
+	RollbackSlack:      250 * time.Millisecond,
+	MaxClockSkew:       5 * time.Second,
+	RecoveryTime:       12 * time.Second,
+	EventForwardDelay:  120 * time.Millisecond,
+	Again:              0,
+	ProgramFinishTime:  10 * time.Second,
+	TurnSettleTime:     time.Second,
 }
 
 // defaultHeartbeat is the heartbeat interval where a file does not set one.
@@ -91,11 +91,11 @@
 
 // readListen requires the addresses of the services in node.Serves; the others are optional.
 func readListen(t *table, node *Node) Listen {
-	front := node.ServesFor(ServesFront)
+	front := node.HasService(ServiceFront)
 	return Listen{
 		Front:     t.address("front", front),
 		Readiness: t.address("readiness", front),
-		Control:   t.address("control", node.ServesFor(ServesControl)),
+		Control:   t.address("control", node.HasService(ServiceControl)),
 	}
 }
 
@@ -126,22 +126,22 @@
 func readBounds(t *table) Bounds {
 	ms, s, defaults := time.Millisecond, time.Second, defaultBounds
 	return Bounds{
-		SeedLag:       t.duration("seed_lag_s", s, defaults.SeedLag),
-		ReuseAfter:    t.duration("reuse_after_s", s, defaults.ReuseAfter),
-		Contact:       t.duration("contact_ms", ms, defaults.Contact),
-		Ack:           t.duration("ack_ms", ms, defaults.Ack),
-		CatchUp:       t.duration("catch_up_s", s, defaults.CatchUp),
-		Drain:         t.duration("drain_ms", ms, defaults.Drain),
-		Grace:         t.duration("grace_s", s, defaults.Grace),
-		LossSlack:     t.duration("loss_slack_ms", ms, defaults.LossSlack),
-		ConfigApply:   t.duration("config_apply_ms", ms, defaults.ConfigApply),
-		RollbackSlack: t.duration("rollback_slack_ms", ms, defaults.RollbackSlack),
-		ClockSkew:     t.duration("clock_skew_ms", ms, defaults.ClockSkew),
-		Recovery:      t.duration("recovery_s", s, defaults.Recovery),
-		Pass:          t.duration("pass_ms", ms, defaults.Pass),
-		Again:         t.duration("again_s", s, defaults.Again),
-		Finish:        t.duration("finish_s", s, defaults.Finish),
-		Settle:        t.duration("settle_ms", ms, defaults.Settle),
+		SeedListLag:        t.duration("seed_lag_s", s, defaults.SeedListLag),
+		AddressReuseDelay:  t.duration("reuse_after_s", s, defaults.AddressReuseDelay),
+		ContactTimeout:     t.duration("contact_ms", ms, defaults.ContactTimeout),
+		CommandRetryPeriod: t.duration("ack_ms", ms, defaults.CommandRetryPeriod),
+		CatchUpTime:        t.duration("catch_up_s", s, defaults.CatchUpTime),
+		DrainDelay:         t.duration("drain_ms", ms, defaults.DrainDelay),
+		TerminationGrace:   t.duration("grace_s", s, defaults.TerminationGrace),
+		LossSlack:          t.duration("loss_slack_ms", ms, defaults.LossSlack),
+		ConfigApplyDelay:   t.duration("config_apply_ms", ms, defaults.ConfigApplyDelay),
+		RollbackSlack:      t.duration("rollback_slack_ms", ms, defaults.RollbackSlack),
+		MaxClockSkew:       t.duration("clock_skew_ms", ms, defaults.MaxClockSkew),
+		RecoveryTime:       t.duration("recovery_s", s, defaults.RecoveryTime),
+		EventForwardDelay:  t.duration("pass_ms", ms, defaults.EventForwardDelay),
+		Again:              t.duration("again_s", s, defaults.Again),
+		ProgramFinishTime:  t.duration("finish_s", s, defaults.ProgramFinishTime),
+		TurnSettleTime:     t.duration("settle_ms", ms, defaults.TurnSettleTime),
 	}
 }
 
--- a/internal/tier/settings/settings.go
+++ b/internal/tier/settings/settings.go
@@ -22,17 +22,17 @@
 )
 
 const (
-	// FileVariable is the environment variable that holds the path of the settings file.
-	FileVariable = "EMBERQUAY_NODE_FILE"
-	// DefaultFile is the path that is read where FileVariable is empty: the one at which the platform puts the file.
-	DefaultFile = "/etc/emberquay/boot.toml"
+	// PathVariable is the environment variable that holds the path of the settings file.
+	PathVariable = "EMBERQUAY_NODE_FILE"
+	// DefaultPath is the path that is read where PathVariable is empty: the one at which the platform puts the file.
+	DefaultPath = "/etc/emberquay/boot.toml"
 )
 
-// The services that a role offers to callers outside of the tier, as listed in Node.Serves.
+// The services of a role, as listed in Node.Serves.
 const (
-	ServesFront   = "front"   // for clients
-	ServesControl = "control" // for receivers and the operator
-	ServesStore   = "store"   // stores data; has no callers outside of the tier
+	ServiceFront   = "front"   // for clients
+	ServiceControl = "control" // for receivers and the operator
+	ServiceStore   = "store"   // stores data; not called from outside of the tier
 )
 
 // ProcessKind is a kind of process of the tier. Its number is the offset of the process's internal port from the first
@@ -68,7 +68,7 @@
 	IP           string // IPv4, of this machine
 	Zone         string
 	Region       string
-	Serves       []string // of ServesFront, ServesControl and ServesStore; may be empty
+	Serves       []string // of ServiceFront, ServiceControl and ServiceStore; may be empty
 
 	InternalPorts [2]int   // first and last port of the range for calls between the tier's processes
 	Seeds         []string // control addresses of a few machines, IP:port; may be empty
@@ -114,29 +114,29 @@
 // Bounds holds the time limits of the rules in force. The file may omit those of other rules; they have their default
 // then.
 type Bounds struct {
-	SeedLag       time.Duration // lag of the operator's list of control nodes
-	ReuseAfter    time.Duration // before the address of a receiver that ended may be reused
-	Contact       time.Duration // for a machine to make contact when there are no faults
-	Ack           time.Duration // for which the operator retries commands other than configurations
-	CatchUp       time.Duration // for which a machine that came back still counts as lost
-	Drain         time.Duration // within which draining takes effect once it is acknowledged
-	Grace         time.Duration // between SIGTERM and SIGKILL
-	LossSlack     time.Duration // within which a request may end without service after its last byte was sent
-	ConfigApply   time.Duration // within which an acknowledged configuration takes effect
-	RollbackSlack time.Duration // within which an older configuration may still be observed
-	ClockSkew     time.Duration // maximum difference between clocks
-	Recovery      time.Duration // after the last fault, within which requests are served again
-	Pass          time.Duration // within which an event of a stream is forwarded
-	Again         time.Duration
-	Finish        time.Duration // for programs to end after the end of traffic
-	Settle        time.Duration // within which a turn that ended no longer counts at its maximum
+	SeedListLag        time.Duration // lag of the operator's list of control nodes
+	AddressReuseDelay  time.Duration // before the address of a receiver that ended may be reused
+	ContactTimeout     time.Duration // for a machine to make contact when there are no faults
+	CommandRetryPeriod time.Duration // for which the operator retries commands other than configurations
+	CatchUpTime        time.Duration // for which a machine that came back still counts as lost
+	DrainDelay         time.Duration // within which draining takes effect once it is acknowledged
+	TerminationGrace   time.Duration // between SIGTERM and SIGKILL
+	LossSlack          time.Duration // within which a request may end without service after its last byte was sent
+	ConfigApplyDelay   time.Duration // within which an acknowledged configuration takes effect
+	RollbackSlack      time.Duration // within which an older configuration may still be observed
+	MaxClockSkew       time.Duration // maximum difference between clocks
+	RecoveryTime       time.Duration // after the last fault, within which requests are served again
+	EventForwardDelay  time.Duration // within which an event of a stream is forwarded
+	Again              time.Duration
+	ProgramFinishTime  time.Duration // for programs to end after the end of traffic
+	TurnSettleTime     time.Duration // within which a turn that ended no longer counts at its maximum
 }
 
-// Load reads the settings file at the path in FileVariable, or at DefaultFile where the variable is empty.
+// Load reads the settings file at the path in PathVariable, or at DefaultPath where the variable is empty.
 func Load() (*Node, error) {
-	path := os.Getenv(FileVariable)
+	path := os.Getenv(PathVariable)
 	if path == "" {
-		path = DefaultFile
+		path = DefaultPath
 	}
 	return LoadFile(path)
 }
@@ -178,8 +178,8 @@
 	return addresses
 }
 
-// ServesFor reports whether the role offers a service: ServesFront, ServesControl or ServesStore.
-func (n *Node) ServesFor(service string) bool { return slices.Contains(n.Serves, service) }
+// HasService reports whether the role offers a service: ServiceFront, ServiceControl or ServiceStore.
+func (n *Node) HasService(service string) bool { return slices.Contains(n.Serves, service) }
 
 // HasDisk reports whether there is a data directory.
 func (n *Node) HasDisk() bool { return n.DataDir != "" }
--- a/internal/tier/settings/settings_test.go
+++ b/internal/tier/settings/settings_test.go
@@ -43,7 +43,7 @@
 
 var _ = Describe("a settings file as the platform writes it", func() {
 	It("is read from the path in the environment variable", func() {
-		GinkgoT().Setenv(settings.FileVariable, writeSettingsFile(frontFile))
+		GinkgoT().Setenv(settings.PathVariable, writeSettingsFile(frontFile))
 		node, err := settings.Load()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(node.Name).To(Equal("front-st-jerome-1"))
@@ -51,7 +51,7 @@
 
 	It("is named in the error where it is missing", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "none.toml")
-		GinkgoT().Setenv(settings.FileVariable, path)
+		GinkgoT().Setenv(settings.PathVariable, path)
 		_, err := settings.Load()
 		Expect(err).To(MatchError(os.ErrNotExist))
 		Expect(err).To(MatchError(ContainSubstring(path)))
@@ -82,11 +82,11 @@
 			Limits:         settings.Limits{CPUShare: 0.72, Cores: 1, MemoryMB: 244, MaxFDs: 4100, LinkMbps: 1000, DiskMB: 64},
 			FaultTolerance: settings.FaultTolerance{Machines: 1},
 			Bounds: settings.Bounds{
-				SeedLag: 3 * time.Second, ReuseAfter: 2 * time.Second, Contact: 3 * time.Second, Ack: 4 * time.Second,
-				CatchUp: 4200 * time.Millisecond, Drain: 2 * time.Second, Grace: 8 * time.Second,
-				LossSlack: 200 * time.Millisecond, ConfigApply: 2 * time.Second, RollbackSlack: 250 * time.Millisecond,
-				ClockSkew: 5 * time.Second, Recovery: 12 * time.Second, Pass: 120 * time.Millisecond, Again: 0,
-				Finish: 10 * time.Second, Settle: time.Second,
+				SeedListLag: 3 * time.Second, AddressReuseDelay: 2 * time.Second, ContactTimeout: 3 * time.Second, CommandRetryPeriod: 4 * time.Second,
+				CatchUpTime: 4200 * time.Millisecond, DrainDelay: 2 * time.Second, TerminationGrace: 8 * time.Second,
+				LossSlack: 200 * time.Millisecond, ConfigApplyDelay: 2 * time.Second, RollbackSlack: 250 * time.Millisecond,
+				MaxClockSkew: 5 * time.Second, RecoveryTime: 12 * time.Second, EventForwardDelay: 120 * time.Millisecond, Again: 0,
+				ProgramFinishTime: 10 * time.Second, TurnSettleTime: time.Second,
 			},
 		}))
 	})
@@ -102,9 +102,9 @@
 
 	It("gives the services of a store machine", func() {
 		node := mustParse(storeFile)
-		Expect(node.ServesFor(settings.ServesStore)).To(BeTrue())
-		Expect(node.ServesFor(settings.ServesFront)).To(BeFalse())
-		Expect(node.ServesFor(settings.ServesControl)).To(BeFalse())
+		Expect(node.HasService(settings.ServiceStore)).To(BeTrue())
+		Expect(node.HasService(settings.ServiceFront)).To(BeFalse())
+		Expect(node.HasService(settings.ServiceControl)).To(BeFalse())
 		Expect(node.HasDisk()).To(BeTrue())
 		Expect(node.Listen).To(BeZero())
 	})
@@ -117,15 +117,15 @@
 	Entry("unknown keys of any type", `entry = "vip"`, "entry = [1, 2]\nnew = {deep = [1.5, {x = true}]}\n[[more]]\na = 1979-05-27",
 		func(n *settings.Node) { Expect(n.Name).To(Equal("front-st-jerome-1")) }),
 	Entry("an unknown bound that is a boolean", "again_s = 0", "again_s = 0\nnew_rule = true",
-		func(n *settings.Node) { Expect(n.Bounds.Finish).To(Equal(10 * time.Second)) }),
+		func(n *settings.Node) { Expect(n.Bounds.ProgramFinishTime).To(Equal(10 * time.Second)) }),
 	Entry("a float for an integer", "grace_s = 8", "grace_s = 8.5",
-		func(n *settings.Node) { Expect(n.Bounds.Grace).To(Equal(8500 * time.Millisecond)) }),
+		func(n *settings.Node) { Expect(n.Bounds.TerminationGrace).To(Equal(8500 * time.Millisecond)) }),
 	Entry("an integer for a float", "catch_up_s = 4.2", "catch_up_s = 4",
-		func(n *settings.Node) { Expect(n.Bounds.CatchUp).To(Equal(4 * time.Second)) }),
+		func(n *settings.Node) { Expect(n.Bounds.CatchUpTime).To(Equal(4 * time.Second)) }),
 	Entry("an integer written as a float", "memory_mb = 244", "memory_mb = 244.0",
 		func(n *settings.Node) { Expect(n.Limits.MemoryMB).To(Equal(244)) }),
 	Entry("a bound of a rule that is not in force", "pass_ms = 120\n", "",
-		func(n *settings.Node) { Expect(n.Bounds.Pass).To(Equal(120 * time.Millisecond)) }),
+		func(n *settings.Node) { Expect(n.Bounds.EventForwardDelay).To(Equal(120 * time.Millisecond)) }),
 	Entry("no disk", `data_dir = "/data/my-front"`, `data_dir = ""`,
 		func(n *settings.Node) { Expect(n.HasDisk()).To(BeFalse()) }),
 	Entry("no key for the data directory", "data_dir = \"/data/my-front\"\n", "",
@@ -137,7 +137,7 @@
 	Entry("an empty role", `role = "my-front"`, `role = ""`,
 		func(n *settings.Node) { Expect(n.Role).To(BeEmpty()) }),
 	Entry("a role without services", `serves = ["front","control"]`, "serves = []",
-		func(n *settings.Node) { Expect(n.ServesFor(settings.ServesFront)).To(BeFalse()) }),
+		func(n *settings.Node) { Expect(n.HasService(settings.ServiceFront)).To(BeFalse()) }),
 	Entry("an endpoint for metrics", "bootstrap = true\n", "metrics = \"9100/figures/all\"\n", func(n *settings.Node) {
 		Expect(n.Metrics).To(Equal(settings.MetricsEndpoint{Address: "10.1.0.38:9100", Path: "/figures/all"}))
 	}),
