--- a/cmd/emberquay/disk.go
+++ b/cmd/emberquay/disk.go
@@ -125,7 +125,7 @@
 	return found, describeError(dir, err)
 }
 
-// describeError adds the directory to an error, and recognizes the ledger of a sender.
+// describeError adds the directory to an error, and recognizes the ledger directory of a sender.
 func describeError(dir string, err error) error {
 	if err == nil {
 		return nil
--- a/cmd/emberquay/ledger_test.go
+++ b/cmd/emberquay/ledger_test.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// A sender starts with an unreadable file of the old format, logs it, renames it to bad-ledger and exits with status 1. The
-// next run does not report it again.
+// A sender starts with an unreadable file of the old format, logs it, sets it aside as bad-ledger and reports it again by
+// exit status 1. The next run does not report it.
 func TestServeOnUnreadableOldFormat(t *testing.T) {
 	p := newProgram(t)
 	dir := filepath.Dir(p.config)
--- a/cmd/emberquay/main_test.go
+++ b/cmd/emberquay/main_test.go
@@ -316,7 +316,7 @@
 }
 
 // A sender accepts texts while no receiver is available and is then stopped or killed. The next process starts with a backlog
-// far above the estimated rate of the receiver, and must still attempt every text instead of shedding it.
+// far larger than the receiver's estimated rate can serve, and must still attempt every text instead of shedding it.
 func TestBacklogIsAttemptedAfterRestart(t *testing.T) {
 	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL} {
 		p := newProgram(t)
--- a/cmd/emberquay/serve.go
+++ b/cmd/emberquay/serve.go
@@ -108,7 +108,7 @@
 	if err := s.CloseLedger(); err != nil {
 		return err
 	}
-	if problem := textLedger.LegacyDamage(); problem != "" { // also logged at the start, but the exit status is more likely to be seen
+	if problem := textLedger.LegacyDamage(); problem != "" { // already logged at the start, but easily overlooked there
 		return fmt.Errorf("%s: %w: file ledger: %s", conf.StateDir, errDataMissing, problem)
 	}
 	return nil
@@ -142,8 +142,8 @@
 	}
 }
 
-// reload reads the configuration again on SIGHUP and passes a changed discovery address to setAddress. An invalid
-// configuration changes nothing; a change of any other key needs a restart.
+// reload reads the configuration again on SIGHUP, applies the log options and passes a changed discovery address to
+// setAddress. Changes of other keys need a restart. An invalid configuration changes nothing.
 func (c *serveCmd) reload(old *config.Config, setAddress ...func(addr string)) *config.Config {
 	conf, options, err := c.loadAndValidate()
 	if err != nil {
