--- a/cmd/emberquay/main.go
+++ b/cmd/emberquay/main.go
@@ -18,7 +18,7 @@
 var cli struct {
 	Serve  serveCmd  `cmd:"" help:"Run a sender of the delivery service until SIGTERM or SIGINT."`
 	Check  checkCmd  `cmd:"" help:"Check the configuration of a sender and print a summary."`
-	Ledger ledgerCmd `cmd:"" help:"Inspect or compact the ledger directory of a sender."`
+	Ledger ledgerCmd `cmd:"" help:"Inspect, verify, compact or export the ledger directory of a sender."`
 
 	Proxy        proxyCmd        `cmd:"" help:"Run the data plane of the serving tier on this machine."`
 	ControlPlane controlPlaneCmd `cmd:"" help:"Run the control plane on this machine, or inspect its directory."`
--- a/cmd/emberquay/node.go
+++ b/cmd/emberquay/node.go
@@ -26,7 +26,7 @@
 type nodeStatusCmd struct {
 	Address  string        `arg:"" optional:"" help:"The internal address of the process, host:port."`
 	Settings string        `help:"Query the processes of this machine, found by its settings file." type:"path"`
-	Role     string        `help:"Query only this role of the settings file: proxy, control-plane or store." enum:"proxy,control-plane,store," default:""`
+	Role     string        `help:"With --settings: query only the process of this role: proxy, control-plane or store." enum:"proxy,control-plane,store," default:""`
 	Timeout  time.Duration `help:"Time limit for each process." default:"2s"`
 	JSON     bool          `help:"Print one JSON object per process."`
 }
