--- a/internal/tier/routing/items.go
+++ b/internal/tier/routing/items.go
@@ -21,7 +21,7 @@
 	for i, item := range o.objects(key) {
 		name := item.requiredString("name")
 		if _, twice := list.indexes[name]; twice {
-			item.fail("name", "another item has the same name")
+			item.fail("name", "another item has the same one")
 		}
 		list.set(name, values[i].Raw)
 	}
@@ -110,7 +110,7 @@
 		return members
 	}
 	if key == "version" {
-		upsert.fail(key, "must be set beside upsert, not in it")
+		upsert.fail(key, "stands beside upsert, not in it")
 		return members
 	}
 	return setMember(members, key, value.Raw)
--- a/internal/tier/routing/object.go
+++ b/internal/tier/routing/object.go
@@ -43,10 +43,10 @@
 // newDocument reads the top-level object of a JSON document; nothing but white space may surround it.
 func newDocument(body []byte) (*object, error) {
 	if len(body) > MaxBodyBytes {
-		return nil, &KeyError{Reason: fmt.Sprintf("%d bytes, at most %d are allowed", len(body), MaxBodyBytes)}
+		return nil, &KeyError{Reason: fmt.Sprintf("%d bytes, %d at most", len(body), MaxBodyBytes)}
 	}
 	if !utf8.Valid(body) {
-		return nil, &KeyError{Reason: "document is not valid UTF-8"}
+		return nil, &KeyError{Reason: "this is no UTF-8"}
 	}
 	if nestingDepth(body) > maxDepth {
 		return nil, &KeyError{Reason: fmt.Sprintf("nested deeper than %d levels", maxDepth)}
@@ -90,7 +90,7 @@
 	o.values = map[string]gjson.Result{}
 	value.ForEach(func(key, value gjson.Result) bool {
 		if _, twice := o.values[key.Str]; twice {
-			o.fail(key.Str, "appears twice")
+			o.fail(key.Str, "stands there twice")
 			return false
 		}
 		o.values[key.Str] = value
@@ -173,7 +173,7 @@
 	var texts []string
 	for _, value := range o.list(key) {
 		if value.Type != gjson.String {
-			o.fail(key, "must be a list of strings")
+			o.fail(key, "must hold texts")
 			return nil
 		}
 		texts = append(texts, strings.Clone(value.Str))
@@ -188,7 +188,7 @@
 	}
 	value := o.values[key]
 	if value.Type != gjson.String {
-		o.fail(key, "must be a string")
+		o.fail(key, "must be a text")
 		return ""
 	}
 	return strings.Clone(value.Str)
--- a/internal/tier/routing/parse.go
+++ b/internal/tier/routing/parse.go
@@ -46,7 +46,7 @@
 	for _, item := range top.objects("services") {
 		service := readService(item)
 		if services[service.Name] != nil {
-			item.fail("name", "another service has the same name")
+			item.fail("name", "another service has the same one")
 		}
 		services[service.Name] = service
 	}
@@ -105,7 +105,7 @@
 	for _, item := range top.objects("routes") {
 		route := readRoute(item, services)
 		if names[route.Name] {
-			item.fail("name", "another route has the same name")
+			item.fail("name", "another route has the same one")
 		}
 		names[route.Name] = true
 		routes = append(routes, route)
@@ -134,7 +134,7 @@
 		item.fail("timeout_ms", "is missing or 0")
 	}
 	if route.MaxAttempts < 1 {
-		item.fail("max_attempts", "must be at least 1")
+		item.fail("max_attempts", "must be 1 at least")
 	}
 	return route
 }
@@ -142,7 +142,7 @@
 func readAuthority(item *object) string {
 	authority := item.requiredString("authority")
 	if strings.Contains(authority, "/") || stripPort(authority) == "" {
-		item.fail("authority", "%q is not a host", authority)
+		item.fail("authority", "%q is no host", authority)
 	}
 	return authority
 }
@@ -165,7 +165,7 @@
 	case "streaming":
 		return Streaming
 	default:
-		item.fail("route_type", "%q is unknown; use safe, unsafe or streaming", text)
+		item.fail("route_type", "%q is not known; safe, unsafe and streaming are", text)
 		return Unsafe
 	}
 }
