--- a/admission/dispatch/drawn_test.go
+++ b/admission/dispatch/drawn_test.go
@@ -314,14 +314,14 @@
 					w.changeReceivers()
 				}
 			},
-			"report":         func(*rapid.T) { w.sendReport() },
-			"submit":         func(*rapid.T) { w.submit() },
-			"submit 2":       func(*rapid.T) { w.submit() },
-			"start response": func(*rapid.T) { w.startResponse() },
-			"end attempt":    func(*rapid.T) { w.endSomeAttempt() },
-			"end attempt 2":  func(*rapid.T) { w.endSomeAttempt() },
-			"cancel":         func(*rapid.T) { w.cancel() },
-			"advance":        func(*rapid.T) { w.advance() },
+			"report":   func(*rapid.T) { w.sendReport() },
+			"arrive":   func(*rapid.T) { w.submit() },
+			"arrive 2": func(*rapid.T) { w.submit() },
+			"start":    func(*rapid.T) { w.startResponse() },
+			"answer":   func(*rapid.T) { w.endSomeAttempt() },
+			"answer 2": func(*rapid.T) { w.endSomeAttempt() },
+			"withdraw": func(*rapid.T) { w.cancel() },
+			"pass":     func(*rapid.T) { w.advance() },
 		})
 		w.finish()
 	})
--- a/control/outcomes.go
+++ b/control/outcomes.go
@@ -106,7 +106,7 @@
 		admission.UpdateEWMA(&r.callDuration, float64(res.Took))
 		r.respondedAt = s.now
 		if r.failures > 1 {
-			s.actions.Log(fmt.Sprintf("receiver %d up again", r.id))
+			s.actions.Log(fmt.Sprintf("receiver %d back", r.id))
 		}
 		longOutage := r.failures > 0 && s.now-r.failedSince > s.duration("Contract.FallUs", 2*Second)
 		for _, o := range r.dest.receivers { // recovering from an outage, or still in it
