--- a/internal/tier/controlplane/operator.go
+++ b/internal/tier/controlplane/operator.go
@@ -80,7 +80,7 @@
 	defer cancel()
 	result, err := p.propose(ctx, command)
 	if err != nil {
-		p.base.Log.WithError(err).WithField("order", r.URL.Path).Warn("order of open fate")
+		p.base.Log.WithError(err).WithField("order", r.URL.Path).Warn("the outcome of the operator's command is unknown")
 		writeError(w, http.StatusServiceUnavailable, "the control state cannot be changed now")
 		return
 	}
--- a/internal/tier/lifecycle/lifecycle.go
+++ b/internal/tier/lifecycle/lifecycle.go
@@ -106,7 +106,7 @@
 func reloadSettings(path string, plane Plane, logger log.Interface) {
 	node, err := settings.LoadFile(path)
 	if err != nil {
-		logger.WithError(err).Error("the changed settings are not taken")
+		logger.WithError(err).Error("cannot reload the settings; the previous ones remain in effect")
 		return
 	}
 	plane.SetSeeds(node.SeedInternalAddresses())
--- a/internal/tier/proxy/failurelog.go
+++ b/internal/tier/proxy/failurelog.go
@@ -53,13 +53,13 @@
 type abortCause string
 
 const (
-	abortDeadlineExceeded abortCause = "the request's time is over"
-	abortShutdown         abortCause = "the process ends"
+	abortDeadlineExceeded abortCause = "the request's deadline has passed"
+	abortShutdown         abortCause = "the proxy is shutting down"
 	abortNotResumed       abortCause = "no receiver resumed the stream"
 	abortNotResumable     abortCause = "the stream cannot be resumed: it has events without an id"
 	abortNotAStream       abortCause = "the receiver chosen to resume the stream did not send one"
 	abortReceiverFailed   abortCause = "the receiver did not complete a long response"
-	abortNotCommitted     abortCause = "the stores did not keep the turn"
+	abortNotCommitted     abortCause = "the stores did not commit the turn"
 	abortWriteTimeout     abortCause = "the client did not read the response in time"
 )
 
@@ -73,5 +73,5 @@
 	l.logger.WithFields(log.Fields{
 		"request": h.id, "cause": string(cause), "more": skipped, "sent": h.maybeExecuted, "begun": h.responseStarted, "last_event": h.lastEventID,
 		"age_ms": now.Sub(h.arrived).Milliseconds(), "left_ms": h.deadline.Sub(now).Milliseconds(),
-	}).Warn("an answer was cut")
+	}).Warn("response aborted before it was complete")
 }
--- a/internal/tier/proxy/stop.go
+++ b/internal/tier/proxy/stop.go
@@ -45,7 +45,7 @@
 	p.awaitShutdownDelay(ctx)
 	p.frontend.stopAccepting()
 	p.clients.drain()
-	p.connectionLog().Info("the notice is over")
+	p.connectionLog().Info("shutdown delay over; no longer accepting connections")
 	p.drain(ctx)
 	p.closeAll()
 }
@@ -111,10 +111,10 @@
 	}
 	defer cancel()
 	if p.clients.waitDrained(drainCtx) {
-		p.connectionLog().Info("stopped with nothing in hand")
+		p.connectionLog().Info("drained: no requests in flight")
 		return
 	}
-	p.connectionLog().Warn("stopped with requests in hand")
+	p.connectionLog().Warn("drain incomplete; canceling the requests in flight")
 	p.frontend.cancelRequests(errShuttingDown)
 	finalCtx, cancelFinal := context.WithTimeout(context.WithoutCancel(ctx), finalResponseTime)
 	defer cancelFinal()
--- a/internal/tier/proxy/turn_test.go
+++ b/internal/tier/proxy/turn_test.go
@@ -193,7 +193,7 @@
 		}
 		Expect(p.logs.Entries).To(HaveLen(1))
 		line := p.logs.Entries[0]
-		Expect(line.Message).To(Equal("an answer was cut"))
+		Expect(line.Message).To(Equal("response aborted before it was complete"))
 		Expect(line.Fields).To(And(HaveKeyWithValue("cause", string(abortNotCommitted)), HaveKeyWithValue("begun", true)))
 		Expect(line.Fields).To(HaveKeyWithValue("last_event", uint64(1)))
 	})
--- a/internal/tier/replica/disk.go
+++ b/internal/tier/replica/disk.go
@@ -126,7 +126,7 @@
 
 // stopWithError stops a replica that cannot persist its state.
 func (r *Replica) stopWithError(err error) bool {
-	r.log.WithError(err).Error("replica: ended, its state can't be kept")
+	r.log.WithError(err).Error("replica: stopped; cannot persist its state")
 	if r.closed.CompareAndSwap(false, true) {
 		close(r.closing)
 	}
--- a/internal/tier/storeplane/plane.go
+++ b/internal/tier/storeplane/plane.go
@@ -123,7 +123,7 @@
 	case err != nil:
 		p.base.Log.WithError(err).Debug("registration failed; will retry")
 	case answer.Status == http.StatusConflict:
-		p.base.Log.WithField("reason", answer.Reason).Warn("this disk stays out of the store view")
+		p.base.Log.WithField("reason", answer.Reason).Warn("registration refused for good; this disk will not join the store view")
 		return false
 	case answer.Status != http.StatusOK:
 		p.base.Log.WithField("status", answer.Status).WithField("reason", answer.Reason).Error("registration refused")
