--- a/cmd/emberquay/ledger_test.go
+++ b/cmd/emberquay/ledger_test.go
@@ -120,7 +120,7 @@
 }
 
 // A second sender on the same directory fails with an error that names the lock's owner.
-func TestSecondSenderOnSameDirectory(t *testing.T) {
+func TestSecondSenderOnTheFolder(t *testing.T) {
 	p := newProgram(t)
 	p.start()
 	cmd := exec.Command(os.Args[0], "serve")
--- a/cmd/emberquay/main_test.go
+++ b/cmd/emberquay/main_test.go
@@ -183,7 +183,7 @@
 }
 
 // After SIGTERM the process still accepts texts, waits for calls in flight and exits by itself.
-func TestGracefulStop(t *testing.T) {
+func TestAskedToStop(t *testing.T) {
 	p := newProgram(t)
 	p.start()
 	p.submit("a", 9)
@@ -205,7 +205,7 @@
 
 // On SIGHUP the receiver list and the notices, including one in flight, switch to the new discovery address; an invalid file
 // changes nothing. After a restart the address in the file still takes precedence over the environment.
-func TestConfigurationReload(t *testing.T) {
+func TestConfigurationReplaced(t *testing.T) {
 	p := newProgram(t)
 	p.unresponsive.Store(true)
 	listRequests, notices := make(chan string, 9), make(chan string, 9)
@@ -317,7 +317,7 @@
 
 // A sender accepts texts while no receiver is available and is then stopped or killed. The next process starts with a backlog
 // far larger than the receiver's estimated rate can serve, and must still attempt every text instead of shedding it.
-func TestBacklogIsAttemptedAfterRestart(t *testing.T) {
+func TestABacklogIsTriedAfterARestart(t *testing.T) {
 	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL} {
 		p := newProgram(t)
 		listed, _ := os.ReadFile(p.config)
@@ -343,7 +343,7 @@
 
 // A text arrives during the shutdown of an idle sender. The process must wait for its call and not leave a call with an
 // unknown outcome.
-func TestTextAtEndOfStop(t *testing.T) {
+func TestATextAtTheEndOfAStop(t *testing.T) {
 	p := newProgram(t)
 	p.respond = make(chan bool)
 	p.start()
@@ -386,7 +386,7 @@
 }
 
 // Texts that cannot be delivered before the end of the shutdown are delivered after the next start.
-func TestStopWithCallsInFlight(t *testing.T) {
+func TestStoppedWithCallsOut(t *testing.T) {
 	p := newProgram(t)
 	p.unresponsive.Store(true)
 	p.start()
