--- a/control/settings.go
+++ b/control/settings.go
@@ -25,7 +25,7 @@
 	}
 	for _, name := range []string{"Specifics.MaxCalls", "Permissions.TryLimit", "RequestClasses.count"} {
 		if s.number(name, 0) < 1 {
-			return nil, fmt.Errorf("setting %s is less than 1 or not a number", name)
+			return nil, fmt.Errorf("setting %s is less than 1 or no number", name)
 		}
 	}
 	s.maxCalls = int(s.number("Specifics.MaxCalls", 1))
@@ -119,7 +119,7 @@
 func (settings Settings) checkRange(key string, low, high float64) error {
 	v, present := settings[key]
 	if n, err := strconv.ParseFloat(v, 64); present && (err != nil || !(n >= low && n <= high)) {
-		return fmt.Errorf("%s: %q is not a number from %v to %v", key, v, low, high)
+		return fmt.Errorf("%s: %q is no number from %v to %v", key, v, low, high)
 	}
 	return nil
 }
