--- a/internal/tier/cluster/core/wire.go
+++ b/internal/tier/cluster/core/wire.go
@@ -155,7 +155,7 @@
 	for _, g := range w.Gossip {
 		m, err := gossipFromWire(g)
 		if err != nil {
-			return Envelope{}, eris.Wrapf(err, "envelope from %s", w.From)
+			return Envelope{}, eris.Wrapf(err, "from %s", w.From)
 		}
 		e.Gossip = append(e.Gossip, m)
 	}
@@ -259,7 +259,7 @@
 
 func sumsFromWire(encoded []byte) ([]uint32, error) {
 	if len(encoded)%sumBytes != 0 {
-		return nil, eris.Errorf("bucket sums have an invalid length of %d bytes", len(encoded))
+		return nil, eris.Errorf("%d bytes of sums", len(encoded))
 	}
 	var sums []uint32
 	for ; len(encoded) > 0; encoded = encoded[sumBytes:] {
--- a/internal/tier/replica/replica.go
+++ b/internal/tier/replica/replica.go
@@ -35,9 +35,9 @@
 // may not have been executed.
 var (
 	// ErrOutcomeUnknown means that the command may have been executed, or still may be.
-	ErrOutcomeUnknown = eris.New("replica: unknown whether the command was executed")
+	ErrOutcomeUnknown = eris.New("replica: it is not known whether the command was carried out")
 	// ErrBusy means that too many calls are pending; this one was not started.
-	ErrBusy = eris.New("replica: too many pending calls")
+	ErrBusy = eris.New("replica: too many calls wait")
 	// ErrClosed means that the replica was closed, or stopped because its journal failed.
 	ErrClosed = eris.New("replica: closed")
 )
--- a/internal/tier/store/serve_client.go
+++ b/internal/tier/store/serve_client.go
@@ -168,7 +168,7 @@
 			return storewire.HistoryAnswer{}, err
 		}
 	}
-	return storewire.HistoryAnswer{}, eris.Errorf("turn %s: record not found in any read attempt", request.Turn)
+	return storewire.HistoryAnswer{}, eris.Errorf("turn %s can't be read", request.Turn)
 }
 
 // chainPositions returns the positions of a turn and of its predecessors.
