--- a/admission/dispatch/choice.go
+++ b/admission/dispatch/choice.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The cost of sending a request to a receiver is estimated in milliseconds. The constants are chosen for model
-// engines and web services in general; none is fitted to one deployment.
+// Constants of the estimated cost, in milliseconds, of sending a request to a receiver. They fit model engines and web
+// services in general, not one deployment.
 const (
 	prefillTokensPerMs = 38.0 // prompt tokens that an engine processes per millisecond
 	// slowdownPerRequest is the fraction by which one more running request lengthens a call: most of a step's time
--- a/control/interface.go
+++ b/control/interface.go
@@ -1,4 +1,7 @@
-// Package control decides when, where and how often delivery of each text is attempted.
+// Package control decides when, where and how often delivery of each text is attempted. Comments refer to rules of the
+// delivery service by number: 1, a text gets exactly one final answer; 2, it is repeated only as its product permits;
+// 3, draining and removed receivers get no calls; 4, a recovering receiver gets few; 5, texts of a key are sent in
+// order; 6, Retry-After delays are kept.
 package control
 
 // Time is a point in time of the caller's clock or a duration, in ticks of a tenth of a millisecond.
@@ -26,7 +29,7 @@
 	Log(line string)
 }
 
-// Arrival is a text as a client hands it in.
+// Arrival is a text as a client submits it.
 type Arrival struct {
 	ID          string
 	Product     string
@@ -34,8 +37,8 @@
 	TimeLeft    Time // remaining validity period
 	Key         string
 	Brand       string // owner, if brands have quotas; empty: none
-	Retry       bool   // the client hands it in once more
-	Returned    bool   // another sender died while it held the text
+	Retry       bool   // the client submits it again
+	Returned    bool   // the sender that held the text has failed
 
 	Recovered bool // accepted before this process started
 
--- a/control/learnt.go
+++ b/control/learnt.go
@@ -10,8 +10,8 @@
 // lost and all counts depend on the fleet and its settings; they are not carried over.
 type ReceiverHistory struct {
 	Receiver          ReceiverID `json:"-"`                    // identifies the receiver in one process only
-	RetryAfterUntil   Time       `json:"wait_until,omitempty"` // rule 6
-	RecoveredAt       Time       `json:"cold,omitempty"`       // rule 4, as what follows
+	RetryAfterUntil   Time       `json:"wait_until,omitempty"` // of the Retry-After delay, which binds a new process too (rule 6)
+	RecoveredAt       Time       `json:"cold,omitempty"`       // this and all below limit calls to a recovering receiver (rule 4)
 	Failures          int        `json:"fails,omitempty"`      // consecutive
 	FailedSince       Time       `json:"failed_since,omitempty"`
 	RefusedSince      Time       `json:"refused_since,omitempty"` // for another reason than its rate limit
--- a/control/listing.go
+++ b/control/listing.go
@@ -11,7 +11,7 @@
 // The list of receivers: when to request its changes, and when removed receivers are forgotten.
 
 // startWatch requests the list's changes where they are not pushed, at a random time: the list cannot answer
-// a whole fleet that starts at once. Without a watch a sender is held to drains that it was never told of.
+// a whole fleet that starts at once. A sender without a watch does not learn of drains, which bind it nevertheless.
 func (s *Sender) startWatch() {
 	switch {
 	case s.settings["RegistryMode"] != "ask":
--- a/coordination/chain/calls.go
+++ b/coordination/chain/calls.go
@@ -108,7 +108,7 @@
 	return v.Tail()
 }
 
-// refreshView keeps the view of a node that only forwards calls up to date, as it receives no heartbeats.
+// refreshView keeps the view of a forwarder up to date, as it receives no heartbeats.
 func (n *Node) refreshView() {
 	if n.settings.Voter || n.now-n.lastViewRefresh < viewRefreshInterval {
 		return
--- a/coordination/chain/machine.go
+++ b/coordination/chain/machine.go
@@ -37,7 +37,7 @@
 }
 
 // maxRecentOutcomes limits the outcomes kept. It exceeds the number of entries that a member may lag behind between two
-// heartbeats; a resent command that is further behind cannot be told from an applied one, and its fate stays unknown.
+// heartbeats; a resent command that is further behind cannot be told from an applied one, and its outcome stays unknown.
 const maxRecentOutcomes = 256
 
 // State is the state after an entry of an epoch. Without Full it only identifies a state that the receiver already has.
--- a/coordination/chain/node.go
+++ b/coordination/chain/node.go
@@ -22,8 +22,8 @@
 	busyTickInterval = 50 * time.Millisecond
 	// resendAfter is how long a member waits for another member's answer before it resends the request.
 	resendAfter = 200 * time.Millisecond
-	// viewRefreshInterval is how often a node that only forwards calls asks for a newer view: callers that count the
-	// members' votes rely on this node to know who the members are.
+	// viewRefreshInterval is how often a forwarder asks for a newer view: callers that count the members' votes rely on
+	// this node to know who the members are.
 	viewRefreshInterval = time.Second
 	// stalledAfter is a gap between two Ticks that means that this process was suspended. What it didn't hear meanwhile
 	// says nothing about the other nodes.
@@ -41,7 +41,7 @@
 // Settings configure a node.
 type Settings struct {
 	Name, Address, Zone string
-	Voter               bool     // false: only forwards calls, holds no state and needs no disk
+	Voter               bool     // false: a forwarder, which holds no state and needs no disk
 	Bootstrap           bool     // the first start of the whole cluster
 	Seeds               []string // addresses of the first members
 	Random              [2]uint64
@@ -73,7 +73,7 @@
 	Snapshot []byte
 }
 
-// Node is a member, a node that wants to become one, or a node that only forwards calls.
+// Node is a member, a node that wants to become one, or a forwarder: a node that only forwards calls.
 type Node struct {
 	settings  Settings
 	self      view.Member
@@ -84,7 +84,7 @@
 	now           time.Duration
 	lastTick      time.Duration
 	lastHeartbeat time.Duration
-	// lastViewRefresh is when a node that only forwards calls last asked for a newer view.
+	// lastViewRefresh is when a forwarder last asked for a newer view.
 	lastViewRefresh time.Duration
 	output          Output
 	inbox           []Envelope // messages to itself, handled within the same step
--- a/internal/tier/cluster/cluster.go
+++ b/internal/tier/cluster/cluster.go
@@ -120,7 +120,7 @@
 		self:     options.Self,
 		client:   options.Client,
 		log:      options.Log,
-		commands: make(chan command, commandQueueSize),
+		commands: make(chan command, commandQueueCapacity),
 		done:     make(chan struct{}),
 		ready:    make(chan struct{}),
 	}
@@ -147,7 +147,7 @@
 	return n
 }
 
-// persistFunc returns nil once an entry of the table is persisted as this node guarantees.
+// persistFunc returns nil once an entry of the table is stored as durably as a confirmation by this node promises.
 type persistFunc func(ctx context.Context, key string, stamp Stamp) error
 
 // SetPersistFunc sets the function that persists entries delivered to this node by PublishConfirmed: the node confirms
--- a/internal/tier/cluster/core/wire.go
+++ b/internal/tier/cluster/core/wire.go
@@ -10,7 +10,7 @@
 	"emberquay/internal/tier/transport"
 )
 
-// WireEnvelope is the avro form of an envelope. Unsigned numbers are stored as longs, bucket sums as bytes.
+// WireEnvelope is the Avro form of an envelope. Unsigned numbers are stored as longs, bucket sums as bytes.
 type WireEnvelope struct {
 	From        string           `avro:"from"`
 	Incarnation int64            `avro:"incarnation"`
@@ -19,14 +19,14 @@
 	Membership  []wireMembership `avro:"membership"`
 }
 
-// WireStamp is the avro form of a stamp.
+// WireStamp is the Avro form of a stamp.
 type WireStamp struct {
 	Epoch    int64  `avro:"epoch"`
 	Sequence int64  `avro:"sequence"`
 	Origin   string `avro:"origin"`
 }
 
-// WireEntry is the avro form of an entry.
+// WireEntry is the Avro form of an entry.
 type WireEntry struct {
 	Key   string    `avro:"key"`
 	Stamp WireStamp `avro:"stamp"`
@@ -133,7 +133,7 @@
 	{"name":"gossip","type":{"type":"array","items":` + gossipSchema + `}},
 	{"name":"membership","type":{"type":"array","items":` + membershipSchema + `}}]}`)
 
-// EnvelopeToWire converts an envelope to its avro form.
+// EnvelopeToWire converts an envelope to its Avro form.
 func EnvelopeToWire(e Envelope) WireEnvelope {
 	return WireEnvelope{
 		From:        string(e.From),
@@ -144,7 +144,7 @@
 	}
 }
 
-// EnvelopeFromWire converts an envelope from its avro form.
+// EnvelopeFromWire converts an envelope from its Avro form.
 func EnvelopeFromWire(w WireEnvelope) (Envelope, error) {
 	e := Envelope{
 		From:        membership.ID(w.From),
@@ -178,17 +178,17 @@
 	return WireStamp{Epoch: int64(s.Epoch), Sequence: int64(s.Sequence), Origin: s.Origin}
 }
 
-// StampFromWire converts a stamp from its avro form.
+// StampFromWire converts a stamp from its Avro form.
 func StampFromWire(s WireStamp) gossip.Stamp {
 	return gossip.Stamp{Epoch: uint64(s.Epoch), Sequence: uint64(s.Sequence), Origin: s.Origin}
 }
 
-// EntryToWire converts an entry to its avro form.
+// EntryToWire converts an entry to its Avro form.
 func EntryToWire(e gossip.Entry) WireEntry {
 	return WireEntry{Key: e.Key, Stamp: stampToWire(e.Stamp), Value: e.Value}
 }
 
-// EntryFromWire converts an entry from its avro form.
+// EntryFromWire converts an entry from its Avro form.
 func EntryFromWire(e WireEntry) gossip.Entry {
 	return gossip.Entry{Key: e.Key, Stamp: StampFromWire(e.Stamp), Value: e.Value}
 }
--- a/internal/tier/cluster/exchange.go
+++ b/internal/tier/cluster/exchange.go
@@ -9,7 +9,7 @@
 	"emberquay/internal/tier/transport"
 )
 
-// Methods of the cluster. An exchange is answered with an envelope; a tell is one-way.
+// Methods that carry an envelope: methodExchange is answered with an envelope, methodTell is one-way.
 const (
 	methodExchange transport.Method = "cluster.exchange"
 	methodTell     transport.Method = "cluster.tell"
--- a/internal/tier/cluster/owner.go
+++ b/internal/tier/cluster/owner.go
@@ -7,8 +7,8 @@
 	"emberquay/internal/tier/cluster/core"
 )
 
-// commandQueueSize is the number of commands that may wait for the owner. Callers block while the queue is full.
-const commandQueueSize = 256
+// commandQueueCapacity is the number of commands that may wait for the owner. Callers block while the queue is full.
+const commandQueueCapacity = 256
 
 // command is a function that the owner executes.
 type command func(o *owner, now time.Time)
--- a/internal/tier/cluster/records/node.go
+++ b/internal/tier/cluster/records/node.go
@@ -12,7 +12,7 @@
 	State   membership.State
 }
 
-// nodeWire is the avro form of a NodeRecord. The incarnation is the epoch of the entry's stamp.
+// nodeWire is the Avro form of a NodeRecord. The incarnation is the epoch of the entry's stamp.
 type nodeWire struct {
 	Name    string `avro:"name"`
 	Role    int    `avro:"role"`
--- a/internal/tier/cluster/records/other.go
+++ b/internal/tier/cluster/records/other.go
@@ -11,7 +11,7 @@
 	Sequence  int64  `avro:"sequence"`
 }
 
-// ReportSchema is the avro schema of a ReportRecord.
+// ReportSchema is the Avro schema of a ReportRecord.
 const ReportSchema = `{"type":"record","name":"Report","fields":[
 	{"name":"instance","type":"string"},
 	{"name":"running","type":"long"},
@@ -39,7 +39,7 @@
 	Body    []byte
 }
 
-// configurationWire is the avro form of a ConfigurationRecord.
+// configurationWire is the Avro form of a ConfigurationRecord.
 type configurationWire struct {
 	Version int64  `avro:"version"`
 	Body    []byte `avro:"body"`
@@ -61,7 +61,7 @@
 type configurationCodec struct{}
 
 // Encode checks the bounds of a configuration's record and returns its bytes. The version is stored as a long with
-// the same bits, because avro has no unsigned type.
+// the same bits, because Avro has no unsigned type.
 func (configurationCodec) Encode(r ConfigurationRecord) ([]byte, error) {
 	return configurationWireCodec.Encode(configurationWire{Version: int64(r.Version), Body: r.Body})
 }
--- a/internal/tier/cluster/records/records.go
+++ b/internal/tier/cluster/records/records.go
@@ -1,4 +1,4 @@
-// Package records defines the typed values of the cluster's table and encodes them as avro.
+// Package records defines the typed values of the cluster's table and encodes them as Avro.
 //
 //	value, err := records.ReceiverCodec.Encode(records.ReceiverRecord{ID: "i-7f3a91c2", Service: "models", ...})
 //	receiver, err := records.ReceiverCodec.Decode(entry.Value)
--- a/internal/tier/controlplane/inspect.go
+++ b/internal/tier/controlplane/inspect.go
@@ -29,7 +29,7 @@
 	Vote         VoteSummary  `json:"vote"`
 	State        StateSummary `json:"state"` // as of LastSequence
 	SavedEntries int          `json:"known"` // number of cluster entries saved across restarts
-	// Findings lists the problems of the ring, of its records, of the state that results from them and of the saved
+	// Findings lists the problems of the journal, of its records, of the state that results from them and of the saved
 	// entries.
 	Findings journal.Findings `json:"findings"`
 }
--- a/internal/tier/controlplane/plane.go
+++ b/internal/tier/controlplane/plane.go
@@ -32,8 +32,8 @@
 )
 
 const (
-	// commandQueueSize is the number of commands that may be queued for the goroutine that owns the receiver table.
-	commandQueueSize = 256
+	// commandQueueCapacity is the number of commands that may be queued for the goroutine that owns the receiver table.
+	commandQueueCapacity = 256
 	// headerTimeout bounds the reading of a request's header. It is short because all clients are programs.
 	headerTimeout  = 5 * time.Second
 	idleTimeout    = 60 * time.Second
@@ -62,7 +62,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	p := &Plane{
 		base: planes.NewBase(node, settings.ControlPlane, logger), stop: stop,
-		receiverQueue: make(chan func(*registration.Table), commandQueueSize),
+		receiverQueue: make(chan func(*registration.Table), commandQueueCapacity),
 		closed:        make(chan struct{}),
 	}
 	if err := p.startInternal(ctx); err != nil {
--- a/internal/tier/controlplane/stores.go
+++ b/internal/tier/controlplane/stores.go
@@ -16,18 +16,18 @@
 }
 
 // handleRegisterStore proposes to add a store to the store view.
-func (p *Plane) handleRegisterStore(ctx context.Context, notice storewire.StoreNotification) (storewire.StoreNotificationAnswer, error) {
+func (p *Plane) handleRegisterStore(ctx context.Context, notification storewire.StoreNotification) (storewire.StoreNotificationAnswer, error) {
 	return p.proposeStoreCommand(ctx, controlstate.Command{
 		Kind:      controlstate.RegisterStore,
-		Store:     controlstate.StoreMember{ID: notice.ID, Node: notice.Node, Zone: notice.Zone, Address: notice.Address},
-		Bootstrap: notice.Bootstrap,
+		Store:     controlstate.StoreMember{ID: notification.ID, Node: notification.Node, Zone: notification.Zone, Address: notification.Address},
+		Bootstrap: notification.Bootstrap,
 		Tolerance: p.base.Settings.FaultTolerance.Machines,
 	})
 }
 
 // handleStoreRetired proposes to complete the retirement of a store: all of its data is on other stores.
-func (p *Plane) handleStoreRetired(ctx context.Context, notice storewire.StoreNotification) (storewire.StoreNotificationAnswer, error) {
-	return p.proposeStoreCommand(ctx, controlstate.Command{Kind: controlstate.RetireCompleted, Node: notice.Node, StoreID: notice.ID})
+func (p *Plane) handleStoreRetired(ctx context.Context, notification storewire.StoreNotification) (storewire.StoreNotificationAnswer, error) {
+	return p.proposeStoreCommand(ctx, controlstate.Command{Kind: controlstate.RetireCompleted, Node: notification.Node, StoreID: notification.ID})
 }
 
 func (p *Plane) proposeStoreCommand(ctx context.Context, command controlstate.Command) (storewire.StoreNotificationAnswer, error) {
--- a/internal/tier/journal/inspect.go
+++ b/internal/tier/journal/inspect.go
@@ -30,7 +30,7 @@
 	maxMissingSegments = 64
 )
 
-// ErrNoRing means that the folder contains no segment files.
+// ErrNoRing means that the folder contains no segment files, so no journal.
 var ErrNoRing = eris.New("no ring of files is in it")
 
 // Finding is one location whose contents differ from what was written.
--- a/internal/tier/proxy/admission.go
+++ b/internal/tier/proxy/admission.go
@@ -22,8 +22,8 @@
 	Stats(now dispatch.Instant) dispatch.Stats
 }
 
-// commandQueueSize bounds the commands queued for the dispatcher; enqueue blocks when the queue is full.
-const commandQueueSize = 1024
+// commandQueueCapacity bounds the commands queued for the dispatcher; enqueue blocks when the queue is full.
+const commandQueueCapacity = 1024
 
 // decision is the dispatcher's decision on a request: a send or, if that is nil, a refusal.
 type decision struct {
@@ -61,7 +61,7 @@
 	a := &admission{
 		dispatcher: d,
 		epoch:      time.Now(),
-		commands:   make(chan command, commandQueueSize),
+		commands:   make(chan command, commandQueueCapacity),
 		done:       make(chan struct{}),
 		pending:    make(map[dispatch.RequestID]*pendingRequest),
 		timer:      time.NewTimer(time.Hour),
@@ -131,7 +131,7 @@
 }
 
 // await waits for the next decision. It returns false if ctx ended or the deadline passed first, or run was stopped; the
-// request is then withdrawn.
+// request is then canceled.
 func (a *admission) await(ctx context.Context, pending *pendingRequest, deadline time.Time) (decision, bool) {
 	select {
 	case d := <-pending.decisions:
@@ -147,12 +147,14 @@
 	case <-timer.C:
 	case <-a.done:
 	}
-	a.enqueue(withdrawCommand{pending: pending})
+	a.enqueue(cancelCommand{pending: pending})
 	return decision{}, false
 }
 
-// started reports that part of a response has been written to the client.
-func (a *admission) started(pending *pendingRequest) { a.enqueue(startedCommand{request: pending.id}) }
+// responseStarted reports that part of a response has been written to the client.
+func (a *admission) responseStarted(pending *pendingRequest) {
+	a.enqueue(responseStartedCommand{request: pending.id})
+}
 
 // attemptEnded reports the outcome of an attempt after which the handler awaits another decision.
 func (a *admission) attemptEnded(send *dispatch.Send, outcome dispatch.Outcome) {
@@ -174,9 +176,9 @@
 	return a.dispatcher.Submit(now, c.request)
 }
 
-type startedCommand struct{ request dispatch.RequestID }
+type responseStartedCommand struct{ request dispatch.RequestID }
 
-func (c startedCommand) apply(a *admission, now dispatch.Instant) dispatch.Effects {
+func (c responseStartedCommand) apply(a *admission, now dispatch.Instant) dispatch.Effects {
 	return a.dispatcher.ResponseStarted(now, c.request)
 }
 
@@ -193,15 +195,15 @@
 	return a.dispatcher.AttemptEnded(now, c.send.Request, c.send.Attempt, c.outcome)
 }
 
-// withdrawCommand removes a request whose handler has stopped waiting.
-type withdrawCommand struct{ pending *pendingRequest }
+// cancelCommand removes a request whose handler has stopped waiting.
+type cancelCommand struct{ pending *pendingRequest }
 
-func (c withdrawCommand) apply(a *admission, now dispatch.Instant) dispatch.Effects {
+func (c cancelCommand) apply(a *admission, now dispatch.Instant) dispatch.Effects {
 	delete(a.pending, c.pending.id)
 	effects := a.dispatcher.Cancel(now, c.pending.id)
 	select {
 	case d := <-c.pending.decisions:
-		if d.send != nil { // decided before the withdrawal was applied: nothing was sent
+		if d.send != nil { // decided before the cancellation was applied: nothing was sent
 			a.deliver(effects)
 			notSent := dispatch.Outcome{Kind: dispatch.NotConnected}
 			return a.dispatcher.AttemptEnded(now, c.pending.id, d.send.Attempt, notSent)
--- a/internal/tier/proxy/attempt.go
+++ b/internal/tier/proxy/attempt.go
@@ -41,7 +41,7 @@
 		})
 		return responseComplete, false
 	}
-	h.maybeExecuted = true
+	h.mayHaveRun = true
 	if err := checkResponse(response); err != nil {
 		return h.attemptFailed(send, start, firstByte, err)
 	}
@@ -108,7 +108,7 @@
 // passed or the stream cannot be resumed, the request ends; otherwise the dispatcher decides.
 func (h *requestHandler) attemptFailed(send *dispatch.Send, start time.Time, firstByte time.Duration, err error) (responseEnd, bool) {
 	outcome := dispatch.Outcome{Kind: dispatch.TransportError, TimeToFirstByte: firstByte, Duration: time.Since(start)}
-	h.maybeExecuted = h.maybeExecuted || outbound.MaybeSent(err)
+	h.mayHaveRun = h.mayHaveRun || outbound.MaybeSent(err)
 	switch {
 	case h.clientGone():
 		outcome.Kind = dispatch.Cancelled
--- a/internal/tier/proxy/failurelog.go
+++ b/internal/tier/proxy/failurelog.go
@@ -71,7 +71,7 @@
 		return
 	}
 	l.logger.WithFields(log.Fields{
-		"request": h.id, "cause": string(cause), "more": skipped, "sent": h.maybeExecuted, "begun": h.responseStarted, "last_event": h.lastEventID,
+		"request": h.id, "cause": string(cause), "more": skipped, "sent": h.mayHaveRun, "begun": h.responseStarted, "last_event": h.lastEventID,
 		"age_ms": now.Sub(h.arrived).Milliseconds(), "left_ms": h.deadline.Sub(now).Milliseconds(),
 	}).Warn("response aborted before it was complete")
 }
--- a/internal/tier/proxy/plain.go
+++ b/internal/tier/proxy/plain.go
@@ -88,7 +88,7 @@
 ) (responseEnd, bool) {
 	h.startResponse(response, response.ContentLength)
 	response.SetDeadline(h.deadline)
-	h.proxy.admission.started(h.pending)
+	h.proxy.admission.responseStarted(h.pending)
 	h.flusher.SetWriteDeadline(h.deadline.Add(writeGrace))
 	defer h.flusher.SetWriteDeadline(time.Time{})
 	if _, err := h.writer.Write(prefix); err != nil {
--- a/internal/tier/proxy/readiness.go
+++ b/internal/tier/proxy/readiness.go
@@ -7,7 +7,7 @@
 
 const (
 	readinessPath = "/api/readiness"
-	// The platform checks once a second, possibly on one kept connection.
+	// readinessIdleTimeout exceeds the second between two checks by the platform, so that it can reuse a connection.
 	readinessIdleTimeout    = 10 * time.Second
 	readinessHeaderTimeout  = 2 * time.Second
 	readinessMaxHeaderBytes = 8 << 10
--- a/internal/tier/proxy/stop.go
+++ b/internal/tier/proxy/stop.go
@@ -64,7 +64,7 @@
 	}
 	total := max(0, deadline.Sub(signalled))
 	drainEnd := deadline.Add(-min(finalResponseTime, scaled(total, finalResponseShare)))
-	p.admission.enqueue(endByCommand{end: p.admission.instant(drainEnd)})
+	p.admission.enqueue(stopByCommand{end: p.admission.instant(drainEnd)})
 	return &shutdownSchedule{
 		delayEnd: signalled.Add(min(p.options.ShutdownDelay, scaled(drainEnd.Sub(signalled), shutdownDelayShare))),
 		drainEnd: drainEnd,
@@ -141,9 +141,9 @@
 	return h.request.Context().Err() != nil && !h.canceledByShutdown()
 }
 
-// endByCommand passes the end of the shutdown's drain phase to the dispatcher.
-type endByCommand struct{ end dispatch.Instant }
+// stopByCommand passes the end of the shutdown's drain phase to the dispatcher.
+type stopByCommand struct{ end dispatch.Instant }
 
-func (c endByCommand) apply(a *admission, now dispatch.Instant) dispatch.Effects {
+func (c stopByCommand) apply(a *admission, now dispatch.Instant) dispatch.Effects {
 	return a.dispatcher.StopBy(now, c.end)
 }
--- a/internal/tier/proxy/stream.go
+++ b/internal/tier/proxy/stream.go
@@ -57,7 +57,7 @@
 		h.lastEventID, h.lastEventRawID = event.ID, string(event.RawID)
 	}
 	if first {
-		h.proxy.admission.started(h.pending)
+		h.proxy.admission.responseStarted(h.pending)
 	}
 	if more {
 		return nil
--- a/internal/tier/proxy/visit.go
+++ b/internal/tier/proxy/visit.go
@@ -35,7 +35,7 @@
 	turn         *turn
 
 	pending         *pendingRequest
-	maybeExecuted   bool   // a receiver may have run the request
+	mayHaveRun      bool   // a receiver may have run the request
 	responseStarted bool   // the response head has been written to the client
 	lastEventID     uint64 // of the last event forwarded
 	lastEventRawID  string // the same as received; "" before the first
@@ -253,7 +253,7 @@
 
 // respondExpired answers a request whose deadline has passed, or that the end of the shutdown canceled.
 func (h *requestHandler) respondExpired() responseEnd {
-	if h.maybeExecuted {
+	if h.mayHaveRun {
 		return h.respond(http.StatusGatewayTimeout, 0)
 	}
 	if h.canceledByShutdown() {
@@ -274,7 +274,7 @@
 // opposite is replaced by 502.
 func (h *requestHandler) respondRefused(refusal dispatch.Refusal) responseEnd {
 	status := refusal.Status
-	if (h.maybeExecuted || refusal.MayHaveRun) && claimsNotExecuted(status) {
+	if (h.mayHaveRun || refusal.MayHaveRun) && claimsNotExecuted(status) {
 		status = http.StatusBadGateway
 	}
 	return h.respond(status, refusal.RetryAfter)
--- a/internal/tier/replica/inspect.go
+++ b/internal/tier/replica/inspect.go
@@ -13,7 +13,7 @@
 
 // Errors returned by Inspect.
 var (
-	// ErrNoRecords means that the ring holds neither records nor damage.
+	// ErrNoRecords means that the journal holds neither records nor damage.
 	ErrNoRecords = eris.New("nothing is kept in it yet")
 	// ErrNotReplica means that the records were not written by a replica.
 	ErrNotReplica = eris.New("its records are not those of a control plane")
@@ -24,7 +24,7 @@
 	Ring    *journal.Inspection
 	Records RecordCounts
 	Durable chain.DurableState // the state recovered from the records
-	// Findings are those of the ring and of the records in it. With some of them Open treats the disk as empty, and
+	// Findings are those of the journal and of the records in it. With some of them Open treats the disk as empty, and
 	// the replica rejoins as a new member.
 	Findings journal.Findings
 }
--- a/internal/tier/store/inspect.go
+++ b/internal/tier/store/inspect.go
@@ -15,9 +15,9 @@
 
 // Errors of Inspect.
 var (
-	// ErrNoRecords reports a ring without any record or damage.
+	// ErrNoRecords reports a journal without any record or damage.
 	ErrNoRecords = eris.New("nothing is kept in it yet")
-	// ErrNotStore reports a ring whose records are all of unknown kinds.
+	// ErrNotStore reports a journal whose records are all of unknown kinds.
 	ErrNotStore = eris.New("its records are not those of a store")
 )
 
@@ -37,7 +37,7 @@
 
 	Programs ProgramsSummary `json:"programs"`
 
-	// Findings lists damage to the ring and to the records in it.
+	// Findings lists damage to the journal and to the records in it.
 	Findings journal.Findings `json:"findings"`
 }
 
--- a/internal/tier/store/repair.go
+++ b/internal/tier/store/repair.go
@@ -232,11 +232,11 @@
 		if err != nil {
 			return false
 		}
-		parcels, err := s.readParcels(locations)
+		copies, err := s.readTurnCopies(locations)
 		if err != nil {
 			return false // a record was moved meanwhile or the disk failed: the next round retries
 		}
-		if !s.callPush(ctx, round, member, storewire.PushRequest{Turns: parcels}) {
+		if !s.callPush(ctx, round, member, storewire.PushRequest{Turns: copies}) {
 			return false
 		}
 		keys = keys[processed:]
--- a/internal/tier/store/serve_peer.go
+++ b/internal/tier/store/serve_peer.go
@@ -72,17 +72,17 @@
 	return locations, processed
 }
 
-// readParcels reads turns to be sent to another store.
-func (s *Store) readParcels(locations []turnLocation) ([]storewire.TurnCopy, error) {
-	parcels := make([]storewire.TurnCopy, 0, len(locations))
+// readTurnCopies reads turns to be sent to another store.
+func (s *Store) readTurnCopies(locations []turnLocation) ([]storewire.TurnCopy, error) {
+	copies := make([]storewire.TurnCopy, 0, len(locations))
 	for _, location := range locations {
 		record, err := s.journal.Read(location.position, nil)
 		if err != nil {
 			return nil, err
 		}
-		parcels = append(parcels, storewire.TurnCopy{RemainingMillis: location.remaining.Milliseconds(), Turn: record[1:]})
+		copies = append(copies, storewire.TurnCopy{RemainingMillis: location.remaining.Milliseconds(), Turn: record[1:]})
 	}
-	return parcels, nil
+	return copies, nil
 }
 
 // Fetch returns turns by key.
@@ -104,7 +104,7 @@
 		if err != nil {
 			return storewire.FetchAnswer{Reply: busyReply()}, nil
 		}
-		answer.Turns, err = s.readParcels(locations)
+		answer.Turns, err = s.readTurnCopies(locations)
 		if !errors.Is(err, journal.ErrNotFound) {
 			return answer, err
 		}
@@ -261,9 +261,9 @@
 }
 
 // decodeReceived decodes records from another store. Errors: a record is malformed.
-func decodeReceived(parcels []storewire.TurnCopy, programs []storewire.Program) (*received, error) {
+func decodeReceived(copies []storewire.TurnCopy, programs []storewire.Program) (*received, error) {
 	records := &received{}
-	for _, p := range parcels {
+	for _, p := range copies {
 		head, err := storewire.DecodeTurnHead(p.Turn)
 		if err != nil {
 			return nil, err
--- a/internal/tier/store/status.go
+++ b/internal/tier/store/status.go
@@ -13,7 +13,7 @@
 	TurnBytes int64 // of the records of held turns
 	Programs  int
 	Entries   int   // reservations of all programs, settled ones included
-	RingBytes int64 // capacity of all segments of the ring
+	RingBytes int64 // capacity of all segments of the journal
 	FreeBytes int64 // of the free segments
 }
 
--- a/internal/tier/store/store.go
+++ b/internal/tier/store/store.go
@@ -8,16 +8,16 @@
 //	defer s.Close()
 //
 // One goroutine owns the in-memory state (type table) and runs queued commands on it; a second one syncs the journal
-// for all commands that wait for the disk; a third one runs repair rounds. The texts of turns stay on the disk.
+// for all commands that wait for the disk; a third one runs repair rounds. The bodies of turns (input and output) are only on the disk.
 //
 // Invariants:
 //   - Acknowledged data is on the disk and is served after a restart.
 //   - A store answers only requests addressed to its disk (by id), and rejects requests routed by a view older than one
 //     it has already served (the fence, stored on the disk). So a request in flight cannot make the data outdated that a
 //     store with a fresh disk has copied from others.
-//   - A store with a fresh disk is incomplete until it has compared itself with View.CatchUp other stores. At least one
-//     of them holds whatever was acknowledged before. A turn that too few of them hold is copied even if it belongs
-//     elsewhere.
+//   - A store with a fresh disk is incomplete until it has compared itself with View.CatchUpQuorum other stores. At
+//     least one of them holds whatever was acknowledged before. A turn that too few of them hold is copied even if it
+//     belongs elsewhere.
 package store
 
 import (
@@ -34,17 +34,17 @@
 )
 
 const (
-	// ringDiskShare is the fraction of the disk that the journal's ring of files may use.
+	// ringDiskShare is the fraction of the disk that the journal may use.
 	ringDiskShare = 0.8
-	// segmentCount is the number of segments of the ring: enough that a segment kept free costs little space.
+	// segmentCount is the number of segments of the journal: enough that a segment kept free costs little space.
 	segmentCount = 16
 	// minSegmentBytes fits the longest turns on all but the smallest disks; maxSegmentBytes keeps a reclaim short.
 	minSegmentBytes = 1 << 20
 	maxSegmentBytes = 16 << 20
 	// defaultDiskBytes is used if Options.DiskBytes is 0.
 	defaultDiskBytes = 256 << 20
-	// commandQueueLength bounds the queued commands; further callers block.
-	commandQueueLength = 256
+	// commandQueueCapacity bounds the queued commands; further callers block.
+	commandQueueCapacity = 256
 	// maxDrainedCommands bounds the commands that run in a row before a sync for them starts.
 	maxDrainedCommands = 64
 	// defaultRepairInterval is the time between two repair rounds.
@@ -128,7 +128,7 @@
 		journal:    t.journal,
 		id:         t.meta.ID,
 		caller:     options.Caller,
-		commands:   make(chan *command, commandQueueLength),
+		commands:   make(chan *command, commandQueueCapacity),
 		wakeRepair: make(chan struct{}, 1),
 	}
 	s.ctx, s.stop = context.WithCancel(context.Background())
--- a/internal/tier/storeclient/reserve.go
+++ b/internal/tier/storeclient/reserve.go
@@ -142,7 +142,7 @@
 	}
 }
 
-// ask calls one store. The context is cancelled when run returns, so the send to answers cannot block forever.
+// ask calls one store. The context is canceled once the attempt is decided, so the send to answers cannot block forever.
 func (r *reserveAttempt) ask(ctx context.Context, index, round int, request storewire.ReserveRequest) {
 	request.Header = r.snapshot.header(r.members[index])
 	address := r.snapshot.view.Members[r.members[index]].Address
--- a/internal/tier/storewire/entry.go
+++ b/internal/tier/storewire/entry.go
@@ -13,7 +13,7 @@
 	return cluster.Entry{Key: cluster.StoresKey, Value: value, Stamp: stamp}, err
 }
 
-// DecodeViewEntry returns the view in an entry. Joined of its members is not transmitted.
+// DecodeViewEntry returns the view in an entry. JoinEpoch of its members is not transmitted.
 func DecodeViewEntry(entry cluster.Entry) (controlstate.StoreView, error) {
 	view, err := DecodeView(entry.Value)
 	if err != nil {
--- a/internal/tier/storewire/schema.go
+++ b/internal/tier/storewire/schema.go
@@ -20,7 +20,7 @@
 		{"name":"retention_millis","type":"long"}`
 	turnSchema = `{"type":"record","name":"Turn","fields":[` + turnHeadFields + `,
 		{"name":"input","type":"bytes"},{"name":"output","type":"bytes"}]}`
-	parcelsField = `{"name":"parcels","type":{"type":"array","items":{"type":"record","name":"Parcel","fields":[
+	turnCopiesField = `{"name":"parcels","type":{"type":"array","items":{"type":"record","name":"Parcel","fields":[
 		{"name":"remaining_millis","type":"long"},{"name":"turn","type":"bytes"}]}}}`
 	programsField = `{"name":"programs","type":{"type":"array","items":{"type":"record","name":"Program","fields":[
 		{"name":"name","type":"string"},{"name":"idle_millis","type":"long"},{"name":"entries","type":"bytes"}]}}}`
@@ -57,7 +57,7 @@
 		{"name":"turns","type":"bytes"},{"name":"more","type":"boolean"}`))
 	fetchCodec       = transport.MustCodec[FetchRequest](recordSchema("FetchRequest", headerField+`,{"name":"keys","type":"bytes"}`))
 	fetchAnswerCodec = transport.MustCodec[FetchAnswer](recordSchema("FetchAnswer", replyField+`,
-		{"name":"looked","type":"int"},`+parcelsField))
+		{"name":"looked","type":"int"},`+turnCopiesField))
 	programsCodec = transport.MustCodec[ProgramsRequest](recordSchema("ProgramsRequest", headerField+`,
 		{"name":"after","type":"string"}`))
 	programsAnswerCodec = transport.MustCodec[ProgramsAnswer](recordSchema("ProgramsAnswer", replyField+`,`+programsField+`,
@@ -71,7 +71,7 @@
 		"name":"ProgramDigest","fields":[{"name":"name","type":"string"},{"name":"digest","type":"long"}]}}}`))
 	offerAnswerCodec = transport.MustCodec[OfferAnswer](recordSchema("OfferAnswer", replyField+`,
 		{"name":"turns","type":{"type":"array","items":"int"}},{"name":"programs","type":{"type":"array","items":"int"}}`))
-	pushCodec = transport.MustCodec[PushRequest](recordSchema("PushRequest", headerField+`,`+parcelsField+`,`+programsField))
+	pushCodec = transport.MustCodec[PushRequest](recordSchema("PushRequest", headerField+`,`+turnCopiesField+`,`+programsField))
 )
 
 // EncodeTurn encodes a turn as it is stored and pushed.
--- a/internal/tier/storewire/view.go
+++ b/internal/tier/storewire/view.go
@@ -32,7 +32,7 @@
 	return view
 }
 
-// StoreView converts the view to that of the control state, without Joined of its members.
+// StoreView converts the view to that of the control state, without JoinEpoch of its members.
 func (v *View) StoreView() controlstate.StoreView {
 	stores := controlstate.StoreView{Epoch: uint64(v.Epoch), Tolerance: v.Tolerance}
 	for _, m := range v.Members {
