--- a/coordination/chain/calls.go
+++ b/coordination/chain/calls.go
@@ -192,7 +192,7 @@
 	if c == nil || c.command == nil {
 		return
 	}
-	n.noteKnownCommitted(m.Sequence)
+	n.recordKnownCommitted(m.Sequence)
 	switch m.Verdict {
 	case ResultRetry:
 		n.retryCall(c)
@@ -235,7 +235,7 @@
 		n.retryCall(c)
 		return
 	}
-	n.noteKnownCommitted(m.Sequence)
+	n.recordKnownCommitted(m.Sequence)
 	if c.command != nil {
 		c.after = n.knownCommitted
 		n.sendCall(c)
@@ -253,8 +253,8 @@
 	n.reply(Reply{Number: c.number, Epoch: m.Epoch, Sequence: m.Sequence, Snapshot: snapshot})
 }
 
-// noteKnownCommitted records that the entries up to sequence are committed.
-func (n *Node) noteKnownCommitted(sequence int64) {
+// recordKnownCommitted records that the entries up to sequence are committed.
+func (n *Node) recordKnownCommitted(sequence int64) {
 	n.knownCommitted = max(n.knownCommitted, sequence)
 	n.knownCommittedValid = true
 }
--- a/coordination/chain/contacts.go
+++ b/coordination/chain/contacts.go
@@ -50,7 +50,7 @@
 	n.planned = plannedChange{}
 }
 
-func (n *Node) noteHeard(from Peer) {
+func (n *Node) recordContact(from Peer) {
 	if p := n.peers[from.ID]; p != nil {
 		p.lastHeard = n.now
 	}
--- a/coordination/chain/node.go
+++ b/coordination/chain/node.go
@@ -228,7 +228,7 @@
 	if e.To.ID != 0 && e.To.ID != n.self.ID {
 		return // addressed to a former member id of this node
 	}
-	n.noteHeard(e.From)
+	n.recordContact(e.From)
 	switch m := e.Body.(type) {
 	case Heartbeat:
 		n.onHeartbeat(e.From, m)
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -147,7 +147,7 @@
 		m.ring.add(n)
 	}
 	m.ringChanged = true
-	m.noteChange(id)
+	m.recordChange(id)
 }
 
 // newer reports whether a record supersedes the known one: it has a higher incarnation, or a later state of the same
@@ -193,7 +193,7 @@
 	}
 	m.self.Incarnation = n.Incarnation + 1
 	m.declare(m.self)
-	m.noteChange(m.self.ID())
+	m.recordChange(m.self.ID())
 }
 
 // Leave declares that this node shuts down as planned.
@@ -201,7 +201,7 @@
 	m.leaving = true
 	m.self.State = Left
 	m.declare(m.self)
-	m.noteChange(m.self.ID())
+	m.recordChange(m.self.ID())
 }
 
 // Remove removes a node that is down or has left. It ignores other nodes.
@@ -240,7 +240,7 @@
 	}
 	peer.node.State = Alive
 	peer.suspectedAt = time.Time{}
-	m.noteChange(peer.id)
+	m.recordChange(peer.id)
 }
 
 // HasRecentContact reports whether this node has recently heard from another machine, or knows of no other.
@@ -279,7 +279,7 @@
 	return taken
 }
 
-func (m *Membership) noteChange(id ID) { m.effects.Changed = append(m.effects.Changed, id) }
+func (m *Membership) recordChange(id ID) { m.effects.Changed = append(m.effects.Changed, id) }
 
 func (m *Membership) declare(n Node) { m.effects.Declared = append(m.effects.Declared, n) }
 
--- a/coordination/membership/monitor.go
+++ b/coordination/membership/monitor.go
@@ -66,7 +66,7 @@
 		m.checkSuspect(now, peer)
 	case now.Sub(m.lastActivity(peer)) > peer.suspectTimeout(now):
 		peer.node.State = Suspect
-		m.noteChange(peer.id)
+		m.recordChange(peer.id)
 		m.probe(now, peer)
 	}
 }
@@ -100,7 +100,7 @@
 	m.ringChanged = true
 	peer.node.State = Down
 	m.declare(peer.node)
-	m.noteChange(peer.id)
+	m.recordChange(peer.id)
 }
 
 // probe pings a suspect node directly and through other nodes.
--- a/internal/tier/proxy/admission.go
+++ b/internal/tier/proxy/admission.go
@@ -126,7 +126,7 @@
 func (a *admission) submit(request dispatch.Request) *pendingRequest {
 	request.ID = dispatch.RequestID(strconv.FormatUint(a.requestCount.Add(1), 36))
 	pending := &pendingRequest{id: request.ID, decisions: make(chan decision, decisionBuffer)}
-	a.enqueue(arriveCommand{request: request, pending: pending})
+	a.enqueue(submitCommand{request: request, pending: pending})
 	return pending
 }
 
@@ -158,20 +158,20 @@
 
 // attemptEnded reports the outcome of an attempt after which the handler awaits another decision.
 func (a *admission) attemptEnded(send *dispatch.Send, outcome dispatch.Outcome) {
-	a.enqueue(answeredCommand{send: send, outcome: outcome})
+	a.enqueue(attemptEndedCommand{send: send, outcome: outcome})
 }
 
 // requestEnded reports the outcome of an attempt that also ends the request.
 func (a *admission) requestEnded(send *dispatch.Send, outcome dispatch.Outcome) {
-	a.enqueue(answeredCommand{send: send, outcome: outcome, final: true})
+	a.enqueue(attemptEndedCommand{send: send, outcome: outcome, final: true})
 }
 
-type arriveCommand struct {
+type submitCommand struct {
 	request dispatch.Request
 	pending *pendingRequest
 }
 
-func (c arriveCommand) apply(a *admission, now dispatch.Instant) dispatch.Effects {
+func (c submitCommand) apply(a *admission, now dispatch.Instant) dispatch.Effects {
 	a.pending[c.request.ID] = c.pending
 	return a.dispatcher.Submit(now, c.request)
 }
@@ -182,13 +182,13 @@
 	return a.dispatcher.ResponseStarted(now, c.request)
 }
 
-type answeredCommand struct {
+type attemptEndedCommand struct {
 	send    *dispatch.Send
 	outcome dispatch.Outcome
 	final   bool // the handler awaits no further decision
 }
 
-func (c answeredCommand) apply(a *admission, now dispatch.Instant) dispatch.Effects {
+func (c attemptEndedCommand) apply(a *admission, now dispatch.Instant) dispatch.Effects {
 	if c.final {
 		delete(a.pending, c.send.Request)
 	}
--- a/internal/tier/proxy/reports.go
+++ b/internal/tier/proxy/reports.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// noteRequest records a request for a model service and starts the rounds of polls unless they are running.
-func (r *reportPoller) noteRequest(service string, now time.Time) {
+// recordRequest records a request for a model service and starts the rounds of polls unless they are running.
+func (r *reportPoller) recordRequest(service string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lastRequest[service] = now
--- a/internal/tier/proxy/visit.go
+++ b/internal/tier/proxy/visit.go
@@ -161,7 +161,7 @@
 		return h.respond(status, wait)
 	}
 	if h.engine() != nil {
-		h.proxy.reportPoller.noteRequest(h.service, h.arrived)
+		h.proxy.reportPoller.recordRequest(h.service, h.arrived)
 	}
 	prepareRequestHeader(h.request.Header, h.id)
 	h.pending = h.proxy.admission.submit(h.dispatchRequest())
