--- a/cmd/quaylab/report.go
+++ b/cmd/quaylab/report.go
@@ -34,7 +34,7 @@
 				}
 			}
 		}
-		if o.Fell > 0 {
+		if o.Overloads > 0 {
 			struck += " FELL OVER"
 		}
 		fmt.Fprintf(t, "%d\t%d\t%s\t%.1f\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t\n", o.No, m.Destination().No, m.Destination().Kind.Name,
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -85,7 +85,7 @@
 	}
 	for i := range p.day.Changes {
 		ch := &p.day.Changes[i]
-		p.at(ch.At, func() { p.Referee.Changed(p.now, ch.Receiver, ch.State) })
+		p.at(ch.At, func() { p.Referee.ReceiverStateChanged(p.now, ch.Receiver, ch.State) })
 		for no, told := range ch.Told {
 			p.at(told, func() { p.nodes[no].told(ch) })
 		}
@@ -136,7 +136,7 @@
 		}
 	}
 	if len(up) == 0 {
-		p.Referee.Missed(p.now, t)
+		p.Referee.SenderUnavailable(p.now, t)
 		return
 	}
 	o := up[p.chance.IntN(len(up))]
@@ -146,7 +146,7 @@
 	}
 	p.second().HandedIn++
 	h := &held{text: t, n: n, id: p.day.ID(t, n), fresh: true}
-	p.Referee.HandedIn(p.now, referee.HandIn{ID: h.id, Sender: o.no, Text: t, Until: t.Validity()})
+	p.Referee.HandedIn(p.now, referee.HandIn{ID: h.id, Sender: o.no, Text: t, ValidUntil: t.Validity()})
 	o.texts[h.id] = h
 	o.step(func() { o.take(h, mark != "") })
 	h.fresh = false
@@ -154,7 +154,7 @@
 	if h.ended {
 		heard = h.verdict
 	}
-	p.Referee.Heard(p.now, h.id, heard, h.advice)
+	p.Referee.ClientAnswered(p.now, h.id, heard, h.advice)
 	if h.ended {
 		p.again(t, n, heard, h.advice)
 	}
--- a/internal/lab/fleet/node.go
+++ b/internal/lab/fleet/node.go
@@ -72,7 +72,7 @@
 	for _, r := range n.play.day.Receivers {
 		if state := n.play.day.State(r, version); state == world.Active || state == world.Leaving {
 			list = append(list, entryOf(r, state))
-			n.play.Referee.Told(n.play.now, n.no, r.No, state)
+			n.play.Referee.ReceiverStateNotified(n.play.now, n.no, r.No, state)
 		}
 	}
 	n.step(func() {
@@ -110,7 +110,7 @@
 func (n *node) drop(c *call) {
 	switch {
 	case c.answered:
-		n.play.Referee.CallUnheard(n.play.now, c.no)
+		n.play.Referee.CallAnswerUnread(n.play.now, c.no)
 	case !c.over && c.began:
 		n.play.Referee.CallEnded(n.play.now, c.no, true)
 	}
@@ -129,7 +129,7 @@
 	if n.down {
 		return
 	}
-	n.play.Referee.Told(n.play.now, n.no, ch.Receiver, ch.State)
+	n.play.Referee.ReceiverStateNotified(n.play.now, n.no, ch.Receiver, ch.State)
 	n.step(func() {
 		n.module.UpdateReceivers(false, []control.ReceiverEntry{entryOf(n.play.day.Receivers[ch.Receiver], ch.State)})
 	})
@@ -184,7 +184,7 @@
 	}
 	if !c.to.Listens(p.now) {
 		c.over = true
-		p.Referee.Broke(p.now, n.no, c.to.No)
+		p.Referee.IdleConnectionBroken(p.now, n.no, c.to.No)
 		p.second().NoConnection++
 		p.at(p.now+hop, func() { n.hear(h, c, no, control.Result{Outcome: control.NoConnection, NotListening: true}) })
 		return
@@ -197,7 +197,7 @@
 	fell := c.to.Fell
 	due, ever := c.to.Begin(p.now, &c.receiver)
 	if c.to.Fell != fell {
-		p.Referee.Fell(p.now, c.to.No, c.to.Fell)
+		p.Referee.ReceiverOverloaded(p.now, c.to.No, c.to.Fell)
 	}
 	if ever {
 		p.at(due, func() { n.answer(h, c, no) })
@@ -209,7 +209,7 @@
 	p := n.play
 	a := c.to.End(p.now, &c.receiver)
 	if a.Ran || a.Known {
-		p.Referee.Ran(c.no, a.Known)
+		p.Referee.CallExecuted(c.no, a.Known)
 	}
 	if c.over || a.Do == world.Nothing {
 		return
@@ -282,7 +282,7 @@
 	if h.fresh { // its client hears it as the answer
 		return
 	}
-	p.Referee.Noticed(p.now, n.no, id, v == world.Nacked)
+	p.Referee.NoticeSent(p.now, n.no, id, v == world.Nacked)
 	p.again(h.text, h.n, v, advice)
 }
 
--- a/internal/lab/referee/account.go
+++ b/internal/lab/referee/account.go
@@ -11,8 +11,8 @@
 	"emberquay/internal/lab/world"
 )
 
-// Product is the account of one product. Each text has one fate: InTime, Late, Nacked, Failed, Lost or Unheard.
-type Product struct {
+// ProductAccount is the account of one product. Each text has one fate: InTime, Late, Nacked, Failed, Lost or Unheard.
+type ProductAccount struct {
 	Name    string  `json:"name"`
 	Texts   int     `json:"texts"`
 	InTime  int     `json:"in_time"` // within the SLA time
@@ -29,8 +29,8 @@
 	Doubled int     `json:"doubled"` // texts with more than one effect
 }
 
-// Receiver is the account of one receiver.
-type Receiver struct {
+// ReceiverAccount is the account of one receiver.
+type ReceiverAccount struct {
 	No        int `json:"no"`
 	Calls     int `json:"calls"`
 	Delivered int `json:"delivered"`
@@ -38,18 +38,18 @@
 	Errored   int `json:"errored"`
 	Broken    int `json:"broken"`
 	GivenUp   int `json:"given_up"`
-	Fell      int `json:"fell"`
+	Overloads int `json:"fell"`
 }
 
 // Account is what a day came to.
 type Account struct {
-	Products  []Product  `json:"products"`
-	Receivers []Receiver `json:"receivers"`
-	HandIns   int        `json:"hand_ins"`
-	Submits   int        `json:"submits"`
-	Wasted    int        `json:"wasted"` // submits that were worked on and delivered nothing, as far as is known
-	Refusals  int        `json:"refusals"`
-	Waits     int        `json:"waits"` // told
+	Products  []ProductAccount  `json:"products"`
+	Receivers []ReceiverAccount `json:"receivers"`
+	HandIns   int               `json:"hand_ins"`
+	Submits   int               `json:"submits"`
+	Wasted    int               `json:"wasted"` // submits that were worked on and delivered nothing, as far as is known
+	Refusals  int               `json:"refusals"`
+	Waits     int               `json:"waits"` // told
 }
 
 // Revenue sums the products: what was earned in time, late, and asked for.
@@ -70,7 +70,7 @@
 
 type account struct {
 	roots     map[*world.Text]*root
-	receivers map[int]*Receiver
+	receivers map[int]*ReceiverAccount
 	handIns   int
 	submits   int
 	wasted    int
@@ -79,7 +79,7 @@
 }
 
 func newAccount() account {
-	return account{roots: map[*world.Text]*root{}, receivers: map[int]*Receiver{}}
+	return account{roots: map[*world.Text]*root{}, receivers: map[int]*ReceiverAccount{}}
 }
 
 func (a *account) root(t *world.Text) *root {
@@ -111,9 +111,9 @@
 	}
 }
 
-func (a *account) receiver(no int) *Receiver {
+func (a *account) receiver(no int) *ReceiverAccount {
 	if a.receivers[no] == nil {
-		a.receivers[no] = &Receiver{No: no}
+		a.receivers[no] = &ReceiverAccount{No: no}
 	}
 	return a.receivers[no]
 }
@@ -145,20 +145,20 @@
 	}
 }
 
-func (a *account) fell(no int) { a.receiver(no).Fell++ }
+func (a *account) fell(no int) { a.receiver(no).Overloads++ }
 
 // Account adds up what was observed so far.
 func (r *Referee) Account() *Account {
 	a := &r.account
 	out := &Account{HandIns: a.handIns, Submits: a.submits, Wasted: a.wasted, Refusals: a.refusals, Waits: a.waits}
-	products := map[string]*Product{}
+	products := map[string]*ProductAccount{}
 	times := map[string]*hdrhistogram.Histogram{}
 	inOrder := slices.SortedFunc(maps.Keys(a.roots), func(x, y *world.Text) int { return x.No - y.No })
 	for _, t := range inOrder { // sums of fractions go by the order
 		o := a.roots[t]
 		p := products[t.Product.Name]
 		if p == nil {
-			p = &Product{Name: t.Product.Name}
+			p = &ProductAccount{Name: t.Product.Name}
 			products[p.Name] = p
 			times[p.Name] = hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)
 		}
@@ -196,7 +196,7 @@
 	for _, o := range a.receivers {
 		out.Receivers = append(out.Receivers, *o)
 	}
-	slices.SortFunc(out.Products, func(x, y Product) int { return strings.Compare(x.Name, y.Name) })
-	slices.SortFunc(out.Receivers, func(x, y Receiver) int { return x.No - y.No })
+	slices.SortFunc(out.Products, func(x, y ProductAccount) int { return strings.Compare(x.Name, y.Name) })
+	slices.SortFunc(out.Receivers, func(x, y ReceiverAccount) int { return x.No - y.No })
 	return out
 }
--- a/internal/lab/referee/calls.go
+++ b/internal/lab/referee/calls.go
@@ -193,8 +193,8 @@
 	}
 }
 
-// CallUnheard: the sender's end of the connection was reset with the answer unread: it was told nothing.
-func (r *Referee) CallUnheard(now time.Duration, no int64) {
+// CallAnswerUnread: the sender's end of the connection was reset with the answer unread: it was told nothing.
+func (r *Referee) CallAnswerUnread(now time.Duration, no int64) {
 	r.Advance(now)
 	c := r.calls[no]
 	if c == nil || c.outcome == "" {
@@ -236,22 +236,22 @@
 	}
 }
 
-// Broke: a receiver broke an idle connection of a sender, which so sees that it is down.
-func (r *Referee) Broke(now time.Duration, sender, receiver int) {
+// IdleConnectionBroken: a receiver broke an idle connection of a sender, which so sees that it is down.
+func (r *Referee) IdleConnectionBroken(now time.Duration, sender, receiver int) {
 	r.Advance(now)
 	r.senders[sender].failed[receiver] = now
 }
 
-// Ran: a submit had its effect; known: it was dropped as a repeat.
-func (r *Referee) Ran(no int64, known bool) {
+// CallExecuted: a submit had its effect; known: it was dropped as a repeat.
+func (r *Referee) CallExecuted(no int64, known bool) {
 	if c := r.calls[no]; c != nil && c.text != nil {
 		r.account.ran(c.text, known)
 	}
 }
 
-// Fell: a receiver was pushed over. Rule 4 is broken if two thirds of the calls came from senders that had seen a
+// ReceiverOverloaded: a receiver was pushed over. Rule 4 is broken if two thirds of the calls came from senders that had seen a
 // call fail there, or be refused, since the outage began.
-func (r *Referee) Fell(now time.Duration, receiver int, f *world.Fall) {
+func (r *Referee) ReceiverOverloaded(now time.Duration, receiver int, f *world.Fall) {
 	r.Advance(now)
 	r.account.fell(receiver)
 	all, knew, worst := 0, 0, 0
--- a/internal/lab/referee/referee.go
+++ b/internal/lab/referee/referee.go
@@ -38,31 +38,31 @@
 }
 
 func (b Breach) String() string {
-	s := fmt.Sprintf("rule %d (%s) at %s: sender %d", b.Rule, Names[b.Rule], stamp(b.At), b.Sender)
+	s := fmt.Sprintf("rule %d (%s) at %s: sender %d", b.Rule, RuleNames[b.Rule], stamp(b.At), b.Sender)
 	if b.Text != "" {
 		s += ", text " + b.Text
 	}
 	return s + ": " + b.Why
 }
 
-// Names are the rules in a word or two, by number.
-var Names = [...]string{1: "one final answer", 2: "no effect twice", 3: "drains kept", 4: "none pushed over", 5: "order kept", 6: "waits heeded"}
+// RuleNames are the rules in a word or two, by number.
+var RuleNames = [...]string{1: "one final answer", 2: "no effect twice", 3: "drains kept", 4: "none pushed over", 5: "order kept", 6: "waits heeded"}
 
 // mostBreaches bounds what is kept; further ones are counted.
 const mostBreaches = 100
 
 // HandIn is a text as a client hands it in, under an id of its own.
 type HandIn struct {
-	ID     string
-	Sender int
-	Text   *world.Text
-	Until  time.Duration // the end of its validity period
+	ID         string
+	Sender     int
+	Text       *world.Text
+	ValidUntil time.Duration // the end of its validity period
 }
 
 // Referee holds what was observed.
 type Referee struct {
-	Breaches []Breach
-	More     int // breaches beyond those kept
+	Breaches        []Breach
+	OmittedBreaches int // breaches beyond those kept
 
 	rules       world.Rules
 	slack       time.Duration
@@ -172,7 +172,7 @@
 		b.Last = slices.Clone(t.last)
 	}
 	if len(r.Breaches) >= mostBreaches {
-		r.More++
+		r.OmittedBreaches++
 		return
 	}
 	r.Breaches = append(r.Breaches, b)
@@ -202,11 +202,11 @@
 		return
 	}
 	after := millis(r.rules.EndMs) + r.slack
-	for len(s.owed) > 0 && s.owed[0].Until+after <= r.now {
+	for len(s.owed) > 0 && s.owed[0].ValidUntil+after <= r.now {
 		t := s.owed[0]
 		s.owed = s.owed[1:]
 		if t.end == "" {
-			r.lost(t, fmt.Sprintf("taken on at %s, valid until %s, and no end by %s", stamp(t.takenAt), stamp(t.Until), stamp(r.now)))
+			r.lost(t, fmt.Sprintf("taken on at %s, valid until %s, and no end by %s", stamp(t.takenAt), stamp(t.ValidUntil), stamp(r.now)))
 		}
 	}
 }
@@ -218,7 +218,7 @@
 
 func (r *Referee) owe(t *text) {
 	s := r.senders[t.Sender]
-	i, _ := slices.BinarySearchFunc(s.owed, t.Until, func(o *text, at time.Duration) int { return cmp.Compare(o.Until, at) })
+	i, _ := slices.BinarySearchFunc(s.owed, t.ValidUntil, func(o *text, at time.Duration) int { return cmp.Compare(o.ValidUntil, at) })
 	s.owed = slices.Insert(s.owed, i, t)
 }
 
@@ -227,19 +227,19 @@
 	r.Advance(now)
 	t := &text{HandIn: h, at: now, life: r.senders[h.Sender].life}
 	r.texts[h.ID] = t
-	t.last.add(now, "handed in to sender %d, %s, valid until %s", h.Sender, h.Text.Product.Name, stamp(h.Until))
+	t.last.add(now, "handed in to sender %d, %s, valid until %s", h.Sender, h.Text.Product.Name, stamp(h.ValidUntil))
 	r.account.handedIn(t)
 }
 
-// Missed: a client finds no sender that it could hand a text in to.
-func (r *Referee) Missed(now time.Duration, t *world.Text) {
+// SenderUnavailable: a client finds no sender that it could hand a text in to.
+func (r *Referee) SenderUnavailable(now time.Duration, t *world.Text) {
 	r.Advance(now)
 	r.account.ended(&text{HandIn: HandIn{Text: t}}, "unheard", 0)
 }
 
-// Heard: a client reads the answer to its hand-in, or closes its connection since none came in its patience
+// ClientAnswered: a client reads the answer to its hand-in, or closes its connection since none came in its patience
 // (world.NoAnswer).
-func (r *Referee) Heard(now time.Duration, id string, h world.Heard, advice time.Duration) {
+func (r *Referee) ClientAnswered(now time.Duration, id string, h world.Heard, advice time.Duration) {
 	r.Advance(now)
 	t := r.texts[id]
 	if t == nil || t.heard {
@@ -269,9 +269,9 @@
 	}
 }
 
-// Dropped: a sender ended a client's connection without an answer, so long after the request's last byte. Shortly
+// ClientConnectionClosed: a sender ended a client's connection without an answer, so long after the request's last byte. Shortly
 // after it the sender may not have read it, and nothing is lost.
-func (r *Referee) Dropped(now time.Duration, id string, after time.Duration) {
+func (r *Referee) ClientConnectionClosed(now time.Duration, id string, after time.Duration) {
 	r.Advance(now)
 	t := r.texts[id]
 	if t == nil || t.heard {
@@ -313,8 +313,8 @@
 	r.account.ended(t, what, r.now)
 }
 
-// Noticed: a sender tells the platform how a text ended; handedBack for a nack, else it was given up.
-func (r *Referee) Noticed(now time.Duration, sender int, id string, handedBack bool) {
+// NoticeSent: a sender tells the platform how a text ended; handedBack for a nack, else it was given up.
+func (r *Referee) NoticeSent(now time.Duration, sender int, id string, handedBack bool) {
 	r.Advance(now)
 	t := r.texts[id]
 	if t == nil {
@@ -367,8 +367,8 @@
 	s.down, s.stopping = false, false
 }
 
-// Open counts the texts that are taken on and have not ended.
-func (r *Referee) Open() int {
+// OpenTexts counts the texts that are taken on and have not ended.
+func (r *Referee) OpenTexts() int {
 	n := 0
 	for _, s := range r.senders {
 		for _, t := range s.owed {
@@ -380,16 +380,16 @@
 	return n
 }
 
-// Changed: the list changes; whether or not it is told, it counts as told after a while.
-func (r *Referee) Changed(now time.Duration, receiver int, state string) {
+// ReceiverStateChanged: the list changes; whether or not it is told, it counts as told after a while.
+func (r *Referee) ReceiverStateChanged(now time.Duration, receiver int, state string) {
 	r.Advance(now)
 	for _, s := range r.senders {
 		s.pending[receiver] = telling{state, now + time.Duration(r.rules.ListLatestS*float64(time.Second))}
 	}
 }
 
-// Told: the list has told a sender of a receiver.
-func (r *Referee) Told(now time.Duration, no, receiver int, state string) {
+// ReceiverStateNotified: the list has told a sender of a receiver.
+func (r *Referee) ReceiverStateNotified(now time.Duration, no, receiver int, state string) {
 	r.Advance(now)
 	s := r.senders[no]
 	if p, ok := s.pending[receiver]; ok && p.state == state {
@@ -417,7 +417,7 @@
 // Verdict says in a line a rule what was found.
 func (r *Referee) Verdict() string {
 	var out strings.Builder
-	for rule := 1; rule < len(Names); rule++ {
+	for rule := 1; rule < len(RuleNames); rule++ {
 		n := 0
 		for _, b := range r.Breaches {
 			if b.Rule == rule {
@@ -428,7 +428,7 @@
 		if n > 0 {
 			word = fmt.Sprintf("BROKEN %d times", n)
 		}
-		fmt.Fprintf(&out, "rule %d  %-18s %s\n", rule, Names[rule], word)
+		fmt.Fprintf(&out, "rule %d  %-18s %s\n", rule, RuleNames[rule], word)
 	}
 	return out.String()
 }
--- a/internal/lab/referee/referee_test.go
+++ b/internal/lab/referee/referee_test.go
@@ -69,10 +69,10 @@
 			}
 			t := &world.Text{No: no, At: now, Product: p, Destination: int(num(opt["dest"])), Key: opt["key"]}
 			no++
-			r.HandedIn(now, HandIn{ID: arg(0), Sender: sender, Text: t, Until: t.Validity()})
+			r.HandedIn(now, HandIn{ID: arg(0), Sender: sender, Text: t, ValidUntil: t.Validity()})
 		case "heard":
 			h := map[string]world.Heard{"taken": world.Taken, "nacked": world.Nacked, "failed": world.Failed, "noanswer": world.NoAnswer}
-			r.Heard(now, arg(0), h[arg(1)], 0)
+			r.ClientAnswered(now, arg(0), h[arg(1)], 0)
 		case "begin":
 			r.CallBegan(now, now, int64(num(arg(0))), arg(1), sender, int(num(arg(2))))
 		case "arrive":
@@ -83,17 +83,17 @@
 		case "answer":
 			r.CallAnswered(now, int64(num(arg(0))), int(num(arg(1))), span(opt["wait"]))
 		case "unheard":
-			r.CallUnheard(now, int64(num(arg(0))))
+			r.CallAnswerUnread(now, int64(num(arg(0))))
 		case "broke", "giveup":
 			r.CallEnded(now, int64(num(arg(0))), f[1] == "giveup")
 		case "notice":
-			r.Noticed(now, sender, arg(0), arg(1) == "back")
+			r.NoticeSent(now, sender, arg(0), arg(1) == "back")
 		case "dropped":
-			r.Dropped(now, arg(0), span(arg(1)))
+			r.ClientConnectionClosed(now, arg(0), span(arg(1)))
 		case "changed":
-			r.Changed(now, int(num(arg(0))), arg(1))
+			r.ReceiverStateChanged(now, int(num(arg(0))), arg(1))
 		case "told":
-			r.Told(now, sender, int(num(arg(0))), arg(1))
+			r.ReceiverStateNotified(now, sender, int(num(arg(0))), arg(1))
 		case "stopping":
 			r.SenderStopping(now, int(num(arg(0))))
 		case "down":
@@ -102,7 +102,7 @@
 			r.SenderStarted(now, int(num(arg(0))))
 			r.SenderReady(now, int(num(arg(0))))
 		case "fell":
-			r.Fell(now, int(num(arg(0))), &world.Fall{At: now, From: span(arg(1)), Window: 3 * time.Second, Borne: 9,
+			r.ReceiverOverloaded(now, int(num(arg(0))), &world.Fall{At: now, From: span(arg(1)), Window: 3 * time.Second, Borne: 9,
 				BySender: map[int]int{0: int(num(arg(2))), 1: int(num(arg(3)))}})
 		case "finish":
 			r.Finish(now)
@@ -157,11 +157,11 @@
 			case 0, 1, 2:
 				p := products[names[pick(4)]]
 				w := &world.Text{No: texts, At: now, Product: p, Key: map[bool]string{true: "k"}[p.Ordered]}
-				r.HandedIn(now, HandIn{ID: fmt.Sprint("t", texts), Sender: pick(2), Text: w, Until: w.Validity()})
+				r.HandedIn(now, HandIn{ID: fmt.Sprint("t", texts), Sender: pick(2), Text: w, ValidUntil: w.Validity()})
 				texts++
 				asked += p.Revenue
 			case 3:
-				r.Heard(now, id, world.Heard(pick(4)), 0)
+				r.ClientAnswered(now, id, world.Heard(pick(4)), 0)
 			case 4:
 				r.CallBegan(now, now, calls, id, pick(2), pick(3))
 				calls++
@@ -172,14 +172,14 @@
 			case 7:
 				r.CallEnded(now, no, pick(2) == 0)
 			case 8:
-				r.Noticed(now, pick(2), id, pick(2) == 0)
+				r.NoticeSent(now, pick(2), id, pick(2) == 0)
 			case 9:
 				r.SenderDown(now, 0)
 			case 10:
 				r.SenderStarted(now, 0)
 				r.SenderReady(now, 0)
 			case 11:
-				r.CallUnheard(now, no)
+				r.CallAnswerUnread(now, no)
 			}
 		}
 		r.Finish(now + time.Minute)
--- a/internal/lab/referee/tierrules/answers.go
+++ b/internal/lab/referee/tierrules/answers.go
@@ -10,14 +10,14 @@
 func (j *judge) answers() {
 	for _, r := range j.Requests {
 		j.checked(Mixed)
-		if r.Stray {
+		if r.StrayBytes {
 			j.breach(Mixed, r.Ended, r, "bytes came that are no answer to it")
 		}
 		if r.Answer == nil {
 			continue
 		}
-		if r.Answer.ID != "" && r.Answer.ID != r.ID {
-			j.breach(Mixed, r.Ended, r, "the answer is that of request %s", r.Answer.ID)
+		if r.Answer.RequestID != "" && r.Answer.RequestID != r.ID {
+			j.breach(Mixed, r.Ended, r, "the answer is that of request %s", r.Answer.RequestID)
 			continue
 		}
 		if r.Answer.Status/100 == 2 {
@@ -83,7 +83,7 @@
 // stream follows the pieces: each is the next one of the run that gave the one before, or of another run that went on
 // there, where the kind may be resumed.
 func (j *judge) stream(r *Request) {
-	next := r.LastEvent + 1
+	next := r.LastEventID + 1
 	var current *Run
 	for _, e := range r.Answer.Events {
 		if e.ID != next {
@@ -99,7 +99,7 @@
 			j.breach(Order, e.At, r, "event %d is that of no run of it", e.ID)
 			return
 		}
-		if current != nil && (!r.Resumable || run.LastEvent != e.ID-1) {
+		if current != nil && (!r.Resumable || run.ResumedAfter != e.ID-1) {
 			j.breach(Order, e.At, r, "event %d joins the pieces of two runs, at %s and %s", e.ID, current.Instance, run.Instance)
 			return
 		}
@@ -111,8 +111,8 @@
 	if current == nil {
 		current = j.stamped(r)
 	}
-	if current != nil && next <= current.Most {
-		j.breach(Order, r.Ended, r, "it ends as complete before event %d of %d", next, current.Most)
+	if current != nil && next <= current.FinalEventID {
+		j.breach(Order, r.Ended, r, "it ends as complete before event %d of %d", next, current.FinalEventID)
 	}
 }
 
--- a/internal/lab/referee/tierrules/config.go
+++ b/internal/lab/referee/tierrules/config.go
@@ -18,9 +18,9 @@
 )
 
 // fate tells what became of a change, and when it was first acknowledged.
-func (c *Change) fate() (fate, time.Duration) {
+func (c *ConfigChange) fate() (fate, time.Duration) {
 	result := open
-	for _, t := range c.Tries {
+	for _, t := range c.Attempts {
 		switch {
 		case t.Status == http.StatusOK:
 			return acked, t.Ended
@@ -32,20 +32,20 @@
 }
 
 // mayBeInForce says whether the change may have been taken: it is valid and was not refused.
-func (c *Change) mayBeInForce() bool {
+func (c *ConfigChange) mayBeInForce() bool {
 	f, _ := c.fate()
 	return f != refused && !c.Invalid
 }
 
-func (c *Change) firstSent() time.Duration {
-	if len(c.Tries) == 0 {
+func (c *ConfigChange) firstSent() time.Duration {
+	if len(c.Attempts) == 0 {
 		return 0
 	}
-	return c.Tries[0].Sent
+	return c.Attempts[0].Sent
 }
 
 // match is the route of a request by a configuration: that of its host with the longest prefix.
-func (c *Change) match(authority, target string) *Route {
+func (c *ConfigChange) match(authority, target string) *Route {
 	path, _, _ := strings.Cut(target, "?")
 	var best *Route
 	for i := range c.Routes {
@@ -60,7 +60,7 @@
 	return best
 }
 
-func (c *Change) allows(run *Run) bool {
+func (c *ConfigChange) allows(run *Run) bool {
 	route := c.match(run.Authority, run.Target)
 	return route != nil && slices.Contains(route.Services, run.Service)
 }
@@ -78,9 +78,9 @@
 
 // candidates are the changes that may be in force at a request that was sent and ended at these instants, at a machine in
 // touch: none older than what had been acknowledged by the bound, none that had not been sent by the end, none refused.
-func (j *judge) candidates(sent, ended time.Duration) []*Change {
+func (j *judge) candidates(sent, ended time.Duration) []*ConfigChange {
 	oldest := j.floor(sent - j.Bounds.ConfigApply)
-	var list []*Change
+	var list []*ConfigChange
 	for _, c := range j.versions {
 		if c.Version >= oldest && c.firstSent() <= ended && c.mayBeInForce() {
 			list = append(list, c)
@@ -104,7 +104,7 @@
 func (j *judge) routes() {
 	for _, run := range j.Runs {
 		if r := j.requests[run.RequestID]; r != nil {
-			j.checked(Misrout)
+			j.checked(Misrouted)
 			j.routed(r, run)
 		}
 	}
@@ -115,12 +115,12 @@
 }
 
 func (j *judge) routed(r *Request, run *Run) {
-	ever := slices.ContainsFunc(j.versions, func(c *Change) bool { return c.allows(run) })
+	ever := slices.ContainsFunc(j.versions, func(c *ConfigChange) bool { return c.allows(run) })
 	if !ever {
-		j.breach(Misrout, run.Began, r, "service %s runs it, which no configuration allows", run.Service)
+		j.breach(Misrouted, run.Began, r, "service %s runs it, which no configuration allows", run.Service)
 		return
 	}
-	taken := slices.ContainsFunc(j.versions, func(c *Change) bool { return c.mayBeInForce() && c.allows(run) })
+	taken := slices.ContainsFunc(j.versions, func(c *ConfigChange) bool { return c.mayBeInForce() && c.allows(run) })
 	if !taken {
 		j.breach(Config, run.Began, r, "service %s runs it, as only a refused configuration allows", run.Service)
 		return
@@ -130,7 +130,7 @@
 	}
 	j.checked(Config)
 	now := j.candidates(r.Sent, run.Began)
-	if !slices.ContainsFunc(now, func(c *Change) bool { return c.allows(run) }) {
+	if !slices.ContainsFunc(now, func(c *ConfigChange) bool { return c.allows(run) }) {
 		j.breach(Config, run.Began, r, "service %s runs it, as only a version before %d allows", run.Service, j.floor(r.Sent-j.Bounds.ConfigApply))
 	}
 }
@@ -148,14 +148,14 @@
 
 // regressions judges that no incarnation goes back.
 func (j *judge) regressions() {
-	for _, start := range j.Starts {
+	for _, start := range j.ProcessStarts {
 		j.regression(start.Machine, start.At, j.nextStart(start))
 	}
 }
 
-func (j *judge) nextStart(start Start) time.Duration {
+func (j *judge) nextStart(start ProcessStart) time.Duration {
 	next := time.Duration(1<<63 - 1)
-	for _, s := range j.Starts {
+	for _, s := range j.ProcessStarts {
 		if s.Machine == start.Machine && s.At > start.At {
 			next = min(next, s.At)
 		}
@@ -207,8 +207,8 @@
 		}
 		for _, other := range j.versions[:i] {
 			g, _ := other.fate()
-			if f == acked && g == acked && other.Base == c.Base && !same(c, other) {
-				j.breach(Config, at, nil, "%s and %s are both acknowledged on top of version %d", other.Name, c.Name, c.Base)
+			if f == acked && g == acked && other.BaseVersion == c.BaseVersion && !same(c, other) {
+				j.breach(Config, at, nil, "%s and %s are both acknowledged on top of version %d", other.Name, c.Name, c.BaseVersion)
 			}
 		}
 		j.repeated(c)
@@ -216,18 +216,18 @@
 	j.readBack()
 }
 
-func same(a, b *Change) bool {
-	return a.Base == b.Base && a.Modify == b.Modify && bytes.Equal(a.Body, b.Body)
+func same(a, b *ConfigChange) bool {
+	return a.BaseVersion == b.BaseVersion && a.Modify == b.Modify && bytes.Equal(a.Body, b.Body)
 }
 
 // repeated judges that an acknowledged change which goes out again, and nothing else since, is not refused.
-func (j *judge) repeated(c *Change) {
+func (j *judge) repeated(c *ConfigChange) {
 	_, first := c.fate()
-	for i, t := range c.Tries {
+	for i, t := range c.Attempts {
 		if i == 0 || first == 0 || t.Sent < first || t.Status < 400 || promises(t.Status) || t.Status >= 500 {
 			continue
 		}
-		changed := slices.ContainsFunc(j.versions, func(o *Change) bool {
+		changed := slices.ContainsFunc(j.versions, func(o *ConfigChange) bool {
 			f, _ := o.fate()
 			return o != c && f != refused && o.firstSent() <= t.Ended && o.Version > c.Version
 		})
@@ -239,7 +239,7 @@
 
 // readBack judges the configuration as read: none is older than what had been acknowledged when it was asked for.
 func (j *judge) readBack() {
-	for _, read := range j.Reads {
+	for _, read := range j.ConfigReads {
 		if read.Status != http.StatusOK {
 			if read.Last && j.floor(read.Sent) > 0 {
 				j.breach(Config, read.Ended, nil, "at the end of the day the configuration does not come")
@@ -249,7 +249,7 @@
 		j.checked(Config)
 		if floor := j.floor(read.Sent); read.Version < floor {
 			rule := Config
-			if slices.ContainsFunc(j.Troubles, func(t Trouble) bool { return t.What == Final && t.From < read.Sent }) {
+			if slices.ContainsFunc(j.Faults, func(t Fault) bool { return t.Kind == FinalFault && t.From < read.Sent }) {
 				rule = Lost
 			}
 			j.breach(rule, read.Ended, nil, "version %d is read, %d was acknowledged before", read.Version, floor)
@@ -261,8 +261,8 @@
 	}
 }
 
-func (j *judge) sentAs(read Read) bool {
-	return slices.ContainsFunc(j.versions, func(c *Change) bool {
+func (j *judge) sentAs(read ConfigRead) bool {
+	return slices.ContainsFunc(j.versions, func(c *ConfigChange) bool {
 		f, _ := c.fate()
 		return c.Version == read.Version && f != refused && equalRoutes(c.Routes, read.Routes)
 	})
--- a/internal/lab/referee/tierrules/executions.go
+++ b/internal/lab/referee/tierrules/executions.go
@@ -37,10 +37,10 @@
 			j.breach(Twice, runs[1].Began, r, "it ran at %s and at %s", runs[0].Instance, runs[1].Instance)
 		}
 		j.refusal(r, runs)
-		if j.attempts(runs) > max(1, r.Attempts) {
+		if j.attempts(runs) > max(1, r.MaxAttempts) {
 			over++
 			if over > attemptSlack {
-				j.breach(Budget, r.Sent, r, "it ran at more receivers than the %d of its route, as %d others did", r.Attempts, over-1)
+				j.breach(Budget, r.Sent, r, "it ran at more receivers than the %d of its route, as %d others did", r.MaxAttempts, over-1)
 			}
 		}
 	}
@@ -83,7 +83,7 @@
 	at := map[string]bool{}
 	for _, run := range runs {
 		crashed := false
-		for _, c := range j.Crashed {
+		for _, c := range j.Crashes {
 			crashed = crashed || c.Instance == run.Instance && c.At >= run.Began
 		}
 		if !crashed {
--- a/internal/lab/referee/tierrules/judge.go
+++ b/internal/lab/referee/tierrules/judge.go
@@ -13,22 +13,22 @@
 
 // The rules that are judged.
 const (
-	Mixed   Rule = "MIXED"
-	Unasked Rule = "UNASKED"
-	Twice   Rule = "TWICE"
-	Refused Rule = "REFUSED"
-	Denied  Rule = "DENIED"
-	Budget  Rule = "BUDGET"
-	Misrout Rule = "ROUTE"
-	Drain   Rule = "DRAIN"
-	Lost    Rule = "LOST"
-	Config  Rule = "CONFIG"
-	Order   Rule = "ORDER"
-	Recover Rule = "RECOVER"
+	Mixed     Rule = "MIXED"
+	Unasked   Rule = "UNASKED"
+	Twice     Rule = "TWICE"
+	Refused   Rule = "REFUSED"
+	Denied    Rule = "DENIED"
+	Budget    Rule = "BUDGET"
+	Misrouted Rule = "ROUTE"
+	Drain     Rule = "DRAIN"
+	Lost      Rule = "LOST"
+	Config    Rule = "CONFIG"
+	Order     Rule = "ORDER"
+	Recover   Rule = "RECOVER"
 )
 
 // Rules are all of them, in the order of the verdict.
-var Rules = []Rule{Mixed, Unasked, Twice, Refused, Denied, Budget, Misrout, Drain, Lost, Config, Order, Recover}
+var Rules = []Rule{Mixed, Unasked, Twice, Refused, Denied, Budget, Misrouted, Drain, Lost, Config, Order, Recover}
 
 // Breach is one broken rule.
 type Breach struct {
@@ -36,7 +36,7 @@
 	At      time.Duration
 	Request string // its id, if it is about one
 	Machine string
-	Why     string
+	Reason  string
 }
 
 func (b Breach) String() string {
@@ -47,7 +47,7 @@
 	if b.Machine != "" {
 		about += ", machine " + b.Machine
 	}
-	return fmt.Sprintf("%s at %.3fs%s: %s", b.Rule, b.At.Seconds(), about, b.Why)
+	return fmt.Sprintf("%s at %.3fs%s: %s", b.Rule, b.At.Seconds(), about, b.Reason)
 }
 
 // Verdict is what a day came to.
@@ -56,11 +56,11 @@
 	Checked  map[Rule]int // observations that the rule was held against
 }
 
-// Kept says whether no rule was broken.
-func (v *Verdict) Kept() bool { return len(v.Breaches) == 0 }
+// Passed says whether no rule was broken.
+func (v *Verdict) Passed() bool { return len(v.Breaches) == 0 }
 
-// Broken counts the breaches of a rule.
-func (v *Verdict) Broken(rule Rule) int {
+// BreachCount counts the breaches of a rule.
+func (v *Verdict) BreachCount(rule Rule) int {
 	n := 0
 	for _, b := range v.Breaches {
 		if b.Rule == rule {
@@ -75,7 +75,7 @@
 	var out strings.Builder
 	for _, rule := range Rules {
 		said := "kept"
-		if n := v.Broken(rule); n > 0 {
+		if n := v.BreachCount(rule); n > 0 {
 			said = fmt.Sprintf("BROKEN %d times", n)
 		}
 		fmt.Fprintf(&out, "%-8s %-18s %6d looked at\n", rule, said, v.Checked[rule])
@@ -89,8 +89,8 @@
 	verdict  *Verdict
 	requests map[string]*Request
 	runs     map[string][]*Run
-	turned   map[string][]*Turned
-	versions []*Change // distinct changes, as sent
+	turned   map[string][]*Rejection
+	versions []*ConfigChange // distinct changes, as sent
 }
 
 // Judge holds a day against all rules. The history is only read.
@@ -100,8 +100,8 @@
 		verdict:  &Verdict{Checked: map[Rule]int{}},
 		requests: make(map[string]*Request, len(history.Requests)),
 		runs:     make(map[string][]*Run, len(history.Runs)),
-		turned:   map[string][]*Turned{},
-		versions: history.Changes,
+		turned:   map[string][]*Rejection{},
+		versions: history.ConfigChanges,
 	}
 	for _, r := range history.Requests {
 		j.requests[r.ID] = r
@@ -109,7 +109,7 @@
 	for _, run := range history.Runs {
 		j.runs[run.RequestID] = append(j.runs[run.RequestID], run)
 	}
-	for _, t := range history.Turned {
+	for _, t := range history.Rejections {
 		j.turned[t.RequestID] = append(j.turned[t.RequestID], t)
 	}
 	j.answers()
@@ -129,7 +129,7 @@
 func (j *judge) checked(rule Rule) { j.verdict.Checked[rule]++ }
 
 func (j *judge) breach(rule Rule, at time.Duration, r *Request, format string, args ...any) {
-	b := Breach{Rule: rule, At: at, Why: fmt.Sprintf(format, args...)}
+	b := Breach{Rule: rule, At: at, Reason: fmt.Sprintf(format, args...)}
 	if r != nil {
 		b.Request, b.Machine = r.ID, r.Machine
 	}
@@ -139,12 +139,12 @@
 // touch says whether a machine was in touch at an instant: no trouble of its own and none of the core or of a store since
 // the contact bound before it. A planned stop is trouble of its machine here; after a final fault it takes twice as long.
 func (j *judge) touch(machine string, at time.Duration) bool {
-	for _, t := range j.Troubles {
-		if t.What == Reloaded || t.Machine != machine && !t.Core {
+	for _, t := range j.Faults {
+		if t.Kind == Reloaded || t.Machine != machine && !t.Core {
 			continue
 		}
 		contact := j.Bounds.Contact
-		if t.What == Final {
+		if t.Kind == FinalFault {
 			contact *= 2
 		}
 		if at >= t.From && at < t.To+contact {
@@ -159,8 +159,8 @@
 	if !j.touch(machine, from) || !j.touch(machine, to) {
 		return false
 	}
-	for _, t := range j.Troubles {
-		if t.What != Reloaded && (t.Machine == machine || t.Core) && t.From >= from && t.From <= to {
+	for _, t := range j.Faults {
+		if t.Kind != Reloaded && (t.Machine == machine || t.Core) && t.From >= from && t.From <= to {
 			return false
 		}
 	}
--- a/internal/lab/referee/tierrules/losses.go
+++ b/internal/lab/referee/tierrules/losses.go
@@ -26,9 +26,9 @@
 // plannedWork is what LOST is judged beside: a stop of the machine that took the request, a SIGHUP of it, or a change of
 // the configuration.
 type plannedWork struct {
-	stop   *Trouble
-	reload *Trouble
-	change *Change
+	stop   *Fault
+	reload *Fault
+	change *ConfigChange
 }
 
 // losses judges LOST round planned work: a request that was read whole gets a whole answer.
@@ -36,7 +36,7 @@
 	beside := j.cutsBesideChanges()
 	var kept []*Request
 	for _, r := range j.Requests {
-		if r.Whole == 0 || r.GaveUp {
+		if r.FullySent == 0 || r.ClientAborted {
 			continue
 		}
 		if j.droppedFromKept(r) {
@@ -77,7 +77,7 @@
 	way := []string{fmt.Sprintf("its time is over at %.4fs, it ends at %.4fs", j.limit(r).Seconds(), r.Ended.Seconds())}
 	for _, run := range j.runs[r.ID] {
 		way = append(way, fmt.Sprintf("%s runs it from %.3fs to %.3fs (status %d, %d events, whole %v, broke off %v)", run.Instance,
-			run.Began.Seconds(), run.Ended.Seconds(), run.Status, len(run.Events), run.Complete, run.BrokeOff))
+			run.Began.Seconds(), run.Ended.Seconds(), run.Status, len(run.Events), run.Complete, run.Aborted))
 	}
 	if len(j.runs[r.ID]) == 0 {
 		way = append(way, "no receiver runs it")
@@ -108,14 +108,14 @@
 // disturbed says whether unplanned trouble struck from the contact bound before the request to its end. Stops and SIGHUP
 // are planned on all machines and excuse nothing.
 func (j *judge) disturbed(r *Request) bool {
-	return slices.ContainsFunc(j.Troubles, func(t Trouble) bool {
-		return t.What != Reloaded && t.What != Terminated && t.From <= r.Ended && t.To > r.Sent-j.Bounds.Contact
+	return slices.ContainsFunc(j.Faults, func(t Fault) bool {
+		return t.Kind != Reloaded && t.Kind != Terminated && t.From <= r.Ended && t.To > r.Sent-j.Bounds.Contact
 	})
 }
 
-func (j *judge) during(r *Request, relates func(*Request, *Trouble) bool) *Trouble {
-	for i := range j.Troubles {
-		if t := &j.Troubles[i]; t.Machine == r.Machine && !t.Apart && relates(r, t) {
+func (j *judge) during(r *Request, relates func(*Request, *Fault) bool) *Fault {
+	for i := range j.Faults {
+		if t := &j.Faults[i]; t.Machine == r.Machine && !t.OtherProcess && relates(r, t) {
 			return t
 		}
 	}
@@ -124,30 +124,30 @@
 
 // stopped: the request ended during the stop of the process that took it. Where stops of a machine come in series, one
 // before its last start was of another process.
-func (j *judge) stopped(r *Request, t *Trouble) bool {
-	return t.What == Terminated && !j.startedBetween(r.Machine, t.From, r.Whole) && r.Whole >= t.From-r.Deadline && r.Ended >= t.From && r.Ended <= t.From+j.Bounds.Grace+afterGrace
+func (j *judge) stopped(r *Request, t *Fault) bool {
+	return t.Kind == Terminated && !j.startedBetween(r.Machine, t.From, r.FullySent) && r.FullySent >= t.From-r.Deadline && r.Ended >= t.From && r.Ended <= t.From+j.Bounds.Grace+afterGrace
 }
 
 // startedBetween says whether a machine's process was started later than one instant and before another.
 func (j *judge) startedBetween(machine string, from, to time.Duration) bool {
-	return slices.ContainsFunc(j.Starts, func(s Start) bool { return s.Machine == machine && s.At > from && s.At < to })
+	return slices.ContainsFunc(j.ProcessStarts, func(s ProcessStart) bool { return s.Machine == machine && s.At > from && s.At < to })
 }
 
 // reloaded: the request was sent before the SIGHUP or soon after it, and ended after it.
-func (j *judge) reloaded(r *Request, t *Trouble) bool {
-	return t.What == Reloaded && r.Sent <= t.From+j.Bounds.ConfigApply && r.Ended >= t.From
+func (j *judge) reloaded(r *Request, t *Fault) bool {
+	return t.Kind == Reloaded && r.Sent <= t.From+j.Bounds.ConfigApply && r.Ended >= t.From
 }
 
 // besideChange is a change that may be in force and was sent, or had been acknowledged shortly before, when the request
 // ended.
-func (j *judge) besideChange(r *Request) *Change {
+func (j *judge) besideChange(r *Request) *ConfigChange {
 	for _, c := range j.versions {
-		if !c.mayBeInForce() || len(c.Tries) == 0 {
+		if !c.mayBeInForce() || len(c.Attempts) == 0 {
 			continue
 		}
 		f, ended := c.fate()
 		if f == open {
-			ended = c.Tries[len(c.Tries)-1].Ended
+			ended = c.Attempts[len(c.Attempts)-1].Ended
 		}
 		if r.Ended >= c.firstSent() && r.Ended <= ended+j.Bounds.ConfigApply+afterApply {
 			return c
@@ -161,7 +161,7 @@
 	type tally struct{ requests, cuts int }
 	beside, other := map[string]*tally{}, map[string]*tally{}
 	for _, r := range j.Requests {
-		if r.Whole == 0 || r.GaveUp || j.disturbed(r) {
+		if r.FullySent == 0 || r.ClientAborted || j.disturbed(r) {
 			continue
 		}
 		tallies := other
@@ -210,26 +210,26 @@
 	}
 	runs := j.runs[r.ID]
 	if len(runs) == 0 {
-		return r.Ended <= r.Whole+j.Bounds.LossSlack
+		return r.Ended <= r.FullySent+j.Bounds.LossSlack
 	}
 	return slices.ContainsFunc(runs, func(run *Run) bool {
-		return run.BrokeOff || j.crashed(run, r.Ended) || work.stop != nil && j.lasts(r, run, work.stop)
+		return run.Aborted || j.crashed(run, r.Ended) || work.stop != nil && j.lasts(r, run, work.stop)
 	})
 }
 
 // lasts says whether a request came early in a stop and its receiver was at work on it in the last sixth of the grace.
-func (j *judge) lasts(r *Request, run *Run, stop *Trouble) bool {
+func (j *judge) lasts(r *Request, run *Run, stop *Fault) bool {
 	lastSixth := stop.From + j.Bounds.Grace*5/6
 	return r.Sent <= stop.From+lateSending && (run.Ended == 0 || run.Ended >= lastSixth)
 }
 
 // crashed says whether a run's receiver ended without a word while it was at it.
 func (j *judge) crashed(run *Run, until time.Duration) bool {
-	return slices.ContainsFunc(j.Crashed, func(c Crash) bool { return c.Instance == run.Instance && c.At >= run.Began && c.At <= until })
+	return slices.ContainsFunc(j.Crashes, func(c Crash) bool { return c.Instance == run.Instance && c.At >= run.Began && c.At <= until })
 }
 
 // droppedFromKept says whether a machine in touch passed a request from a kept connection on to a sound receiver, and
 // closed the connection without an answer.
 func (j *judge) droppedFromKept(r *Request) bool {
-	return r.Kept && r.Answer == nil && len(j.runs[r.ID]) > 0 && !j.excused(r, plannedWork{}) && j.touchThrough(r.Machine, r.Sent, r.Ended)
+	return r.ReusedConnection && r.Answer == nil && len(j.runs[r.ID]) > 0 && !j.excused(r, plannedWork{}) && j.touchThrough(r.Machine, r.Sent, r.Ended)
 }
--- a/internal/lab/referee/tierrules/planned.go
+++ b/internal/lab/referee/tierrules/planned.go
@@ -8,25 +8,25 @@
 // drains judges DRAIN: later than the bound after a machine in touch acknowledged that a receiver ends, no request that
 // machines in touch sent on reaches it.
 func (j *judge) drains() {
-	for _, end := range j.Ends {
+	for _, end := range j.Departures {
 		j.checked(Drain)
-		if !j.touch(end.Machine, end.Acked) {
+		if !j.touch(end.AckedBy, end.AckedAt) {
 			continue
 		}
-		limit := end.Acked + j.Bounds.Drain
+		limit := end.AckedAt + j.Bounds.Drain
 		for _, run := range j.Runs {
 			r := j.requests[run.RequestID]
 			if run.Instance != end.Instance || run.Began <= limit || r == nil || !j.touchThrough(r.Machine, r.Sent, run.Began) {
 				continue
 			}
-			j.breach(Drain, run.Began, r, "%s runs it %.3fs after its end was acknowledged", end.Instance, (run.Began - end.Acked).Seconds())
+			j.breach(Drain, run.Began, r, "%s runs it %.3fs after its end was acknowledged", end.Instance, (run.Began - end.AckedAt).Seconds())
 		}
-		for _, t := range j.Turned {
+		for _, t := range j.Rejections {
 			r := j.requests[t.RequestID]
 			if t.Instance != end.Instance || t.Status == statusMisdirected || t.At <= limit || r == nil || !j.touchThrough(r.Machine, r.Sent, t.At) {
 				continue
 			}
-			j.breach(Drain, t.At, r, "it reaches %s %.3fs after its end was acknowledged", end.Instance, (t.At - end.Acked).Seconds())
+			j.breach(Drain, t.At, r, "it reaches %s %.3fs after its end was acknowledged", end.Instance, (t.At - end.AckedAt).Seconds())
 		}
 	}
 }
@@ -36,11 +36,11 @@
 // recovery judges RECOVER after a final fault: of the requests sent later than the bound a quarter is served, if it was
 // before.
 func (j *judge) recovery() {
-	at := slices.IndexFunc(j.Troubles, func(t Trouble) bool { return t.What == Final })
+	at := slices.IndexFunc(j.Faults, func(t Fault) bool { return t.Kind == FinalFault })
 	if at < 0 {
 		return
 	}
-	fault := j.Troubles[at]
+	fault := j.Faults[at]
 	var before, servedBefore, after, servedAfter int
 	for _, r := range j.Requests {
 		switch {
@@ -71,7 +71,7 @@
 
 // unrecovered judges LOST after a final fault: a turn that continues one from before reaches a receiver by the bound, if
 // four fifths of other turns are served in the last seconds.
-func (j *judge) unrecovered(fault Trouble) {
+func (j *judge) unrecovered(fault Fault) {
 	other, served := 0, 0
 	reached := map[string]bool{}
 	asked := map[string]*Request{}
@@ -86,7 +86,7 @@
 			reached[p.ID] = true
 		case old && r.Sent > fault.To+j.Bounds.Recovery && r.Sent < p.Ended+retentionOf(p):
 			asked[p.ID] = r
-		case !old && r.Sent > j.Length-endSpan:
+		case !old && r.Sent > j.TrafficEnd-endSpan:
 			other++
 			if r.success() {
 				served++
--- a/internal/lab/referee/tierrules/programs.go
+++ b/internal/lab/referee/tierrules/programs.go
@@ -28,7 +28,7 @@
 	}
 	programs := map[string]*account{}
 	for _, r := range j.Requests {
-		if r.Program == "" || r.Budget == 0 {
+		if r.Program == "" || r.TokenBudget == 0 {
 			continue
 		}
 		a := programs[r.Program]
@@ -36,10 +36,10 @@
 			a = &account{}
 			programs[r.Program] = a
 		}
-		a.budget = r.Budget
-		a.most = max(a.most, r.Most)
+		a.budget = r.TokenBudget
+		a.most = max(a.most, r.MaxTokens)
 		if r.Answer != nil && r.Answer.Status == http.StatusOK {
-			a.used += int64(len(r.Answer.Events)) * r.Chunk
+			a.used += int64(len(r.Answer.Events)) * r.TokensPerEvent
 			a.last = r
 		}
 	}
@@ -123,7 +123,7 @@
 	tries := map[turnKey][]*Request{}
 	for _, r := range j.Requests {
 		p := j.requests[r.Previous]
-		if !r.Retained || p == nil || !p.success() || r.Sent >= p.Ended+retentionOf(p) || r.Finish > 0 && r.Ended > r.Finish {
+		if !r.Retained || p == nil || !p.success() || r.Sent >= p.Ended+retentionOf(p) || r.ProgramDeadline > 0 && r.Ended > r.ProgramDeadline {
 			continue
 		}
 		key := turnKey{program: r.Program, previous: r.Previous, input: string(r.Body)}
@@ -159,7 +159,7 @@
 // halfFree says whether the receivers of turns were under half full throughout a span.
 func (j *judge) halfFree(from, to time.Duration) bool {
 	for _, l := range j.Loads {
-		if l.At >= from && l.At <= to && 2*l.Taken >= l.Slots {
+		if l.At >= from && l.At <= to && 2*l.InUse >= l.Slots {
 			return false
 		}
 	}
--- a/internal/lab/referee/tierrules/tierrules_test.go
+++ b/internal/lab/referee/tierrules/tierrules_test.go
@@ -25,15 +25,15 @@
 	*tierrules.History
 	read, order, text, first, second                *tierrules.Request
 	readRun, orderRun, textRun, firstRun, secondRun *tierrules.Run
-	initial                                         *tierrules.Change
+	initial                                         *tierrules.ConfigChange
 }
 
 func calm() *day {
 	d := &day{History: &tierrules.History{
 		Bounds: tierrules.Bounds{Contact: 2000 * ms, Drain: 1000 * ms, Grace: 4000 * ms, LossSlack: 200 * ms, ConfigApply: 1000 * ms,
 			RollbackSlack: 250 * ms, Recovery: 3000 * ms, Ack: 4000 * ms},
-		Length: 60 * time.Second,
-		Starts: []tierrules.Start{{Machine: "m1"}, {Machine: "m2"}},
+		TrafficEnd:    60 * time.Second,
+		ProcessStarts: []tierrules.ProcessStart{{Machine: "m1"}, {Machine: "m2"}},
 	}}
 	d.initial = d.change("initial", 0, 3, 100*ms, http.StatusOK, routes("alfa")...)
 	d.read, d.readRun = d.plain("read", tierrules.Safe, 5000*ms)
@@ -56,16 +56,16 @@
 }
 
 // change adds one that was answered so 50 ms after it was sent.
-func (d *day) change(name string, base, version uint64, sent time.Duration, status int, list ...tierrules.Route) *tierrules.Change {
-	c := &tierrules.Change{Name: name, Base: base, Version: version, Body: []byte(name), Routes: list,
-		Tries: []tierrules.Try{{Sent: sent, Ended: sent + 50*ms, Status: status}}}
-	d.Changes = append(d.Changes, c)
+func (d *day) change(name string, base, version uint64, sent time.Duration, status int, list ...tierrules.Route) *tierrules.ConfigChange {
+	c := &tierrules.ConfigChange{Name: name, BaseVersion: base, Version: version, Body: []byte(name), Routes: list,
+		Attempts: []tierrules.Attempt{{Sent: sent, Ended: sent + 50*ms, Status: status}}}
+	d.ConfigChanges = append(d.ConfigChanges, c)
 	return c
 }
 
-func (d *day) request(id string, kind tierrules.Kind, sent time.Duration, path string) *tierrules.Request {
+func (d *day) request(id string, kind tierrules.RouteKind, sent time.Duration, path string) *tierrules.Request {
 	r := &tierrules.Request{ID: id, Machine: "m1", Class: id, Kind: kind, Authority: "h", Target: path, Method: "POST", Body: []byte("body"),
-		Deadline: 2000 * ms, Timeout: 2000 * ms, Attempts: 1, Sent: sent, Whole: sent + ms, Ended: sent + 100*ms}
+		Deadline: 2000 * ms, Timeout: 2000 * ms, MaxAttempts: 1, Sent: sent, FullySent: sent + ms, Ended: sent + 100*ms}
 	d.Requests = append(d.Requests, r)
 	return r
 }
@@ -77,21 +77,21 @@
 	return run
 }
 
-func (d *day) plain(id string, kind tierrules.Kind, sent time.Duration) (*tierrules.Request, *tierrules.Run) {
-	r := d.request(id, kind, sent, "/"+string(map[tierrules.Kind]string{tierrules.Safe: "read", tierrules.Unsafe: "order"}[kind])+"/1")
+func (d *day) plain(id string, kind tierrules.RouteKind, sent time.Duration) (*tierrules.Request, *tierrules.Run) {
+	r := d.request(id, kind, sent, "/"+string(map[tierrules.RouteKind]string{tierrules.Safe: "read", tierrules.Unsafe: "order"}[kind])+"/1")
 	run := d.run(r, "i-1", "alfa")
-	r.Answer = &tierrules.Answer{Status: 200, Stamp: run.Stamp, ID: id, Body: []byte("answer"), Complete: true}
+	r.Answer = &tierrules.Answer{Status: 200, Stamp: run.Stamp, RequestID: id, Body: []byte("answer"), Complete: true}
 	return r, run
 }
 
 func (d *day) stream(id string, sent time.Duration, pieces int) (*tierrules.Request, *tierrules.Run) {
 	r := d.request(id, tierrules.Streaming, sent, "/text/1")
 	run := d.run(r, "i-2", "model")
-	run.Answer, run.Most = nil, uint64(pieces)
+	run.Answer, run.FinalEventID = nil, uint64(pieces)
 	for n := range pieces {
 		run.Events = append(run.Events, tierrules.Event{ID: uint64(n + 1), Data: fmt.Sprintf("%s piece %d", id, n+1), At: sent + 20*ms})
 	}
-	r.Answer = &tierrules.Answer{Status: 200, Stamp: run.Stamp, ID: id, Events: append([]tierrules.Event(nil), run.Events...), Complete: true}
+	r.Answer = &tierrules.Answer{Status: 200, Stamp: run.Stamp, RequestID: id, Events: append([]tierrules.Event(nil), run.Events...), Complete: true}
 	return r, run
 }
 
@@ -99,7 +99,7 @@
 	r, run := d.stream(id, sent, 3)
 	r.Target, run.Target = "/turn/1", "/turn/1"
 	r.Retained, r.Retention, r.Previous = true, 60*time.Second, previous
-	r.Program, r.Budget, r.Most, r.Chunk = "p", 30, 9, 3
+	r.Program, r.TokenBudget, r.MaxTokens, r.TokensPerEvent = "p", 30, 9, 3
 	r.Body, run.Body = []byte(input), []byte(input)
 	return r, run
 }
@@ -113,7 +113,7 @@
 // cutAgain adds a request from a kept connection that is passed on, and whose connection is closed without an answer.
 func (d *day) cutAgain(id string, sent time.Duration) {
 	r, _ := d.plain(id, tierrules.Safe, sent)
-	r.Answer, r.Kept = nil, true
+	r.Answer, r.ReusedConnection = nil, true
 }
 
 // refusedAgain adds a turn that continues another and is refused so many times, beside first turns that are served.
@@ -155,8 +155,8 @@
 }
 
 // strike is a trouble of a machine for 100 ms.
-func (d *day) strike(machine string, what tierrules.What, from time.Duration, core bool) {
-	d.Troubles = append(d.Troubles, tierrules.Trouble{Machine: machine, What: what, From: from, To: from + 100*ms, Core: core})
+func (d *day) strike(machine string, what tierrules.FaultKind, from time.Duration, core bool) {
+	d.Faults = append(d.Faults, tierrules.Fault{Machine: machine, Kind: what, From: from, To: from + 100*ms, Core: core})
 }
 
 func expectRules(d *day, rules ...tierrules.Rule) {
@@ -171,7 +171,7 @@
 		delete(found, rule)
 	}
 	Expect(found).To(BeEmpty(), "%v", verdict.Breaches)
-	Expect(verdict.Kept()).To(Equal(len(rules) == 0))
+	Expect(verdict.Passed()).To(Equal(len(rules) == 0))
 }
 
 var _ = DescribeTable("What keeps the rules", func(change func(d *day)) {
@@ -190,7 +190,7 @@
 	Entry("a safe request that ran twice", func(d *day) { d.run(d.read, "i-9", "alfa") }),
 	Entry("a stream taken up by another receiver where it had come to", func(d *day) {
 		other := d.run(d.text, "i-9", "model")
-		other.LastEvent, other.Most = 1, 3
+		other.ResumedAfter, other.FinalEventID = 1, 3
 		other.Events = []tierrules.Event{{ID: 2, Data: "other 2"}, {ID: 3, Data: "other 3"}}
 		copy(d.text.Answer.Events[1:], other.Events)
 	}),
@@ -215,7 +215,7 @@
 		d.answered(d.read, 404)
 	}),
 	Entry("a request to a draining receiver within the bound", func(d *day) {
-		d.Ends = []tierrules.End{{Instance: "i-1", Acked: 4500 * ms, Machine: "m2"}}
+		d.Departures = []tierrules.Departure{{Instance: "i-1", AckedAt: 4500 * ms, AckedBy: "m2"}}
 	}),
 	Entry("a cut at a kill, which nobody planned", func(d *day) {
 		d.read.Answer = nil
@@ -254,7 +254,7 @@
 	Entry("cut beside a change by a receiver that crashed", func(d *day) {
 		d.change("newer", 3, 5, 5000*ms, 200, routes("alfa")...)
 		d.order.Answer = nil
-		d.Crashed = []tierrules.Crash{{Instance: "i-1", At: d.order.Ended}}
+		d.Crashes = []tierrules.Crash{{Instance: "i-1", At: d.order.Ended}}
 	}),
 	Entry("three requests from kept connections closed without an answer", func(d *day) {
 		for i := range 3 {
@@ -264,7 +264,7 @@
 	Entry("a turn that reaches no receiver in four tries", func(d *day) { d.refusedAgain(4) }),
 	Entry("a turn that reaches no receiver while they are half full", func(d *day) {
 		d.refusedAgain(5)
-		d.Loads = []tierrules.Load{{At: 7100 * ms, Taken: 8, Slots: 16}}
+		d.Loads = []tierrules.Load{{At: 7100 * ms, InUse: 8, Slots: 16}}
 	}),
 	Entry("a turn that reaches no receiver, as first ones do not", func(d *day) {
 		d.refusedAgain(5)
@@ -277,21 +277,21 @@
 	Entry("a turn that reaches no receiver by its program's aim", func(d *day) {
 		d.refusedAgain(5)
 		for _, r := range d.Requests {
-			r.Finish = 7450 * ms
+			r.ProgramDeadline = 7450 * ms
 		}
 	}),
 	Entry("cut during the stop of another process of the machine", func(d *day) {
 		d.strike("m1", tierrules.Terminated, 5050*ms, false)
-		d.Troubles[0].Apart = true
+		d.Faults[0].OtherProcess = true
 		d.read.Answer = nil
 		d.readRun.Began = 5000 * ms
 	}),
 	Entry("cut at the end of a stop, its receiver at work, by a process that was started after an earlier stop", func(d *day) {
 		d.strike("m1", tierrules.Terminated, 3800*ms, false)
-		d.Starts = append(d.Starts, tierrules.Start{Machine: "m1", At: 4500 * ms})
+		d.ProcessStarts = append(d.ProcessStarts, tierrules.ProcessStart{Machine: "m1", At: 4500 * ms})
 		d.strike("m1", tierrules.Terminated, 5000*ms, false)
 		d.textRun.Ended, d.textRun.Complete = 8400*ms, false
-		d.text.Sent, d.text.Whole, d.text.Ended = 6900*ms, 6901*ms, 8400*ms
+		d.text.Sent, d.text.FullySent, d.text.Ended = 6900*ms, 6901*ms, 8400*ms
 		d.textRun.Began = 6910 * ms
 		d.text.Answer.Complete = false
 	}),
@@ -314,11 +314,11 @@
 	Entry(nil, tierrules.Mixed, func(d *day) { d.read.Answer.Stamp = "" }),
 	Entry(nil, tierrules.Mixed, func(d *day) { d.read.Answer.Stamp = "another" }),
 	Entry(nil, tierrules.Mixed, func(d *day) { d.read.Answer.Body = []byte("answe") }),
-	Entry(nil, tierrules.Mixed, func(d *day) { d.read.Answer.ID = "order" }),
+	Entry(nil, tierrules.Mixed, func(d *day) { d.read.Answer.RequestID = "order" }),
 	Entry(nil, tierrules.Mixed, func(d *day) { d.readRun.Status = 500 }),
 	Entry(nil, tierrules.Mixed, func(d *day) { d.readRun.Complete = false }),
 	Entry(nil, tierrules.Mixed, func(d *day) { d.orderRun.Status, d.order.Answer.Status = 500, 404 }),
-	Entry(nil, tierrules.Mixed, func(d *day) { d.read.Stray = true }),
+	Entry(nil, tierrules.Mixed, func(d *day) { d.read.StrayBytes = true }),
 
 	Entry(nil, tierrules.Unasked, func(d *day) { d.orderRun.Target = "/order/2" }),
 	Entry(nil, tierrules.Unasked, func(d *day) { d.orderRun.Method = "PUT" }),
@@ -346,7 +346,7 @@
 		}
 	}),
 
-	Entry(nil, tierrules.Budget, func(d *day) { d.first.Budget, d.second.Budget = 8, 8 }),
+	Entry(nil, tierrules.Budget, func(d *day) { d.first.TokenBudget, d.second.TokenBudget = 8, 8 }),
 	Entry(nil, tierrules.Budget, func(d *day) {
 		for i := range 4 {
 			r, _ := d.plain(fmt.Sprint("often", i), tierrules.Safe, 7000*ms)
@@ -354,12 +354,14 @@
 		}
 	}),
 
-	Entry(nil, tierrules.Misrout, func(d *day) { d.orderRun.Service = "model" }),
+	Entry(nil, tierrules.Misrouted, func(d *day) { d.orderRun.Service = "model" }),
 
-	Entry(nil, tierrules.Drain, func(d *day) { d.Ends = []tierrules.End{{Instance: "i-1", Acked: 2000 * ms, Machine: "m2"}} }),
 	Entry(nil, tierrules.Drain, func(d *day) {
-		d.Ends = []tierrules.End{{Instance: "i-7", Acked: 2000 * ms, Machine: "m2"}}
-		d.Turned = []*tierrules.Turned{{RequestID: "read", Instance: "i-7", Status: 503, At: 5005 * ms}}
+		d.Departures = []tierrules.Departure{{Instance: "i-1", AckedAt: 2000 * ms, AckedBy: "m2"}}
+	}),
+	Entry(nil, tierrules.Drain, func(d *day) {
+		d.Departures = []tierrules.Departure{{Instance: "i-7", AckedAt: 2000 * ms, AckedBy: "m2"}}
+		d.Rejections = []*tierrules.Rejection{{RequestID: "read", Instance: "i-7", Status: 503, At: 5005 * ms}}
 	}),
 
 	Entry("cut by a stop", tierrules.Lost, func(d *day) {
@@ -380,7 +382,7 @@
 	Entry("taken long after SIGTERM and cut at the end, its receiver at work", tierrules.Lost, func(d *day) {
 		d.strike("m1", tierrules.Terminated, 5000*ms, false)
 		d.textRun.Ended, d.textRun.Complete = 8500*ms, false
-		d.text.Sent, d.text.Whole, d.text.Ended = 8100*ms, 8101*ms, 8500*ms
+		d.text.Sent, d.text.FullySent, d.text.Ended = 8100*ms, 8101*ms, 8500*ms
 		d.textRun.Began = 8110 * ms
 		d.text.Answer.Complete = false
 	}),
@@ -388,7 +390,7 @@
 		d.strike("m1", tierrules.Terminated, 3800*ms, false)
 		d.strike("m1", tierrules.Terminated, 5000*ms, false)
 		d.textRun.Ended, d.textRun.Complete = 8400*ms, false
-		d.text.Sent, d.text.Whole, d.text.Ended = 6900*ms, 6901*ms, 8400*ms
+		d.text.Sent, d.text.FullySent, d.text.Ended = 6900*ms, 6901*ms, 8400*ms
 		d.textRun.Began = 6910 * ms
 		d.text.Answer.Complete = false
 	}),
@@ -434,8 +436,8 @@
 		d.answered(d.second, 404)
 	}),
 	Entry("a turn that is not continued after a final fault", tierrules.Lost, func(d *day) {
-		d.strike("", tierrules.Final, 8000*ms, true)
-		d.Length = 20 * time.Second
+		d.strike("", tierrules.FinalFault, 8000*ms, true)
+		d.TrafficEnd = 20 * time.Second
 		for i := range 5 {
 			r, _ := d.turn(fmt.Sprint("new", i), "", 18*time.Second, "new\n")
 			r.Program = r.ID
@@ -446,8 +448,8 @@
 	}),
 	Entry("an old configuration after a final fault", tierrules.Lost, func(d *day) {
 		d.change("newer", 3, 5, 7000*ms, 200, routes("alfa")...)
-		d.strike("", tierrules.Final, 8000*ms, true)
-		d.Reads = []tierrules.Read{{Sent: 9000 * ms, Ended: 9100 * ms, Status: 200, Version: 3, Routes: routes("alfa")}}
+		d.strike("", tierrules.FinalFault, 8000*ms, true)
+		d.ConfigReads = []tierrules.ConfigRead{{Sent: 9000 * ms, Ended: 9100 * ms, Status: 200, Version: 3, Routes: routes("alfa")}}
 	}),
 
 	Entry("the old service runs it after the bound", tierrules.Config, func(d *day) {
@@ -469,7 +471,7 @@
 		d.change("invalid", 3, 5, 20000*ms, 200, routes("alfa")...).Invalid = true
 	}),
 	Entry("a repeat is refused", tierrules.Config, func(d *day) {
-		d.initial.Tries = append(d.initial.Tries, tierrules.Try{Sent: 7000 * ms, Ended: 7100 * ms, Status: 412})
+		d.initial.Attempts = append(d.initial.Attempts, tierrules.Attempt{Sent: 7000 * ms, Ended: 7100 * ms, Status: 412})
 	}),
 	Entry("a machine goes back", tierrules.Config, func(d *day) {
 		d.change("moved", 3, 5, 4900*ms, 200, routes("beta")...)
@@ -478,13 +480,13 @@
 	}),
 	Entry("an old one is read back", tierrules.Config, func(d *day) {
 		d.change("newer", 3, 5, 20000*ms, 200, routes("alfa")...)
-		d.Reads = []tierrules.Read{{Sent: 30000 * ms, Ended: 30100 * ms, Status: 200, Version: 3, Routes: routes("alfa")}}
+		d.ConfigReads = []tierrules.ConfigRead{{Sent: 30000 * ms, Ended: 30100 * ms, Status: 200, Version: 3, Routes: routes("alfa")}}
 	}),
 	Entry("another one is read back", tierrules.Config, func(d *day) {
-		d.Reads = []tierrules.Read{{Sent: 30000 * ms, Ended: 30100 * ms, Status: 200, Version: 3, Routes: routes("beta")}}
+		d.ConfigReads = []tierrules.ConfigRead{{Sent: 30000 * ms, Ended: 30100 * ms, Status: 200, Version: 3, Routes: routes("beta")}}
 	}),
 	Entry("none is read back", tierrules.Config, func(d *day) {
-		d.Reads = []tierrules.Read{{Sent: 30000 * ms, Ended: 30100 * ms, Last: true}}
+		d.ConfigReads = []tierrules.ConfigRead{{Sent: 30000 * ms, Ended: 30100 * ms, Last: true}}
 	}),
 
 	Entry("a piece is missing", tierrules.Order, func(d *day) {
@@ -495,13 +497,13 @@
 	Entry("a piece that no receiver gave", tierrules.Order, func(d *day) { d.text.Answer.Events[2].Data = "made up" }),
 	Entry("it joins two runs", tierrules.Order, func(d *day) {
 		other := d.run(d.text, "i-9", "model")
-		other.Most = 3
+		other.FinalEventID = 3
 		other.Events = []tierrules.Event{{ID: 1, Data: "other 1"}, {ID: 2, Data: "other 2"}, {ID: 3, Data: "other 3"}}
 		d.text.Answer.Events[2] = other.Events[2]
 	}),
 
 	Entry(nil, tierrules.Recover, func(d *day) {
-		d.strike("", tierrules.Final, 8000*ms, true)
+		d.strike("", tierrules.FinalFault, 8000*ms, true)
 		for i := range 4 {
 			d.request(fmt.Sprint("after", i), tierrules.Safe, 12000*ms, "/read/1")
 		}
@@ -511,7 +513,7 @@
 var _ = Describe("A verdict", func() {
 	It("names every rule once, and says which are broken", func() {
 		d := calm()
-		d.read.Stray = true
+		d.read.StrayBytes = true
 		said := tierrules.Judge(d.History).String()
 		for _, rule := range tierrules.Rules {
 			Expect(said).To(ContainSubstring(string(rule) + " "))
--- a/internal/lab/standin/clients.go
+++ b/internal/lab/standin/clients.go
@@ -107,7 +107,7 @@
 // noticed tells the referee, and the client, how a text ended.
 func (s *Stage) noticed(sender int, id string, back bool, advice time.Duration) {
 	s.see(func(now time.Duration) {
-		s.ref.Noticed(now, sender, id, back)
+		s.ref.NoticeSent(now, sender, id, back)
 		s.say("event=notice text=%s sender=%d handed_back=%v come_back=%s", id, sender, back, advice)
 		if h := s.byID[id]; h != nil && back && s.front != nil {
 			s.front.again(now, h, world.Nacked, advice)
@@ -122,7 +122,7 @@
 	if to == nil { // none lives: as if nobody answered
 		s.see(func(now time.Duration) {
 			if n == 0 {
-				s.ref.Missed(now, t)
+				s.ref.SenderUnavailable(now, t)
 			}
 			f.again(now, &handIn{text: t, n: n}, world.NoAnswer, 0)
 		})
@@ -136,14 +136,14 @@
 		}
 		left = t.Validity() - now
 		s.byID[h.id] = h
-		s.ref.HandedIn(now, referee.HandIn{ID: h.id, Sender: to.no, Text: t, Until: t.Validity()})
+		s.ref.HandedIn(now, referee.HandIn{ID: h.id, Sender: to.no, Text: t, ValidUntil: t.Validity()})
 	})
 	heard, advice, after, dropped := f.ask(to, h, again, left)
 	s.see(func(now time.Duration) {
 		if dropped {
-			s.ref.Dropped(now, h.id, after)
+			s.ref.ClientConnectionClosed(now, h.id, after)
 		} else {
-			s.ref.Heard(now, h.id, heard, advice)
+			s.ref.ClientAnswered(now, h.id, heard, advice)
 		}
 		if heard != world.Taken {
 			f.again(now, h, heard, advice)
--- a/internal/lab/standin/platform.go
+++ b/internal/lab/standin/platform.go
@@ -83,11 +83,11 @@
 		named := map[int]bool{}
 		for _, one := range l.Servers {
 			named[one.receiver] = true
-			s.ref.Told(now, a.sender, one.receiver, one.State)
+			s.ref.ReceiverStateNotified(now, a.sender, one.receiver, one.State)
 		}
 		for _, r := range s.day.Receivers {
 			if l.Full && !named[r.No] && s.day.State(r, l.Version) == world.Left {
-				s.ref.Told(now, a.sender, r.No, world.Left)
+				s.ref.ReceiverStateNotified(now, a.sender, r.No, world.Left)
 			}
 		}
 	})
--- a/internal/lab/standin/receivers.go
+++ b/internal/lab/standin/receivers.go
@@ -211,12 +211,12 @@
 	s := k.host.stage
 	select {
 	case <-k.end: // by ourselves
-		s.see(func(now time.Duration) { s.ref.Broke(now, k.host.sender, k.host.r.No) })
+		s.see(func(now time.Duration) { s.ref.IdleConnectionBroken(now, k.host.sender, k.host.r.No) })
 		return
 	default:
 	}
 	if k.last != 0 && errors.Is(err, syscall.ECONNRESET) {
-		s.see(func(now time.Duration) { s.ref.CallUnheard(now, k.last) })
+		s.see(func(now time.Duration) { s.ref.CallAnswerUnread(now, k.last) })
 	}
 }
 
@@ -262,7 +262,7 @@
 		fell := h.r.Fell
 		due, ever = h.r.Begin(now, c)
 		if h.r.Fell != fell {
-			s.ref.Fell(now, h.r.No, h.r.Fell)
+			s.ref.ReceiverOverloaded(now, h.r.No, h.r.Fell)
 		}
 	})
 	next = k.wait()
@@ -306,7 +306,7 @@
 	time.AfterFunc(due-s.now(), func() {
 		s.see(func(now time.Duration) {
 			if a := k.host.r.End(now, c); a.Ran || a.Known {
-				s.ref.Ran(no, a.Known)
+				s.ref.CallExecuted(no, a.Known)
 			}
 		})
 	})
@@ -321,7 +321,7 @@
 		if crowded {
 			a = world.Answer{Status: http.StatusServiceUnavailable, Why: "connections"}
 		} else if a = h.r.End(now, c); a.Ran || a.Known {
-			s.ref.Ran(no, a.Known)
+			s.ref.CallExecuted(no, a.Known)
 		}
 		s.say("event=call text=%s sender=%d receiver=%d status=%d wait=%s why=%s", id, h.sender, h.r.No, a.Status, a.Wait, a.Why)
 		switch {
@@ -356,7 +356,7 @@
 		out = append(out, "Connection: close\r\n"...)
 	}
 	if _, err := k.tcp.Write(append(out, "\r\n"...)); err != nil {
-		s.see(func(now time.Duration) { s.ref.CallUnheard(now, no) })
+		s.see(func(now time.Duration) { s.ref.CallAnswerUnread(now, no) })
 		return false
 	}
 	k.last = no
--- a/internal/lab/standin/standin.go
+++ b/internal/lab/standin/standin.go
@@ -250,7 +250,7 @@
 	for _, c := range s.day.Changes {
 		s.work.Go(func() {
 			if s.until(ctx, c.At) {
-				s.see(func(now time.Duration) { s.ref.Changed(now, c.Receiver, c.State) })
+				s.see(func(now time.Duration) { s.ref.ReceiverStateChanged(now, c.Receiver, c.State) })
 			}
 		})
 	}
@@ -269,7 +269,7 @@
 		var err error
 		s.see(func(now time.Duration) {
 			s.ref.Advance(now)
-			over = now >= s.day.End || now >= s.day.Length && s.due == 0 && s.ref.Open() == 0 && s.fatesOver(now)
+			over = now >= s.day.End || now >= s.day.Length && s.due == 0 && s.ref.OpenTexts() == 0 && s.fatesOver(now)
 			err = s.failed
 		})
 		if s.opt.Progress != nil && n%3 == 0 {
@@ -298,7 +298,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.ref.Account()
-	p := Progress{Now: s.now(), End: s.day.Length, HandIns: a.HandIns, Submits: a.Submits, Open: s.ref.Open(), Breaches: len(s.ref.Breaches) + s.ref.More}
+	p := Progress{Now: s.now(), End: s.day.Length, HandIns: a.HandIns, Submits: a.Submits, Open: s.ref.OpenTexts(), Breaches: len(s.ref.Breaches) + s.ref.OmittedBreaches}
 	for _, o := range a.Products {
 		p.Delivered += o.InTime + o.Late
 	}
@@ -308,7 +308,7 @@
 func (s *Stage) result() *Result {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := &Result{Seed: s.day.Seed, Account: s.ref.Account(), Breaches: s.ref.Breaches, More: s.ref.More, Verdict: s.ref.Verdict(),
+	r := &Result{Seed: s.day.Seed, Account: s.ref.Account(), Breaches: s.ref.Breaches, More: s.ref.OmittedBreaches, Verdict: s.ref.Verdict(),
 		Best: s.day.Best(), Crashes: s.crashes, Late: s.late, Took: s.now()}
 	for _, snd := range s.senders {
 		r.CPU += snd.cpu
--- a/internal/lab/tierlab/acts.go
+++ b/internal/lab/tierlab/acts.go
@@ -95,19 +95,19 @@
 }
 
 // struck notes a trouble of a process that begins now; its end is told by what it gives.
-func (l *lab) struck(p *process, what tierrules.What) (over func()) {
-	return l.noteTrouble(tierrules.Trouble{Machine: p.machine, What: what, Core: p.core(), Apart: p.role != proxyRole})
+func (l *lab) struck(p *process, what tierrules.FaultKind) (over func()) {
+	return l.noteTrouble(tierrules.Fault{Machine: p.machine, Kind: what, Core: p.core(), OtherProcess: p.role != proxyRole})
 }
 
-func (l *lab) noteTrouble(t tierrules.Trouble) (over func()) {
+func (l *lab) noteTrouble(t tierrules.Fault) (over func()) {
 	at := 0
 	l.record.see(func(now time.Duration, h *tierrules.History) {
-		at = len(h.Troubles)
+		at = len(h.Faults)
 		t.From, t.To = now, now+time.Hour
-		h.Troubles = append(h.Troubles, t)
+		h.Faults = append(h.Faults, t)
 	})
 	return func() {
-		l.record.see(func(now time.Duration, h *tierrules.History) { h.Troubles[at].To = now })
+		l.record.see(func(now time.Duration, h *tierrules.History) { h.Faults[at].To = now })
 	}
 }
 
@@ -201,7 +201,7 @@
 
 // killAll kills every process at the same moment, and starts all of them again: the day's final fault.
 func (l *lab) killAll(ctx context.Context, s tierworld.Strike) {
-	over := l.noteTrouble(tierrules.Trouble{What: tierrules.Final, Core: true})
+	over := l.noteTrouble(tierrules.Fault{Kind: tierrules.FinalFault, Core: true})
 	all := l.all()
 	exits := make([]chan struct{}, 0, len(all))
 	for _, p := range all {
--- a/internal/lab/tierlab/client.go
+++ b/internal/lab/tierlab/client.go
@@ -125,11 +125,11 @@
 		return nil, 0, true
 	}
 	r = k.request(machine.machine, left)
-	r.Kept = !conn.rested.IsZero()
+	r.ReusedConnection = !conn.rested.IsZero()
 	c.lab.record.see(func(now time.Duration, h *tierrules.History) {
 		r.Sent = now
 		if !k.finish.IsZero() {
-			r.Finish = now + time.Until(k.finish)
+			r.ProgramDeadline = now + time.Until(k.finish)
 		}
 		h.Requests = append(h.Requests, r)
 	})
@@ -138,14 +138,14 @@
 	defer stop()
 	defer c.lab.record.see(func(now time.Duration, _ *tierrules.History) {
 		r.Ended = now
-		r.GaveUp = ctx.Err() != nil || r.Answer == nil && now-r.Sent >= r.Deadline
+		r.ClientAborted = ctx.Err() != nil || r.Answer == nil && now-r.Sent >= r.Deadline
 	})
 	header := k.headers(r.ID, left)
 	if err := conn.send(r, header); err != nil {
 		c.drop(machine)
 		return r, 0, true
 	}
-	c.lab.record.see(func(now time.Duration, _ *tierrules.History) { r.Whole = now })
+	c.lab.record.see(func(now time.Duration, _ *tierrules.History) { r.FullySent = now })
 	again, _ := conn.receive(c.lab.record, r)
 	if !again {
 		c.drop(machine)
@@ -185,8 +185,8 @@
 	return &tierrules.Request{
 		ID: fmt.Sprintf("%016x", rand.Uint64()), Machine: machine, Class: k.class, Kind: k.route.kind, Resumable: k.route.resumable,
 		Retained: k.route.retained, Authority: authority, Target: k.route.prefix + k.path, Method: method, Body: k.body,
-		Deadline: told(left), Timeout: k.route.timeout, Retention: retention, Attempts: k.route.attempts,
-		Program: k.program, Budget: k.budget, Most: k.most, Chunk: chunkTokens, Previous: k.previous,
+		Deadline: told(left), Timeout: k.route.timeout, Retention: retention, MaxAttempts: k.route.attempts,
+		Program: k.program, TokenBudget: k.budget, MaxTokens: k.most, TokensPerEvent: chunkTokens, Previous: k.previous,
 	}
 }
 
--- a/internal/lab/tierlab/conduct_test.go
+++ b/internal/lab/tierlab/conduct_test.go
@@ -74,7 +74,7 @@
 	GinkgoHelper()
 	Expect(err).To(HaveOccurred())
 	Expect(l.record.history.Runs).To(HaveLen(1))
-	Expect(l.record.history.Runs[0].BrokeOff).To(BeTrue())
+	Expect(l.record.history.Runs[0].Aborted).To(BeTrue())
 	Expect(l.record.history.Runs[0].Complete).To(BeFalse())
 }
 
--- a/internal/lab/tierlab/configuration.go
+++ b/internal/lab/tierlab/configuration.go
@@ -25,7 +25,7 @@
 type route struct {
 	name      string
 	prefix    string
-	kind      tierrules.Kind
+	kind      tierrules.RouteKind
 	service   string
 	timeout   time.Duration
 	target    time.Duration
--- a/internal/lab/tierlab/connection.go
+++ b/internal/lab/tierlab/connection.go
@@ -90,11 +90,11 @@
 	resp, err := http.ReadResponse(c.reader, &http.Request{Method: r.Method})
 	if err != nil {
 		if !endedEarly(err) {
-			rec.see(func(time.Duration, *tierrules.History) { r.Stray = true })
+			rec.see(func(time.Duration, *tierrules.History) { r.StrayBytes = true })
 		}
 		return false, false
 	}
-	answer := &tierrules.Answer{Status: resp.StatusCode, Stamp: resp.Header.Get("Emberquay-Server-Stamp"), ID: resp.Header.Get("Emberquay-Request-Id")}
+	answer := &tierrules.Answer{Status: resp.StatusCode, Stamp: resp.Header.Get("Emberquay-Server-Stamp"), RequestID: resp.Header.Get("Emberquay-Request-Id")}
 	rec.see(func(time.Duration, *tierrules.History) { r.Answer = answer })
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
 		err = readEvents(rec, answer, resp.Body)
@@ -104,7 +104,7 @@
 	stray := c.reader.Buffered() > 0
 	rec.see(func(time.Duration, *tierrules.History) {
 		answer.Complete = err == nil
-		r.Stray = r.Stray || stray && err == nil
+		r.StrayBytes = r.StrayBytes || stray && err == nil
 	})
 	c.rested = time.Now()
 	return err == nil && !resp.Close && !stray, false
--- a/internal/lab/tierlab/faults_test.go
+++ b/internal/lab/tierlab/faults_test.go
@@ -107,7 +107,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(result.Kept()).To(BeFalse())
 		for _, rule := range []tierrules.Rule{tierrules.Mixed, tierrules.Twice, tierrules.Refused, tierrules.Unasked, tierrules.Order} {
-			Expect(result.Verdict.Broken(rule)).To(BeNumerically(">", 0), "%s", rule)
+			Expect(result.Verdict.BreachCount(rule)).To(BeNumerically(">", 0), "%s", rule)
 		}
 	}, SpecTimeout(2*time.Minute))
 })
--- a/internal/lab/tierlab/heartbeat.go
+++ b/internal/lab/tierlab/heartbeat.go
@@ -144,17 +144,17 @@
 		machine = *m
 	}
 	r.lab.record.see(func(now time.Duration, h *tierrules.History) {
-		h.Ends = append(h.Ends, tierrules.End{Instance: r.id, Acked: now, Machine: machine})
+		h.Departures = append(h.Departures, tierrules.Departure{Instance: r.id, AckedAt: now, AckedBy: machine})
 	})
 }
 
 // crash ends it without a word: connections are reset.
 func (r *receiver) crash() {
 	r.lab.record.see(func(now time.Duration, h *tierrules.History) {
-		h.Crashed = append(h.Crashed, tierrules.Crash{Instance: r.id, At: now})
+		h.Crashes = append(h.Crashes, tierrules.Crash{Instance: r.id, At: now})
 		for _, run := range h.Runs {
 			if run.Instance == r.id && run.Ended == 0 {
-				run.BrokeOff = true
+				run.Aborted = true
 			}
 		}
 	})
--- a/internal/lab/tierlab/lab.go
+++ b/internal/lab/tierlab/lab.go
@@ -44,7 +44,7 @@
 }
 
 // Kept says whether all rules were kept, no process ended by itself and something was served.
-func (r *Result) Kept() bool { return r.Verdict.Kept() && len(r.Crashes) == 0 }
+func (r *Result) Kept() bool { return r.Verdict.Passed() && len(r.Crashes) == 0 }
 
 var zones = []string{"a", "b", "c"}
 
@@ -261,7 +261,7 @@
 		})
 	}
 	l.load(ctx)
-	l.record.see(func(now time.Duration, h *tierrules.History) { h.Length = now })
+	l.record.see(func(now time.Duration, h *tierrules.History) { h.TrafficEnd = now })
 	strikes.Wait()
 }
 
--- a/internal/lab/tierlab/machine.go
+++ b/internal/lab/tierlab/machine.go
@@ -126,7 +126,7 @@
 	cmd.Env = append([]string{"PATH=" + os.Getenv("PATH"), "HOME=" + p.dir(), "TMPDIR=" + p.dir(), settings.PathVariable + "=" + path}, p.lab.options.Env...)
 	if p.role == proxyRole {
 		p.lab.record.see(func(now time.Duration, h *tierrules.History) {
-			h.Starts = append(h.Starts, tierrules.Start{Machine: p.machine, At: now})
+			h.ProcessStarts = append(h.ProcessStarts, tierrules.ProcessStart{Machine: p.machine, At: now})
 		})
 	}
 	if err := p.lab.launch.Start(cmd); err != nil {
--- a/internal/lab/tierlab/model.go
+++ b/internal/lab/tierlab/model.go
@@ -203,7 +203,7 @@
 	}
 	m.receiver.lab.record.see(func(time.Duration, *tierrules.History) {
 		run.Status = status
-		run.Most = uint64((out + chunkTokens - 1) / chunkTokens)
+		run.FinalEventID = uint64((out + chunkTokens - 1) / chunkTokens)
 	})
 	sleep(q.Context(), fate.hangs)
 	w.Header().Set("Emberquay-Server-Stamp", run.Stamp)
--- a/internal/lab/tierlab/operator.go
+++ b/internal/lab/tierlab/operator.go
@@ -29,13 +29,13 @@
 	lab *lab
 
 	mu      sync.Mutex
-	current configuration     // the newest that was acknowledged
-	newest  *tierrules.Change // its change
+	current configuration           // the newest that was acknowledged
+	newest  *tierrules.ConfigChange // its change
 	orders  int
 }
 
 // change sends a change until there is a clear answer. It gives the status, 0 where none came.
-func (o *operator) change(ctx context.Context, c *tierrules.Change) int {
+func (o *operator) change(ctx context.Context, c *tierrules.ConfigChange) int {
 	ctx, cancel := context.WithTimeout(ctx, operatorFor)
 	defer cancel()
 	addresses := o.lab.controlAddresses()
@@ -57,7 +57,7 @@
 }
 
 // send sends it once. lost says that the answer is not read: the operator then knows nothing of its fate.
-func (o *operator) send(ctx context.Context, address string, c *tierrules.Change, lost bool) int {
+func (o *operator) send(ctx context.Context, address string, c *tierrules.ConfigChange, lost bool) int {
 	ctx, cancel := context.WithTimeout(ctx, operatorSilence)
 	defer cancel()
 	path := "/api/Config.Replace"
@@ -66,14 +66,14 @@
 	}
 	at := 0
 	o.lab.record.see(func(now time.Duration, _ *tierrules.History) {
-		at = len(c.Tries)
-		c.Tries = append(c.Tries, tierrules.Try{Sent: now})
+		at = len(c.Attempts)
+		c.Attempts = append(c.Attempts, tierrules.Attempt{Sent: now})
 	})
 	status := 0
 	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, bytes.NewReader(c.Body))
 	if err == nil {
 		q.Header.Set("Content-Type", "application/json")
-		q.Header.Set("Emberquay-Base-Version", strconv.FormatUint(c.Base, 10))
+		q.Header.Set("Emberquay-Base-Version", strconv.FormatUint(c.BaseVersion, 10))
 		if resp, err := o.lab.controlClient.Do(q); err == nil {
 			_, err = io.Copy(io.Discard, io.LimitReader(resp.Body, mostAnswer))
 			resp.Body.Close()
@@ -83,15 +83,15 @@
 		}
 	}
 	o.lab.record.see(func(now time.Duration, _ *tierrules.History) {
-		c.Tries[at].Ended, c.Tries[at].Status = now, status
+		c.Attempts[at].Ended, c.Attempts[at].Status = now, status
 	})
 	return status
 }
 
 // order makes a change known to the referee.
-func (o *operator) order(name string, base uint64, next configuration, body []byte, modify, invalid bool) *tierrules.Change {
-	c := &tierrules.Change{Name: name, Base: base, Version: next.version, Body: body, Modify: modify, Invalid: invalid, Routes: next.judged()}
-	o.lab.record.see(func(_ time.Duration, h *tierrules.History) { h.Changes = append(h.Changes, c) })
+func (o *operator) order(name string, base uint64, next configuration, body []byte, modify, invalid bool) *tierrules.ConfigChange {
+	c := &tierrules.ConfigChange{Name: name, BaseVersion: base, Version: next.version, Body: body, Modify: modify, Invalid: invalid, Routes: next.judged()}
+	o.lab.record.see(func(_ time.Duration, h *tierrules.History) { h.ConfigChanges = append(h.ConfigChanges, c) })
 	return c
 }
 
@@ -102,7 +102,7 @@
 }
 
 // take sends a change and notes it as current once it is acknowledged.
-func (o *operator) take(ctx context.Context, c *tierrules.Change, next configuration) int {
+func (o *operator) take(ctx context.Context, c *tierrules.ConfigChange, next configuration) int {
 	status := o.change(ctx, c)
 	if status == http.StatusOK {
 		o.mu.Lock()
@@ -244,18 +244,18 @@
 	for _, address := range o.lab.controlAddresses() {
 		read := o.readAt(ctx, address)
 		done = done || read.Status == http.StatusOK
-		o.lab.record.see(func(_ time.Duration, h *tierrules.History) { h.Reads = append(h.Reads, read) })
+		o.lab.record.see(func(_ time.Duration, h *tierrules.History) { h.ConfigReads = append(h.ConfigReads, read) })
 	}
 	if last && !done {
-		o.lab.record.see(func(_ time.Duration, h *tierrules.History) { h.Reads[len(h.Reads)-1].Last = true })
+		o.lab.record.see(func(_ time.Duration, h *tierrules.History) { h.ConfigReads[len(h.ConfigReads)-1].Last = true })
 	}
 	return done
 }
 
-func (o *operator) readAt(ctx context.Context, address string) tierrules.Read {
+func (o *operator) readAt(ctx context.Context, address string) tierrules.ConfigRead {
 	ctx, cancel := context.WithTimeout(ctx, operatorSilence)
 	defer cancel()
-	read := tierrules.Read{Sent: o.lab.record.now()}
+	read := tierrules.ConfigRead{Sent: o.lab.record.now()}
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/api/Config.Read", nil)
 	if err != nil {
 		return read
--- a/internal/lab/tierlab/receiver.go
+++ b/internal/lab/tierlab/receiver.go
@@ -158,7 +158,7 @@
 // turnAway states that a request has not run.
 func (r *receiver) turnAway(w http.ResponseWriter, id string, status int) {
 	r.lab.record.see(func(now time.Duration, h *tierrules.History) {
-		h.Turned = append(h.Turned, &tierrules.Turned{RequestID: id, Instance: r.id, Status: status, At: now})
+		h.Rejections = append(h.Rejections, &tierrules.Rejection{RequestID: id, Instance: r.id, Status: status, At: now})
 	})
 	w.Header().Set("Emberquay-Not-Executed", "1")
 	w.WriteHeader(status)
@@ -168,7 +168,7 @@
 func (r *receiver) begin(q *http.Request, id string, body []byte) *tierrules.Run {
 	run := &tierrules.Run{RequestID: id, Instance: r.id, Service: r.service, Authority: q.Host, Target: q.RequestURI, Method: q.Method,
 		Body: body, Stamp: fmt.Sprintf("%s.%d", r.id, r.stamps.Add(1))}
-	run.LastEvent, _ = strconv.ParseUint(q.Header.Get("Last-Event-Id"), 10, 64)
+	run.ResumedAfter, _ = strconv.ParseUint(q.Header.Get("Last-Event-Id"), 10, 64)
 	r.lab.record.see(func(now time.Duration, h *tierrules.History) {
 		run.Began = now
 		h.Runs = append(h.Runs, run)
@@ -180,7 +180,7 @@
 func (r *receiver) ended(run *tierrules.Run, complete bool) {
 	r.lab.record.see(func(now time.Duration, _ *tierrules.History) {
 		run.Ended, run.Complete = now, complete
-		run.BrokeOff = run.BrokeOff || !complete && r.over.Load()
+		run.Aborted = run.Aborted || !complete && r.over.Load()
 	})
 }
 
@@ -216,7 +216,7 @@
 
 // breakOff cuts the connection in place of an answer, or of the rest of one. It does not return.
 func (r *receiver) breakOff(run *tierrules.Run) {
-	r.lab.record.see(func(now time.Duration, _ *tierrules.History) { run.Ended, run.BrokeOff = now, true })
+	r.lab.record.see(func(now time.Duration, _ *tierrules.History) { run.Ended, run.Aborted = now, true })
 	panic(http.ErrAbortHandler)
 }
 
--- a/internal/lab/tierlab/recording.go
+++ b/internal/lab/tierlab/recording.go
@@ -111,7 +111,7 @@
 		l.seen.Loads = append(l.seen.Loads, load)
 		if r.service == modelService {
 			turns.Slots += load.Slots
-			turns.Taken += load.Running + load.Queued
+			turns.InUse += load.Running + load.Queued
 		}
 	}
 	return turns
--- a/internal/lab/tierlab/result.go
+++ b/internal/lab/tierlab/result.go
@@ -40,7 +40,7 @@
 			l.late.Round(10*time.Millisecond)))
 	}
 	seen := l.seen
-	seen.From, seen.To, seen.Requests, seen.Runs = time.Duration(l.trafficFrom.Load()), h.Length, h.Requests, h.Runs
+	seen.From, seen.To, seen.Requests, seen.Runs = time.Duration(l.trafficFrom.Load()), h.TrafficEnd, h.Requests, h.Runs
 	return &Result{Verdict: tierrules.Judge(h), Served: byClass(h.Requests), Programs: l.count.outcomes,
 		Crashes: l.record.crashes, Notes: l.notes, Took: took, Recording: &seen}
 }
--- a/internal/lab/tierlab/soak_test.go
+++ b/internal/lab/tierlab/soak_test.go
@@ -62,7 +62,7 @@
 		r.over.Store(over)
 		run := &tierrules.Run{}
 		r.ended(run, complete)
-		Expect(run.BrokeOff).To(Equal(broke))
+		Expect(run.Aborted).To(Equal(broke))
 	},
 	Entry("as it ends", true, false, true),
 	Entry("which was whole", true, true, false),
--- a/internal/lab/tierreport/figures.go
+++ b/internal/lab/tierreport/figures.go
@@ -154,7 +154,7 @@
 	for _, run := range rec.Runs {
 		f := of(run.Instance, run.Service)
 		f.runs++
-		if run.BrokeOff {
+		if run.Aborted {
 			f.brokeOff++
 		}
 	}
--- a/internal/lab/tierreport/tables.go
+++ b/internal/lab/tierreport/tables.go
@@ -56,7 +56,7 @@
 	head(out, "Rules", "rule", "verdict", "looked at")
 	for _, rule := range tierrules.Rules {
 		verdict := "kept"
-		if n := r.Verdict.Broken(rule); n > 0 {
+		if n := r.Verdict.BreachCount(rule); n > 0 {
 			verdict = fmt.Sprintf("**broken %d times**", n)
 		}
 		row(out, rule, verdict, r.Verdict.Checked[rule])
--- a/internal/lab/tierreport/tierreport_test.go
+++ b/internal/lab/tierreport/tierreport_test.go
@@ -41,7 +41,7 @@
 	silent := &tierrules.Request{ID: "4", Class: "read", Kind: tierrules.Safe, Sent: 4 * s, Ended: 6 * s}
 	return &tierlab.Result{
 		Verdict: &tierrules.Verdict{
-			Breaches: []tierrules.Breach{{Rule: tierrules.Twice, At: 2 * s, Request: "2", Why: "it ran twice"}},
+			Breaches: []tierrules.Breach{{Rule: tierrules.Twice, At: 2 * s, Request: "2", Reason: "it ran twice"}},
 			Checked:  map[tierrules.Rule]int{tierrules.Twice: 4},
 		},
 		Served: []tierlab.Served{
@@ -56,7 +56,7 @@
 			Requests: []*tierrules.Request{read, turn, turnedAway, silent},
 			Runs: []*tierrules.Run{
 				{Instance: "i-model-1", Service: "model"},
-				{Instance: "i-alfa-2", Service: "alfa", BrokeOff: true},
+				{Instance: "i-alfa-2", Service: "alfa", Aborted: true},
 			},
 			Marks: []tierlab.Mark{
 				{Strike: "kill store 0 for 0.5s", From: 2 * s, To: 2500 * ms},
