--- a/internal/lab/referee/account.go
+++ b/internal/lab/referee/account.go
@@ -11,20 +11,20 @@
 	"emberquay/internal/lab/world"
 )
 
-// ProductAccount is the account of one product. Each text has one fate: InTime, Late, Nacked, Failed, Lost or Unheard.
+// ProductAccount is the account of one product. Each text has one outcome: InTime, Late, Nacked, Failed, Lost or Unheard.
 type ProductAccount struct {
 	Name    string  `json:"name"`
 	Texts   int     `json:"texts"`
 	InTime  int     `json:"in_time"` // within the SLA time
 	Late    int     `json:"late"`
-	Nacked  int     `json:"nacked"`  // and not handed in again with success
+	Nacked  int     `json:"nacked"`  // and not handed in again successfully
 	Failed  int     `json:"failed"`  // undeliverable
-	Lost    int     `json:"lost"`    // taken on, and no end
-	Unheard int     `json:"unheard"` // no answer, or the day ended before one
+	Lost    int     `json:"lost"`    // accepted, and did not end
+	Unheard int     `json:"unheard"` // no answer by the end of the day
 	Asked   float64 `json:"revenue_asked"`
 	Earned  float64 `json:"revenue_in_time"`
 	Faded   float64 `json:"revenue_late"`
-	P50     float64 `json:"p50_ms"` // of the times to delivery, since the first hand-in
+	P50     float64 `json:"p50_ms"` // of the time from the first hand-in to the delivery
 	P99     float64 `json:"p99_ms"`
 	Doubled int     `json:"doubled"` // texts with more than one effect
 }
@@ -41,18 +41,18 @@
 	Overloads int `json:"fell"`
 }
 
-// Account is what a day came to.
+// Account holds the statistics of a day.
 type Account struct {
 	Products  []ProductAccount  `json:"products"`
 	Receivers []ReceiverAccount `json:"receivers"`
 	HandIns   int               `json:"hand_ins"`
 	Submits   int               `json:"submits"`
-	Wasted    int               `json:"wasted"` // submits that were worked on and delivered nothing, as far as is known
+	Wasted    int               `json:"wasted"` // calls that ran and, as far as is known, delivered nothing
 	Refusals  int               `json:"refusals"`
-	Waits     int               `json:"waits"` // told
+	Waits     int               `json:"waits"` // told by receivers
 }
 
-// Revenue sums the products: what was earned in time, late, and asked for.
+// Revenue returns the sums over all products of the revenue in time, of late texts, and of all texts handed in.
 func (a *Account) Revenue() (inTime, late, asked float64) {
 	for _, p := range a.Products {
 		inTime, late, asked = inTime+p.Earned, late+p.Faded, asked+p.Asked
@@ -60,10 +60,10 @@
 	return inTime, late, asked
 }
 
-// textRecord is a text with all its hand-ins.
+// textRecord is the outcome of a text over all its hand-ins.
 type textRecord struct {
 	text    *world.Text
-	fate    string // of the last hand-in, or delivered
+	fate    string // of the last hand-in, or "delivered" once any was
 	endedAt time.Duration
 	effects int
 }
@@ -98,7 +98,7 @@
 
 func (a *tally) unanswered(t *text) { a.ended(t, "unheard", 0) }
 
-// ended: one hand-in has its end; a text is delivered once any of its hand-ins is.
+// ended records the outcome of one hand-in; a text is delivered once any of its hand-ins is.
 func (a *tally) ended(t *text, what string, at time.Duration) {
 	if o := a.record(t.Text); o.fate != "delivered" {
 		o.fate, o.endedAt = what, at
@@ -147,14 +147,14 @@
 
 func (a *tally) overloaded(no int) { a.receiver(no).Overloads++ }
 
-// Account adds up what was observed so far.
+// Account returns the statistics of the observations so far.
 func (r *Referee) Account() *Account {
 	a := &r.account
 	out := &Account{HandIns: a.handIns, Submits: a.submits, Wasted: a.wasted, Refusals: a.refusals, Waits: a.waits}
 	products := map[string]*ProductAccount{}
 	times := map[string]*hdrhistogram.Histogram{}
 	inOrder := slices.SortedFunc(maps.Keys(a.texts), func(x, y *world.Text) int { return x.No - y.No })
-	for _, t := range inOrder { // sums of fractions go by the order
+	for _, t := range inOrder { // floating-point sums depend on the order
 		record := a.texts[t]
 		p := products[t.Product.Name]
 		if p == nil {
--- a/internal/lab/referee/calls.go
+++ b/internal/lab/referee/calls.go
@@ -8,8 +8,8 @@
 	"emberquay/internal/lab/world"
 )
 
-// CallBegan: a call has come to a receiver as far as its head, which says what it is; its first byte came at first.
-// Rules 1, 2, 3 and 5 are judged here.
+// CallBegan records that a receiver has read the head of a call, which identifies its text; its first byte arrived at first.
+// It checks rules 1, 2, 3 and 5.
 func (r *Referee) CallBegan(now, first time.Duration, no int64, id string, from, receiver int) {
 	r.Advance(now)
 	s, t := r.senders[from], r.texts[id]
@@ -36,8 +36,8 @@
 
 type breachFunc func(rule int, format string, args ...any) Breach
 
-// checkAfterEnd: nothing is sent for a text that has its final answer. Whether a sender read the 200 that came before
-// it died or hung up is not known; then it is rule 2 that says whether it may be sent again.
+// checkAfterEnd checks rule 1: no call is made for a text after its end. It is unknown whether a sender read a 200 that was
+// written before it was killed or closed the connection; rule 2 then decides whether the text may be sent again.
 func (r *Referee) checkAfterEnd(now time.Duration, t *text, c *call, newBreach breachFunc) {
 	if t.end == "" || t.end == "lost" || now <= t.endAt+r.slack {
 		return
@@ -48,13 +48,14 @@
 	r.addBreach(newBreach(1, "sent on %s after it had ended as %s", now-t.endAt, t.end))
 }
 
-// checkRepeat is rule 2: one submit out at a time, and after one that may have run only what the product allows.
+// checkRepeat checks rule 2: one call of a text at a time, and after a call that may have run only the repeats that the
+// product allows.
 func (r *Referee) checkRepeat(now time.Duration, t *text, c *call, newBreach breachFunc) {
 	for _, o := range t.calls {
 		if o.ended {
 			continue
 		}
-		// The end of the earlier one may be on its way.
+		// The end of the earlier call may not have been observed yet.
 		why := newBreach(2, "a second submit while the one that began at %s is out", formatInstant(o.began))
 		r.pendingBreaches = append(r.pendingBreaches, pendingBreach{due: now + r.slack, cleared: func() bool { return o.ended }, breach: why})
 	}
@@ -70,10 +71,10 @@
 	}
 }
 
-// checkDrain is rule 3.
+// checkDrain checks rule 3: no call to a receiver later than the drain time after the sender was notified that it leaves.
 func (r *Referee) checkDrain(now time.Duration, s *sender, receiver int, newBreach breachFunc) {
 	told := s.notified[receiver]
-	if p, ok := s.pending[receiver]; ok && now >= p.at { // it counts as told
+	if p, ok := s.pending[receiver]; ok && now >= p.at { // counts as notified
 		told = p
 	}
 	if grace := millis(r.rules.DrainMs) + r.slack; (told.state == world.Leaving || told.state == world.Left) && now > told.at+grace {
@@ -81,7 +82,8 @@
 	}
 }
 
-// checkOrder is rule 5: nothing for a text of a key while an earlier one that this process took is unfinished, or rests.
+// checkOrder checks rule 5: no call for a text with a key while an earlier text of the key, accepted by the same process, is
+// unfinished or its rest after a call is not over.
 func (r *Referee) checkOrder(now time.Duration, t *text, c *call, newBreach breachFunc) {
 	if t.Text.Key == "" {
 		return
@@ -92,7 +94,7 @@
 	})
 	r.keyQueues[k] = queue
 	for _, o := range queue {
-		// Which of two was taken first is only sure where one was heard to be before the other was handed in.
+		// The order of two texts is only known if one's acceptance was observed before the other was handed in.
 		if o == t || o.takenAt >= t.at || o.incarnation != c.incarnation {
 			continue
 		}
@@ -110,7 +112,7 @@
 	}
 }
 
-// CallArrived: the last byte of a call has come: it runs from here on. Rule 6 is judged here.
+// CallArrived records that the last byte of a call has arrived: from here on it runs. It checks rule 6.
 func (r *Referee) CallArrived(now time.Duration, no int64) {
 	r.Advance(now)
 	c := r.calls[no]
@@ -130,7 +132,7 @@
 	}
 }
 
-// CallAnswered: an answer is written to a connection that is open; wait: told with it, 0 if none.
+// CallAnswered records that an answer is written to an open connection, with the wait that it tells; 0: none.
 func (r *Referee) CallAnswered(now time.Duration, no int64, status int, wait time.Duration) {
 	r.Advance(now)
 	c := r.calls[no]
@@ -178,7 +180,7 @@
 	}
 }
 
-// recordDelivery: the 200 is written and the client has heard that its text was taken on.
+// recordDelivery sets the outcome of a text whose 200 is written and whose client was told that it was accepted.
 func (r *Referee) recordDelivery(t *text, at time.Duration) {
 	if t.end == "" {
 		t.end, t.endAt = "delivered", at
@@ -193,7 +195,7 @@
 	}
 }
 
-// CallAnswerUnread: the sender's end of the connection was reset with the answer unread: it was told nothing.
+// CallAnswerUnread records that the sender's end of the connection was reset with the answer unread.
 func (r *Referee) CallAnswerUnread(now time.Duration, no int64) {
 	r.Advance(now)
 	c := r.calls[no]
@@ -210,7 +212,7 @@
 	c.outcome = "unheard " + c.outcome
 }
 
-// CallEnded: the connection of a call has ended with no answer, by the sender (gave up) or by the receiver (broke).
+// CallEnded records that the connection of a call was closed without an answer, by the sender (gaveUp) or the receiver.
 func (r *Referee) CallEnded(now time.Duration, no int64, gaveUp bool) {
 	r.Advance(now)
 	c := r.calls[no]
@@ -230,27 +232,27 @@
 		return
 	}
 	c.text.recent.add(now, "submit %s, whole %v", c.outcome, c.received)
-	if c.received { // else it cannot have run
+	if c.received { // otherwise it cannot have run
 		r.mayHaveRun(c)
 		c.text.restUntil = max(c.text.restUntil, now+millis(r.rules.KeyRestMs))
 	}
 }
 
-// IdleConnectionBroken: a receiver broke an idle connection of a sender, which so sees that it is down.
+// IdleConnectionBroken records that a receiver closed an idle connection, from which the sender learns that it is down.
 func (r *Referee) IdleConnectionBroken(now time.Duration, sender, receiver int) {
 	r.Advance(now)
 	r.senders[sender].failed[receiver] = now
 }
 
-// CallExecuted: a submit had its effect; known: it was dropped as a repeat.
+// CallExecuted records that a call had its effect, or that the receiver dropped it as a duplicate.
 func (r *Referee) CallExecuted(no int64, duplicate bool) {
 	if c := r.calls[no]; c != nil && c.text != nil {
 		r.account.executed(c.text, duplicate)
 	}
 }
 
-// ReceiverOverloaded: a receiver was pushed over. Rule 4 is broken if two thirds of the calls came from senders that had seen a
-// call fail there, or be refused, since the outage began.
+// ReceiverOverloaded records that a receiver failed under its load. Rule 4 is broken if at least two thirds of the calls came
+// from senders that had a call fail or refused there since the outage began.
 func (r *Referee) ReceiverOverloaded(now time.Duration, receiver int, f *world.Fall) {
 	r.Advance(now)
 	r.account.overloaded(receiver)
--- a/internal/lab/referee/referee.go
+++ b/internal/lab/referee/referee.go
@@ -1,20 +1,20 @@
-// Package referee judges what senders do by the six rules, from what can be observed round them. It is pure: it is
-// told each thing with its instant (the span since the day began, never going back) and checks all rules after it.
-// How to use it:
+// Package referee checks the senders against six rules, from what can be observed outside of them. It does no I/O and reads
+// no clock: it is given each event with its instant (the time since the day began, never decreasing) and checks the rules
+// after each one. How to use it:
 //
 //	r := referee.New(rules, senders, destinationOf)
 //	r.HandedIn(now, referee.HandIn{ID: id, Sender: 0, Text: text, Until: until})
 //	r.Heard(now, id, world.Taken, 0)
 //	r.CallBegan(now, first, call, id, sender, receiver)
-//	r.CallArrived(now, call)                        // its last
+//	r.CallArrived(now, call)                        // its last byte
 //	r.CallAnswered(now, call, 200, 0)
-//	r.Finish(end)                                   // what is still owed is lost
+//	r.Finish(end)                                   // unfinished texts are lost
 //	for _, b := range r.Breaches { fmt.Println(b) }
 //	account := r.Account()
 //
-// A breach names the rule, the text, the figures and what was last seen of the text, its key and the receiver. What
-// travels may cross: wherever two things that travel apart are set against each other the slack of the rules is
-// granted, and where it cannot be known what a sender was told, it is taken not to know.
+// A breach names the rule, the sender, the text, the figures and the last events of the text. Messages may cross on the
+// way: if a rule compares two events observed at different places, it allows the slack of the rules, and a sender counts as
+// not informed if it cannot be known whether a message reached it.
 package referee
 
 import (
@@ -27,14 +27,14 @@
 	"emberquay/internal/lab/world"
 )
 
-// Breach is one broken rule.
+// Breach is one violation of a rule.
 type Breach struct {
 	Rule   int
 	At     time.Duration
-	Text   string // its id, if it is about one
+	Text   string // its id, if the breach is about one
 	Sender int
 	Why    string
-	Last   []string // what was seen before it
+	Last   []string // the last events of the text before it
 }
 
 func (b Breach) String() string {
@@ -45,13 +45,13 @@
 	return s + ": " + b.Why
 }
 
-// RuleNames are the rules in a word or two, by number.
+// RuleNames are the short names of the rules, by number.
 var RuleNames = [...]string{1: "one final answer", 2: "no effect twice", 3: "drains kept", 4: "none pushed over", 5: "order kept", 6: "waits heeded"}
 
-// maxBreaches bounds what is kept; further ones are counted.
+// maxBreaches limits the breaches that are kept; further ones are only counted.
 const maxBreaches = 100
 
-// HandIn is a text as a client hands it in, under an id of its own.
+// HandIn is one submission of a text by a client to a sender, with an id of its own.
 type HandIn struct {
 	ID         string
 	Sender     int
@@ -59,10 +59,10 @@
 	ValidUntil time.Duration // the end of its validity period
 }
 
-// Referee holds what was observed.
+// Referee holds the observations and the breaches found.
 type Referee struct {
 	Breaches        []Breach
-	OmittedBreaches int // breaches beyond those kept
+	OmittedBreaches int // breaches beyond maxBreaches
 
 	rules           world.Rules
 	slack           time.Duration
@@ -71,8 +71,8 @@
 	senders         []*sender
 	texts           map[string]*text
 	calls           map[int64]*call
-	keyQueues       map[queueKey][]*text // texts of a key that a sender took, in order
-	pendingBreaches []pendingBreach      // what is a breach unless something comes to light in time
+	keyQueues       map[queueKey][]*text // the texts of a key accepted by a sender, in order
+	pendingBreaches []pendingBreach      // breaches unless a later event clears them in time
 	account         tally
 }
 
@@ -81,10 +81,10 @@
 	incarnation int // counts its starts
 	stopping    bool
 	down        bool
-	graceEnd    time.Duration // nothing is overdue before
-	unfinished  []*text       // that it has taken on, by the end of their validity
+	graceEnd    time.Duration // no text is overdue before
+	unfinished  []*text       // accepted texts, sorted by the end of their validity
 	notified    map[int]stateNotice
-	pending     map[int]stateNotice // counts as told from then on, at the latest
+	pending     map[int]stateNotice // count as received from their instant on, at the latest
 	waits       map[int]wait        // by destination
 	failed      map[int]time.Duration
 }
@@ -106,13 +106,13 @@
 	answered    bool
 	taken       bool
 	takenAt     time.Duration
-	abandonedAt time.Duration // its client waits no more, unheard; 0 if not
+	abandonedAt time.Duration // its client stopped waiting without an answer; 0: it did not
 	calls       []*call
-	end         string // its final answer; empty while it is owed
+	end         string // its final outcome; empty while it is unfinished
 	endAt       time.Duration
-	deliveredBy *call // the one that was answered as delivered
+	deliveredBy *call // the call that was answered with 200
 	firstRunAt  time.Duration
-	mayHaveRun  bool // a submit of it may have run
+	mayHaveRun  bool // one of its calls may have run
 	restUntil   time.Duration
 	recent      eventTrail
 }
@@ -134,14 +134,14 @@
 	key                 string
 }
 
-// pendingBreach is a breach at its instant unless cleared says by then that all was well.
+// pendingBreach becomes a breach at its due instant unless cleared returns true by then.
 type pendingBreach struct {
 	due     time.Duration
 	cleared func() bool
 	breach  Breach
 }
 
-// eventTrail keeps the last things seen of something.
+// eventTrail holds the last events of a text.
 type eventTrail []string
 
 func (t *eventTrail) add(now time.Duration, format string, args ...any) {
@@ -153,7 +153,7 @@
 
 func formatInstant(d time.Duration) string { return fmt.Sprintf("%.4fs", d.Seconds()) }
 
-// New makes a referee for so many senders; destination says whose receiver a number is.
+// New returns a referee for a number of senders; destination returns the destination of a receiver.
 func New(rules world.Rules, senders int, destination func(receiver int) int) *Referee {
 	r := &Referee{rules: rules, slack: millis(rules.SlackMs), destination: destination, texts: map[string]*text{},
 		calls: map[int64]*call{}, keyQueues: map[queueKey][]*text{}, account: newTally()}
@@ -166,7 +166,7 @@
 
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// addBreach notes a broken rule.
+// addBreach records a breach, with the last events of its text.
 func (r *Referee) addBreach(b Breach) {
 	if t := r.texts[b.Text]; t != nil && b.Last == nil {
 		b.Last = slices.Clone(t.recent)
@@ -178,7 +178,7 @@
 	r.Breaches = append(r.Breaches, b)
 }
 
-// Advance lets time pass: what is overdue by now is a breach. Everything that is told advances by itself.
+// Advance moves the time forward: whatever is overdue by now is a breach. All methods that record an event call it.
 func (r *Referee) Advance(now time.Duration) {
 	r.now = max(r.now, now)
 	r.pendingBreaches = slices.DeleteFunc(r.pendingBreaches, func(d pendingBreach) bool {
@@ -196,7 +196,8 @@
 	}
 }
 
-// checkOverdue finds the texts of a sender that should have ended. One that is being restarted has its time first.
+// checkOverdue records the loss of a sender's texts that should have ended. A sender that is stopping, down or within the
+// grace time after its restart has no overdue texts.
 func (r *Referee) checkOverdue(s *sender) {
 	if s.stopping || s.down || r.now < s.graceEnd {
 		return
@@ -222,7 +223,7 @@
 	s.unfinished = slices.Insert(s.unfinished, i, t)
 }
 
-// HandedIn: a client hands a text in.
+// HandedIn records that a client hands in a text.
 func (r *Referee) HandedIn(now time.Duration, h HandIn) {
 	r.Advance(now)
 	t := &text{HandIn: h, at: now, incarnation: r.senders[h.Sender].incarnation}
@@ -231,14 +232,14 @@
 	r.account.handedIn(t)
 }
 
-// SenderUnavailable: a client finds no sender that it could hand a text in to.
+// SenderUnavailable records that a client finds no sender to hand in a text to.
 func (r *Referee) SenderUnavailable(now time.Duration, t *world.Text) {
 	r.Advance(now)
 	r.account.ended(&text{HandIn: HandIn{Text: t}}, "unheard", 0)
 }
 
-// ClientAnswered: a client reads the answer to its hand-in, or closes its connection since none came in its patience
-// (world.NoAnswer).
+// ClientAnswered records that a client reads the answer to its hand-in, or closes the connection after waiting for one in
+// vain (world.NoAnswer).
 func (r *Referee) ClientAnswered(now time.Duration, id string, h world.Heard, advice time.Duration) {
 	r.Advance(now)
 	t := r.texts[id]
@@ -254,7 +255,7 @@
 			k := queueKey{t.Sender, t.incarnation, t.Text.Key}
 			r.keyQueues[k] = append(r.keyQueues[k], t)
 		}
-		if t.deliveredBy != nil { // its 200 was quicker
+		if t.deliveredBy != nil { // the receiver's 200 was observed first
 			r.recordDelivery(t, t.endAt)
 		} else if t.end == "" {
 			r.addUnfinished(t)
@@ -269,8 +270,8 @@
 	}
 }
 
-// ClientConnectionClosed: a sender ended a client's connection without an answer, so long after the request's last byte. Shortly
-// after it the sender may not have read it, and nothing is lost.
+// ClientConnectionClosed records that a sender closed a client's connection without an answer; after is the time since the
+// request's last byte. Within the slack the sender may not have read the request, so that nothing is lost.
 func (r *Referee) ClientConnectionClosed(now time.Duration, id string, after time.Duration) {
 	r.Advance(now)
 	t := r.texts[id]
@@ -287,7 +288,7 @@
 	r.account.unanswered(t)
 }
 
-// recordNack: a nack promises that handing in again does no harm.
+// recordNack records a nack, which guarantees that a text may be handed in again without harm.
 func (r *Referee) recordNack(t *text, how string) {
 	if t.mayHaveRun && t.Text.Product.Repeat == "once-only" {
 		r.addBreach(Breach{Rule: 2, At: r.now, Text: t.ID, Sender: t.Sender,
@@ -296,13 +297,13 @@
 	r.recordEnd(t, "nacked", how)
 }
 
-// recordEnd gives a text its final answer; a second one that says another thing is a breach.
+// recordEnd sets the final outcome of a text; a second, different outcome is a breach.
 func (r *Referee) recordEnd(t *text, what, how string) {
 	if t.end == "" {
 		r.setEnd(t, what)
 		return
 	}
-	// One that was delivered may be ended once more: its sender may not have read the 200. A notice may come twice.
+	// A delivered text may end once more, since its sender may not have read the 200. A notice may come twice.
 	if t.end != what && t.end != "delivered" && t.end != "lost" {
 		r.addBreach(Breach{Rule: 1, At: r.now, Text: t.ID, Sender: t.Sender, Why: fmt.Sprintf("%s, after it had ended as %s at %s", how, t.end, formatInstant(t.endAt))})
 	}
@@ -313,7 +314,7 @@
 	r.account.ended(t, what, r.now)
 }
 
-// NoticeSent: a sender tells the platform how a text ended; handedBack for a nack, else it was given up.
+// NoticeSent records that a sender notifies the platform how a text ended: handed back (a nack) or given up.
 func (r *Referee) NoticeSent(now time.Duration, sender int, id string, handedBack bool) {
 	r.Advance(now)
 	t := r.texts[id]
@@ -324,7 +325,7 @@
 	what := map[bool]string{true: "handed back", false: "given up"}[handedBack]
 	t.recent.add(now, "noticed as %s", what)
 	if t.abandonedAt > 0 {
-		return // nobody waits for it
+		return // its client no longer waits
 	}
 	if handedBack {
 		r.recordNack(t, "noticed as "+what)
@@ -333,7 +334,7 @@
 	}
 }
 
-// SenderDown: a sender is sent SIGKILL, or has ended. What it had been told of waits may end with it.
+// SenderDown records that a sender got SIGKILL or has ended. With RestartClears the waits that it was told end with it.
 func (r *Referee) SenderDown(now time.Duration, no int) {
 	r.Advance(now)
 	s := r.senders[no]
@@ -344,20 +345,20 @@
 	clear(s.failed)
 }
 
-// SenderStopping: a sender is sent SIGTERM.
+// SenderStopping records that a sender got SIGTERM.
 func (r *Referee) SenderStopping(now time.Duration, no int) {
 	r.Advance(now)
 	r.senders[no].stopping = true
 }
 
-// SenderStarted: a sender's process is started; it may work on what it holds from before.
+// SenderStarted records that a sender's process is started; it may work on texts that it stored before.
 func (r *Referee) SenderStarted(now time.Duration, no int) {
 	r.Advance(now)
 	r.senders[no].incarnation++
-	r.senders[no].down = true // as far as what is overdue goes, until it is ready
+	r.senders[no].down = true // so that no text is overdue until it is ready
 }
 
-// SenderReady: a sender serves, for the first time or again.
+// SenderReady records that a sender serves, for the first time or again.
 func (r *Referee) SenderReady(now time.Duration, no int) {
 	r.Advance(now)
 	s := r.senders[no]
@@ -367,7 +368,7 @@
 	s.down, s.stopping = false, false
 }
 
-// OpenTexts counts the texts that are taken on and have not ended.
+// OpenTexts counts the accepted texts that have not ended.
 func (r *Referee) OpenTexts() int {
 	n := 0
 	for _, s := range r.senders {
@@ -380,7 +381,8 @@
 	return n
 }
 
-// ReceiverStateChanged: the list changes; whether or not it is told, it counts as told after a while.
+// ReceiverStateChanged records a change of a receiver's state in the list. Each sender counts as notified after ListLatestS,
+// whether or not it was.
 func (r *Referee) ReceiverStateChanged(now time.Duration, receiver int, state string) {
 	r.Advance(now)
 	for _, s := range r.senders {
@@ -388,7 +390,7 @@
 	}
 }
 
-// ReceiverStateNotified: the list has told a sender of a receiver.
+// ReceiverStateNotified records that the list notified a sender of a receiver's state.
 func (r *Referee) ReceiverStateNotified(now time.Duration, no, receiver int, state string) {
 	r.Advance(now)
 	s := r.senders[no]
@@ -396,12 +398,12 @@
 		delete(s.pending, receiver)
 	}
 	was, drains := s.notified[receiver], func(state string) bool { return state == world.Leaving || state == world.Left }
-	if was.state != state && !(drains(was.state) && drains(state)) { // a drain counts from its first telling
+	if was.state != state && !(drains(was.state) && drains(state)) { // a drain counts from its first notice
 		s.notified[receiver] = stateNotice{state, now}
 	}
 }
 
-// Finish ends the day: whatever is owed and not ended by now is judged.
+// Finish ends the day: accepted texts that have not ended are lost.
 func (r *Referee) Finish(now time.Duration) {
 	r.Advance(now)
 	for _, s := range r.senders {
@@ -414,7 +416,7 @@
 	}
 }
 
-// Verdict says in a line a rule what was found.
+// Verdict returns one line for each rule.
 func (r *Referee) Verdict() string {
 	var out strings.Builder
 	for rule := 1; rule < len(RuleNames); rule++ {
--- a/internal/lab/referee/referee_test.go
+++ b/internal/lab/referee/referee_test.go
@@ -16,18 +16,18 @@
 
 func TestMain(m *testing.M) { rapidseed.Main(m) }
 
-var rules = world.Rules{SlackMs: 50, EndMs: 300, DrainMs: 1000, WaitExcuseMs: 100, RestartMs: 1500, FallMultiple: 2, FallS: 3,
+var testRules = world.Rules{SlackMs: 50, EndMs: 300, DrainMs: 1000, WaitExcuseMs: 100, RestartMs: 1500, FallMultiple: 2, FallS: 3,
 	FallSlack: 3, ColdFrom: 0.2, ColdS: 6, ListLatestS: 6, KeyRestMs: 400, RestartClears: true}
 
-var products = map[string]*world.Product{
+var testProducts = map[string]*world.Product{
 	"status": {Name: "status", SLAS: 2, ValidityS: 6, Repeat: "resendable", Revenue: 3, LateShare: 0.3},
 	"order":  {Name: "order", SLAS: 2, ValidityS: 8, Repeat: "referenced", WindowS: 5, Revenue: 1, LateShare: 0.3},
 	"charge": {Name: "charge", SLAS: 2, ValidityS: 8, Repeat: "once-only", Revenue: 2, LateShare: 0.3},
 	"serial": {Name: "serial", SLAS: 2, ValidityS: 8, Repeat: "resendable", Revenue: 1, Ordered: true, LateShare: 0.3},
 }
 
-// story plays a scenario. Each line is an instant in seconds and what is seen then; receivers 0 and 1 are of
-// destination 0, receiver 2 is of destination 1. All is handed in to sender 0 unless said, for destination 0.
+// playScenario passes the events of a scenario to a referee. Each line is an instant in seconds and an event. Receivers 0
+// and 1 belong to destination 0, receiver 2 to destination 1. Unless a line says otherwise, its sender and destination are 0.
 //
 //	0.1 hand a order [sender=1] [dest=1] [key=k]    0.2 heard a taken|nacked|failed|noanswer
 //	0.3 begin 1 a 0 [sender=1]                      0.3 arrive 1          (call 1 with text a at receiver 0)
@@ -35,8 +35,8 @@
 //	0.5 notice a back|over [sender=1]               0.5 dropped a 0.2
 //	0.6 changed 0 leaving                           0.6 told 0 leaving [sender=1]
 //	0.7 stopping 0 | down 0 | ready 0               0.8 fell 0 2.0 5 7    (outage from 2.0, calls by each sender)
-func story(text string) (*Referee, error) {
-	r := New(rules, 2, func(receiver int) int { return receiver / 2 })
+func playScenario(text string) (*Referee, error) {
+	r := New(testRules, 2, func(receiver int) int { return receiver / 2 })
 	for no := range 2 {
 		r.SenderStarted(0, no)
 		r.SenderReady(0, no)
@@ -63,9 +63,9 @@
 		arg := func(i int) string { return f[i+2] }
 		switch f[1] {
 		case "hand":
-			p := products[arg(1)]
+			p := testProducts[arg(1)]
 			if p == nil {
-				return nil, fmt.Errorf("no product %q", arg(1))
+				return nil, fmt.Errorf("unknown product %q", arg(1))
 			}
 			t := &world.Text{No: no, At: now, Product: p, Destination: int(num(opt["dest"])), Key: opt["key"]}
 			no++
@@ -77,7 +77,7 @@
 			r.CallBegan(now, now, int64(num(arg(0))), arg(1), sender, int(num(arg(2))))
 		case "arrive":
 			r.CallArrived(now, int64(num(arg(0))))
-		case "call": // begun and arrived at once
+		case "call": // begins and arrives at once
 			r.CallBegan(now, now, int64(num(arg(0))), arg(1), sender, int(num(arg(2))))
 			r.CallArrived(now, int64(num(arg(0))))
 		case "answer":
@@ -107,21 +107,21 @@
 		case "finish":
 			r.Finish(now)
 		default:
-			return nil, fmt.Errorf("what is %q", f[1])
+			return nil, fmt.Errorf("unknown event %q", f[1])
 		}
 	}
 	return r, nil
 }
 
-// TestStories: for each rule at least three scenarios that break it and three that come as near as is allowed.
-func TestStories(t *testing.T) {
+// TestScenarios checks, for each rule, at least three scenarios that break it and three that only just keep it.
+func TestScenarios(t *testing.T) {
 	files, err := os.ReadDir("testdata")
 	if err != nil || len(files) < 6 {
 		t.Fatal(files, err)
 	}
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
-			r, err := story(d.Input)
+			r, err := playScenario(d.Input)
 			if err != nil {
 				return err.Error()
 			}
@@ -141,11 +141,12 @@
 	})
 }
 
-// Whatever is observed, in whatever order: no panic, and each text has one fate, so that the account adds up.
+// TestAccountAddsUp passes random events in random order: the referee must not panic, and each text must have exactly one
+// outcome, so that the account adds up.
 func TestAccountAddsUp(t *testing.T) {
 	names := []string{"status", "order", "charge", "serial"}
 	rapid.Check(t, func(t *rapid.T) {
-		r := New(rules, 2, func(receiver int) int { return receiver / 2 })
+		r := New(testRules, 2, func(receiver int) int { return receiver / 2 })
 		now, texts, calls := time.Duration(0), 0, int64(0)
 		asked := 0.0
 		pick := func(n int) int { return rapid.IntRange(0, max(0, n-1)).Draw(t, "which") }
@@ -155,7 +156,7 @@
 			no := int64(pick(int(calls)))
 			switch rapid.IntRange(0, 11).Draw(t, "what") {
 			case 0, 1, 2:
-				p := products[names[pick(4)]]
+				p := testProducts[names[pick(4)]]
 				w := &world.Text{No: texts, At: now, Product: p, Key: map[bool]string{true: "k"}[p.Ordered]}
 				r.HandedIn(now, HandIn{ID: fmt.Sprint("t", texts), Sender: pick(2), Text: w, ValidUntil: w.Validity()})
 				texts++
@@ -186,15 +187,15 @@
 		sum, revenue := 0, 0.0
 		for _, p := range r.Account().Products {
 			if fates := p.InTime + p.Late + p.Nacked + p.Failed + p.Lost + p.Unheard; fates != p.Texts {
-				t.Fatalf("%d fates of %d texts: %+v", fates, p.Texts, p)
+				t.Fatalf("%d outcomes of %d texts: %+v", fates, p.Texts, p)
 			}
 			if p.Earned+p.Faded > p.Asked+1e-9 {
-				t.Fatalf("earned more than was asked: %+v", p)
+				t.Fatalf("revenue above that of all texts handed in: %+v", p)
 			}
 			sum, revenue = sum+p.Texts, revenue+p.Asked
 		}
 		if sum != texts || revenue != asked {
-			t.Fatalf("%d texts and %v asked, handed in %d and %v", sum, revenue, texts, asked)
+			t.Fatalf("account of %d texts and revenue %v, want %d and %v", sum, revenue, texts, asked)
 		}
 	})
 }
--- a/internal/lab/referee/tierrules/answers.go
+++ b/internal/lab/referee/tierrules/answers.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// judgeAnswers judges MIXED: each answer is one receiver's, whole, and that of its request.
+// judgeAnswers checks MIXED: each answer is the complete answer of a single receiver and belongs to its request.
 func (j *judge) judgeAnswers() {
 	for _, r := range j.Requests {
 		j.countCheck(Mixed)
@@ -28,7 +28,7 @@
 	}
 }
 
-// judgeSuccess judges an answer of success; a stream's pieces are judged by ORDER.
+// judgeSuccess checks a 2xx answer. The events of a stream are checked by ORDER.
 func (j *judge) judgeSuccess(r *Request) {
 	if r.Answer.Stamp == "" {
 		j.addBreach(Mixed, r.Ended, r, "a success without a receiver's stamp")
@@ -47,7 +47,7 @@
 	}
 }
 
-// judgeFailure judges a failure that bears a receiver's stamp.
+// judgeFailure checks an answer other than 2xx that has a receiver's stamp.
 func (j *judge) judgeFailure(r *Request) {
 	for _, run := range j.runs[r.ID] {
 		if run.Stamp == r.Answer.Stamp {
@@ -59,7 +59,7 @@
 	}
 }
 
-// runOfAnswer is the run whose stamp the answer bears.
+// runOfAnswer returns the run whose stamp the answer has, nil if there is none.
 func (j *judge) runOfAnswer(r *Request) *Run {
 	for _, run := range j.runs[r.ID] {
 		if run.Stamp == r.Answer.Stamp {
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// judgeStreams judges ORDER.
+// judgeStreams checks ORDER.
 func (j *judge) judgeStreams() {
 	for _, r := range j.Requests {
 		if r.Kind != Streaming || r.Answer == nil || r.Answer.Status != http.StatusOK {
@@ -80,8 +80,8 @@
 	}
 }
 
-// judgeStream follows the pieces: each is the next one of the run that gave the one before, or of another run that went on
-// there, where the kind may be resumed.
+// judgeStream checks that each event is the next one of the run that wrote the previous event or, if the route is
+// resumable, of another run that resumed there.
 func (j *judge) judgeStream(r *Request) {
 	next := r.LastEventID + 1
 	var current *Run
--- a/internal/lab/referee/tierrules/config.go
+++ b/internal/lab/referee/tierrules/config.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// outcome of a change as its operator knows it.
+// outcome of a configuration change as known to its operator.
 type outcome int
 
 const (
-	unknown      outcome = iota // it may be in force or not
-	acknowledged                // it is in force from its acknowledgement on, until a later one is
+	unknown      outcome = iota // it may or may not be in force
+	acknowledged                // it is in force from its acknowledgement until a later change is
 	refused
 )
 
-// outcome tells what became of a change, and when it was first acknowledged.
+// outcome returns the outcome of a change and when it was first acknowledged.
 func (c *ConfigChange) outcome() (outcome, time.Duration) {
 	result := unknown
 	for _, t := range c.Attempts {
@@ -31,7 +31,7 @@
 	return result, 0
 }
 
-// mayBeInForce says whether the change may have been taken: it is valid and was not refused.
+// mayBeInForce reports whether the change may have been applied: it is valid and was not refused.
 func (c *ConfigChange) mayBeInForce() bool {
 	f, _ := c.outcome()
 	return f != refused && !c.Invalid
@@ -44,7 +44,7 @@
 	return c.Attempts[0].Sent
 }
 
-// routeFor is the route of a request by a configuration: that of its host with the longest prefix.
+// routeFor returns the configuration's route for a request: that of its authority with the longest matching path prefix.
 func (c *ConfigChange) routeFor(authority, target string) *Route {
 	path, _, _ := strings.Cut(target, "?")
 	var best *Route
@@ -65,7 +65,7 @@
 	return route != nil && slices.Contains(route.Services, run.Service)
 }
 
-// newestAcknowledged is the newest version that was acknowledged before an instant.
+// newestAcknowledged returns the newest version acknowledged before an instant, 0 if there is none.
 func (j *judge) newestAcknowledged(at time.Duration) uint64 {
 	var newest uint64
 	for _, c := range j.changes {
@@ -76,8 +76,9 @@
 	return newest
 }
 
-// possiblyInForce are the changes that may be in force at a request that was sent and ended at these instants, at a machine in
-// touch: none older than what had been acknowledged by the bound, none that had not been sent by the end, none refused.
+// possiblyInForce returns the changes that a machine in contact may apply to a request that was sent and ended at these
+// instants. It excludes versions older than the newest one acknowledged at least the ConfigApply bound before the request,
+// changes first sent after its end, and refused or invalid ones.
 func (j *judge) possiblyInForce(sent, ended time.Duration) []*ConfigChange {
 	oldest := j.newestAcknowledged(sent - j.Bounds.ConfigApply)
 	var list []*ConfigChange
@@ -89,18 +90,18 @@
 	return list
 }
 
-// routeInAll says whether every configuration that may be in force knows the request's route.
+// routeInAll reports whether every configuration that may be in force has a route for the request.
 func (j *judge) routeInAll(r *Request) bool {
-	candidates := j.possiblyInForce(r.Sent, r.Ended)
-	for _, c := range candidates {
+	changes := j.possiblyInForce(r.Sent, r.Ended)
+	for _, c := range changes {
 		if c.routeFor(r.Authority, r.Target) == nil {
 			return false
 		}
 	}
-	return len(candidates) > 0
+	return len(changes) > 0
 }
 
-// judgeRoutes judges ROUTE, and of CONFIG what requests show: which configuration a machine worked by.
+// judgeRoutes checks ROUTE and the part of CONFIG that requests show: which configuration a machine applied.
 func (j *judge) judgeRoutes() {
 	for _, run := range j.Runs {
 		if r := j.requests[run.RequestID]; r != nil {
@@ -115,13 +116,13 @@
 }
 
 func (j *judge) judgeRoute(r *Request, run *Run) {
-	ever := slices.ContainsFunc(j.changes, func(c *ConfigChange) bool { return c.allows(run) })
-	if !ever {
+	allowedByAny := slices.ContainsFunc(j.changes, func(c *ConfigChange) bool { return c.allows(run) })
+	if !allowedByAny {
 		j.addBreach(Misrouted, run.Began, r, "service %s runs it, which no configuration allows", run.Service)
 		return
 	}
-	taken := slices.ContainsFunc(j.changes, func(c *ConfigChange) bool { return c.mayBeInForce() && c.allows(run) })
-	if !taken {
+	allowedByUnrefused := slices.ContainsFunc(j.changes, func(c *ConfigChange) bool { return c.mayBeInForce() && c.allows(run) })
+	if !allowedByUnrefused {
 		j.addBreach(Config, run.Began, r, "service %s runs it, as only a refused configuration allows", run.Service)
 		return
 	}
@@ -129,13 +130,13 @@
 		return
 	}
 	j.countCheck(Config)
-	now := j.possiblyInForce(r.Sent, run.Began)
-	if !slices.ContainsFunc(now, func(c *ConfigChange) bool { return c.allows(run) }) {
+	inForce := j.possiblyInForce(r.Sent, run.Began)
+	if !slices.ContainsFunc(inForce, func(c *ConfigChange) bool { return c.allows(run) }) {
 		j.addBreach(Config, run.Began, r, "service %s runs it, as only a version before %d allows", run.Service, j.newestAcknowledged(r.Sent-j.Bounds.ConfigApply))
 	}
 }
 
-// judgeNotFound judges a 404 of the tier's own though the route is there.
+// judgeNotFound checks that the tier does not answer 404 by itself although the route exists.
 func (j *judge) judgeNotFound(r *Request) {
 	if r.status() != http.StatusNotFound || r.Answer.Stamp != "" || r.Previous != "" {
 		return
@@ -146,7 +147,7 @@
 	j.addBreach(Config, r.Ended, r, "404 though the route is there since version %d", j.newestAcknowledged(r.Sent-j.Bounds.ConfigApply))
 }
 
-// judgeRollbacks judges that no incarnation goes back.
+// judgeRollbacks checks that no incarnation of a process returns to an older configuration.
 func (j *judge) judgeRollbacks() {
 	for _, start := range j.ProcessStarts {
 		j.judgeRollback(start.Machine, start.At, j.nextStart(start))
@@ -163,7 +164,7 @@
 	return next
 }
 
-// observedVersions is what a request showed of the configuration in force: the versions that allow its handling.
+// observedVersions is the range of configuration versions that allow the observed handling of a request.
 type observedVersions struct {
 	request        *Request
 	at             time.Duration
@@ -197,7 +198,7 @@
 	}
 }
 
-// judgeConfiguration judges what the operator saw.
+// judgeConfiguration checks CONFIG by what the operator observed.
 func (j *judge) judgeConfiguration() {
 	for i, c := range j.changes {
 		j.countCheck(Config)
@@ -220,7 +221,7 @@
 	return a.BaseVersion == b.BaseVersion && a.Modify == b.Modify && bytes.Equal(a.Body, b.Body)
 }
 
-// judgeRepeats judges that an acknowledged change which goes out again, and nothing else since, is not refused.
+// judgeRepeats checks that an acknowledged change that is sent again is not refused if no newer change was sent meanwhile.
 func (j *judge) judgeRepeats(c *ConfigChange) {
 	_, first := c.outcome()
 	for i, t := range c.Attempts {
@@ -237,7 +238,8 @@
 	}
 }
 
-// judgeReads judges the configuration as read: none is older than what had been acknowledged when it was asked for.
+// judgeReads checks that no configuration read is older than the newest one acknowledged before the read, and that each one
+// is as it was sent.
 func (j *judge) judgeReads() {
 	for _, read := range j.ConfigReads {
 		if read.Status != http.StatusOK {
--- a/internal/lab/referee/tierrules/executions.go
+++ b/internal/lab/referee/tierrules/executions.go
@@ -5,16 +5,16 @@
 	"net/http"
 )
 
-// allowedExcesses is how many requests may be sent to more receivers than their route allows.
+// allowedExcesses is the number of requests that may run at more receivers than their route allows.
 const allowedExcesses = 3
 
-// deniedSlack and deniedShare bound the proper requests that may be denied: 5 + one in 500.
+// allowedDenials and requestsPerAllowedDenial limit the denials of valid requests: 5, and one more for each 500 requests.
 const (
 	allowedDenials           = 5
 	requestsPerAllowedDenial = 500
 )
 
-// guaranteesNotRun says whether a status states that nothing ran and never will.
+// guaranteesNotRun reports whether a status guarantees that the request did not run and will not run.
 func guaranteesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -23,7 +23,7 @@
 	return false
 }
 
-// judgeExecutions judges UNASKED, TWICE, REFUSED and the attempts of BUDGET.
+// judgeExecutions checks UNASKED, TWICE, REFUSED and the part of BUDGET that limits attempts.
 func (j *judge) judgeExecutions() {
 	for _, run := range j.Runs {
 		j.countCheck(Unasked)
@@ -46,7 +46,7 @@
 	}
 }
 
-// judgeRequested judges whether a client sent what a receiver runs.
+// judgeRequested checks that a client sent what a receiver runs.
 func (j *judge) judgeRequested(run *Run) {
 	r := j.requests[run.RequestID]
 	if r == nil {
@@ -61,7 +61,7 @@
 	}
 }
 
-// judgeRefusal judges REFUSED: what was answered with a promise has not run and never does.
+// judgeRefusal checks REFUSED: a request whose answer guarantees that it did not run has not run and never runs.
 func (j *judge) judgeRefusal(r *Request, runs []*Run) {
 	status := r.status()
 	budgetSpent := status == http.StatusPaymentRequired
@@ -73,12 +73,12 @@
 		return
 	}
 	if r.Answer.Stamp != "" && runs[0].Stamp == r.Answer.Stamp && runs[0].Status == status {
-		return // the receiver's own word
+		return // the receiver's own answer
 	}
 	j.addBreach(Refused, r.Ended, r, "answered %d, yet it ran at %s from %.3fs on", status, runs[0].Instance, runs[0].Began.Seconds())
 }
 
-// receiversTried counts the receivers that ran it, without those that crashed meanwhile.
+// receiversTried counts the receivers of the runs, except those that crashed after the run began.
 func (j *judge) receiversTried(runs []*Run) int {
 	instances := map[string]bool{}
 	for _, run := range runs {
@@ -93,8 +93,9 @@
 	return len(instances)
 }
 
-// judgeDenials judges DENIED: proper requests that every configuration which may be in force allows are not ended with a 3xx
-// or 4xx of the tier's own. 402 and 404 to turns have rules of their own.
+// judgeDenials checks DENIED: the tier itself does not answer 3xx or 4xx to a valid request that every configuration
+// that may be in force allows. The statuses that guarantee that nothing ran, and 402 and 404 to turns, are checked by
+// other rules.
 func (j *judge) judgeDenials() {
 	var denied []*Request
 	for _, r := range j.Requests {
--- a/internal/lab/referee/tierrules/history.go
+++ b/internal/lab/referee/tierrules/history.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Bounds are the figures of the rules.
+// Bounds are the time limits of the rules.
 type Bounds struct {
-	Contact       time.Duration // without trouble, for a machine to be in touch
-	Drain         time.Duration // after the acknowledgement, within which requests may still reach a draining receiver
+	Contact       time.Duration // without faults, until a machine counts as in contact
+	Drain         time.Duration // from the acknowledgement, during which requests may still reach a draining receiver
 	Grace         time.Duration // between SIGTERM and SIGKILL
-	LossSlack     time.Duration // within which a request that went nowhere may end unserved
-	ConfigApply   time.Duration // within which an acknowledged configuration is in force
-	RollbackSlack time.Duration // within which an older configuration may still show
-	Recovery      time.Duration // after the machines are back, within which requests are served again
-	Ack           time.Duration // within which a proper order of a calm time is acknowledged
+	LossSlack     time.Duration // after a request was fully sent, during which it may end unserved if it reached no receiver
+	ConfigApply   time.Duration // from the acknowledgement until a configuration is in force
+	RollbackSlack time.Duration // during which an older configuration may still be observed
+	Recovery      time.Duration // from the end of the final fault until requests are served again
+	Ack           time.Duration // within which a valid configuration change is acknowledged if no fault is active
 }
 
-// History is all that was seen of a day.
+// History is everything that was observed during a day.
 type History struct {
 	Bounds        Bounds
-	TrafficEnd    time.Duration // traffic ends
+	TrafficEnd    time.Duration // end of the traffic
 	Requests      []*Request
 	Runs          []*Run
 	Rejections    []*Rejection
@@ -30,14 +30,14 @@
 	Loads         []Load
 }
 
-// Load is how full the receivers of turns were together at an instant.
+// Load is the joint load of all receivers of turns at an instant.
 type Load struct {
 	At    time.Duration
 	InUse int // running and queued
 	Slots int
 }
 
-// RouteKind is what may be repeated of a route.
+// RouteKind tells whether a route's requests may be repeated.
 type RouteKind string
 
 // The kinds of route.
@@ -47,11 +47,11 @@
 	Streaming RouteKind = "streaming"
 )
 
-// Request is one try of a client.
+// Request is one attempt of a client.
 type Request struct {
 	ID          string
-	Machine     string // that it was sent to
-	Class       string // the client's kind of request, for the count
+	Machine     string // that the client sent it to
+	Class       string // the client's kind of request, for statistics
 	Kind        RouteKind
 	Resumable   bool
 	Retained    bool
@@ -59,57 +59,57 @@
 	Target      string
 	Method      string
 	Body        []byte        // what the client sent; a turn's new input
-	Deadline    time.Duration // that the client granted, from Sent
-	Timeout     time.Duration // of the route as the client knows it
+	Deadline    time.Duration // granted by the client, counted from Sent
+	Timeout     time.Duration // of the route, as known to the client
 	Retention   time.Duration
-	LastEventID uint64 // the stream is taken up behind it
+	LastEventID uint64 // the stream is resumed after this event
 	MaxAttempts int    // the route's max_attempts
 
 	Program         string
 	TokenBudget     int64
-	MaxTokens       int64 // tokens that the turn may generate
-	TokensPerEvent  int64 // tokens in an event
+	MaxTokens       int64 // that the turn may generate
+	TokensPerEvent  int64
 	Previous        string
-	ProgramDeadline time.Duration // the instant of the program's aim; 0: none
+	ProgramDeadline time.Duration // 0: none
 
-	ReusedConnection bool // its connection had brought a request before
+	ReusedConnection bool // its connection had carried an earlier request
 	Sent             time.Duration
-	FullySent        time.Duration // its last byte was written; 0: it was not
-	Ended            time.Duration // its answer, or the connection, ended
-	Answer           *Answer       // nil: none came
-	ClientAborted    bool          // the client ended it
-	StrayBytes       bool          // bytes came that are no answer in the protocol, or none that was asked for
+	FullySent        time.Duration // its last byte was written; 0: it was not sent completely
+	Ended            time.Duration // its answer or its connection ended
+	Answer           *Answer       // nil: none arrived
+	ClientAborted    bool          // the client closed the connection
+	StrayBytes       bool          // the client read bytes that are not a valid answer, or an answer to no request
 }
 
-// Answer is what a client read.
+// Answer is the answer as the client read it.
 type Answer struct {
 	Status    int
 	Stamp     string
-	RequestID string // Emberquay-Request-Id of the answer; may be empty
+	RequestID string // the answer's Emberquay-Request-Id header; may be empty
 	Body      []byte
-	Events    []Event // of a stream, those that came whole
-	Complete  bool    // its end came
+	Events    []Event // of a stream, those received completely
+	Complete  bool    // received to its end
 }
 
-// Event is one of a stream.
+// Event is an event of a stream.
 type Event struct {
 	ID   uint64
 	Data string
 	At   time.Duration
 }
 
-// idempotent says whether the request may run more than once.
+// idempotent reports whether the request may run more than once.
 func (r *Request) idempotent() bool { return r.Kind == Safe || r.Kind == Streaming && r.Resumable }
 
-// succeeded says whether the client takes the answer as a whole 2xx.
+// succeeded reports whether the client received a complete 2xx answer.
 func (r *Request) succeeded() bool {
 	return r.hasCompleteAnswer() && r.Answer.Status/100 == 2
 }
 
-// hasCompleteAnswer says whether an answer came to its end, be it the receiver's or the tier's own.
+// hasCompleteAnswer reports whether the client received a complete answer, from a receiver or from the tier itself.
 func (r *Request) hasCompleteAnswer() bool { return r.Answer != nil && r.Answer.Complete }
 
-// status is that of the answer, 0 where none came.
+// status returns the answer's status, 0 without an answer.
 func (r *Request) status() int {
 	if r.Answer == nil {
 		return 0
@@ -117,7 +117,7 @@
 	return r.Answer.Status
 }
 
-// Run is a request that a receiver began to work on.
+// Run is the execution of a request by a receiver.
 type Run struct {
 	RequestID    string
 	Instance     string
@@ -127,18 +127,18 @@
 	Method       string
 	Body         []byte
 	Began        time.Duration
-	Ended        time.Duration // 0: never
-	Status       int           // that the receiver answered; 0: none
+	Ended        time.Duration // 0: it did not end
+	Status       int           // of the receiver's answer; 0: none
 	Stamp        string
 	Answer       []byte
-	Events       []Event // that were written
-	ResumedAfter uint64  // that it was asked to go on behind
-	Complete     bool    // its answer was written whole
-	Aborted      bool    // the receiver ended it itself
-	FinalEventID uint64  // the id of the last event of a whole stream
+	Events       []Event // that the receiver wrote
+	ResumedAfter uint64  // the event after which the receiver was asked to resume
+	Complete     bool    // its answer was written completely
+	Aborted      bool    // by the receiver itself
+	FinalEventID uint64  // of the complete stream
 }
 
-// Rejection is a request that reached a receiver and was turned away with the word that it did not run.
+// Rejection is a request that reached a receiver and was rejected with a status that guarantees that it did not run.
 type Rejection struct {
 	RequestID string
 	Instance  string
@@ -146,7 +146,7 @@
 	At        time.Duration
 }
 
-// ConfigChange is one order of the operator that changes the configuration, with all of its tries.
+// ConfigChange is one change of the configuration by the operator, with all attempts to send it.
 type ConfigChange struct {
 	Name           string
 	BaseVersion    uint64
@@ -154,70 +154,70 @@
 	Body           []byte // as sent
 	Modify         bool
 	Invalid        bool
-	Routes         []Route // in force once it is taken; the operator knows them from what it sent
-	ExpectedConfig []byte  // the configuration that should be read back; empty where only its routes are compared
+	Routes         []Route // in force after the change; the operator knows them from what it sent
+	ExpectedConfig []byte  // that should be read back; empty if only its routes are compared
 	Attempts       []Attempt
 }
 
-// Attempt is one sending of a change.
+// Attempt is one attempt to send a configuration change.
 type Attempt struct {
 	Sent, Ended time.Duration
-	Status      int // 0: no clear answer
+	Status      int // 0: unknown outcome
 }
 
-// Route is what a configuration says of a route.
+// Route is a route of a configuration.
 type Route struct {
 	Authority  string
 	PathPrefix string
 	Services   []string      // with a weight above 0
-	Timeout    time.Duration // 0: not told
+	Timeout    time.Duration // 0: not specified
 }
 
-// ConfigRead is the configuration as the operator read it.
+// ConfigRead is the operator's read of the configuration.
 type ConfigRead struct {
 	Sent, Ended time.Duration
 	Status      int // 0: no answer
 	Version     uint64
 	Routes      []Route
-	Last        bool // asked at the end of the day, the last of its kind
+	Last        bool // the last read, at the end of the day
 }
 
-// Departure is a receiver's word that it drains or has gone, and its acknowledgement.
+// Departure is the acknowledged notice of a receiver that it drains or has left.
 type Departure struct {
 	Instance string
 	AckedAt  time.Duration
-	AckedBy  string // that acknowledged
+	AckedBy  string // the machine that acknowledged the notice
 }
 
-// Fault is what was done to a machine.
+// Fault is an injected fault or a planned operation on a machine.
 type Fault struct {
 	Machine      string
 	Kind         FaultKind
 	From, To     time.Duration
-	Core         bool // the machine belongs to the core, or stores
-	OtherProcess bool // it struck another process of the machine than the one that takes clients' requests
+	Core         bool // the machine is a core or store machine
+	OtherProcess bool // it hit another process than the one that accepts the clients' requests
 }
 
-// FaultKind was done.
+// FaultKind is the kind of a fault or planned operation.
 type FaultKind string
 
-// The troubles.
+// The kinds of faults and planned operations.
 const (
 	Killed     FaultKind = "kill"
 	Wiped      FaultKind = "wipe"
-	Frozen     FaultKind = "freeze" // it does not run, and goes on where it was
-	Terminated FaultKind = "term"   // planned
-	Reloaded   FaultKind = "hup"    // planned; no trouble
+	Frozen     FaultKind = "freeze" // paused, then continued
+	Terminated FaultKind = "term"   // planned: SIGTERM
+	Reloaded   FaultKind = "hup"    // planned: SIGHUP, which does not end contact
 	FinalFault FaultKind = "final"
 )
 
-// Crash is a receiver that ended without a word.
+// Crash is the end of a receiver without notice.
 type Crash struct {
 	Instance string
 	At       time.Duration
 }
 
-// ProcessStart is a new incarnation of the process that takes the clients' requests on a machine.
+// ProcessStart is the start of a new incarnation of a machine's process that accepts the clients' requests.
 type ProcessStart struct {
 	Machine string
 	At      time.Duration
--- a/internal/lab/referee/tierrules/judge.go
+++ b/internal/lab/referee/tierrules/judge.go
@@ -11,7 +11,7 @@
 // Rule is the name of a rule.
 type Rule string
 
-// The rules that are judged.
+// The rules.
 const (
 	Mixed     Rule = "MIXED"
 	Unasked   Rule = "UNASKED"
@@ -27,14 +27,14 @@
 	Recover   Rule = "RECOVER"
 )
 
-// Rules are all of them, in the order of the verdict.
+// Rules are all rules, in the order in which a verdict lists them.
 var Rules = []Rule{Mixed, Unasked, Twice, Refused, Denied, Budget, Misrouted, Drain, Lost, Config, Order, Recover}
 
-// Breach is one broken rule.
+// Breach is one violation of a rule.
 type Breach struct {
 	Rule    Rule
 	At      time.Duration
-	Request string // its id, if it is about one
+	Request string // its id, if the breach is about one
 	Machine string
 	Reason  string
 }
@@ -50,13 +50,13 @@
 	return fmt.Sprintf("%s at %.3fs%s: %s", b.Rule, b.At.Seconds(), about, b.Reason)
 }
 
-// Verdict is what a day came to.
+// Verdict is the result of checking a day against all rules.
 type Verdict struct {
 	Breaches []Breach
-	Checked  map[Rule]int // observations that the rule was held against
+	Checked  map[Rule]int // observations checked against the rule
 }
 
-// Passed says whether no rule was broken.
+// Passed reports whether no rule was broken.
 func (v *Verdict) Passed() bool { return len(v.Breaches) == 0 }
 
 // BreachCount counts the breaches of a rule.
@@ -70,30 +70,30 @@
 	return n
 }
 
-// String is a line for each rule.
+// String returns one line for each rule.
 func (v *Verdict) String() string {
 	var out strings.Builder
 	for _, rule := range Rules {
-		said := "kept"
+		result := "kept"
 		if n := v.BreachCount(rule); n > 0 {
-			said = fmt.Sprintf("BROKEN %d times", n)
+			result = fmt.Sprintf("BROKEN %d times", n)
 		}
-		fmt.Fprintf(&out, "%-8s %-18s %6d looked at\n", rule, said, v.Checked[rule])
+		fmt.Fprintf(&out, "%-8s %-18s %6d looked at\n", rule, result, v.Checked[rule])
 	}
 	return out.String()
 }
 
-// judge holds the history by what it is asked for.
+// judge holds the history, indexed for lookups, and the verdict.
 type judge struct {
 	*History
 	verdict    *Verdict
 	requests   map[string]*Request
 	runs       map[string][]*Run
 	rejections map[string][]*Rejection
-	changes    []*ConfigChange // distinct changes, as sent
+	changes    []*ConfigChange // each once, as sent
 }
 
-// Judge holds a day against all rules. The history is only read.
+// Judge checks a day against all rules. It does not modify the history.
 func Judge(history *History) *Verdict {
 	j := &judge{
 		History:    history,
@@ -136,8 +136,9 @@
 	j.verdict.Breaches = append(j.verdict.Breaches, b)
 }
 
-// inContact says whether a machine was in touch at an instant: no trouble of its own and none of the core or of a store since
-// the contact bound before it. A planned stop is trouble of its machine here; after a final fault it takes twice as long.
+// inContact reports whether a machine was in contact at an instant: neither it nor any core or store machine had a fault
+// within the contact bound before. A planned stop counts as a fault of its machine here; after a final fault the bound
+// is twice as long.
 func (j *judge) inContact(machine string, at time.Duration) bool {
 	for _, t := range j.Faults {
 		if t.Kind == Reloaded || t.Machine != machine && !t.Core {
@@ -154,7 +155,7 @@
 	return true
 }
 
-// inContactThroughout says whether a machine was in touch all the while.
+// inContactThroughout reports whether a machine was in contact from one instant to another.
 func (j *judge) inContactThroughout(machine string, from, to time.Duration) bool {
 	if !j.inContact(machine, from) || !j.inContact(machine, to) {
 		return false
--- a/internal/lab/referee/tierrules/losses.go
+++ b/internal/lab/referee/tierrules/losses.go
@@ -8,30 +8,33 @@
 )
 
 const (
-	// stopSlack is for how long behind the grace of a stop its connections count.
+	// stopSlack is the time after the grace period of a stop during which ended connections still count as cut by it.
 	stopSlack = time.Second
-	// lateSendLimit is how long after a stop's signal a request may be sent whose receiver may be at work until the end.
+	// lateSendLimit is the time after the stop signal within which a request must have been sent to be excused because its
+	// receiver is at work until the end of the grace period.
 	lateSendLimit = 3 * time.Second
-	// changeSlack is for how long behind the bound of configuration a change counts after its acknowledgement.
+	// changeSlack is the time after the ConfigApply bound of a change during which ended requests still count as near it.
 	changeSlack = time.Second
-	// cutFactor is how many times as often a machine has to cut requests beside changes of the configuration as at other
-	// times for its cuts to count there.
+	// cutFactor is how many times as often a machine has to cut requests near configuration changes as at other times for
+	// the cuts near changes to count.
 	cutFactor = 3
-	// usedTimeShare is the share of its time beyond which a request that is cut beside a change does not count.
+	// usedTimeShare is the share of its time limit from which on a request cut near a configuration change does not count.
 	usedTimeShare = 0.7
-	// allowedReusedConnectionCuts is how many requests from kept connections may be passed on and end without an answer, at any time.
+	// allowedReusedConnectionCuts is the number of forwarded requests on reused connections that may end without an answer,
+	// at any time.
 	allowedReusedConnectionCuts = 3
 )
 
-// plannedOperation is what LOST is judged beside: a stop of the machine that took the request, a SIGHUP of it, or a change of
-// the configuration.
+// plannedOperation is an operation during which requests must not be lost: a stop (SIGTERM) or a SIGHUP of the process that
+// accepted the request, or a configuration change.
 type plannedOperation struct {
 	stop   *Fault
 	reload *Fault
 	change *ConfigChange
 }
 
-// judgeLosses judges LOST round planned work: a request that was read whole gets a whole answer.
+// judgeLosses checks LOST near planned operations: a request that was sent completely gets a complete answer. It also limits
+// the requests dropped on reused connections at any time.
 func (j *judge) judgeLosses() {
 	oftenCut := j.machinesCuttingAtChanges()
 	var dropped []*Request
@@ -61,34 +64,35 @@
 	}
 }
 
-// relation says how the end of a request lies to the work beside it.
-func (w plannedOperation) relation(r *Request) string {
+// relation describes when a request ended relative to the operation.
+func (operation plannedOperation) relation(r *Request) string {
 	switch {
-	case w.stop != nil:
-		return fmt.Sprintf("%.3fs after SIGTERM, %.3fs of which it was sent after", (r.Ended - w.stop.From).Seconds(), (r.Sent - w.stop.From).Seconds())
-	case w.reload != nil:
-		return fmt.Sprintf("%.3fs after SIGHUP", (r.Ended - w.reload.From).Seconds())
+	case operation.stop != nil:
+		return fmt.Sprintf("%.3fs after SIGTERM, %.3fs of which it was sent after", (r.Ended - operation.stop.From).Seconds(), (r.Sent - operation.stop.From).Seconds())
+	case operation.reload != nil:
+		return fmt.Sprintf("%.3fs after SIGHUP", (r.Ended - operation.reload.From).Seconds())
 	}
-	return fmt.Sprintf("%.3fs after the change %q to version %d was sent", (r.Ended - w.change.firstSent()).Seconds(), w.change.Name, w.change.Version)
+	return fmt.Sprintf("%.3fs after the change %q to version %d was sent", (r.Ended - operation.change.firstSent()).Seconds(), operation.change.Name, operation.change.Version)
 }
 
-// progress says how far a request came: its time, its runs and its answer.
+// progress describes how far a request got: its time limit, its runs and its answer.
 func (j *judge) progress(r *Request) string {
-	way := []string{fmt.Sprintf("its time is over at %.4fs, it ends at %.4fs", j.timeLimit(r).Seconds(), r.Ended.Seconds())}
+	steps := []string{fmt.Sprintf("its time is over at %.4fs, it ends at %.4fs", j.timeLimit(r).Seconds(), r.Ended.Seconds())}
 	for _, run := range j.runs[r.ID] {
-		way = append(way, fmt.Sprintf("%s runs it from %.3fs to %.3fs (status %d, %d events, whole %v, broke off %v)", run.Instance,
+		steps = append(steps, fmt.Sprintf("%s runs it from %.3fs to %.3fs (status %d, %d events, whole %v, broke off %v)", run.Instance,
 			run.Began.Seconds(), run.Ended.Seconds(), run.Status, len(run.Events), run.Complete, run.Aborted))
 	}
 	if len(j.runs[r.ID]) == 0 {
-		way = append(way, "no receiver runs it")
+		steps = append(steps, "no receiver runs it")
 	}
 	if r.Answer != nil {
-		way = append(way, fmt.Sprintf("its answer has status %d and %d events", r.Answer.Status, len(r.Answer.Events)))
+		steps = append(steps, fmt.Sprintf("its answer has status %d and %d events", r.Answer.Status, len(r.Answer.Events)))
 	}
-	return strings.Join(way, "; ")
+	return strings.Join(steps, "; ")
 }
 
-// operationNear is the planned work beside which the request ended; false where there is none, or unplanned trouble was near.
+// operationNear returns the planned operation near which the request ended; false if there is none or an unplanned fault
+// was near.
 func (j *judge) operationNear(r *Request) (plannedOperation, bool) {
 	if j.faultNear(r) {
 		return plannedOperation{}, false
@@ -105,41 +109,42 @@
 	return plannedOperation{}, false
 }
 
-// faultNear says whether unplanned trouble struck from the contact bound before the request to its end. Stops and SIGHUP
-// are planned on all machines and excuse nothing.
+// faultNear reports whether an unplanned fault was active between the contact bound before the request and its end. Stops
+// and SIGHUPs are planned on all machines and excuse nothing.
 func (j *judge) faultNear(r *Request) bool {
 	return slices.ContainsFunc(j.Faults, func(t Fault) bool {
 		return t.Kind != Reloaded && t.Kind != Terminated && t.From <= r.Ended && t.To > r.Sent-j.Bounds.Contact
 	})
 }
 
-func (j *judge) relatedFault(r *Request, relates func(*Request, *Fault) bool) *Fault {
+func (j *judge) relatedFault(r *Request, related func(*Request, *Fault) bool) *Fault {
 	for i := range j.Faults {
-		if t := &j.Faults[i]; t.Machine == r.Machine && !t.OtherProcess && relates(r, t) {
-			return t
+		if fault := &j.Faults[i]; fault.Machine == r.Machine && !fault.OtherProcess && related(r, fault) {
+			return fault
 		}
 	}
 	return nil
 }
 
-// endedDuringStop: the request ended during the stop of the process that took it. Where stops of a machine come in series, one
-// before its last start was of another process.
-func (j *judge) endedDuringStop(r *Request, t *Fault) bool {
-	return t.Kind == Terminated && !j.startedBetween(r.Machine, t.From, r.FullySent) && r.FullySent >= t.From-r.Deadline && r.Ended >= t.From && r.Ended <= t.From+j.Bounds.Grace+stopSlack
+// endedDuringStop reports whether the request ended during the stop of the process that accepted it. If a machine is stopped
+// several times, a stop before its last start hit an earlier process.
+func (j *judge) endedDuringStop(r *Request, stop *Fault) bool {
+	return stop.Kind == Terminated && !j.startedBetween(r.Machine, stop.From, r.FullySent) && r.FullySent >= stop.From-r.Deadline && r.Ended >= stop.From && r.Ended <= stop.From+j.Bounds.Grace+stopSlack
 }
 
-// startedBetween says whether a machine's process was started later than one instant and before another.
+// startedBetween reports whether a machine's process was started after one instant and before another.
 func (j *judge) startedBetween(machine string, from, to time.Duration) bool {
 	return slices.ContainsFunc(j.ProcessStarts, func(s ProcessStart) bool { return s.Machine == machine && s.At > from && s.At < to })
 }
 
-// endedAfterReload: the request was sent before the SIGHUP or soon after it, and ended after it.
-func (j *judge) endedAfterReload(r *Request, t *Fault) bool {
-	return t.Kind == Reloaded && r.Sent <= t.From+j.Bounds.ConfigApply && r.Ended >= t.From
+// endedAfterReload reports whether the request was sent before the SIGHUP, or within the ConfigApply bound after it, and
+// ended after it.
+func (j *judge) endedAfterReload(r *Request, reload *Fault) bool {
+	return reload.Kind == Reloaded && r.Sent <= reload.From+j.Bounds.ConfigApply && r.Ended >= reload.From
 }
 
-// changeNear is a change that may be in force and was sent, or had been acknowledged shortly before, when the request
-// ended.
+// changeNear returns a change that may be in force and that was being sent, or had been acknowledged shortly before, when
+// the request ended; nil if there is none.
 func (j *judge) changeNear(r *Request) *ConfigChange {
 	for _, c := range j.changes {
 		if !c.mayBeInForce() || len(c.Attempts) == 0 {
@@ -156,17 +161,18 @@
 	return nil
 }
 
-// machinesCuttingAtChanges names the machines that cut requests over cutFactor times as often beside changes as at other times.
+// machinesCuttingAtChanges returns the machines that cut requests more than cutFactor times as often near configuration
+// changes as at other times.
 func (j *judge) machinesCuttingAtChanges() map[string]bool {
 	type tally struct{ requests, cuts int }
-	beside, other := map[string]*tally{}, map[string]*tally{}
+	nearChanges, otherTimes := map[string]*tally{}, map[string]*tally{}
 	for _, r := range j.Requests {
 		if r.FullySent == 0 || r.ClientAborted || j.faultNear(r) {
 			continue
 		}
-		tallies := other
+		tallies := otherTimes
 		if j.changeNear(r) != nil {
-			tallies = beside
+			tallies = nearChanges
 		}
 		t := tallies[r.Machine]
 		if t == nil {
@@ -179,14 +185,15 @@
 		}
 	}
 	cutOften := map[string]bool{}
-	for machine, b := range beside {
-		o := other[machine]
+	for machine, b := range nearChanges {
+		o := otherTimes[machine]
 		cutOften[machine] = o == nil || b.cuts*o.requests > cutFactor*o.cuts*b.requests
 	}
 	return cutOften
 }
 
-// timeLimit is when the request's time is over, by its client or its route as any configuration has it that may be in force.
+// timeLimit returns when the request's time is over: by its deadline, or by the shortest timeout of its route in any
+// configuration that may be in force.
 func (j *judge) timeLimit(r *Request) time.Duration {
 	timeout := r.Timeout
 	for _, c := range j.possiblyInForce(r.Sent, r.Ended) {
@@ -197,13 +204,14 @@
 	return r.Sent + min(r.Deadline, timeout)
 }
 
-// usedMostOfTime says whether a request had used so much of its time that a cut beside a change does not count.
+// usedMostOfTime reports whether a request had used so much of its time that a cut near a change does not count.
 func (j *judge) usedMostOfTime(r *Request) bool {
 	return float64(r.Ended-r.Sent) >= usedTimeShare*float64(j.timeLimit(r)-r.Sent)
 }
 
-// excused says whether a request may end without an answer: its time was over, it was not read, its receiver broke off or
-// ended, or it came early in a stop and its receiver was still at work in the last sixth of the grace.
+// excused reports whether a request may end without an answer: its time was over, it reached no receiver and ended within
+// the LossSlack bound, its receiver aborted it or crashed, or it was sent early in a stop and its receiver was still at work
+// in the last sixth of the grace period.
 func (j *judge) excused(r *Request, operation plannedOperation) bool {
 	if r.Ended >= j.timeLimit(r) {
 		return true
@@ -217,19 +225,20 @@
 	})
 }
 
-// atWorkToEndOfGrace says whether a request came early in a stop and its receiver was at work on it in the last sixth of the grace.
+// atWorkToEndOfGrace reports whether a request was sent early in a stop and its receiver was still at work on it in the last
+// sixth of the grace period.
 func (j *judge) atWorkToEndOfGrace(r *Request, run *Run, stop *Fault) bool {
 	lastSixth := stop.From + j.Bounds.Grace*5/6
 	return r.Sent <= stop.From+lateSendLimit && (run.Ended == 0 || run.Ended >= lastSixth)
 }
 
-// receiverCrashed says whether a run's receiver ended without a word while it was at it.
+// receiverCrashed reports whether the run's receiver crashed after the run began and before an instant.
 func (j *judge) receiverCrashed(run *Run, until time.Duration) bool {
 	return slices.ContainsFunc(j.Crashes, func(c Crash) bool { return c.Instance == run.Instance && c.At >= run.Began && c.At <= until })
 }
 
-// droppedOnReusedConnection says whether a machine in touch passed a request from a kept connection on to a sound receiver, and
-// closed the connection without an answer.
+// droppedOnReusedConnection reports whether a machine in contact forwarded a request from a reused connection to a working
+// receiver and closed the connection without an answer.
 func (j *judge) droppedOnReusedConnection(r *Request) bool {
 	return r.ReusedConnection && r.Answer == nil && len(j.runs[r.ID]) > 0 && !j.excused(r, plannedOperation{}) && j.inContactThroughout(r.Machine, r.Sent, r.Ended)
 }
--- a/internal/lab/referee/tierrules/planned.go
+++ b/internal/lab/referee/tierrules/planned.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// judgeDrains judges DRAIN: later than the bound after a machine in touch acknowledged that a receiver ends, no request that
-// machines in touch sent on reaches it.
+// judgeDrains checks DRAIN: once the drain bound has passed since a machine in contact acknowledged a receiver's departure,
+// no request forwarded by a machine in contact reaches the receiver.
 func (j *judge) judgeDrains() {
 	for _, end := range j.Departures {
 		j.countCheck(Drain)
@@ -33,8 +33,8 @@
 
 const statusMisdirected = 421
 
-// judgeRecovery judges RECOVER after a final fault: of the requests sent later than the bound a quarter is served, if it was
-// before.
+// judgeRecovery checks RECOVER after a final fault: at least a quarter of the requests sent after the recovery bound are
+// served, if a quarter were served before the fault.
 func (j *judge) judgeRecovery() {
 	index := slices.IndexFunc(j.Faults, func(t Fault) bool { return t.Kind == FinalFault })
 	if index < 0 {
@@ -66,11 +66,11 @@
 	return 0
 }
 
-// recoverySampleSpan is the span at the end of the traffic by which the recovery of turns is judged.
+// recoverySampleSpan is the time before the end of the traffic in which other turns show whether the tier has recovered.
 const recoverySampleSpan = 4 * time.Second
 
-// judgeContinuations judges LOST after a final fault: a turn that continues one from before reaches a receiver by the bound, if
-// four fifths of other turns are served in the last seconds.
+// judgeContinuations checks LOST after a final fault: a turn that continues one from before the fault reaches a receiver
+// by the recovery bound, if at least four fifths of the other turns are served within recoverySampleSpan.
 func (j *judge) judgeContinuations(fault Fault) {
 	other, served := 0, 0
 	reached := map[string]bool{}
--- a/internal/lab/referee/tierrules/programs.go
+++ b/internal/lab/referee/tierrules/programs.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// judgePrograms judges what concerns turns: the tokens of BUDGET, the bodies of UNASKED, the turns that are forgotten or not
-// continued of LOST.
+// judgePrograms checks the rules for turns: the tokens of BUDGET, the bodies of UNASKED, and for LOST the turns that are
+// forgotten or can't be continued.
 func (j *judge) judgePrograms() {
 	j.judgeTokenBudgets()
 	for _, r := range j.Requests {
@@ -20,20 +20,20 @@
 	j.judgeUnreached()
 }
 
-// judgeTokenBudgets adds up what the clients of each program received.
+// judgeTokenBudgets checks that no program's clients received more tokens than its budget and one turn allow.
 func (j *judge) judgeTokenBudgets() {
-	type account struct {
+	type usage struct {
 		used, budget, most int64
 		last               *Request
 	}
-	programs := map[string]*account{}
+	programs := map[string]*usage{}
 	for _, r := range j.Requests {
 		if r.Program == "" || r.TokenBudget == 0 {
 			continue
 		}
 		a := programs[r.Program]
 		if a == nil {
-			a = &account{}
+			a = &usage{}
 			programs[r.Program] = a
 		}
 		a.budget = r.TokenBudget
@@ -51,8 +51,8 @@
 	}
 }
 
-// expectedBody is what a receiver should be given for a turn: its chain's inputs and outputs, oldest first, and its input. It is
-// false where a turn of the chain is not known to have ended whole.
+// expectedBody returns the body that a receiver should get for a turn: the inputs and outputs of the previous turns of its
+// chain, oldest first, then its own input. It returns false if a previous turn is unknown or has no answer.
 func (j *judge) expectedBody(r *Request) ([]byte, bool) {
 	var chain []*Request
 	for previous := r.Previous; previous != ""; {
@@ -76,7 +76,7 @@
 	return append(body, r.Body...), true
 }
 
-// judgeBody judges what receivers were given for a turn.
+// judgeBody checks UNASKED for the bodies that receivers got for a turn.
 func (j *judge) judgeBody(r *Request) {
 	for _, run := range j.runs[r.ID] {
 		want, known := j.expectedBody(r)
@@ -89,7 +89,7 @@
 	}
 }
 
-// judgeForgotten judges LOST: a turn that was answered whole is known for its retention.
+// judgeForgotten checks LOST: a turn that was answered completely remains known for its retention time.
 func (j *judge) judgeForgotten(r *Request) {
 	status := r.status()
 	if r.Previous == "" || status != http.StatusNotFound && status != http.StatusGone {
@@ -107,18 +107,18 @@
 func retentionOf(r *Request) time.Duration { return r.Retention }
 
 const (
-	// unreachedAttempts is after how many tries a turn has to have reached a receiver.
+	// unreachedAttempts is the number of attempts of a turn without reaching a receiver that breaks LOST.
 	unreachedAttempts = 5
-	// minFirstTurns is the least number of first turns by which the tier's other service is told.
+	// minFirstTurns is the minimum number of first turns that show whether the tier serves other turns.
 	minFirstTurns = 10
 )
 
-// turnKey names a turn over all of its tries.
+// turnKey identifies a turn across all its attempts.
 type turnKey struct{ program, previous, input string }
 
-// judgeUnreached judges LOST: a turn that continues one answered whole reaches a receiver within unreachedTries tries at
-// machines in touch before its program's aim, while the receivers are under half full and nine tenths of first turns reach
-// one.
+// judgeUnreached checks LOST: a turn that continues a completely answered one reaches a receiver within unreachedAttempts
+// attempts at machines in contact before its program's deadline, if meanwhile less than half of the receivers' slots are in
+// use and nine tenths of the first turns reach a receiver.
 func (j *judge) judgeUnreached() {
 	attempts := map[turnKey][]*Request{}
 	for _, r := range j.Requests {
@@ -138,12 +138,13 @@
 	}
 }
 
-// reachedReceiver says whether a receiver had the request, be it to turn it away.
+// reachedReceiver reports whether a receiver got the request, even if it rejected it.
 func (j *judge) reachedReceiver(r *Request) bool {
 	return len(j.runs[r.ID])+len(j.rejections[r.ID]) > 0
 }
 
-// firstTurnsReach says whether nine tenths of the first turns of a span reached a receiver.
+// firstTurnsReach reports whether at least minFirstTurns first turns were sent in an interval and nine tenths of them
+// reached a receiver.
 func (j *judge) firstTurnsReach(from, to time.Duration) bool {
 	all, reached := 0, 0
 	for _, r := range j.Requests {
@@ -158,7 +159,7 @@
 	return all >= minFirstTurns && 10*reached >= 9*all
 }
 
-// underHalfFull says whether the receivers of turns were under half full throughout a span.
+// underHalfFull reports whether less than half of the slots for turns were in use throughout an interval.
 func (j *judge) underHalfFull(from, to time.Duration) bool {
 	for _, l := range j.Loads {
 		if l.At >= from && l.At <= to && 2*l.InUse >= l.Slots {
