--- a/internal/lab/referee/account.go
+++ b/internal/lab/referee/account.go
@@ -11,7 +11,8 @@
 	"emberquay/internal/lab/world"
 )
 
-// ProductAccount is the account of one product. Each text has one outcome: InTime, Late, Nacked, Failed, Lost or Unheard.
+// ProductAccount is the account of one product. Each text has one outcome: InTime, Late, Nacked, Failed, Lost or
+// Unheard.
 type ProductAccount struct {
 	Name    string  `json:"name"`
 	Texts   int     `json:"texts"`
@@ -62,10 +63,10 @@
 
 // textRecord is the outcome of a text over all its hand-ins.
 type textRecord struct {
-	text    *world.Text
-	fate    string // of the last hand-in, or "delivered" once any was
-	endedAt time.Duration
-	effects int
+	text      *world.Text
+	outcome   string // of the last hand-in, or "delivered" once any was
+	outcomeAt time.Duration
+	effects   int
 }
 
 type tally struct {
@@ -91,17 +92,17 @@
 
 func (a *tally) handedIn(t *text) {
 	a.handIns++
-	if o := a.record(t.Text); o.fate != "delivered" {
-		o.fate = ""
+	if record := a.record(t.Text); record.outcome != "delivered" {
+		record.outcome = ""
 	}
 }
 
 func (a *tally) unanswered(t *text) { a.ended(t, "unheard", 0) }
 
 // ended records the outcome of one hand-in; a text is delivered once any of its hand-ins is.
-func (a *tally) ended(t *text, what string, at time.Duration) {
-	if o := a.record(t.Text); o.fate != "delivered" {
-		o.fate, o.endedAt = what, at
+func (a *tally) ended(t *text, outcome string, at time.Duration) {
+	if record := a.record(t.Text); record.outcome != "delivered" {
+		record.outcome, record.outcomeAt = outcome, at
 	}
 }
 
@@ -124,21 +125,21 @@
 }
 
 func (a *tally) answered(c *call, outcome string) {
-	o := a.receiver(c.receiver)
+	receiver := a.receiver(c.receiver)
 	switch outcome {
 	case "delivered":
-		o.Delivered++
+		receiver.Delivered++
 		return
 	case "full":
-		o.Full++
+		receiver.Full++
 		a.refusals++
 		return
 	case "errored":
-		o.Errored++
+		receiver.Errored++
 	case "broken":
-		o.Broken++
+		receiver.Broken++
 	case "given up":
-		o.GivenUp++
+		receiver.GivenUp++
 	}
 	if c.received && outcome != "unsent" {
 		a.wasted++
@@ -153,8 +154,8 @@
 	out := &Account{HandIns: a.handIns, Submits: a.submits, Wasted: a.wasted, Refusals: a.refusals, Waits: a.waits}
 	products := map[string]*ProductAccount{}
 	times := map[string]*hdrhistogram.Histogram{}
-	inOrder := slices.SortedFunc(maps.Keys(a.texts), func(x, y *world.Text) int { return x.No - y.No })
-	for _, t := range inOrder { // floating-point sums depend on the order
+	sortedTexts := slices.SortedFunc(maps.Keys(a.texts), func(x, y *world.Text) int { return x.No - y.No })
+	for _, t := range sortedTexts { // floating-point sums depend on the order
 		record := a.texts[t]
 		p := products[t.Product.Name]
 		if p == nil {
@@ -167,11 +168,11 @@
 		if record.effects > 1 && t.Product.Repeat != "resendable" {
 			p.Doubled++
 		}
-		switch record.fate {
+		switch record.outcome {
 		case "delivered":
-			worth := t.Worth(record.endedAt)
-			times[p.Name].RecordValue(max(1, int64((record.endedAt-t.At)/time.Microsecond)))
-			if record.endedAt-t.At <= time.Duration(t.Product.SLAS*float64(time.Second)) {
+			worth := t.Worth(record.outcomeAt)
+			times[p.Name].RecordValue(max(1, int64((record.outcomeAt-t.At)/time.Microsecond)))
+			if record.outcomeAt-t.At <= time.Duration(t.Product.SLAS*float64(time.Second)) {
 				p.InTime++
 				p.Earned += worth
 			} else {
@@ -193,8 +194,8 @@
 		p.P99 = float64(times[name].ValueAtQuantile(99)) / 1000
 		out.Products = append(out.Products, *p)
 	}
-	for _, record := range a.receivers {
-		out.Receivers = append(out.Receivers, *record)
+	for _, receiver := range a.receivers {
+		out.Receivers = append(out.Receivers, *receiver)
 	}
 	slices.SortFunc(out.Products, func(x, y ProductAccount) int { return strings.Compare(x.Name, y.Name) })
 	slices.SortFunc(out.Receivers, func(x, y ReceiverAccount) int { return x.No - y.No })
--- a/internal/lab/referee/referee.go
+++ b/internal/lab/referee/referee.go
@@ -1,6 +1,6 @@
-// Package referee checks the senders against six rules, from what can be observed outside of them. It does no I/O and reads
-// no clock: it is given each event with its instant (the time since the day began, never decreasing) and checks the rules
-// after each one. How to use it:
+// Package referee checks the senders against six rules, from what can be observed outside of them. It does no I/O and
+// reads no clock: it is given each event with its instant (the time since the day began, never decreasing) and checks
+// the rules after each one. How to use it:
 //
 //	r := referee.New(rules, senders, destinationOf)
 //	r.HandedIn(now, referee.HandIn{ID: id, Sender: 0, Text: text, Until: until})
@@ -13,8 +13,8 @@
 //	account := r.Account()
 //
 // A breach names the rule, the sender, the text, the figures and the last events of the text. Messages may cross on the
-// way: if a rule compares two events observed at different places, it allows the slack of the rules, and a sender counts as
-// not informed if it cannot be known whether a message reached it.
+// way: if a rule compares two events observed at different places, it allows the slack of the rules, and a sender
+// counts as not informed if it cannot be known whether a message reached it.
 package referee
 
 import (
@@ -77,16 +77,16 @@
 }
 
 type sender struct {
-	no          int
-	incarnation int // counts its starts
-	stopping    bool
-	down        bool
-	graceEnd    time.Duration // no text is overdue before
-	unfinished  []*text       // accepted texts, sorted by the end of their validity
-	notified    map[int]stateNotice
-	pending     map[int]stateNotice // count as received from their instant on, at the latest
-	waits       map[int]wait        // by destination
-	failed      map[int]time.Duration
+	no             int
+	incarnation    int // counts its starts
+	stopping       bool
+	down           bool
+	graceEnd       time.Duration // no text is overdue before
+	unfinished     []*text       // accepted texts, sorted by the end of their validity
+	notified       map[int]stateNotice
+	pendingNotices map[int]stateNotice // count as received from their instant on, at the latest
+	waits          map[int]wait        // by destination
+	failedAt       map[int]time.Duration
 }
 
 type stateNotice struct {
@@ -95,21 +95,21 @@
 }
 
 type wait struct {
-	call     int64
-	at, ends time.Duration
+	call         int64
+	toldAt, ends time.Duration
 }
 
 type text struct {
 	HandIn
-	at          time.Duration
+	handedInAt  time.Duration
 	incarnation int // of its sender
 	answered    bool
-	taken       bool
-	takenAt     time.Duration
+	accepted    bool
+	acceptedAt  time.Duration
 	abandonedAt time.Duration // its client stopped waiting without an answer; 0: it did not
 	calls       []*call
-	end         string // its final outcome; empty while it is unfinished
-	endAt       time.Duration
+	outcome     string // its final outcome; empty while it is unfinished
+	endedAt     time.Duration
 	deliveredBy *call // the call that was answered with 200
 	firstRunAt  time.Duration
 	mayHaveRun  bool // one of its calls may have run
@@ -158,8 +158,8 @@
 	r := &Referee{rules: rules, slack: millis(rules.SlackMs), destination: destination, texts: map[string]*text{},
 		calls: map[int64]*call{}, keyQueues: map[queueKey][]*text{}, account: newTally()}
 	for i := range senders {
-		r.senders = append(r.senders, &sender{no: i, notified: map[int]stateNotice{}, pending: map[int]stateNotice{},
-			waits: map[int]wait{}, failed: map[int]time.Duration{}})
+		r.senders = append(r.senders, &sender{no: i, notified: map[int]stateNotice{}, pendingNotices: map[int]stateNotice{},
+			waits: map[int]wait{}, failedAt: map[int]time.Duration{}})
 	}
 	return r
 }
@@ -196,8 +196,8 @@
 	}
 }
 
-// checkOverdue records the loss of a sender's texts that should have ended. A sender that is stopping, down or within the
-// grace time after its restart has no overdue texts.
+// checkOverdue records the loss of a sender's texts that should have ended. A sender that is stopping, down or within
+// the grace time after its restart has no overdue texts.
 func (r *Referee) checkOverdue(s *sender) {
 	if s.stopping || s.down || r.now < s.graceEnd {
 		return
@@ -206,8 +206,8 @@
 	for len(s.unfinished) > 0 && s.unfinished[0].ValidUntil+after <= r.now {
 		t := s.unfinished[0]
 		s.unfinished = s.unfinished[1:]
-		if t.end == "" {
-			r.recordLoss(t, fmt.Sprintf("taken on at %s, valid until %s, and no end by %s", formatInstant(t.takenAt), formatInstant(t.ValidUntil), formatInstant(r.now)))
+		if t.outcome == "" {
+			r.recordLoss(t, fmt.Sprintf("taken on at %s, valid until %s, and no end by %s", formatInstant(t.acceptedAt), formatInstant(t.ValidUntil), formatInstant(r.now)))
 		}
 	}
 }
@@ -226,7 +226,7 @@
 // HandedIn records that a client hands in a text.
 func (r *Referee) HandedIn(now time.Duration, h HandIn) {
 	r.Advance(now)
-	t := &text{HandIn: h, at: now, incarnation: r.senders[h.Sender].incarnation}
+	t := &text{HandIn: h, handedInAt: now, incarnation: r.senders[h.Sender].incarnation}
 	r.texts[h.ID] = t
 	t.recent.add(now, "handed in to sender %d, %s, valid until %s", h.Sender, h.Text.Product.Name, formatInstant(h.ValidUntil))
 	r.account.handedIn(t)
@@ -238,26 +238,26 @@
 	r.account.ended(&text{HandIn: HandIn{Text: t}}, "unheard", 0)
 }
 
-// ClientAnswered records that a client reads the answer to its hand-in, or closes the connection after waiting for one in
-// vain (world.NoAnswer).
-func (r *Referee) ClientAnswered(now time.Duration, id string, h world.Heard, advice time.Duration) {
+// ClientAnswered records that a client reads the answer to its hand-in, or closes the connection after waiting for one
+// in vain (world.NoAnswer).
+func (r *Referee) ClientAnswered(now time.Duration, id string, answer world.Heard, advice time.Duration) {
 	r.Advance(now)
 	t := r.texts[id]
 	if t == nil || t.answered {
 		return
 	}
 	t.answered = true
-	t.recent.add(now, "client heard %s", [...]string{"taken", "nacked", "failed", "nothing"}[h])
-	switch h {
+	t.recent.add(now, "client heard %s", [...]string{"taken", "nacked", "failed", "nothing"}[answer])
+	switch answer {
 	case world.Taken:
-		t.taken, t.takenAt = true, now
+		t.accepted, t.acceptedAt = true, now
 		if t.Text.Key != "" {
 			k := queueKey{t.Sender, t.incarnation, t.Text.Key}
 			r.keyQueues[k] = append(r.keyQueues[k], t)
 		}
 		if t.deliveredBy != nil { // the receiver's 200 was observed first
-			r.recordDelivery(t, t.endAt)
-		} else if t.end == "" {
+			r.recordDelivery(t, t.endedAt)
+		} else if t.outcome == "" {
 			r.addUnfinished(t)
 		}
 	case world.Nacked:
@@ -270,8 +270,8 @@
 	}
 }
 
-// ClientConnectionClosed records that a sender closed a client's connection without an answer; after is the time since the
-// request's last byte. Within the slack the sender may not have read the request, so that nothing is lost.
+// ClientConnectionClosed records that a sender closed a client's connection without an answer; after is the time since
+// the request's last byte. Within the slack the sender may not have read the request, so that nothing is lost.
 func (r *Referee) ClientConnectionClosed(now time.Duration, id string, after time.Duration) {
 	r.Advance(now)
 	t := r.texts[id]
@@ -289,29 +289,29 @@
 }
 
 // recordNack records a nack, which guarantees that a text may be handed in again without harm.
-func (r *Referee) recordNack(t *text, how string) {
+func (r *Referee) recordNack(t *text, reason string) {
 	if t.mayHaveRun && t.Text.Product.Repeat == "once-only" {
 		r.addBreach(Breach{Rule: 2, At: r.now, Text: t.ID, Sender: t.Sender,
-			Why: fmt.Sprintf("%s, though a submit that may have run was sent at %s and it must not run twice", how, formatInstant(t.firstRunAt))})
+			Why: fmt.Sprintf("%s, though a submit that may have run was sent at %s and it must not run twice", reason, formatInstant(t.firstRunAt))})
 	}
-	r.recordEnd(t, "nacked", how)
+	r.recordEnd(t, "nacked", reason)
 }
 
 // recordEnd sets the final outcome of a text; a second, different outcome is a breach.
-func (r *Referee) recordEnd(t *text, what, how string) {
-	if t.end == "" {
-		r.setEnd(t, what)
+func (r *Referee) recordEnd(t *text, outcome, reason string) {
+	if t.outcome == "" {
+		r.setEnd(t, outcome)
 		return
 	}
 	// A delivered text may end once more, since its sender may not have read the 200. A notice may come twice.
-	if t.end != what && t.end != "delivered" && t.end != "lost" {
-		r.addBreach(Breach{Rule: 1, At: r.now, Text: t.ID, Sender: t.Sender, Why: fmt.Sprintf("%s, after it had ended as %s at %s", how, t.end, formatInstant(t.endAt))})
+	if t.outcome != outcome && t.outcome != "delivered" && t.outcome != "lost" {
+		r.addBreach(Breach{Rule: 1, At: r.now, Text: t.ID, Sender: t.Sender, Why: fmt.Sprintf("%s, after it had ended as %s at %s", reason, t.outcome, formatInstant(t.endedAt))})
 	}
 }
 
-func (r *Referee) setEnd(t *text, what string) {
-	t.end, t.endAt = what, r.now
-	r.account.ended(t, what, r.now)
+func (r *Referee) setEnd(t *text, outcome string) {
+	t.outcome, t.endedAt = outcome, r.now
+	r.account.ended(t, outcome, r.now)
 }
 
 // NoticeSent records that a sender notifies the platform how a text ended: handed back (a nack) or given up.
@@ -322,15 +322,15 @@
 		r.addBreach(Breach{Rule: 1, At: now, Text: id, Sender: sender, Why: "a notice for a text that nobody handed in"})
 		return
 	}
-	what := map[bool]string{true: "handed back", false: "given up"}[handedBack]
-	t.recent.add(now, "noticed as %s", what)
+	outcome := map[bool]string{true: "handed back", false: "given up"}[handedBack]
+	t.recent.add(now, "noticed as %s", outcome)
 	if t.abandonedAt > 0 {
 		return // its client no longer waits
 	}
 	if handedBack {
-		r.recordNack(t, "noticed as "+what)
+		r.recordNack(t, "noticed as "+outcome)
 	} else {
-		r.recordEnd(t, "failed", "noticed as "+what)
+		r.recordEnd(t, "failed", "noticed as "+outcome)
 	}
 }
 
@@ -342,7 +342,7 @@
 	if r.rules.RestartClears {
 		clear(s.waits)
 	}
-	clear(s.failed)
+	clear(s.failedAt)
 }
 
 // SenderStopping records that a sender got SIGTERM.
@@ -373,7 +373,7 @@
 	n := 0
 	for _, s := range r.senders {
 		for _, t := range s.unfinished {
-			if t.end == "" {
+			if t.outcome == "" {
 				n++
 			}
 		}
@@ -381,12 +381,12 @@
 	return n
 }
 
-// ReceiverStateChanged records a change of a receiver's state in the list. Each sender counts as notified after ListLatestS,
-// whether or not it was.
+// ReceiverStateChanged records a change of a receiver's state in the list. Each sender counts as notified after
+// ListLatestS, whether or not it was.
 func (r *Referee) ReceiverStateChanged(now time.Duration, receiver int, state string) {
 	r.Advance(now)
 	for _, s := range r.senders {
-		s.pending[receiver] = stateNotice{state, now + time.Duration(r.rules.ListLatestS*float64(time.Second))}
+		s.pendingNotices[receiver] = stateNotice{state, now + time.Duration(r.rules.ListLatestS*float64(time.Second))}
 	}
 }
 
@@ -394,11 +394,11 @@
 func (r *Referee) ReceiverStateNotified(now time.Duration, no, receiver int, state string) {
 	r.Advance(now)
 	s := r.senders[no]
-	if p, ok := s.pending[receiver]; ok && p.state == state {
-		delete(s.pending, receiver)
+	if p, ok := s.pendingNotices[receiver]; ok && p.state == state {
+		delete(s.pendingNotices, receiver)
 	}
-	was, drains := s.notified[receiver], func(state string) bool { return state == world.Leaving || state == world.Left }
-	if was.state != state && !(drains(was.state) && drains(state)) { // a drain counts from its first notice
+	previous, drains := s.notified[receiver], func(state string) bool { return state == world.Leaving || state == world.Left }
+	if previous.state != state && !(drains(previous.state) && drains(state)) { // a drain counts from its first notice
 		s.notified[receiver] = stateNotice{state, now}
 	}
 }
@@ -408,7 +408,7 @@
 	r.Advance(now)
 	for _, s := range r.senders {
 		for _, t := range s.unfinished {
-			if t.end == "" {
+			if t.outcome == "" {
 				r.recordLoss(t, "no end by the end of the day")
 			}
 		}
@@ -426,11 +426,11 @@
 				n++
 			}
 		}
-		word := "kept"
+		result := "kept"
 		if n > 0 {
-			word = fmt.Sprintf("BROKEN %d times", n)
+			result = fmt.Sprintf("BROKEN %d times", n)
 		}
-		fmt.Fprintf(&out, "rule %d  %-18s %s\n", rule, RuleNames[rule], word)
+		fmt.Fprintf(&out, "rule %d  %-18s %s\n", rule, RuleNames[rule], result)
 	}
 	return out.String()
 }
--- a/internal/lab/referee/referee_test.go
+++ b/internal/lab/referee/referee_test.go
@@ -26,8 +26,9 @@
 	"serial": {Name: "serial", SLAS: 2, ValidityS: 8, Repeat: "resendable", Revenue: 1, Ordered: true, LateShare: 0.3},
 }
 
-// playScenario passes the events of a scenario to a referee. Each line is an instant in seconds and an event. Receivers 0
-// and 1 belong to destination 0, receiver 2 to destination 1. Unless a line says otherwise, its sender and destination are 0.
+// playScenario passes the events of a scenario to a referee. Each line is an instant in seconds and an event. Receivers
+// 0 and 1 belong to destination 0, receiver 2 to destination 1. Unless a line says otherwise, its sender and
+// destination are 0.
 //
 //	0.1 hand a order [sender=1] [dest=1] [key=k]    0.2 heard a taken|nacked|failed|noanswer
 //	0.3 begin 1 a 0 [sender=1]                      0.3 arrive 1          (call 1 with text a at receiver 0)
@@ -141,8 +142,8 @@
 	})
 }
 
-// TestAccountAddsUp passes random events in random order: the referee must not panic, and each text must have exactly one
-// outcome, so that the account adds up.
+// TestAccountAddsUp passes random events in random order: the referee must not panic, and each text must have exactly
+// one outcome, so that the account adds up.
 func TestAccountAddsUp(t *testing.T) {
 	names := []string{"status", "order", "charge", "serial"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -186,8 +187,8 @@
 		r.Finish(now + time.Minute)
 		sum, revenue := 0, 0.0
 		for _, p := range r.Account().Products {
-			if fates := p.InTime + p.Late + p.Nacked + p.Failed + p.Lost + p.Unheard; fates != p.Texts {
-				t.Fatalf("%d outcomes of %d texts: %+v", fates, p.Texts, p)
+			if outcomes := p.InTime + p.Late + p.Nacked + p.Failed + p.Lost + p.Unheard; outcomes != p.Texts {
+				t.Fatalf("%d outcomes of %d texts: %+v", outcomes, p.Texts, p)
 			}
 			if p.Earned+p.Faded > p.Asked+1e-9 {
 				t.Fatalf("revenue above that of all texts handed in: %+v", p)
--- a/internal/lab/referee/tierrules/config.go
+++ b/internal/lab/referee/tierrules/config.go
@@ -44,7 +44,8 @@
 	return c.Attempts[0].Sent
 }
 
-// routeFor returns the configuration's route for a request: that of its authority with the longest matching path prefix.
+// routeFor returns the configuration's route for a request: that of its authority with the longest matching path
+// prefix.
 func (c *ConfigChange) routeFor(authority, target string) *Route {
 	path, _, _ := strings.Cut(target, "?")
 	var best *Route
@@ -77,8 +78,8 @@
 }
 
 // possiblyInForce returns the changes that a machine in contact may apply to a request that was sent and ended at these
-// instants. It excludes versions older than the newest one acknowledged at least the ConfigApply bound before the request,
-// changes first sent after its end, and refused or invalid ones.
+// instants. It excludes versions older than the newest one acknowledged at least the ConfigApply bound before the
+// request, changes first sent after its end, and refused or invalid ones.
 func (j *judge) possiblyInForce(sent, ended time.Duration) []*ConfigChange {
 	oldest := j.newestAcknowledged(sent - j.Bounds.ConfigApply)
 	var list []*ConfigChange
@@ -188,10 +189,10 @@
 			observed = append(observed, e)
 		}
 	}
-	for _, before := range observed {
+	for _, earlier := range observed {
 		for _, later := range observed {
-			if later.newest < before.oldest && later.request.Sent > before.at+j.Bounds.RollbackSlack {
-				j.addBreach(Config, later.at, later.request, "handled by version %d at most, after version %d was seen to be in force", later.newest, before.oldest)
+			if later.newest < earlier.oldest && later.request.Sent > earlier.at+j.Bounds.RollbackSlack {
+				j.addBreach(Config, later.at, later.request, "handled by version %d at most, after version %d was seen to be in force", later.newest, earlier.oldest)
 				return
 			}
 		}
@@ -202,13 +203,13 @@
 func (j *judge) judgeConfiguration() {
 	for i, c := range j.changes {
 		j.countCheck(Config)
-		f, at := c.outcome()
-		if c.Invalid && f == acknowledged {
+		outcome, at := c.outcome()
+		if c.Invalid && outcome == acknowledged {
 			j.addBreach(Config, at, nil, "%s: an invalid configuration is acknowledged", c.Name)
 		}
 		for _, other := range j.changes[:i] {
-			g, _ := other.outcome()
-			if f == acknowledged && g == acknowledged && other.BaseVersion == c.BaseVersion && !sameChange(c, other) {
+			otherOutcome, _ := other.outcome()
+			if outcome == acknowledged && otherOutcome == acknowledged && other.BaseVersion == c.BaseVersion && !sameChange(c, other) {
 				j.addBreach(Config, at, nil, "%s and %s are both acknowledged on top of version %d", other.Name, c.Name, c.BaseVersion)
 			}
 		}
@@ -221,7 +222,8 @@
 	return a.BaseVersion == b.BaseVersion && a.Modify == b.Modify && bytes.Equal(a.Body, b.Body)
 }
 
-// judgeRepeats checks that an acknowledged change that is sent again is not refused if no newer change was sent meanwhile.
+// judgeRepeats checks that an acknowledged change that is sent again is not refused if no newer change was sent
+// meanwhile.
 func (j *judge) judgeRepeats(c *ConfigChange) {
 	_, first := c.outcome()
 	for i, t := range c.Attempts {
@@ -238,8 +240,8 @@
 	}
 }
 
-// judgeReads checks that no configuration read is older than the newest one acknowledged before the read, and that each one
-// is as it was sent.
+// judgeReads checks that no configuration read is older than the newest one acknowledged before the read, and that each
+// one is as it was sent.
 func (j *judge) judgeReads() {
 	for _, read := range j.ConfigReads {
 		if read.Status != http.StatusOK {
@@ -249,12 +251,12 @@
 			continue
 		}
 		j.countCheck(Config)
-		if floor := j.newestAcknowledged(read.Sent); read.Version < floor {
+		if newest := j.newestAcknowledged(read.Sent); read.Version < newest {
 			rule := Config
 			if slices.ContainsFunc(j.Faults, func(t Fault) bool { return t.Kind == FinalFault && t.From < read.Sent }) {
 				rule = Lost
 			}
-			j.addBreach(rule, read.Ended, nil, "version %d is read, %d was acknowledged before", read.Version, floor)
+			j.addBreach(rule, read.Ended, nil, "version %d is read, %d was acknowledged before", read.Version, newest)
 			continue
 		}
 		if !j.matchesSent(read) {
--- a/internal/lab/referee/tierrules/executions.go
+++ b/internal/lab/referee/tierrules/executions.go
@@ -8,7 +8,8 @@
 // allowedExcesses is the number of requests that may run at more receivers than their route allows.
 const allowedExcesses = 3
 
-// allowedDenials and requestsPerAllowedDenial limit the denials of valid requests: 5, and one more for each 500 requests.
+// allowedDenials and requestsPerAllowedDenial limit the denials of valid requests: 5, and one more for each 500
+// requests.
 const (
 	allowedDenials           = 5
 	requestsPerAllowedDenial = 500
--- a/internal/lab/referee/tierrules/history.go
+++ b/internal/lab/referee/tierrules/history.go
@@ -17,7 +17,7 @@
 // History is everything that was observed during a day.
 type History struct {
 	Bounds        Bounds
-	TrafficEnd    time.Duration // end of the traffic
+	TrafficEnd    time.Duration
 	Requests      []*Request
 	Runs          []*Run
 	Rejections    []*Rejection
--- a/internal/lab/referee/tierrules/judge.go
+++ b/internal/lab/referee/tierrules/judge.go
@@ -136,9 +136,9 @@
 	j.verdict.Breaches = append(j.verdict.Breaches, b)
 }
 
-// inContact reports whether a machine was in contact at an instant: neither it nor any core or store machine had a fault
-// within the contact bound before. A planned stop counts as a fault of its machine here; after a final fault the bound
-// is twice as long.
+// inContact reports whether a machine was in contact at an instant: neither it nor any core or store machine had a
+// fault within the contact bound before. A planned stop counts as a fault of its machine here; after a final fault the
+// bound is twice as long.
 func (j *judge) inContact(machine string, at time.Duration) bool {
 	for _, t := range j.Faults {
 		if t.Kind == Reloaded || t.Machine != machine && !t.Core {
--- a/internal/lab/referee/tierrules/losses.go
+++ b/internal/lab/referee/tierrules/losses.go
@@ -10,31 +10,33 @@
 const (
 	// stopSlack is the time after the grace period of a stop during which ended connections still count as cut by it.
 	stopSlack = time.Second
-	// lateSendLimit is the time after the stop signal within which a request must have been sent to be excused because its
-	// receiver is at work until the end of the grace period.
+	// lateSendLimit is the time after the stop signal within which a request must have been sent to be excused because
+	// its receiver is at work until the end of the grace period.
 	lateSendLimit = 3 * time.Second
-	// changeSlack is the time after the ConfigApply bound of a change during which ended requests still count as near it.
+	// changeSlack is the time after the ConfigApply bound of a change during which ended requests still count as near
+	// it.
 	changeSlack = time.Second
-	// cutFactor is how many times as often a machine has to cut requests near configuration changes as at other times for
-	// the cuts near changes to count.
+	// cutFactor is how many times as often a machine has to cut requests near configuration changes as at other times
+	// for the cuts near changes to count.
 	cutFactor = 3
-	// usedTimeShare is the share of its time limit from which on a request cut near a configuration change does not count.
+	// usedTimeShare is the share of its time limit from which on a request cut near a configuration change does not
+	// count.
 	usedTimeShare = 0.7
-	// allowedReusedConnectionCuts is the number of forwarded requests on reused connections that may end without an answer,
-	// at any time.
+	// allowedReusedConnectionCuts is the number of forwarded requests on reused connections that may end without an
+	// answer, at any time.
 	allowedReusedConnectionCuts = 3
 )
 
-// plannedOperation is an operation during which requests must not be lost: a stop (SIGTERM) or a SIGHUP of the process that
-// accepted the request, or a configuration change.
+// plannedOperation is an operation during which requests must not be lost: a stop (SIGTERM) or a SIGHUP of the process
+// that accepted the request, or a configuration change.
 type plannedOperation struct {
 	stop   *Fault
 	reload *Fault
 	change *ConfigChange
 }
 
-// judgeLosses checks LOST near planned operations: a request that was sent completely gets a complete answer. It also limits
-// the requests dropped on reused connections at any time.
+// judgeLosses checks LOST near planned operations: a request that was sent completely gets a complete answer. It also
+// limits the requests dropped on reused connections at any time.
 func (j *judge) judgeLosses() {
 	oftenCut := j.machinesCuttingAtChanges()
 	var dropped []*Request
@@ -91,8 +93,8 @@
 	return strings.Join(steps, "; ")
 }
 
-// operationNear returns the planned operation near which the request ended; false if there is none or an unplanned fault
-// was near.
+// operationNear returns the planned operation near which the request ended; false if there is none or an unplanned
+// fault was near.
 func (j *judge) operationNear(r *Request) (plannedOperation, bool) {
 	if j.faultNear(r) {
 		return plannedOperation{}, false
@@ -109,8 +111,8 @@
 	return plannedOperation{}, false
 }
 
-// faultNear reports whether an unplanned fault was active between the contact bound before the request and its end. Stops
-// and SIGHUPs are planned on all machines and excuse nothing.
+// faultNear reports whether an unplanned fault was active between the contact bound before the request and its end.
+// Stops and SIGHUPs are planned on all machines and excuse nothing.
 func (j *judge) faultNear(r *Request) bool {
 	return slices.ContainsFunc(j.Faults, func(t Fault) bool {
 		return t.Kind != Reloaded && t.Kind != Terminated && t.From <= r.Ended && t.To > r.Sent-j.Bounds.Contact
@@ -126,8 +128,8 @@
 	return nil
 }
 
-// endedDuringStop reports whether the request ended during the stop of the process that accepted it. If a machine is stopped
-// several times, a stop before its last start hit an earlier process.
+// endedDuringStop reports whether the request ended during the stop of the process that accepted it. If a machine is
+// stopped several times, a stop before its last start hit an earlier process.
 func (j *judge) endedDuringStop(r *Request, stop *Fault) bool {
 	return stop.Kind == Terminated && !j.startedBetween(r.Machine, stop.From, r.FullySent) && r.FullySent >= stop.From-r.Deadline && r.Ended >= stop.From && r.Ended <= stop.From+j.Bounds.Grace+stopSlack
 }
@@ -137,14 +139,14 @@
 	return slices.ContainsFunc(j.ProcessStarts, func(s ProcessStart) bool { return s.Machine == machine && s.At > from && s.At < to })
 }
 
-// endedAfterReload reports whether the request was sent before the SIGHUP, or within the ConfigApply bound after it, and
-// ended after it.
+// endedAfterReload reports whether the request was sent before the SIGHUP, or within the ConfigApply bound after it,
+// and ended after it.
 func (j *judge) endedAfterReload(r *Request, reload *Fault) bool {
 	return reload.Kind == Reloaded && r.Sent <= reload.From+j.Bounds.ConfigApply && r.Ended >= reload.From
 }
 
-// changeNear returns a change that may be in force and that was being sent, or had been acknowledged shortly before, when
-// the request ended; nil if there is none.
+// changeNear returns a change that may be in force and that was being sent, or had been acknowledged shortly before,
+// when the request ended; nil if there is none.
 func (j *judge) changeNear(r *Request) *ConfigChange {
 	for _, c := range j.changes {
 		if !c.mayBeInForce() || len(c.Attempts) == 0 {
@@ -209,9 +211,9 @@
 	return float64(r.Ended-r.Sent) >= usedTimeShare*float64(j.timeLimit(r)-r.Sent)
 }
 
-// excused reports whether a request may end without an answer: its time was over, it reached no receiver and ended within
-// the LossSlack bound, its receiver aborted it or crashed, or it was sent early in a stop and its receiver was still at work
-// in the last sixth of the grace period.
+// excused reports whether a request may end without an answer: its time was over, it reached no receiver and ended
+// within the LossSlack bound, its receiver aborted it or crashed, or it was sent early in a stop and its receiver was
+// still at work in the last sixth of the grace period.
 func (j *judge) excused(r *Request, operation plannedOperation) bool {
 	if r.Ended >= j.timeLimit(r) {
 		return true
@@ -225,8 +227,8 @@
 	})
 }
 
-// atWorkToEndOfGrace reports whether a request was sent early in a stop and its receiver was still at work on it in the last
-// sixth of the grace period.
+// atWorkToEndOfGrace reports whether a request was sent early in a stop and its receiver was still at work on it in the
+// last sixth of the grace period.
 func (j *judge) atWorkToEndOfGrace(r *Request, run *Run, stop *Fault) bool {
 	lastSixth := stop.From + j.Bounds.Grace*5/6
 	return r.Sent <= stop.From+lateSendLimit && (run.Ended == 0 || run.Ended >= lastSixth)
@@ -237,8 +239,8 @@
 	return slices.ContainsFunc(j.Crashes, func(c Crash) bool { return c.Instance == run.Instance && c.At >= run.Began && c.At <= until })
 }
 
-// droppedOnReusedConnection reports whether a machine in contact forwarded a request from a reused connection to a working
-// receiver and closed the connection without an answer.
+// droppedOnReusedConnection reports whether a machine in contact forwarded a request from a reused connection to a
+// working receiver and closed the connection without an answer.
 func (j *judge) droppedOnReusedConnection(r *Request) bool {
 	return r.ReusedConnection && r.Answer == nil && len(j.runs[r.ID]) > 0 && !j.excused(r, plannedOperation{}) && j.inContactThroughout(r.Machine, r.Sent, r.Ended)
 }
--- a/internal/lab/referee/tierrules/planned.go
+++ b/internal/lab/referee/tierrules/planned.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// judgeDrains checks DRAIN: once the drain bound has passed since a machine in contact acknowledged a receiver's departure,
-// no request forwarded by a machine in contact reaches the receiver.
+// judgeDrains checks DRAIN: once the drain bound has passed since a machine in contact acknowledged a receiver's
+// departure, no request forwarded by a machine in contact reaches the receiver.
 func (j *judge) judgeDrains() {
 	for _, end := range j.Departures {
 		j.countCheck(Drain)
@@ -33,14 +33,14 @@
 
 const statusMisdirected = 421
 
-// judgeRecovery checks RECOVER after a final fault: at least a quarter of the requests sent after the recovery bound are
-// served, if a quarter were served before the fault.
+// judgeRecovery checks RECOVER after a final fault: at least a quarter of the requests sent after the recovery bound
+// are served, if a quarter were served before the fault.
 func (j *judge) judgeRecovery() {
-	index := slices.IndexFunc(j.Faults, func(t Fault) bool { return t.Kind == FinalFault })
-	if index < 0 {
+	i := slices.IndexFunc(j.Faults, func(t Fault) bool { return t.Kind == FinalFault })
+	if i < 0 {
 		return
 	}
-	fault := j.Faults[index]
+	fault := j.Faults[i]
 	var before, servedBefore, after, servedAfter int
 	for _, r := range j.Requests {
 		switch {
@@ -66,11 +66,12 @@
 	return 0
 }
 
-// recoverySampleSpan is the time before the end of the traffic in which other turns show whether the tier has recovered.
+// recoverySampleSpan is the time before the end of the traffic in which other turns show whether the tier has
+// recovered.
 const recoverySampleSpan = 4 * time.Second
 
-// judgeContinuations checks LOST after a final fault: a turn that continues one from before the fault reaches a receiver
-// by the recovery bound, if at least four fifths of the other turns are served within recoverySampleSpan.
+// judgeContinuations checks LOST after a final fault: a turn that continues one from before the fault reaches a
+// receiver by the recovery bound, if at least four fifths of the other turns are served within recoverySampleSpan.
 func (j *judge) judgeContinuations(fault Fault) {
 	other, served := 0, 0
 	reached := map[string]bool{}
--- a/internal/lab/referee/tierrules/programs.go
+++ b/internal/lab/referee/tierrules/programs.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// judgePrograms checks the rules for turns: the tokens of BUDGET, the bodies of UNASKED, and for LOST the turns that are
-// forgotten or can't be continued.
+// judgePrograms checks the rules for turns: the tokens of BUDGET, the bodies of UNASKED, and for LOST the turns that
+// are forgotten or can't be continued.
 func (j *judge) judgePrograms() {
 	j.judgeTokenBudgets()
 	for _, r := range j.Requests {
@@ -51,8 +51,8 @@
 	}
 }
 
-// expectedBody returns the body that a receiver should get for a turn: the inputs and outputs of the previous turns of its
-// chain, oldest first, then its own input. It returns false if a previous turn is unknown or has no answer.
+// expectedBody returns the body that a receiver should get for a turn: the inputs and outputs of the previous turns of
+// its chain, oldest first, then its own input. It returns false if a previous turn is unknown or has no answer.
 func (j *judge) expectedBody(r *Request) ([]byte, bool) {
 	var chain []*Request
 	for previous := r.Previous; previous != ""; {
@@ -116,9 +116,9 @@
 // turnKey identifies a turn across all its attempts.
 type turnKey struct{ program, previous, input string }
 
-// judgeUnreached checks LOST: a turn that continues a completely answered one reaches a receiver within unreachedAttempts
-// attempts at machines in contact before its program's deadline, if meanwhile less than half of the receivers' slots are in
-// use and nine tenths of the first turns reach a receiver.
+// judgeUnreached checks LOST: a turn that continues a completely answered one reaches a receiver within
+// unreachedAttempts attempts at machines in contact before its program's deadline, if meanwhile less than half of the
+// receivers' slots are in use and nine tenths of the first turns reach a receiver.
 func (j *judge) judgeUnreached() {
 	attempts := map[turnKey][]*Request{}
 	for _, r := range j.Requests {
--- a/internal/lab/referee/tierrules/tierrules_test.go
+++ b/internal/lab/referee/tierrules/tierrules_test.go
@@ -19,8 +19,8 @@
 
 const ms = time.Millisecond
 
-// day is a history without faults that keeps all rules: a request of each kind, one configuration and one program of two
-// turns. Its parts are fields so that the tables' entries can change them.
+// day is a history without faults that keeps all rules: a request of each kind, one configuration and one program of
+// two turns. Its parts are fields so that the tables' entries can change them.
 type day struct {
 	*tierrules.History
 	read, order, text, first, second                *tierrules.Request
