--- a/internal/lab/referee/referee.go
+++ b/internal/lab/referee/referee.go
@@ -3,8 +3,8 @@
 // the rules after each one. How to use it:
 //
 //	r := referee.New(rules, senders, destinationOf)
-//	r.HandedIn(now, referee.HandIn{ID: id, Sender: 0, Text: text, Until: until})
-//	r.Heard(now, id, world.Taken, 0)
+//	r.HandedIn(now, referee.HandIn{ID: id, Sender: 0, Text: text, ValidUntil: validUntil})
+//	r.ClientAnswered(now, id, world.Taken, 0)
 //	r.CallBegan(now, first, call, id, sender, receiver)
 //	r.CallArrived(now, call)                        // its last byte
 //	r.CallAnswered(now, call, 200, 0)
