--- a/cmd/quaylab/fleet.go
+++ b/cmd/quaylab/fleet.go
@@ -31,7 +31,7 @@
 	fmt.Println("second  handed in  delivered  given up  calls  refused  no connection")
 	for i, s := range p.Seconds {
 		if s.HandedIn+s.Calls+s.GivenUp+s.Delivered > 0 {
-			fmt.Printf("%6d  %9d  %9d  %8d  %5d  %7d  %13d\n", i, s.HandedIn, s.Delivered, s.GivenUp, s.Calls, s.Full, s.NoConnection)
+			fmt.Printf("%6d  %9d  %9d  %8d  %5d  %7d  %13d\n", i, s.HandedIn, s.Delivered, s.GivenUp, s.Calls, s.Refused, s.ConnectFailed)
 		}
 	}
 	in, late, asked := p.Referee.Account().Revenue()
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -1,14 +1,15 @@
-// Package fleet plays a day of the world with modules in place of senders: hundreds of them, with no socket, clock or
-// goroutine. The referee judges it as it does senders on sockets. How to use it:
+// Package fleet simulates a day of package world with hundreds of control modules in place of sender processes. It is a
+// discrete-event simulation with no socket, clock or goroutine. The referee checks it as it checks senders on sockets.
+// Usage:
 //
 //	day, err := w.Draw(seed)
-//	p, err := fleet.New(day)
-//	p.Run()
-//	fmt.Println(p.Referee.Verdict(), p.Seconds)
+//	sim, err := fleet.New(day)
+//	sim.Run()
+//	fmt.Println(sim.Referee.Verdict(), sim.Seconds)
 //
-// What lies between a module and the world is kept plain: each way takes a hop, every connection comes up at once where
-// the receiver listens, a started sender knows its list, what a sender has taken on outlasts it, and every fate is a kill.
-// The same day plays alike each time.
+// The environment of a module is simplified: each direction takes oneWayDelay, a connection to a listening receiver
+// opens at once, a started sender knows its receiver list, the texts a sender accepted survive its restart, and every
+// fate is a kill. The same day gives the same run each time.
 package fleet
 
 import (
@@ -23,146 +24,148 @@
 	"emberquay/internal/lab/world"
 )
 
-// hop is the time of one way between a sender and a receiver.
-const hop = 5 * time.Millisecond
+// oneWayDelay is the network delay from a sender to a receiver, and back.
+const oneWayDelay = 5 * time.Millisecond
 
-// Second counts what the whole fleet did in one second of the day.
-type Second struct {
-	HandedIn, Delivered, GivenUp int
-	Calls, Full, NoConnection    int
+// SecondTotals counts what all senders together did in one second of the day.
+type SecondTotals struct {
+	HandedIn, Delivered, GivenUp  int
+	Calls, Refused, ConnectFailed int
 }
 
-// Play is one day under way.
-type Play struct {
+// Simulation is the run of one day.
+type Simulation struct {
 	Referee *referee.Referee
-	Seconds []Second
+	Seconds []SecondTotals
 
-	day     *world.Day
-	set     control.Settings
-	chance  *rand.Rand
-	now     time.Duration
-	agenda  agenda
-	entered int64 // of the agenda, to keep those of one instant in order
-	nodes   []*node
-	calls   int64
-	submits map[*world.Text]int
+	day          *world.Day
+	settings     control.Settings
+	random       *rand.Rand
+	now          time.Duration
+	events       eventQueue
+	lastSeq      int64 // sequence number of the last event; orders events of the same instant
+	senders      []*sender
+	lastCallID   int64
+	submitCounts map[*world.Text]int
 }
 
-// New makes the play of a day.
-func New(day *world.Day) (*Play, error) {
+// New returns a simulation of a day, with all senders started.
+func New(day *world.Day) (*Simulation, error) {
 	raw, err := json.Marshal(day.Settings())
 	if err != nil {
 		return nil, err
 	}
-	set, err := config.Flatten(raw)
+	settings, err := config.Flatten(raw)
 	if err != nil {
 		return nil, err
 	}
-	p := &Play{day: day, set: set, chance: rand.New(rand.NewPCG(day.Seed, 1)), submits: map[*world.Text]int{},
-		Seconds: make([]Second, int(day.End/time.Second)+2)}
-	of := func(receiver int) int { return day.Receivers[receiver].Destination().No }
-	p.Referee = referee.New(day.World.Rules, day.World.Senders, of)
-	for no := range day.World.Senders {
-		n := &node{play: p, no: no, texts: map[string]*held{}}
-		p.nodes = append(p.nodes, n)
-		if err := n.start(); err != nil {
+	sim := &Simulation{day: day, settings: settings, random: rand.New(rand.NewPCG(day.Seed, 1)), submitCounts: map[*world.Text]int{},
+		Seconds: make([]SecondTotals, int(day.End/time.Second)+2)}
+	destinationOf := func(receiver int) int { return day.Receivers[receiver].Destination().No }
+	sim.Referee = referee.New(day.World.Rules, day.World.Senders, destinationOf)
+	for index := range day.World.Senders {
+		s := &sender{sim: sim, index: index, texts: map[string]*heldText{}}
+		sim.senders = append(sim.senders, s)
+		if err := s.start(); err != nil {
 			return nil, err
 		}
 	}
-	return p, nil
+	return sim, nil
 }
 
-// Run plays it to its end.
-func (p *Play) Run() {
-	for _, t := range p.day.Texts {
-		p.at(t.At, func() { p.hand(t, 0, "") })
+// Run runs the simulation to the end of the day.
+func (sim *Simulation) Run() {
+	for _, text := range sim.day.Texts {
+		sim.schedule(text.At, func() { sim.handIn(text, 0, "") })
 	}
-	for _, f := range p.day.Fates {
-		n := p.nodes[f.Sender]
-		from := time.Duration(f.AtS * float64(time.Second))
-		p.at(from, n.kill)
-		p.at(from+time.Duration(f.DownS*float64(time.Second)), func() { n.start() })
+	for _, fate := range sim.day.Fates {
+		s := sim.senders[fate.Sender]
+		killAt := time.Duration(fate.AtS * float64(time.Second))
+		sim.schedule(killAt, s.kill)
+		sim.schedule(killAt+time.Duration(fate.DownS*float64(time.Second)), func() { s.start() })
 	}
-	for i := range p.day.Changes {
-		ch := &p.day.Changes[i]
-		p.at(ch.At, func() { p.Referee.ReceiverStateChanged(p.now, ch.Receiver, ch.State) })
-		for no, told := range ch.Told {
-			p.at(told, func() { p.nodes[no].told(ch) })
+	for i := range sim.day.Changes {
+		change := &sim.day.Changes[i]
+		sim.schedule(change.At, func() { sim.Referee.ReceiverStateChanged(sim.now, change.Receiver, change.State) })
+		for sender, notifyAt := range change.Told {
+			sim.schedule(notifyAt, func() { sim.senders[sender].receiverChanged(change) })
 		}
 	}
-	for len(p.agenda) > 0 && p.agenda[0].at <= p.day.End {
-		e := heap.Pop(&p.agenda).(entry)
-		p.now = e.at
-		e.do()
+	for len(sim.events) > 0 && sim.events[0].at <= sim.day.End {
+		e := heap.Pop(&sim.events).(event)
+		sim.now = e.at
+		e.run()
 	}
-	p.now = p.day.End
-	p.Referee.Finish(p.now)
+	sim.now = sim.day.End
+	sim.Referee.Finish(sim.now)
 }
 
-// at puts something on the agenda.
-func (p *Play) at(when time.Duration, do func()) {
-	p.entered++
-	heap.Push(&p.agenda, entry{max(when, p.now), p.entered, do})
+// schedule queues an event for the given time, or for now if that has passed.
+func (sim *Simulation) schedule(at time.Duration, run func()) {
+	sim.lastSeq++
+	heap.Push(&sim.events, event{max(at, sim.now), sim.lastSeq, run})
 }
 
-func (p *Play) second() *Second { return &p.Seconds[min(int(p.now/time.Second), len(p.Seconds)-1)] }
+func (sim *Simulation) currentSecond() *SecondTotals {
+	return &sim.Seconds[min(int(sim.now/time.Second), len(sim.Seconds)-1)]
+}
 
-type entry struct {
-	at time.Duration
-	no int64
-	do func()
+type event struct {
+	at  time.Duration
+	seq int64
+	run func()
 }
 
-type agenda []entry
+type eventQueue []event
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].no < a[j].no
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(entry)) }
-func (a *agenda) Pop() any {
-	last := (*a)[len(*a)-1]
-	*a = (*a)[:len(*a)-1]
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
-// hand has a client hand a text in for the n-th time, to any sender that is not known to be down.
-func (p *Play) hand(t *world.Text, n int, mark string) {
-	var up []*node
-	for _, o := range p.nodes {
-		if !o.down || p.now < o.downAt+p.day.Notices(o.no, o.life) {
-			up = append(up, o)
+// handIn simulates a client's hand-in of a text, number handInNo from 0, to a random sender that is not known to be down.
+func (sim *Simulation) handIn(text *world.Text, handInNo int, mark string) {
+	var candidates []*sender
+	for _, o := range sim.senders {
+		if !o.down || sim.now < o.downAt+sim.day.Notices(o.index, o.kills) {
+			candidates = append(candidates, o)
 		}
 	}
-	if len(up) == 0 {
-		p.Referee.SenderUnavailable(p.now, t)
+	if len(candidates) == 0 {
+		sim.Referee.SenderUnavailable(sim.now, text)
 		return
 	}
-	o := up[p.chance.IntN(len(up))]
+	o := candidates[sim.random.IntN(len(candidates))]
 	if o.down {
-		p.again(t, n, world.NoAnswer, 0)
+		sim.scheduleRetry(text, handInNo, world.NoAnswer, 0)
 		return
 	}
-	p.second().HandedIn++
-	h := &held{text: t, n: n, id: p.day.ID(t, n), fresh: true}
-	p.Referee.HandedIn(p.now, referee.HandIn{ID: h.id, Sender: o.no, Text: t, ValidUntil: t.Validity()})
-	o.texts[h.id] = h
-	o.step(func() { o.take(h, mark != "") })
-	h.fresh = false
-	heard := world.Taken
-	if h.ended {
-		heard = h.verdict
+	sim.currentSecond().HandedIn++
+	ht := &heldText{text: text, handInNo: handInNo, id: sim.day.ID(text, handInNo), replyDue: true}
+	sim.Referee.HandedIn(sim.now, referee.HandIn{ID: ht.id, Sender: o.index, Text: text, ValidUntil: text.Validity()})
+	o.texts[ht.id] = ht
+	o.callModule(func() { o.deliverArrival(ht, mark != "") })
+	ht.replyDue = false
+	reply := world.Taken
+	if ht.ended {
+		reply = ht.reply
 	}
-	p.Referee.ClientAnswered(p.now, h.id, heard, h.advice)
-	if h.ended {
-		p.again(t, n, heard, h.advice)
+	sim.Referee.ClientAnswered(sim.now, ht.id, reply, ht.retryAfter)
+	if ht.ended {
+		sim.scheduleRetry(text, handInNo, reply, ht.retryAfter)
 	}
 }
 
-// again has the client come back, if it does.
-func (p *Play) again(t *world.Text, n int, heard world.Heard, advice time.Duration) {
-	if next, comes := p.day.After(p.now, t, n, heard, advice); comes {
-		p.at(next.At, func() { p.hand(t, n+1, next.Mark) })
+// scheduleRetry schedules the client's next hand-in of the text, if it makes one.
+func (sim *Simulation) scheduleRetry(text *world.Text, handInNo int, reply world.Heard, retryAfter time.Duration) {
+	if next, retries := sim.day.After(sim.now, text, handInNo, reply, retryAfter); retries {
+		sim.schedule(next.At, func() { sim.handIn(text, handInNo+1, next.Mark) })
 	}
 }
--- a/internal/lab/fleet/node.go
+++ b/internal/lab/fleet/node.go
@@ -11,299 +11,301 @@
 	"emberquay/internal/lab/world"
 )
 
-// node is one sender: a module and what its folder would hold.
-type node struct {
-	play   *Play
-	no     int
-	life   int
-	down   bool
-	downAt time.Duration
-	module *control.Sender
-	texts  map[string]*held
-	later  []func() // what the module wants done that leads to a call on it
+// sender is one simulated sender: a control module and the texts that its data folder would hold.
+type sender struct {
+	sim      *Simulation
+	index    int
+	kills    int // number of times it was killed; tells its processes apart
+	down     bool
+	downAt   time.Duration
+	module   *control.Sender
+	texts    map[string]*heldText
+	deferred []func() // work requested by the module that calls it again
 }
 
-// held is a text that a sender has in hand.
-type held struct {
-	text     *world.Text
-	n        int // which hand-in of it
-	id       string
-	no       int // of the next submit, as the module counts
-	submits  int // in all
-	ranSince control.Time
-	out      *call
-	fresh    bool // its client has yet to hear
-	ended    bool
-	verdict  world.Heard // what its client hears, if it ended at once
-	advice   time.Duration
+// heldText is a text that a sender has accepted and not yet finished.
+type heldText struct {
+	text         *world.Text
+	handInNo     int // number of the hand-in, from 0
+	id           string
+	nextSubmitNo int // number of the next submit, as the module counts
+	submits      int // total, across restarts
+	firstRunAt   control.Time
+	pending      *call
+	replyDue     bool // the hand-in's reply has not been sent yet
+	ended        bool
+	reply        world.Heard // set once ended
+	retryAfter   time.Duration
 }
 
 // call is one submit.
 type call struct {
-	no       int64
-	life     int
-	id       string
-	to       *world.Receiver
-	sent     time.Duration
-	began    bool // the receiver has it
-	over     bool
-	answered bool // and its answer is on its way
-	receiver world.Call
+	id       int64
+	kills    int // of the sender when it sent the call
+	textID   string
+	receiver *world.Receiver
+	sentAt   time.Duration
+	arrived  bool // reached a listening receiver
+	closed   bool
+	answered bool // its answer is in transit to the sender
+	state    world.Call
 }
 
-// epoch is the module's time at the start of the day: well above nought, as a sender's is.
+// epoch is the module's time at the start of the day. It is well above zero, as in a sender process.
 const epoch = 1000 * control.Second
 
-// ticks is the module's time at an instant of the day.
-func ticks(at time.Duration) control.Time { return epoch + protocol.Ticks(at) }
+// moduleTime converts a time of the day to the module's time.
+func moduleTime(at time.Duration) control.Time { return epoch + protocol.Ticks(at) }
 
-// start gives the sender a new module, its list and what it had taken on before.
-func (n *node) start() error {
-	if n.play.now > 0 {
-		n.play.Referee.SenderStarted(n.play.now, n.no)
+// start gives the sender a new module, the receiver list and the texts it held before.
+func (s *sender) start() error {
+	if s.sim.now > 0 {
+		s.sim.Referee.SenderStarted(s.sim.now, s.index)
 	}
 	var err error
-	if n.module, err = control.New(n.play.day.Seed*1000+uint64(n.no)+uint64(n.life)<<32, n.play.set, n); err != nil {
+	if s.module, err = control.New(s.sim.day.Seed*1000+uint64(s.index)+uint64(s.kills)<<32, s.sim.settings, s); err != nil {
 		return err
 	}
-	n.down = false
-	var list []control.ReceiverEntry
-	version := n.play.day.Version(n.no, n.play.now)
-	for _, r := range n.play.day.Receivers {
-		if state := n.play.day.State(r, version); state == world.Active || state == world.Leaving {
-			list = append(list, entryOf(r, state))
-			n.play.Referee.ReceiverStateNotified(n.play.now, n.no, r.No, state)
+	s.down = false
+	var entries []control.ReceiverEntry
+	version := s.sim.day.Version(s.index, s.sim.now)
+	for _, r := range s.sim.day.Receivers {
+		if state := s.sim.day.State(r, version); state == world.Active || state == world.Leaving {
+			entries = append(entries, receiverEntry(r, state))
+			s.sim.Referee.ReceiverStateNotified(s.sim.now, s.index, r.No, state)
 		}
 	}
-	n.step(func() {
-		n.module.UpdateReceivers(true, list)
-		for _, h := range n.inHand() {
-			n.take(h, false)
+	s.callModule(func() {
+		s.module.UpdateReceivers(true, entries)
+		for _, ht := range s.heldTexts() {
+			s.deliverArrival(ht, false)
 		}
 	})
-	n.play.Referee.SenderReady(n.play.now, n.no)
+	s.sim.Referee.SenderReady(s.sim.now, s.index)
 	return nil
 }
 
-// inHand lists the texts that it holds, alike each time.
-func (n *node) inHand() []*held {
-	return slices.SortedFunc(maps.Values(n.texts), func(a, b *held) int { return cmp.Or(a.text.No-b.text.No, a.n-b.n) })
+// heldTexts returns the sender's texts in a deterministic order.
+func (s *sender) heldTexts() []*heldText {
+	return slices.SortedFunc(maps.Values(s.texts), func(a, b *heldText) int { return cmp.Or(a.text.No-b.text.No, a.handInNo-b.handInNo) })
 }
 
-// kill ends the sender as SIGKILL does; its texts stay in its folder, and its connections are reset.
-func (n *node) kill() {
-	n.play.Referee.SenderDown(n.play.now, n.no)
-	n.life++
-	n.down, n.downAt = true, n.play.now
-	for _, h := range n.inHand() {
-		if c := h.out; c != nil {
-			if h.ranSince == 0 {
-				h.ranSince = ticks(c.sent)
+// kill stops the sender as SIGKILL does: its texts stay in its data folder, and its connections are reset.
+func (s *sender) kill() {
+	s.sim.Referee.SenderDown(s.sim.now, s.index)
+	s.kills++
+	s.down, s.downAt = true, s.sim.now
+	for _, ht := range s.heldTexts() {
+		if c := ht.pending; c != nil {
+			if ht.firstRunAt == 0 {
+				ht.firstRunAt = moduleTime(c.sentAt)
 			}
-			n.drop(c)
+			s.closeCall(c)
 		}
-		h.no, h.out = h.submits, nil // a module that takes it over counts on
+		ht.nextSubmitNo, ht.pending = ht.submits, nil // the next module continues the count
 	}
 }
 
-// drop closes the connection of a call; an answer that is on its way is read by nobody.
-func (n *node) drop(c *call) {
+// closeCall closes the connection of a call. An answer in transit stays unread.
+func (s *sender) closeCall(c *call) {
 	switch {
 	case c.answered:
-		n.play.Referee.CallAnswerUnread(n.play.now, c.no)
-	case !c.over && c.began:
-		n.play.Referee.CallEnded(n.play.now, c.no, true)
+		s.sim.Referee.CallAnswerUnread(s.sim.now, c.id)
+	case !c.closed && c.arrived:
+		s.sim.Referee.CallEnded(s.sim.now, c.id, true)
 	}
-	c.over = true
+	c.closed = true
 }
 
-func entryOf(r *world.Receiver, state string) control.ReceiverEntry {
-	d := r.Destination()
-	listing := map[string]control.ReceiverState{world.Active: control.Up, world.Leaving: control.Draining, world.Left: control.Removed}[state]
-	return control.ReceiverEntry{Receiver: control.ReceiverID(r.No + 1), Rate: r.Rate, Destination: int64(d.No), Kind: d.Kind.Name,
-		State: listing}
+func receiverEntry(r *world.Receiver, state string) control.ReceiverEntry {
+	destination := r.Destination()
+	moduleState := map[string]control.ReceiverState{world.Active: control.Up, world.Leaving: control.Draining, world.Left: control.Removed}[state]
+	return control.ReceiverEntry{Receiver: control.ReceiverID(r.No + 1), Rate: r.Rate, Destination: int64(destination.No), Kind: destination.Kind.Name,
+		State: moduleState}
 }
 
-// told hands on a change of the list.
-func (n *node) told(ch *world.Change) {
-	if n.down {
+// receiverChanged passes a change of the receiver list to the module.
+func (s *sender) receiverChanged(change *world.Change) {
+	if s.down {
 		return
 	}
-	n.play.Referee.ReceiverStateNotified(n.play.now, n.no, ch.Receiver, ch.State)
-	n.step(func() {
-		n.module.UpdateReceivers(false, []control.ReceiverEntry{entryOf(n.play.day.Receivers[ch.Receiver], ch.State)})
+	s.sim.Referee.ReceiverStateNotified(s.sim.now, s.index, change.Receiver, change.State)
+	s.callModule(func() {
+		s.module.UpdateReceivers(false, []control.ReceiverEntry{receiverEntry(s.sim.day.Receivers[change.Receiver], change.State)})
 	})
 }
 
-// step makes one batch of one call on the module.
-func (n *node) step(do func()) {
-	n.module.SetTime(ticks(n.play.now))
+// callModule runs one call on the module as a batch of its own, then the deferred work that it leads to.
+func (s *sender) callModule(do func()) {
+	s.module.SetTime(moduleTime(s.sim.now))
 	do()
-	n.module.Schedule()
-	for len(n.later) > 0 {
-		todo := n.later
-		n.later = nil
-		for _, do := range todo {
+	s.module.Schedule()
+	for len(s.deferred) > 0 {
+		batch := s.deferred
+		s.deferred = nil
+		for _, do := range batch {
 			do()
 		}
-		n.module.Schedule()
+		s.module.Schedule()
 	}
 }
 
-func (n *node) take(h *held, retry bool) {
-	n.module.HandleArrival(control.Arrival{ID: h.id, Product: h.text.Product.Name, Destination: int64(h.text.Destination), Key: h.text.Key,
-		TimeLeft: ticks(h.text.Validity()) - ticks(n.play.now), Retry: retry, Attempts: h.submits, FirstRunAt: h.ranSince})
+func (s *sender) deliverArrival(ht *heldText, retry bool) {
+	s.module.HandleArrival(control.Arrival{ID: ht.id, Product: ht.text.Product.Name, Destination: int64(ht.text.Destination), Key: ht.text.Key,
+		TimeLeft: moduleTime(ht.text.Validity()) - moduleTime(s.sim.now), Retry: retry, Attempts: ht.submits, FirstRunAt: ht.firstRunAt})
 }
 
-// Submit sends a call on its way.
-func (n *node) Submit(id string, to control.ReceiverID, timeout control.Time) {
-	p, h := n.play, n.texts[id]
-	p.calls++
-	c := &call{no: p.calls, life: n.life, id: id, to: p.day.Receivers[to-1], sent: p.now}
-	no := h.no
-	h.no, h.submits, h.out = h.no+1, h.submits+1, c
-	p.second().Calls++
-	p.at(p.now+hop, func() { n.arrive(h, c, no) })
-	end := h.text.Validity()
+// Submit sends a text to a receiver.
+func (s *sender) Submit(id string, receiver control.ReceiverID, timeout control.Time) {
+	sim, ht := s.sim, s.texts[id]
+	sim.lastCallID++
+	c := &call{id: sim.lastCallID, kills: s.kills, textID: id, receiver: sim.day.Receivers[receiver-1], sentAt: sim.now}
+	submitNo := ht.nextSubmitNo
+	ht.nextSubmitNo, ht.submits, ht.pending = ht.nextSubmitNo+1, ht.submits+1, c
+	sim.currentSecond().Calls++
+	sim.schedule(sim.now+oneWayDelay, func() { s.callArrived(ht, c, submitNo) })
+	deadline := ht.text.Validity()
 	if timeout > 0 {
-		end = min(end, p.now+protocol.Duration(timeout))
+		deadline = min(deadline, sim.now+protocol.Duration(timeout))
 	}
-	p.at(end, func() {
-		if h.out == c && n.life == c.life {
-			n.drop(c)
-			n.hear(h, c, no, control.Result{Outcome: control.NoAnswer})
+	sim.schedule(deadline, func() {
+		if ht.pending == c && s.kills == c.kills {
+			s.closeCall(c)
+			s.handleResult(ht, c, submitNo, control.Result{Outcome: control.NoAnswer})
 		}
 	})
 }
 
-// arrive: the call's bytes reach the receiver, if it listens.
-func (n *node) arrive(h *held, c *call, no int) {
-	p := n.play
-	if c.over {
+// callArrived handles the arrival of a call's bytes at the receiver, which may not be listening.
+func (s *sender) callArrived(ht *heldText, c *call, submitNo int) {
+	sim := s.sim
+	if c.closed {
 		return
 	}
-	if !c.to.Listens(p.now) {
-		c.over = true
-		p.Referee.IdleConnectionBroken(p.now, n.no, c.to.No)
-		p.second().NoConnection++
-		p.at(p.now+hop, func() { n.hear(h, c, no, control.Result{Outcome: control.NoConnection, NotListening: true}) })
+	if !c.receiver.Listens(sim.now) {
+		c.closed = true
+		sim.Referee.IdleConnectionBroken(sim.now, s.index, c.receiver.No)
+		sim.currentSecond().ConnectFailed++
+		sim.schedule(sim.now+oneWayDelay, func() {
+			s.handleResult(ht, c, submitNo, control.Result{Outcome: control.NoConnection, NotListening: true})
+		})
 		return
 	}
-	c.began = true
-	c.receiver = world.Call{Sender: n.no, Text: h.text, Submit: p.submits[h.text]}
-	p.submits[h.text]++
-	p.Referee.CallBegan(p.now, p.now, c.no, h.id, n.no, c.to.No)
-	p.Referee.CallArrived(p.now, c.no)
-	fell := c.to.Fell
-	due, ever := c.to.Begin(p.now, &c.receiver)
-	if c.to.Fell != fell {
-		p.Referee.ReceiverOverloaded(p.now, c.to.No, c.to.Fell)
+	c.arrived = true
+	c.state = world.Call{Sender: s.index, Text: ht.text, Submit: sim.submitCounts[ht.text]}
+	sim.submitCounts[ht.text]++
+	sim.Referee.CallBegan(sim.now, sim.now, c.id, ht.id, s.index, c.receiver.No)
+	sim.Referee.CallArrived(sim.now, c.id)
+	previousFall := c.receiver.Fell
+	endAt, ends := c.receiver.Begin(sim.now, &c.state)
+	if c.receiver.Fell != previousFall {
+		sim.Referee.ReceiverOverloaded(sim.now, c.receiver.No, c.receiver.Fell)
 	}
-	if ever {
-		p.at(due, func() { n.answer(h, c, no) })
+	if ends {
+		sim.schedule(endAt, func() { s.callEnded(ht, c, submitNo) })
 	}
 }
 
-// answer: the receiver is done with the call.
-func (n *node) answer(h *held, c *call, no int) {
-	p := n.play
-	a := c.to.End(p.now, &c.receiver)
-	if a.Ran || a.Known {
-		p.Referee.CallExecuted(c.no, a.Known)
+// callEnded handles the end of a call at the receiver.
+func (s *sender) callEnded(ht *heldText, c *call, submitNo int) {
+	sim := s.sim
+	answer := c.receiver.End(sim.now, &c.state)
+	if answer.Ran || answer.Known {
+		sim.Referee.CallExecuted(c.id, answer.Known)
 	}
-	if c.over || a.Do == world.Nothing {
+	if c.closed || answer.Do == world.Nothing {
 		return
 	}
-	c.over = true
-	if a.Do == world.Reset {
-		p.Referee.CallEnded(p.now, c.no, false)
-		p.at(p.now+hop, func() { n.hear(h, c, no, control.Result{Outcome: control.ConnectionLost}) })
+	c.closed = true
+	if answer.Do == world.Reset {
+		sim.Referee.CallEnded(sim.now, c.id, false)
+		sim.schedule(sim.now+oneWayDelay, func() { s.handleResult(ht, c, submitNo, control.Result{Outcome: control.ConnectionLost}) })
 		return
 	}
 	c.answered = true
-	p.Referee.CallAnswered(p.now, c.no, a.Status, a.Wait)
-	r := control.Result{Outcome: control.Errored, RetryAfter: protocol.Ticks(a.Wait + protocol.Tick - 1)}
-	switch a.Status {
+	sim.Referee.CallAnswered(sim.now, c.id, answer.Status, answer.Wait)
+	result := control.Result{Outcome: control.Errored, RetryAfter: protocol.Ticks(answer.Wait + protocol.Tick - 1)}
+	switch answer.Status {
 	case 200:
-		r.Outcome, r.Final = control.Delivered, true
+		result.Outcome, result.Final = control.Delivered, true
 	case 429, 503:
-		r.Outcome = control.Refused
-		p.second().Full++
+		result.Outcome = control.Refused
+		sim.currentSecond().Refused++
 	}
-	if a.Report.OK {
-		r.Report = []float64{a.Report.Share, a.Report.PerSecond}
+	if answer.Report.OK {
+		result.Report = []float64{answer.Report.Share, answer.Report.PerSecond}
 	}
-	p.at(p.now+hop, func() { n.hear(h, c, no, r) })
+	sim.schedule(sim.now+oneWayDelay, func() { s.handleResult(ht, c, submitNo, result) })
 }
 
-// hear hands the result of a submit to the module.
-func (n *node) hear(h *held, c *call, no int, r control.Result) {
-	p := n.play
-	if n.life != c.life || h.out != c {
-		return // the process that sent it is gone, or has given it up
+// handleResult passes the result of a submit to the module.
+func (s *sender) handleResult(ht *heldText, c *call, submitNo int, result control.Result) {
+	sim := s.sim
+	if s.kills != c.kills || ht.pending != c {
+		return // the process that sent it was killed, or the call was given up
 	}
-	h.out = nil
-	r.Took = ticks(p.now) - ticks(c.sent)
-	if r.Outcome.MayHaveRun() && h.ranSince == 0 {
-		h.ranSince = ticks(c.sent)
+	ht.pending = nil
+	result.Took = moduleTime(sim.now) - moduleTime(c.sentAt)
+	if result.Outcome.MayHaveRun() && ht.firstRunAt == 0 {
+		ht.firstRunAt = moduleTime(c.sentAt)
 	}
-	if r.Final {
-		delete(n.texts, h.id)
-		p.second().Delivered++
+	if result.Final {
+		delete(s.texts, ht.id)
+		sim.currentSecond().Delivered++
 	}
-	n.step(func() { n.module.HandleResult(h.id, no, r) })
+	s.callModule(func() { s.module.HandleResult(ht.id, submitNo, result) })
 }
 
-// Cancel gives a call up.
-func (n *node) Cancel(id string, no int) {
-	if h := n.texts[id]; h != nil && h.out != nil && h.no == no+1 {
-		c := h.out
-		n.drop(c)
-		n.later = append(n.later, func() { n.hear(h, c, no, control.Result{Outcome: control.Cancelled}) })
+// Cancel cancels a submit that is still pending.
+func (s *sender) Cancel(id string, submitNo int) {
+	if ht := s.texts[id]; ht != nil && ht.pending != nil && ht.nextSubmitNo == submitNo+1 {
+		c := ht.pending
+		s.closeCall(c)
+		s.deferred = append(s.deferred, func() { s.handleResult(ht, c, submitNo, control.Result{Outcome: control.Cancelled}) })
 	}
 }
 
-// Nack ends a text that may be handed in again.
-func (n *node) Nack(id string, comeBack control.Time) {
-	n.end(id, world.Nacked, protocol.Duration(comeBack))
+// Nack ends a text that its client may hand in again.
+func (s *sender) Nack(id string, retryAfter control.Time) {
+	s.endText(id, world.Nacked, protocol.Duration(retryAfter))
 }
 
-// MarkUndeliverable ends a text for good.
-func (n *node) MarkUndeliverable(id string) { n.end(id, world.Failed, 0) }
+// MarkUndeliverable ends a text that its client must not hand in again.
+func (s *sender) MarkUndeliverable(id string) { s.endText(id, world.Failed, 0) }
 
-func (n *node) end(id string, v world.Heard, advice time.Duration) {
-	p, h := n.play, n.texts[id]
-	if h == nil {
+func (s *sender) endText(id string, reply world.Heard, retryAfter time.Duration) {
+	sim, ht := s.sim, s.texts[id]
+	if ht == nil {
 		return
 	}
-	delete(n.texts, id)
-	h.ended, h.verdict, h.advice = true, v, advice
-	p.second().GivenUp++
-	if h.fresh { // its client hears it as the answer
+	delete(s.texts, id)
+	ht.ended, ht.reply, ht.retryAfter = true, reply, retryAfter
+	sim.currentSecond().GivenUp++
+	if ht.replyDue { // the client gets it as the reply to the hand-in
 		return
 	}
-	p.Referee.NoticeSent(p.now, n.no, id, v == world.Nacked)
-	p.again(h.text, h.n, v, advice)
+	sim.Referee.NoticeSent(sim.now, s.index, id, reply == world.Nacked)
+	sim.scheduleRetry(ht.text, ht.handInNo, reply, retryAfter)
 }
 
-// WakeAt has the module called again.
-func (n *node) WakeAt(at control.Time, _ int64) {
-	life := n.life
-	n.play.at(protocol.Duration(at-epoch), func() {
-		if n.life == life && !n.down {
-			n.step(func() {})
+// WakeAt schedules a call on the module.
+func (s *sender) WakeAt(at control.Time, _ int64) {
+	kills := s.kills
+	s.sim.schedule(protocol.Duration(at-epoch), func() {
+		if s.kills == kills && !s.down {
+			s.callModule(func() {})
 		}
 	})
 }
 
-// CloseIdle, WatchReceivers, Broadcast and Log have nothing to do here.
-func (n *node) CloseIdle(control.ReceiverID) {}
+// CloseIdle does nothing: connections are not simulated.
+func (s *sender) CloseIdle(control.ReceiverID) {}
 
-// WatchReceivers: the world tells its list by itself.
-func (n *node) WatchReceivers() {}
+// WatchReceivers does nothing: the simulation reports list changes unasked.
+func (s *sender) WatchReceivers() {}
 
-// Broadcast is sent by no module.
-func (n *node) Broadcast([]byte) {}
+// Broadcast does nothing: modules of senders send no broadcasts.
+func (s *sender) Broadcast([]byte) {}
 
-// Log is dropped.
-func (n *node) Log(string) {}
+// Log discards the message.
+func (s *sender) Log(string) {}
