--- a/cmd/quaylab/fleet.go
+++ b/cmd/quaylab/fleet.go
@@ -36,7 +36,7 @@
 	}
 	in, late, asked := p.Referee.Account().Revenue()
 	fmt.Printf("\nseed %d, %d senders, %d receivers: %.3f of the revenue earned in time, %.3f late; %.3f by capacity alone\n%s",
-		day.Seed, w.Senders, len(day.Receivers), in/asked, late/asked, total(day.Best())/asked, p.Referee.Verdict())
+		day.Seed, w.Senders, len(day.Receivers), in/asked, late/asked, total(day.BestRevenue())/asked, p.Referee.Verdict())
 	breaches(os.Stdout, p.Referee.Breaches, p.Referee.OmittedBreaches, c.Show)
 	if len(p.Referee.Breaches) > 0 {
 		return errBroken
--- a/cmd/quaylab/play.go
+++ b/cmd/quaylab/play.go
@@ -67,7 +67,7 @@
 		return err
 	}
 	fmt.Printf("day of seed %d: %d texts in %.0f s, %d senders, %d receivers of %d destinations, %d troubles, %d fates of senders\n",
-		day.Seed, len(day.Texts), day.Length.Seconds(), w.Senders, len(day.Receivers), len(day.Destinations), len(day.Strikes), len(day.Fates))
+		day.Seed, len(day.Texts), day.Length.Seconds(), w.Senders, len(day.Receivers), len(day.Destinations), len(day.Incidents), len(day.Fates))
 	live := terminal(os.Stderr)
 	if live {
 		opt.Progress = func(p standin.Progress) {
--- a/cmd/quaylab/report.go
+++ b/cmd/quaylab/report.go
@@ -27,7 +27,7 @@
 	for _, o := range a.Receivers {
 		m := day.Receivers[o.No]
 		struck := ""
-		for _, s := range day.Strikes {
+		for _, s := range day.Incidents {
 			for _, no := range s.Receivers {
 				if no == o.No {
 					struck += fmt.Sprintf(" %s %.1f-%.1fs", s.What, s.From.Seconds(), s.To.Seconds())
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -87,7 +87,7 @@
 	for i := range sim.day.Changes {
 		change := &sim.day.Changes[i]
 		sim.schedule(change.At, func() { sim.Referee.ReceiverStateChanged(sim.now, change.Receiver, change.State) })
-		for sender, notifyAt := range change.Told {
+		for sender, notifyAt := range change.NotifyAt {
 			sim.schedule(notifyAt, func() { sim.senders[sender].receiverChanged(change) })
 		}
 	}
@@ -134,7 +134,7 @@
 func (sim *Simulation) handIn(text *world.Text, handInNo int, mark string) {
 	var candidates []*sender
 	for _, o := range sim.senders {
-		if !o.down || sim.now < o.downAt+sim.day.Notices(o.index, o.kills) {
+		if !o.down || sim.now < o.downAt+sim.day.DeathNoticeDelay(o.index, o.kills) {
 			candidates = append(candidates, o)
 		}
 	}
@@ -153,7 +153,7 @@
 	o.texts[ht.id] = ht
 	o.callModule(func() { o.deliverArrival(ht, mark != "") })
 	ht.replyDue = false
-	reply := world.Taken
+	reply := world.Accepted
 	if ht.ended {
 		reply = ht.reply
 	}
@@ -164,8 +164,8 @@
 }
 
 // scheduleRetry schedules the client's next hand-in of the text, if it makes one.
-func (sim *Simulation) scheduleRetry(text *world.Text, handInNo int, reply world.Heard, retryAfter time.Duration) {
-	if next, retries := sim.day.After(sim.now, text, handInNo, reply, retryAfter); retries {
+func (sim *Simulation) scheduleRetry(text *world.Text, handInNo int, reply world.ClientReply, retryAfter time.Duration) {
+	if next, retries := sim.day.NextHandIn(sim.now, text, handInNo, reply, retryAfter); retries {
 		sim.schedule(next.At, func() { sim.handIn(text, handInNo+1, next.Mark) })
 	}
 }
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -43,7 +43,7 @@
 // refused calls per text.
 func earnedAndRefused(sim *Simulation, day *world.Day) (earned, refused float64) {
 	account, bound := sim.Referee.Account(), 0.0
-	for _, worth := range day.Best() {
+	for _, worth := range day.BestRevenue() {
 		bound += worth
 	}
 	texts, refusals := 0, 0
--- a/internal/lab/fleet/node.go
+++ b/internal/lab/fleet/node.go
@@ -34,7 +34,7 @@
 	pending      *call
 	replyDue     bool // the hand-in's reply has not been sent yet
 	ended        bool
-	reply        world.Heard // set once ended
+	reply        world.ClientReply // set once ended
 	retryAfter   time.Duration
 }
 
@@ -192,14 +192,14 @@
 		return
 	}
 	c.arrived = true
-	c.state = world.Call{Sender: s.index, Text: ht.text, Submit: sim.submitCounts[ht.text]}
+	c.state = world.Call{Sender: s.index, Text: ht.text, SubmitNo: sim.submitCounts[ht.text]}
 	sim.submitCounts[ht.text]++
 	sim.Referee.CallBegan(sim.now, sim.now, c.id, ht.id, s.index, c.receiver.No)
 	sim.Referee.CallArrived(sim.now, c.id)
-	previousFall := c.receiver.Fell
+	previousFall := c.receiver.Overload
 	endAt, ends := c.receiver.Begin(sim.now, &c.state)
-	if c.receiver.Fell != previousFall {
-		sim.Referee.ReceiverOverloaded(sim.now, c.receiver.No, c.receiver.Fell)
+	if c.receiver.Overload != previousFall {
+		sim.Referee.ReceiverOverloaded(sim.now, c.receiver.No, c.receiver.Overload)
 	}
 	if ends {
 		sim.schedule(endAt, func() { s.callEnded(ht, c, submitNo) })
@@ -210,21 +210,21 @@
 func (s *sender) callEnded(ht *heldText, c *call, submitNo int) {
 	sim := s.sim
 	answer := c.receiver.End(sim.now, &c.state)
-	if answer.Ran || answer.Known {
-		sim.Referee.CallExecuted(c.id, answer.Known)
+	if answer.Executed || answer.Duplicate {
+		sim.Referee.CallExecuted(c.id, answer.Duplicate)
 	}
-	if c.closed || answer.Do == world.Nothing {
+	if c.closed || answer.Action == world.NeverAnswer {
 		return
 	}
 	c.closed = true
-	if answer.Do == world.Reset {
+	if answer.Action == world.Reset {
 		sim.Referee.CallEnded(sim.now, c.id, false)
 		sim.schedule(sim.now+oneWayDelay, func() { s.handleResult(ht, c, submitNo, control.Result{Outcome: control.ConnectionLost}) })
 		return
 	}
 	c.answered = true
-	sim.Referee.CallAnswered(sim.now, c.id, answer.Status, answer.Wait)
-	result := control.Result{Outcome: control.Errored, RetryAfter: protocol.Ticks(answer.Wait + protocol.Tick - 1)}
+	sim.Referee.CallAnswered(sim.now, c.id, answer.Status, answer.RetryAfter)
+	result := control.Result{Outcome: control.Errored, RetryAfter: protocol.Ticks(answer.RetryAfter + protocol.Tick - 1)}
 	switch answer.Status {
 	case 200:
 		result.Outcome, result.Final = control.Delivered, true
@@ -232,7 +232,7 @@
 		result.Outcome = control.Refused
 		sim.currentSecond().Refused++
 	}
-	if answer.Report.OK {
+	if answer.Report.Present {
 		result.Report = []float64{answer.Report.Share, answer.Report.PerSecond}
 	}
 	sim.schedule(sim.now+oneWayDelay, func() { s.handleResult(ht, c, submitNo, result) })
@@ -273,7 +273,7 @@
 // MarkUndeliverable ends a text that its client must not hand in again.
 func (s *sender) MarkUndeliverable(id string) { s.endText(id, world.Failed, 0) }
 
-func (s *sender) endText(id string, reply world.Heard, retryAfter time.Duration) {
+func (s *sender) endText(id string, reply world.ClientReply, retryAfter time.Duration) {
 	sim, ht := s.sim, s.texts[id]
 	if ht == nil {
 		return
--- a/internal/lab/referee/calls.go
+++ b/internal/lab/referee/calls.go
@@ -254,14 +254,14 @@
 
 // ReceiverOverloaded records that a receiver failed under its load. Rule 4 is broken if at least two thirds of the
 // calls came from senders that had a call fail or refused there since the outage began.
-func (r *Referee) ReceiverOverloaded(now time.Duration, receiver int, f *world.Fall) {
+func (r *Referee) ReceiverOverloaded(now time.Duration, receiver int, f *world.Overload) {
 	r.Advance(now)
 	r.account.overloaded(receiver)
 	calls, callsAfterFailure, worst := 0, 0, 0
 	var shares []string
 	for no, s := range r.senders {
 		n := f.BySender[no]
-		sawFailure := s.failedAt[receiver] >= f.From && s.failedAt[receiver] > 0
+		sawFailure := s.failedAt[receiver] >= f.OutageFrom && s.failedAt[receiver] > 0
 		calls += n
 		if sawFailure {
 			callsAfterFailure += n
@@ -275,5 +275,5 @@
 		return
 	}
 	r.addBreach(Breach{Rule: 4, At: now, Sender: worst, Why: fmt.Sprintf("receiver %d fell over: %d calls within %s where it bears %.1f; %v",
-		receiver, calls, f.Window, f.Borne, shares)})
+		receiver, calls, f.Window, f.Allowed, shares)})
 }
--- a/internal/lab/referee/referee.go
+++ b/internal/lab/referee/referee.go
@@ -4,7 +4,7 @@
 //
 //	r := referee.New(rules, senders, destinationOf)
 //	r.HandedIn(now, referee.HandIn{ID: id, Sender: 0, Text: text, ValidUntil: validUntil})
-//	r.ClientAnswered(now, id, world.Taken, 0)
+//	r.ClientAnswered(now, id, world.Accepted, 0)
 //	r.CallBegan(now, first, call, id, sender, receiver)
 //	r.CallArrived(now, call)                        // its last byte
 //	r.CallAnswered(now, call, 200, 0)
@@ -240,7 +240,7 @@
 
 // ClientAnswered records that a client reads the answer to its hand-in, or closes the connection after waiting for one
 // in vain (world.NoAnswer).
-func (r *Referee) ClientAnswered(now time.Duration, id string, answer world.Heard, advice time.Duration) {
+func (r *Referee) ClientAnswered(now time.Duration, id string, answer world.ClientReply, advice time.Duration) {
 	r.Advance(now)
 	t := r.texts[id]
 	if t == nil || t.answered {
@@ -249,7 +249,7 @@
 	t.answered = true
 	t.recent.add(now, "client heard %s", [...]string{"taken", "nacked", "failed", "nothing"}[answer])
 	switch answer {
-	case world.Taken:
+	case world.Accepted:
 		t.accepted, t.acceptedAt = true, now
 		if t.Text.Key != "" {
 			k := queueKey{t.Sender, t.incarnation, t.Text.Key}
--- a/internal/lab/referee/referee_test.go
+++ b/internal/lab/referee/referee_test.go
@@ -72,7 +72,7 @@
 			no++
 			r.HandedIn(now, HandIn{ID: arg(0), Sender: sender, Text: t, ValidUntil: t.Validity()})
 		case "heard":
-			h := map[string]world.Heard{"taken": world.Taken, "nacked": world.Nacked, "failed": world.Failed, "noanswer": world.NoAnswer}
+			h := map[string]world.ClientReply{"taken": world.Accepted, "nacked": world.Nacked, "failed": world.Failed, "noanswer": world.NoAnswer}
 			r.ClientAnswered(now, arg(0), h[arg(1)], 0)
 		case "begin":
 			r.CallBegan(now, now, int64(num(arg(0))), arg(1), sender, int(num(arg(2))))
@@ -103,7 +103,7 @@
 			r.SenderStarted(now, int(num(arg(0))))
 			r.SenderReady(now, int(num(arg(0))))
 		case "fell":
-			r.ReceiverOverloaded(now, int(num(arg(0))), &world.Fall{At: now, From: span(arg(1)), Window: 3 * time.Second, Borne: 9,
+			r.ReceiverOverloaded(now, int(num(arg(0))), &world.Overload{At: now, OutageFrom: span(arg(1)), Window: 3 * time.Second, Allowed: 9,
 				BySender: map[int]int{0: int(num(arg(2))), 1: int(num(arg(3)))}})
 		case "finish":
 			r.Finish(now)
@@ -163,7 +163,7 @@
 				texts++
 				asked += p.Revenue
 			case 3:
-				r.ClientAnswered(now, id, world.Heard(pick(4)), 0)
+				r.ClientAnswered(now, id, world.ClientReply(pick(4)), 0)
 			case 4:
 				r.CallBegan(now, now, calls, id, pick(2), pick(3))
 				calls++
--- a/internal/lab/standin/clients.go
+++ b/internal/lab/standin/clients.go
@@ -87,12 +87,12 @@
 }
 
 // again has a client come again, if it does. It is called under the stage's lock.
-func (f *front) again(now time.Duration, h *handIn, heard world.Heard, advice time.Duration) {
+func (f *front) again(now time.Duration, h *handIn, heard world.ClientReply, advice time.Duration) {
 	if h.over {
 		return
 	}
 	h.over = true
-	next, ok := f.stage.day.After(now, h.text, h.n, heard, advice)
+	next, ok := f.stage.day.NextHandIn(now, h.text, h.n, heard, advice)
 	if !ok || next.At >= f.stage.day.End {
 		return
 	}
@@ -145,7 +145,7 @@
 		} else {
 			s.ref.ClientAnswered(now, h.id, heard, advice)
 		}
-		if heard != world.Taken {
+		if heard != world.Accepted {
 			f.again(now, h, heard, advice)
 		}
 	})
@@ -153,7 +153,7 @@
 
 // body gives a text's bytes, the same at each hand-in.
 func body(seed uint64, t *world.Text) []byte {
-	b := make([]byte, t.Body)
+	b := make([]byte, t.BodyBytes)
 	c := rand.New(rand.NewPCG(seed, uint64(t.No)))
 	for i := 0; i < len(b); i += 8 {
 		x := c.Uint64()
@@ -171,9 +171,9 @@
 func (once) Close() error { return nil }
 
 // ask makes the request. dropped: the sender ended the connection without an answer, so long after the request.
-func (f *front) ask(to *sender, h *handIn, again string, left time.Duration) (heard world.Heard, advice, after time.Duration, dropped bool) {
+func (f *front) ask(to *sender, h *handIn, again string, left time.Duration) (heard world.ClientReply, advice, after time.Duration, dropped bool) {
 	s := f.stage
-	ctx, cancel := context.WithTimeout(f.ctx, s.day.Patience())
+	ctx, cancel := context.WithTimeout(f.ctx, s.day.ReplyTimeout())
 	defer cancel()
 	bytesOf := body(s.day.Seed, h.text)
 	for tries := 0; ; tries++ {
@@ -222,7 +222,7 @@
 		resp.Body.Close()
 		switch resp.StatusCode {
 		case http.StatusOK, http.StatusAccepted:
-			return world.Taken, 0, 0, false
+			return world.Accepted, 0, 0, false
 		case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 			sec, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 			return world.Nacked, time.Duration(sec * float64(time.Second)), 0, false
--- a/internal/lab/standin/platform.go
+++ b/internal/lab/standin/platform.go
@@ -70,7 +70,7 @@
 		if l.Full && (state == "" || state == world.Left) || !l.Full && state == s.day.State(r, since) {
 			continue
 		}
-		l.Servers = append(l.Servers, server{ID: r.ID, Addr: s.net.receiver(sender, r.Place), Zone: "a", Kind: r.Destination().Kind.Name,
+		l.Servers = append(l.Servers, server{ID: r.ID, Addr: s.net.receiver(sender, r.AddressNo), Zone: "a", Kind: r.Destination().Kind.Name,
 			Cell: r.Destination().No, State: state, Weight: r.Rate, receiver: r.No})
 	}
 	return l
--- a/internal/lab/standin/receivers.go
+++ b/internal/lab/standin/receivers.go
@@ -52,7 +52,7 @@
 // at is the receiver that listens at a place.
 func (s *Stage) at(place int, now time.Duration) *world.Receiver {
 	for _, r := range s.day.Receivers {
-		if r.Place == place && r.Listens(now) {
+		if r.AddressNo == place && r.Listens(now) {
 			return r
 		}
 	}
@@ -68,10 +68,10 @@
 		}
 	}
 	for _, r := range s.day.Receivers {
-		if r.Place == place {
-			look(r.ComesAt)
-			look(r.GoneAt)
-			for _, st := range s.day.Strikes {
+		if r.AddressNo == place {
+			look(r.AddedAt)
+			look(r.RemovedAt)
+			for _, st := range s.day.Incidents {
 				if st.What == "refuse" && slices.Contains(st.Receivers, r.No) {
 					look(st.From)
 					look(st.To)
@@ -242,7 +242,7 @@
 		s.ref.CallBegan(now, first, no, id, h.sender, h.r.No)
 		if hand := s.byID[id]; hand != nil {
 			c.Text = hand.text
-			c.Submit = s.submits[c.Text]
+			c.SubmitNo = s.submits[c.Text]
 			s.submits[c.Text]++
 		}
 	})
@@ -259,10 +259,10 @@
 			due = now
 			return
 		}
-		fell := h.r.Fell
+		fell := h.r.Overload
 		due, ever = h.r.Begin(now, c)
-		if h.r.Fell != fell {
-			s.ref.ReceiverOverloaded(now, h.r.No, h.r.Fell)
+		if h.r.Overload != fell {
+			s.ref.ReceiverOverloaded(now, h.r.No, h.r.Overload)
 		}
 	})
 	next = k.wait()
@@ -305,8 +305,8 @@
 	}
 	time.AfterFunc(due-s.now(), func() {
 		s.see(func(now time.Duration) {
-			if a := k.host.r.End(now, c); a.Ran || a.Known {
-				s.ref.CallExecuted(no, a.Known)
+			if a := k.host.r.End(now, c); a.Executed || a.Duplicate {
+				s.ref.CallExecuted(no, a.Duplicate)
 			}
 		})
 	})
@@ -319,25 +319,25 @@
 	there := stillOpen(k.tcp)
 	s.see(func(now time.Duration) {
 		if crowded {
-			a = world.Answer{Status: http.StatusServiceUnavailable, Why: "connections"}
-		} else if a = h.r.End(now, c); a.Ran || a.Known {
-			s.ref.CallExecuted(no, a.Known)
+			a = world.Answer{Status: http.StatusServiceUnavailable, Reason: "connections"}
+		} else if a = h.r.End(now, c); a.Executed || a.Duplicate {
+			s.ref.CallExecuted(no, a.Duplicate)
 		}
-		s.say("event=call text=%s sender=%d receiver=%d status=%d wait=%s why=%s", id, h.sender, h.r.No, a.Status, a.Wait, a.Why)
+		s.say("event=call text=%s sender=%d receiver=%d status=%d wait=%s why=%s", id, h.sender, h.r.No, a.Status, a.RetryAfter, a.Reason)
 		switch {
-		case a.Do == world.Respond && there:
-			s.ref.CallAnswered(now, no, a.Status, a.Wait)
-		case a.Do == world.Respond: // its sender had hung up; the end of the connection is on its way
+		case a.Action == world.Respond && there:
+			s.ref.CallAnswered(now, no, a.Status, a.RetryAfter)
+		case a.Action == world.Respond: // its sender had hung up; the end of the connection is on its way
 			s.ref.CallEnded(now, no, true)
-		case a.Do == world.Reset:
+		case a.Action == world.Reset:
 			s.ref.CallEnded(now, no, false)
 		}
 	})
 	switch {
-	case a.Do == world.Reset:
+	case a.Action == world.Reset:
 		k.abort()
 		return false
-	case a.Do == world.Nothing:
+	case a.Action == world.NeverAnswer:
 		k.silent(no, next)
 		return false
 	case !there:
@@ -345,11 +345,11 @@
 	}
 	out := make([]byte, 0, 192)
 	out = fmt.Appendf(out, "HTTP/1.1 %d %s\r\nContent-Length: 0\r\n", a.Status, http.StatusText(a.Status))
-	if a.Wait > 0 {
-		ms := float64(a.Wait) / float64(time.Millisecond)
+	if a.RetryAfter > 0 {
+		ms := float64(a.RetryAfter) / float64(time.Millisecond)
 		out = fmt.Appendf(out, "X-Retry-In-Ms: %s\r\n", strconv.FormatFloat(ms, 'f', 3, 64))
 	}
-	if a.Report.OK {
+	if a.Report.Present {
 		out = fmt.Appendf(out, "X-Load-Report: x0=%.4f,x1=%.4f\r\n", a.Report.Share, a.Report.PerSecond)
 	}
 	if crowded {
--- a/internal/lab/standin/senders.go
+++ b/internal/lab/standin/senders.go
@@ -140,7 +140,7 @@
 	s.ref.SenderDown(now, o.no)
 	life := o.deaths
 	o.deaths++
-	time.AfterFunc(s.day.Notices(o.no, life), func() {
+	time.AfterFunc(s.day.DeathNoticeDelay(o.no, life), func() {
 		s.see(func(time.Duration) {
 			if o.down && o.deaths == life+1 {
 				o.listed = false
--- a/internal/lab/standin/standin.go
+++ b/internal/lab/standin/standin.go
@@ -209,7 +209,7 @@
 		snd.agent = a
 		s.work.Go(func() { <-ctx.Done(); snd.agentNow().close() })
 		for place := range s.day.Receivers {
-			if s.day.Receivers[place].Place == place {
+			if s.day.Receivers[place].AddressNo == place {
 				s.work.Go(func() { s.place(ctx, snd.no, place) })
 			}
 		}
@@ -309,7 +309,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := &Result{Seed: s.day.Seed, Account: s.ref.Account(), Breaches: s.ref.Breaches, More: s.ref.OmittedBreaches, Verdict: s.ref.Verdict(),
-		Best: s.day.Best(), Crashes: s.crashes, Late: s.late, Took: s.now()}
+		Best: s.day.BestRevenue(), Crashes: s.crashes, Late: s.late, Took: s.now()}
 	for _, snd := range s.senders {
 		r.CPU += snd.cpu
 		r.MemoryKB = append(r.MemoryKB, snd.peak)
--- a/internal/lab/world/client.go
+++ b/internal/lab/world/client.go
@@ -2,61 +2,61 @@
 
 import "time"
 
-// Heard is what a client learns of a text that it handed in.
-type Heard int
+// ClientReply is what a client learns about a text that it handed in.
+type ClientReply int
 
-// What clients learn.
+// Replies to a client.
 const (
-	Taken    Heard = iota // owed from now on
-	Nacked                // at once or by a notice; it may be handed in again
-	Failed                // not again
-	NoAnswer              // the sender died, or was silent for longer than the client's patience
+	Accepted ClientReply = iota // the sender now owes its delivery
+	Nacked                      // in the answer or by a later notice; it may be handed in again
+	Failed                      // it must not be handed in again
+	NoAnswer                    // the sender died, or did not answer within ReplyTimeout
 )
 
-// Again is a client's next hand-in.
-type Again struct {
+// Retry is a client's next hand-in of the same text.
+type Retry struct {
 	At   time.Duration
 	Mark string // 1: after a nack; again: after a sender that died or gave no answer
 }
 
-// After says when and how a client hands a text in again that it handed in for the n-th time, from 0; false if it
-// does not.
-func (d *Day) After(now time.Duration, t *Text, n int, h Heard, advice time.Duration) (Again, bool) {
+// NextHandIn returns when and how a client repeats hand-in number handInNo (from 0) of a text, and false if it does not
+// repeat it.
+func (d *Day) NextHandIn(now time.Duration, t *Text, handInNo int, reply ClientReply, retryAfter time.Duration) (Retry, bool) {
 	w := d.World.Clients
-	c := chance(d.Seed, "again", uint64(t.No), uint64(n))
-	var a Again
-	switch h {
+	rnd := newRand(d.Seed, "again", uint64(t.No), uint64(handInNo))
+	var retry Retry
+	switch reply {
 	case Nacked:
-		if n >= w.Retries {
-			return a, false
+		if handInNo >= w.Retries {
+			return retry, false
 		}
-		a.Mark = "1"
-		a.At = now + millis(between(c, w.BackoffMs))<<min(n, 10)
-		if advice > 0 && c.Float64() < w.Honour {
-			a.At = now + advice + time.Duration(c.Float64()*float64(advice)/10)
+		retry.Mark = "1"
+		retry.At = now + millis(drawBetween(rnd, w.BackoffMs))<<min(handInNo, 10)
+		if retryAfter > 0 && rnd.Float64() < w.Honour {
+			retry.At = now + retryAfter + time.Duration(rnd.Float64()*float64(retryAfter)/10)
 		}
 	case NoAnswer:
-		if n > w.Retries+2 || t.Product.Repeat == "once-only" {
-			return a, false
+		if handInNo > w.Retries+2 || t.Product.Repeat == "once-only" {
+			return retry, false
 		}
-		a.Mark = "again"
-		a.At = now + millis(between(c, w.AgainMs))
-		if t.Product.Repeat == "referenced" && a.At >= t.At+seconds(t.Product.WindowS) {
-			return a, false // it may have run, and a repeat might not be known any more
+		retry.Mark = "again"
+		retry.At = now + millis(drawBetween(rnd, w.AgainMs))
+		if t.Product.Repeat == "referenced" && retry.At >= t.At+seconds(t.Product.WindowS) {
+			return retry, false // it may have run, and the receiver might no longer recognize a repeat
 		}
 	default:
-		return a, false
+		return retry, false
 	}
 	if !w.Marks {
-		a.Mark = ""
+		retry.Mark = ""
 	}
-	return a, a.At < t.Validity()
+	return retry, retry.At < t.Validity()
 }
 
-// Notices is how long the front goes on sending to a sender that has died for the n-th time.
-func (d *Day) Notices(sender, n int) time.Duration {
-	return seconds(between(chance(d.Seed, "front", uint64(sender), uint64(n)), d.World.Clients.NoticeS))
+// DeathNoticeDelay returns how long the front end keeps sending to a sender after its death number deaths.
+func (d *Day) DeathNoticeDelay(sender, deaths int) time.Duration {
+	return seconds(drawBetween(newRand(d.Seed, "front", uint64(sender), uint64(deaths)), d.World.Clients.NoticeS))
 }
 
-// Patience is how long a client waits for the answer to a hand-in.
-func (d *Day) Patience() time.Duration { return millis(d.World.Clients.PatienceMs) }
+// ReplyTimeout returns how long a client waits for the answer to a hand-in.
+func (d *Day) ReplyTimeout() time.Duration { return millis(d.World.Clients.PatienceMs) }
--- a/internal/lab/world/limit.go
+++ b/internal/lab/world/limit.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Limit is what a destination lets through, for all senders together. A plain rate lets a second's worth through at
-// once and fills up evenly; a count in a span starts anew with each span.
+// Limit is a destination's rate limit, shared by all senders. A plain rate is a token bucket that holds one second's worth
+// and refills evenly; a count per span is a fixed window that resets at the start of each span.
 type Limit struct {
-	count float64       // calls a second, or in each span
-	span  time.Duration // 0: a plain rate
-	phase time.Duration // spans begin then
-	cuts  []*Strike     // while it is lower
+	count      float64       // calls per second, or per span
+	span       time.Duration // window length; 0: a plain rate
+	phase      time.Duration // offset at which spans begin
+	reductions []*Incident   // incidents that lower the limit
 
-	left float64
-	at   time.Duration // of left
+	remaining float64
+	updatedAt time.Duration // time for which remaining holds
 }
 
 func newLimit(k *Kind, perSecond float64, phase time.Duration) *Limit {
@@ -23,11 +23,11 @@
 		l.span = seconds(k.SpanS)
 		l.count = max(1, math.Round(perSecond*k.SpanS))
 	}
-	l.left = l.burst(0)
+	l.remaining = l.burst(0)
 	return l
 }
 
-// PerSecond is the limit of an instant in calls a second.
+// PerSecond returns the limit at a time, in calls per second.
 func (l *Limit) PerSecond(now time.Duration) float64 {
 	if l.span > 0 {
 		return l.countAt(now) / l.span.Seconds()
@@ -35,10 +35,10 @@
 	return l.countAt(now)
 }
 
-// countAt is the count of an instant.
+// countAt returns the count at a time, after reductions.
 func (l *Limit) countAt(now time.Duration) float64 {
 	count := l.count
-	for _, s := range l.cuts {
+	for _, s := range l.reductions {
 		if now >= s.From && now < s.To {
 			count *= s.Factor
 		}
@@ -53,45 +53,45 @@
 	return max(1, l.countAt(now))
 }
 
-// number counts the spans up to an instant.
-func (l *Limit) number(at time.Duration) time.Duration {
+// spanNumber returns the index of the span that a time lies in.
+func (l *Limit) spanNumber(at time.Duration) time.Duration {
 	return (at - l.phase + 1000*l.span) / l.span
 }
 
-// leftAt is what is left at an instant, if nothing comes before it.
-func (l *Limit) leftAt(at time.Duration) float64 {
+// remainingAt returns the calls left at a time if none arrive before it.
+func (l *Limit) remainingAt(at time.Duration) float64 {
 	switch {
-	case at <= l.at:
-		return l.left
-	case l.span > 0 && l.number(at) != l.number(l.at):
+	case at <= l.updatedAt:
+		return l.remaining
+	case l.span > 0 && l.spanNumber(at) != l.spanNumber(l.updatedAt):
 		return l.countAt(at)
 	case l.span > 0:
-		return min(l.left, l.countAt(at))
+		return min(l.remaining, l.countAt(at))
 	}
-	return min(l.burst(at), l.left+l.countAt(at)*(at-l.at).Seconds())
+	return min(l.burst(at), l.remaining+l.countAt(at)*(at-l.updatedAt).Seconds())
 }
 
-// take lets one call through, or not; refused ones may use it up as well.
-func (l *Limit) take(now time.Duration, refusedCount bool) bool {
-	l.left, l.at = l.leftAt(now), max(now, l.at)
-	if l.left >= 1 {
-		l.left--
+// tryTake reports whether a call passes the limit, and counts it. With refusedCount, refused calls count too.
+func (l *Limit) tryTake(now time.Duration, refusedCount bool) bool {
+	l.remaining, l.updatedAt = l.remainingAt(now), max(now, l.updatedAt)
+	if l.remaining >= 1 {
+		l.remaining--
 		return true
 	}
 	if refusedCount && l.span == 0 {
-		l.left = max(-l.burst(now), l.left-1) // what was refused pushes the next free call back, bounded
+		l.remaining = max(-l.burst(now), l.remaining-1) // a refused call delays the next permitted one, by a bounded amount
 	}
 	return false
 }
 
-// room is how long until a call is let through.
-func (l *Limit) room(now time.Duration) time.Duration {
-	left := l.leftAt(now)
+// timeToNext returns the time until a call would pass the limit.
+func (l *Limit) timeToNext(now time.Duration) time.Duration {
+	left := l.remainingAt(now)
 	switch {
 	case left >= 1:
 		return 0
 	case l.span > 0:
-		next := l.phase + (l.number(now)+1-1000)*l.span
+		next := l.phase + (l.spanNumber(now)+1-1000)*l.span
 		return next - now
 	}
 	return seconds((1 - left) / l.countAt(now))
--- a/internal/lab/world/receiver.go
+++ b/internal/lab/world/receiver.go
@@ -6,122 +6,122 @@
 	"time"
 )
 
-// Destination is another firm's system: one to some receivers that share its limit and its memory of marks.
+// Destination is an external system: one or more receivers that share its limit and its record of deduplication marks.
 type Destination struct {
-	No        int
-	Kind      *Kind
-	Share     float64 // of the traffic
-	Traffic   float64 // texts a second
-	PerSecond float64 // calls that it can answer a second, by service and limit
-	Limit     *Limit  // nil: none
-	Receivers []*Receiver
-
-	rules       *Rules
-	phase       time.Duration
-	reportEvery time.Duration
-	reported    time.Duration // the report's instant
-	report      Report
-	known       map[string]time.Duration // marks, since when
-	forget      []marked
+	No             int
+	Kind           *Kind
+	Share          float64 // of all traffic
+	TextsPerSecond float64 // mean demand
+	PerSecond      float64 // calls that it can answer per second, given service times and limit
+	Limit          *Limit  // nil: none
+	Receivers      []*Receiver
+
+	rules          *Rules
+	phase          time.Duration
+	reportInterval time.Duration
+	reportedAt     time.Duration // time at which report was made
+	report         Report
+	marksSeen      map[string]time.Duration // first delivery of each mark
+	markExpiries   []markExpiry
 }
 
-type marked struct {
+type markExpiry struct {
 	mark  string
 	until time.Duration
 }
 
-// Report is what an answer tells of the limit.
+// Report is the state of the limit that an answer carries.
 type Report struct {
 	Share, PerSecond float64
-	OK               bool // whether it tells anything
+	Present          bool // whether the answer carries one
 }
 
-// remember says whether a mark is known, and knows it from now on.
-func (d *Destination) remember(now time.Duration, mark string, window time.Duration) bool {
-	for len(d.forget) > 0 && d.forget[0].until <= now {
-		delete(d.known, d.forget[0].mark)
-		d.forget = d.forget[1:]
+// recordMark reports whether a mark was recorded within the window, and records it otherwise.
+func (d *Destination) recordMark(now time.Duration, mark string, window time.Duration) bool {
+	for len(d.markExpiries) > 0 && d.markExpiries[0].until <= now {
+		delete(d.marksSeen, d.markExpiries[0].mark)
+		d.markExpiries = d.markExpiries[1:]
 	}
-	if since, ok := d.known[mark]; ok && now < since+window {
+	if seenAt, ok := d.marksSeen[mark]; ok && now < seenAt+window {
 		return true
 	}
-	d.known[mark] = now
-	d.forget = append(d.forget, marked{mark, now + window})
+	d.marksSeen[mark] = now
+	d.markExpiries = append(d.markExpiries, markExpiry{mark, now + window})
 	return false
 }
 
-// reports gives the report of an instant: as fresh as the last time it was made.
-func (d *Destination) reports(now time.Duration) Report {
+// currentReport returns the report as of its last refresh, once per reportInterval.
+func (d *Destination) currentReport(now time.Duration) Report {
 	if !d.Kind.Reports || d.Limit == nil {
 		return Report{}
 	}
-	made := now - (now-d.phase+1000*d.reportEvery)%d.reportEvery
-	if !d.report.OK || made > d.reported {
-		d.reported = made
-		left := d.Limit.leftAt(max(made, d.Limit.at)) / d.Limit.burst(made)
-		d.report = Report{Share: max(0, min(1, left)), PerSecond: d.Limit.PerSecond(made), OK: true}
+	madeAt := now - (now-d.phase+1000*d.reportInterval)%d.reportInterval
+	if !d.report.Present || madeAt > d.reportedAt {
+		d.reportedAt = madeAt
+		left := d.Limit.remainingAt(max(madeAt, d.Limit.updatedAt)) / d.Limit.burst(madeAt)
+		d.report = Report{Share: max(0, min(1, left)), PerSecond: d.Limit.PerSecond(madeAt), Present: true}
 	}
 	return d.report
 }
 
-// Call is one submit as a receiver sees it.
+// Call is one submit as seen by a receiver.
 type Call struct {
-	Sender int
-	Text   *Text // nil: nobody handed it in
-	Submit int   // of the text, from 0, as the receivers count them
-
-	starts  time.Duration
-	refused bool
-	wait    time.Duration
-	why     string
+	Sender   int
+	Text     *Text // nil: a text that no client handed in
+	SubmitNo int   // submits of the text that reached receivers before this one
+
+	startsAt   time.Duration
+	refused    bool
+	retryAfter time.Duration
+	reason     string
 }
 
-// Do says what becomes of a connection on which a call came.
-type Do int
+// AnswerAction is what a receiver does on the connection of a call.
+type AnswerAction int
 
-// What a receiver does.
+// Actions of a receiver.
 const (
-	Respond Do = iota
-	Reset      // the connection is reset
-	Nothing    // nothing, ever
+	Respond     AnswerAction = iota
+	Reset                    // resets the connection
+	NeverAnswer              // never writes anything
 )
 
-// Answer is what becomes of a call.
+// Answer is the result of a call at a receiver.
 type Answer struct {
-	Do     Do
-	Status int
-	Wait   time.Duration // told; 0: none
-	Report Report
-	Ran    bool // the text had its effect
-	Known  bool // it was dropped as a repeat: no second effect
-	Why    string
+	Action     AnswerAction
+	Status     int
+	RetryAfter time.Duration // sent with a refusal; 0: none
+	Report     Report
+	Executed   bool // the text took effect
+	Duplicate  bool // it was recognized as a repeat and had no second effect
+	Reason     string
 }
 
 // Receiver is one endpoint of a destination.
 type Receiver struct {
-	No       int
-	ID       string
-	Place    int // receivers of one place share an address, one after the other
-	Rate     float64
-	Service  time.Duration
-	Cores    int
-	ComesAt  time.Duration // 0: there from the start
-	LeavesAt time.Duration // 0: never
-	GoneAt   time.Duration
-
-	dest      *Destination
-	seed      uint64
-	strikes   []*Strike
-	free      []time.Duration // when each core is
-	conns     int
-	mostConns int // 0: any number
-	mostQueue int
-	waiting   []time.Duration // when each call in the queue starts
-
-	up       bool      // by the last look
-	arrivals []arrival // while cold
-	fallen   bool
-	Fell     *Fall // set once it falls over
+	No          int
+	ID          string
+	AddressNo   int // a receiver and its replacement have the same address, one after the other
+	Rate        float64
+	ServiceTime time.Duration
+	Cores       int
+	AddedAt     time.Duration // 0: present from the start
+	LeavesAt    time.Duration // start of its drain; 0: never
+	RemovedAt   time.Duration
+
+	dest         *Destination
+	seed         uint64
+	incidents    []*Incident
+	coreFreeAt   []time.Duration // time at which each core becomes free
+	conns        int
+	maxConns     int // 0: unlimited
+	maxQueue     int
+	queuedStarts []time.Duration // start of service of each queued call
+
+	up         bool      // set at creation only
+	arrivals   []arrival // recent calls while cold
+	overloaded bool
+	Overload   *Overload // set once overloaded
 }
 
 type arrival struct {
@@ -129,48 +129,49 @@
 	sender int
 }
 
-// Fall says how a receiver was pushed over: who sent how much in the window before it.
-type Fall struct {
-	At       time.Duration
-	From     time.Duration // the outage began
-	Window   time.Duration
-	Borne    float64
-	BySender map[int]int
+// Overload records why a cold receiver failed: how many calls each sender sent in the window before it.
+type Overload struct {
+	At         time.Duration
+	OutageFrom time.Duration // start of the outage after which it was cold
+	Window     time.Duration
+	Allowed    float64
+	BySender   map[int]int
 }
 
-// Destination is whose receiver it is.
+// Destination returns the destination that the receiver belongs to.
 func (r *Receiver) Destination() *Destination { return r.dest }
 
-// strike finds a trouble that lasts.
-func (r *Receiver) strike(now time.Duration, what ...string) *Strike {
-	for _, s := range r.strikes {
-		if now >= s.From && now < s.To && slices.Contains(what, s.What) {
+// activeIncident returns an incident of one of the given kinds that is in progress, or nil.
+func (r *Receiver) activeIncident(now time.Duration, kinds ...string) *Incident {
+	for _, s := range r.incidents {
+		if now >= s.From && now < s.To && slices.Contains(kinds, s.What) {
 			return s
 		}
 	}
 	return nil
 }
 
-// Listens says whether connections come up.
+// Listens reports whether the receiver accepts connections.
 func (r *Receiver) Listens(now time.Duration) bool {
-	return now >= r.ComesAt && (r.GoneAt == 0 || now < r.GoneAt) && r.strike(now, "refuse") == nil
+	return now >= r.AddedAt && (r.RemovedAt == 0 || now < r.RemovedAt) && r.activeIncident(now, "refuse") == nil
 }
 
-// Outage is the outage that lasts at an instant, or nil: down, silent, shut, or most calls fail.
-func (r *Receiver) Outage(now time.Duration) *Strike {
-	if s := r.strike(now, "refuse", "reset", "silent", "full"); s != nil {
+// Outage returns the outage in progress, or nil. An outage is a receiver that is down, resets, is silent, refuses all
+// calls or fails at least half of them.
+func (r *Receiver) Outage(now time.Duration) *Incident {
+	if s := r.activeIncident(now, "refuse", "reset", "silent", "full"); s != nil {
 		return s
 	}
-	if s := r.strike(now, "errors"); s != nil && s.Factor >= 0.5 {
+	if s := r.activeIncident(now, "errors"); s != nil && s.Factor >= 0.5 {
 		return s
 	}
 	return nil
 }
 
-// lastOutage is the latest that ended by an instant.
-func (r *Receiver) lastOutage(now time.Duration) *Strike {
-	var last *Strike
-	for _, s := range r.strikes {
+// lastOutage returns the outage that ended last, at or before now.
+func (r *Receiver) lastOutage(now time.Duration) *Incident {
+	var last *Incident
+	for _, s := range r.incidents {
 		if s.To <= now && (last == nil || s.To > last.To) && r.Outage(s.From) != nil {
 			last = s
 		}
@@ -178,8 +179,9 @@
 	return last
 }
 
-// Warmth is the share of its capacity that a receiver has: less after an outage, rising until it is warm.
-func (r *Receiver) Warmth(now time.Duration) float64 {
+// CapacityShare returns the available share of a receiver's capacity. It is reduced after an outage and rises linearly
+// until the receiver is warm.
+func (r *Receiver) CapacityShare(now time.Duration) float64 {
 	s := r.lastOutage(now)
 	ramp := seconds(r.dest.rules.ColdS)
 	if s == nil || now >= s.To+ramp {
@@ -189,39 +191,40 @@
 	return from + (1-from)*float64(now-s.To)/float64(ramp)
 }
 
-// Capacity is how many calls a second it can answer just now: its even part of what its destination lets through,
-// or what it serves.
+// Capacity returns the calls per second that the receiver can answer now: its service rate, at most an even part of its
+// destination's limit, times CapacityShare.
 func (r *Receiver) Capacity(now time.Duration) float64 {
-	c := float64(r.Cores) / r.Service.Seconds()
+	rate := float64(r.Cores) / r.ServiceTime.Seconds()
 	if r.dest.Limit != nil {
-		c = min(c, r.dest.Limit.PerSecond(now)/float64(len(r.dest.Receivers)))
+		rate = min(rate, r.dest.Limit.PerSecond(now)/float64(len(r.dest.Receivers)))
 	}
-	return c * r.Warmth(now)
+	return rate * r.CapacityShare(now)
 }
 
-// Connect takes a place in the connection table; false if there is none.
+// Connect takes an entry of the connection table and reports whether one was free.
 func (r *Receiver) Connect() bool {
-	if r.mostConns > 0 && r.conns >= r.mostConns {
+	if r.maxConns > 0 && r.conns >= r.maxConns {
 		return false
 	}
 	r.conns++
 	return true
 }
 
-// Disconnect frees the place.
+// Disconnect frees an entry of the connection table.
 func (r *Receiver) Disconnect() { r.conns-- }
 
-// draw is the chance of one step of one submit of a text here.
-func (r *Receiver) draw(step string, c *Call) *rand.Rand {
+// randFor returns the random source for one step of one submit of a text at this receiver.
+func (r *Receiver) randFor(step string, c *Call) *rand.Rand {
 	text := uint64(0)
 	if c.Text != nil {
 		text = uint64(c.Text.No)
 	}
-	return chance(r.seed, step, uint64(r.No), text, uint64(c.Submit))
+	return newRand(r.seed, step, uint64(r.No), text, uint64(c.SubmitNo))
 }
 
-// weigh counts a call against a cold receiver, and says whether it falls over by it.
-func (r *Receiver) weigh(now time.Duration, sender int) {
+// checkOverload counts a call to a cold receiver, and marks the receiver overloaded if the calls in the window exceed what
+// the rules allow.
+func (r *Receiver) checkOverload(now time.Duration, sender int) {
 	rules := r.dest.rules
 	s := r.lastOutage(now)
 	if s == nil || r.Outage(now) != nil || now >= s.To+seconds(rules.ColdS) {
@@ -233,110 +236,110 @@
 	for len(r.arrivals) > 0 && (r.arrivals[0].at <= now-window || r.arrivals[0].at < s.To) {
 		r.arrivals = r.arrivals[1:]
 	}
-	borne := rules.FallMultiple*r.Capacity(now)*rules.FallS + rules.FallSlack
-	if float64(len(r.arrivals)) <= borne || r.fallen {
+	allowed := rules.FallMultiple*r.Capacity(now)*rules.FallS + rules.FallSlack
+	if float64(len(r.arrivals)) <= allowed || r.overloaded {
 		return
 	}
-	r.fallen = true
-	r.Fell = &Fall{At: now, From: s.From, Window: window, Borne: borne, BySender: map[int]int{}}
+	r.overloaded = true
+	r.Overload = &Overload{At: now, OutageFrom: s.From, Window: window, Allowed: allowed, BySender: map[int]int{}}
 	for _, a := range r.arrivals {
-		r.Fell.BySender[a.sender]++
+		r.Overload.BySender[a.sender]++
 	}
 }
 
-// Begin takes a call whose last byte has come, and says when its End is due; never where nothing will come.
-func (r *Receiver) Begin(now time.Duration, c *Call) (due time.Duration, ever bool) {
-	c.starts = now
-	r.weigh(now, c.Sender)
-	chance := r.draw("begin", c)
-	refuse := func(why string, room time.Duration) (time.Duration, bool) {
-		c.refused, c.why = true, why
-		if room > 0 && chance.Float64() < r.dest.Kind.TellsWait {
-			c.wait = room
+// Begin accepts a call whose last byte has arrived, and returns when its End is due. ends is false if no answer will come.
+func (r *Receiver) Begin(now time.Duration, c *Call) (endAt time.Duration, ends bool) {
+	c.startsAt = now
+	r.checkOverload(now, c.Sender)
+	rnd := r.randFor("begin", c)
+	refuse := func(reason string, retryAfter time.Duration) (time.Duration, bool) {
+		c.refused, c.reason = true, reason
+		if retryAfter > 0 && rnd.Float64() < r.dest.Kind.TellsWait {
+			c.retryAfter = retryAfter
 		}
 		return now + time.Millisecond, true
 	}
-	if r.fallen || r.strike(now, "silent") != nil {
-		c.why = "silent"
+	if r.overloaded || r.activeIncident(now, "silent") != nil {
+		c.reason = "silent"
 		return 0, false
 	}
-	if s := r.strike(now, "full"); s != nil {
+	if s := r.activeIncident(now, "full"); s != nil {
 		return refuse("shut", s.To-now)
 	}
-	if l := r.dest.Limit; l != nil && !l.take(now, r.dest.Kind.RefusedCount) {
-		room := l.room(now)
+	if l := r.dest.Limit; l != nil && !l.tryTake(now, r.dest.Kind.RefusedCount) {
+		retryAfter := l.timeToNext(now)
 		if l.span == 0 {
-			room = max(room, millis(between(chance, r.dest.Kind.WaitMs)))
+			retryAfter = max(retryAfter, millis(drawBetween(rnd, r.dest.Kind.WaitMs)))
 		}
-		return refuse("limit", room)
+		return refuse("limit", retryAfter)
 	}
-	r.waiting = slices.DeleteFunc(r.waiting, func(at time.Duration) bool { return at <= now })
-	core := 0
-	for i, at := range r.free {
-		if at < r.free[core] {
-			core = i
+	r.queuedStarts = slices.DeleteFunc(r.queuedStarts, func(at time.Duration) bool { return at <= now })
+	freeCore := 0
+	for i, at := range r.coreFreeAt {
+		if at < r.coreFreeAt[freeCore] {
+			freeCore = i
 		}
 	}
-	c.starts = max(now, r.free[core])
-	if c.starts > now {
-		if len(r.waiting) >= r.mostQueue {
+	c.startsAt = max(now, r.coreFreeAt[freeCore])
+	if c.startsAt > now {
+		if len(r.queuedStarts) >= r.maxQueue {
 			return refuse("queue", 0)
 		}
-		r.waiting = append(r.waiting, c.starts)
+		r.queuedStarts = append(r.queuedStarts, c.startsAt)
 	}
 	work := 1.0
 	if c.Text != nil {
-		work = c.Text.Work
+		work = c.Text.WorkFactor
 	}
-	took := float64(r.Service) * work * lognormal(chance, attemptNoise) / r.Warmth(c.starts)
-	if s := r.strike(c.starts, "slow"); s != nil {
-		took *= max(1, s.Factor)
+	serviceTime := float64(r.ServiceTime) * work * lognormal(rnd, attemptNoise) / r.CapacityShare(c.startsAt)
+	if s := r.activeIncident(c.startsAt, "slow"); s != nil {
+		serviceTime *= max(1, s.Factor)
 	}
-	due = c.starts + time.Duration(took)
-	if s := r.strike(due, "pause"); s != nil { // each second of it begins with a standstill
-		if into := (due - s.From) % time.Second; into < millis(s.Factor) {
-			due += millis(s.Factor) - into
+	endAt = c.startsAt + time.Duration(serviceTime)
+	if s := r.activeIncident(endAt, "pause"); s != nil { // each second of the incident begins with a pause
+		if into := (endAt - s.From) % time.Second; into < millis(s.Factor) {
+			endAt += millis(s.Factor) - into
 		}
 	}
-	r.free[core] = due
-	return due, true
+	r.coreFreeAt[freeCore] = endAt
+	return endAt, true
 }
 
-// attemptNoise is how far two submits of one text differ in work.
+// attemptNoise is the coefficient of variation of the service time between submits of one text.
 const attemptNoise = 0.2
 
-// End says what becomes of a call whose answer is due. A call that was given up may have run on.
+// End returns the result of a call whose answer is due. A call that its sender gave up may still have run.
 func (r *Receiver) End(now time.Duration, c *Call) Answer {
-	report := r.dest.reports(now)
+	report := r.dest.currentReport(now)
 	if c.refused {
 		status := 503
-		if c.wait > 0 {
+		if c.retryAfter > 0 {
 			status = 429
 		}
-		return Answer{Status: status, Wait: c.wait, Report: report, Why: c.why}
+		return Answer{Status: status, RetryAfter: c.retryAfter, Report: report, Reason: c.reason}
 	}
-	u := r.draw("end", c).Float64()
-	if r.strike(now, "refuse") != nil { // it died meanwhile
-		return Answer{Do: Reset, Ran: u < 0.5 && r.run(now, c), Why: "down"}
+	draw := r.randFor("end", c).Float64()
+	if r.activeIncident(now, "refuse") != nil { // it went down after Begin
+		return Answer{Action: Reset, Executed: draw < 0.5 && r.execute(now, c), Reason: "down"}
 	}
-	if r.fallen || r.strike(now, "silent") != nil {
-		return Answer{Do: Nothing, Ran: u < 0.5 && r.run(now, c), Why: "silent"}
+	if r.overloaded || r.activeIncident(now, "silent") != nil {
+		return Answer{Action: NeverAnswer, Executed: draw < 0.5 && r.execute(now, c), Reason: "silent"}
 	}
-	if r.strike(now, "reset") != nil {
-		return Answer{Do: Reset, Ran: u < 0.5 && r.run(now, c), Why: "reset"}
+	if r.activeIncident(now, "reset") != nil {
+		return Answer{Action: Reset, Executed: draw < 0.5 && r.execute(now, c), Reason: "reset"}
 	}
-	errs := r.dest.Kind.Errors
-	if s := r.strike(now, "errors"); s != nil {
-		errs = max(errs, s.Factor)
+	errorShare := r.dest.Kind.Errors
+	if s := r.activeIncident(now, "errors"); s != nil {
+		errorShare = max(errorShare, s.Factor)
 	}
-	if u < errs {
-		return Answer{Status: 500, Report: report, Why: "error", Ran: u < errs/4 && r.run(now, c)}
+	if draw < errorShare {
+		return Answer{Status: 500, Report: report, Reason: "error", Executed: draw < errorShare/4 && r.execute(now, c)}
 	}
-	known := c.Text != nil && c.Text.Mark != "" && r.dest.remember(now, c.Text.Mark, seconds(c.Text.Product.WindowS))
-	return Answer{Status: 200, Report: report, Ran: !known, Known: known}
+	known := c.Text != nil && c.Text.Mark != "" && r.dest.recordMark(now, c.Text.Mark, seconds(c.Text.Product.WindowS))
+	return Answer{Status: 200, Report: report, Executed: !known, Duplicate: known}
 }
 
-// run has a text take effect without its sender being told; it says so unless it was a repeat.
-func (r *Receiver) run(now time.Duration, c *Call) bool {
-	return c.Text == nil || c.Text.Mark == "" || !r.dest.remember(now, c.Text.Mark, seconds(c.Text.Product.WindowS))
+// execute applies a text whose sender gets no success answer. It returns false if the text was a repeat.
+func (r *Receiver) execute(now time.Duration, c *Call) bool {
+	return c.Text == nil || c.Text.Mark == "" || !r.dest.recordMark(now, c.Text.Mark, seconds(c.Text.Product.WindowS))
 }
--- a/internal/lab/world/settings.go
+++ b/internal/lab/world/settings.go
@@ -2,16 +2,16 @@
 
 import "math"
 
-// Settings are the module's settings on a day, as the platform writes them.
+// Settings returns the module's settings for a day, in the form that the platform writes.
 func (d *Day) Settings() map[string]any {
 	w := d.World
 	us := func(ms float64) float64 { return math.Round(ms * 1000) }
 	var kinds []string
-	var apart []bool
-	var bundles []int
+	var routesApart []bool
+	var bundleMax []int
 	reports := false
 	for _, k := range w.Kind {
-		kinds, apart, bundles = append(kinds, k.Name), append(apart, false), append(bundles, 1)
+		kinds, routesApart, bundleMax = append(kinds, k.Name), append(routesApart, false), append(bundleMax, 1)
 		reports = reports || k.Reports
 	}
 	var classes []map[string]any
@@ -21,26 +21,26 @@
 			"SerialByKey": p.Ordered, "ObjectiveUs": us(p.SLAS * 1000), "HardLimitUs": us(p.ValidityS * 1000), "Value": p.Revenue,
 			"LateShare": p.LateShare, "Streaming": false})
 	}
-	busy := 0.0
+	busyCalls := 0.0
 	for _, dest := range d.Destinations {
-		busy += dest.Traffic * dest.Receivers[0].Service.Seconds()
+		busyCalls += dest.TextsPerSecond * dest.Receivers[0].ServiceTime.Seconds()
 	}
-	part := 1 / float64(w.Senders)
-	set := map[string]any{
+	senderShare := 1 / float64(w.Senders)
+	settings := map[string]any{
 		"Instances": w.Senders, "Kinds": kinds, "Workload": "deliver", "RequestClasses": classes,
 		"WeightSource": map[string]string{"none": "silent", "nominal": "nominal", "rough": "rough"}[w.List.Rate],
-		"Specifics": map[string]any{"MaxCalls": max(4, int(math.Ceil(w.Sender.SlotsRoom*busy*part))), "Fades": "halves",
-			"RoutesApart": apart, "BundleMax": bundles},
+		"Specifics": map[string]any{"MaxCalls": max(4, int(math.Ceil(w.Sender.SlotsRoom*busyCalls*senderShare))), "Fades": "halves",
+			"RoutesApart": routesApart, "BundleMax": bundleMax},
 		"Permissions": map[string]any{"MayCancel": true, "TryLimit": w.Sender.Submits, "RetryAfter": w.Sender.AdviceS > 0,
 			"MaxRetryAfterUs": us(w.Sender.AdviceS * 1000), "ConnIdleUs": us(w.Sender.ConnIdleS * 1000), "DialTimeoutUs": us(w.Sender.DialMs),
-			"MaxOpen": max(16, int(w.Sender.HoldS*w.Load.PerSecond*part)), "Peers": false, "Probes": false, "MayDuplicate": false},
+			"MaxOpen": max(16, int(w.Sender.HoldS*w.Load.PerSecond*senderShare)), "Peers": false, "Probes": false, "MayDuplicate": false},
 		"Contract": map[string]any{"AnswerSlackUs": us(w.Rules.EndMs), "ColdFrom": w.Rules.ColdFrom, "RampTimeUs": us(w.Rules.ColdS * 1000),
 			"StopSendingWithinUs": us(w.Rules.DrainMs), "FallMultiple": w.Rules.FallMultiple, "FallUs": us(w.Rules.FallS * 1000),
 			"KeyRestUs": us(w.Rules.KeyRestMs)},
 		"Clients": map[string]any{"MarksRetry": w.Clients.Marks},
 	}
 	if reports {
-		set["Report"] = map[string]any{"Names": []string{"x0", "x1"}, "How": "piggyback"}
+		settings["Report"] = map[string]any{"Names": []string{"x0", "x1"}, "How": "piggyback"}
 	}
-	return set
+	return settings
 }
--- a/internal/lab/world/spec.go
+++ b/internal/lab/world/spec.go
@@ -8,7 +8,7 @@
 	"emberquay/internal/tomlfile"
 )
 
-// World describes a kind of day. A list of two numbers is a range from which each day draws.
+// World describes the days that can be drawn. A list of two numbers is a range from which each day draws a value.
 type World struct {
 	Seed    uint64    `toml:"seed" comment:"of the day, where none is given on the command line"`
 	Seconds float64   `toml:"seconds" range:"1 3600" comment:"for which texts arrive; then what is held may end"`
@@ -24,7 +24,7 @@
 	Fate    []Fate    `toml:"fate" comment:"what befalls the senders"`
 }
 
-// Load is how texts arrive.
+// Load describes the arrival of texts.
 type Load struct {
 	PerSecond float64   `toml:"texts_per_s" range:"0.1 2000" comment:"mean over the day"`
 	Swing     float64   `toml:"swing" range:"0 0.9" comment:"the rate waves up and down by this share"`
@@ -35,7 +35,7 @@
 	BodyBytes []float64 `toml:"body_bytes" range:"0 65536"`
 }
 
-// Clients is how clients behave.
+// Clients describes the behavior of clients.
 type Clients struct {
 	PatienceMs float64   `toml:"patience_ms" range:"10 10000" comment:"for the answer to a hand-in; then the connection is closed"`
 	Retries    int       `toml:"retries" range:"0 20" comment:"after a nack, at most"`
@@ -47,7 +47,7 @@
 	Conns      int       `toml:"conns" range:"1 10000" comment:"connections to each sender at most"`
 }
 
-// List is how the list of receivers is told.
+// List describes how the platform reports the receiver list to senders.
 type List struct {
 	LagS       []float64 `toml:"lag_s" range:"0 60" comment:"between a change and its telling, to each sender apart"`
 	HeartbeatS float64   `toml:"heartbeat_s" range:"0.1 60"`
@@ -55,7 +55,7 @@
 	Rate       string    `toml:"rate" oneof:"none nominal rough" comment:"what the list tells of a destination's rate"`
 }
 
-// Sender is the machine that a sender has.
+// Sender describes the resources and limits of a sender.
 type Sender struct {
 	Cores      float64 `toml:"cores" range:"0.1 64"`
 	MemoryMB   float64 `toml:"memory_mb" range:"16 65536"`
@@ -70,7 +70,7 @@
 	ReadyWithS float64 `toml:"ready_within_s" range:"0.1 60" comment:"a sender that starts answers GET /up by then"`
 }
 
-// Rules are the figures of the six rules.
+// Rules holds the parameters of the six rules that the referee checks.
 type Rules struct {
 	SlackMs       float64 `toml:"slack_ms" range:"0 1000" comment:"on every limit of time, as messages travel"`
 	EndMs         float64 `toml:"end_ms" range:"0 10000" comment:"past the validity period an end may come so late"`
@@ -87,7 +87,7 @@
 	RestartClears bool    `toml:"restart_clears_waits" comment:"a sender that starts anew is told its waits anew"`
 }
 
-// Product is a kind of text.
+// Product describes a class of texts.
 type Product struct {
 	Name      string  `toml:"name"`
 	Share     float64 `toml:"share" range:"0 1000000" comment:"of the texts, beside the other products'"`
@@ -101,7 +101,7 @@
 	LateShare float64 `toml:"late_share" range:"0 1" comment:"of the revenue that is left at the end; it halves with each SLA time"`
 }
 
-// Kind is a kind of destination.
+// Kind describes a class of destinations.
 type Kind struct {
 	Name         string    `toml:"name"`
 	Destinations int       `toml:"destinations" range:"1 100000"`
@@ -123,7 +123,7 @@
 	Errors       float64   `toml:"errors" range:"0 1" comment:"share of calls answered with an error on a good day"`
 }
 
-// Trouble is one thing that goes wrong.
+// Trouble describes a fault or load change of the environment.
 type Trouble struct {
 	What   string  `toml:"what" oneof:"refuse reset silent errors full slow pause cut drain replace list_silent list_cut flash hot"`
 	AtS    float64 `toml:"at_s" range:"0 3600"`
@@ -134,7 +134,7 @@
 	Factor float64 `toml:"factor" range:"0 1000" comment:"errors: share that fails; slow: times as long; cut: share of the limit that is left; flash, hot: share more; pause: ms each second"`
 }
 
-// Fate is what befalls a sender.
+// Fate describes a signal sent to a sender, and its restart.
 type Fate struct {
 	What   string  `toml:"what" oneof:"term kill hup"`
 	Sender int     `toml:"sender" range:"0 999"`
@@ -144,19 +144,19 @@
 	DownS  float64 `toml:"down_s" range:"0 60" comment:"until it is started again"`
 }
 
-// Read reads a described world; what it does not name is as in Default, but for troubles and fates: there are none
-// but those that it names.
+// Read parses and validates a world description. Omitted values are those of Default, except that there are no troubles
+// and fates other than the described ones.
 func Read(raw []byte) (*World, error) {
 	w := Default()
 	w.Trouble, w.Fate = nil, nil
 	if err := tomlfile.Decode(raw, w); err != nil {
 		return nil, err
 	}
-	return w, w.check()
+	return w, w.validate()
 }
 
-// check looks at what belongs together.
-func (w *World) check() error {
+// validate checks the constraints between values.
+func (w *World) validate() error {
 	switch {
 	case len(w.Product) == 0:
 		return errors.New("product: none is described")
@@ -197,7 +197,7 @@
 			must bool
 		}{{"endpoints", k.Endpoints, true}, {"service_ms", k.ServiceMs, true}, {"spare", k.Spare, true},
 			{"headroom", k.Headroom, k.Limit != "none"}, {"wait_ms", k.WaitMs, false}, {"report_ms", k.ReportMs, false}} {
-			if noRange(r.row, r.must) {
+			if invalidRange(r.row, r.must) {
 				return fmt.Errorf("%s: %s: %v is neither one number nor a range", at, r.key, r.row)
 			}
 		}
@@ -224,19 +224,19 @@
 		row []float64
 	}{{"load.clump_s", w.Load.ClumpS}, {"load.body_bytes", w.Load.BodyBytes}, {"clients.backoff_ms", w.Clients.BackoffMs},
 		{"clients.again_ms", w.Clients.AgainMs}, {"clients.notice_s", w.Clients.NoticeS}, {"list.lag_s", w.List.LagS}} {
-		if noRange(r.row, true) {
+		if invalidRange(r.row, true) {
 			return fmt.Errorf("%s: %v is neither one number nor a range", r.key, r.row)
 		}
 	}
 	return nil
 }
 
-// noRange says whether a row is neither one number nor a range; where it may be left out it may be empty.
-func noRange(row []float64, must bool) bool {
-	return must && len(row) == 0 || len(row) > 2 || len(row) == 2 && row[0] > row[1]
+// invalidRange reports whether bounds is neither one number nor an ascending pair. It may be empty unless required.
+func invalidRange(bounds []float64, required bool) bool {
+	return required && len(bounds) == 0 || len(bounds) > 2 || len(bounds) == 2 && bounds[0] > bounds[1]
 }
 
-// Default is the short rough day of `quaylab try`: two senders, a dozen receivers, an outage, a drain, a kill.
+// Default returns the short day with faults of `quaylab try`: two senders, a dozen receivers, an outage, a drain, a kill.
 func Default() *World {
 	return &World{
 		Seed: 1, Seconds: 9, Senders: 2,
@@ -271,5 +271,5 @@
 	}
 }
 
-// Print writes a world as a file, with comments.
+// Print encodes a world as a commented TOML file.
 func Print(w *World) ([]byte, error) { return tomlfile.Encode(w) }
--- a/internal/lab/world/world_test.go
+++ b/internal/lab/world/world_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { rapidseed.Main(m) }
 
-func draw(t testing.TB, w *World, seed uint64) *Day {
+func mustDraw(t testing.TB, w *World, seed uint64) *Day {
 	t.Helper()
 	d, err := w.Draw(seed)
 	if err != nil {
@@ -24,48 +24,48 @@
 	return d
 }
 
-// A seed played twice gives the same world, whatever the sender does.
+// The same seed must give the same day, whatever the senders do.
 func TestSameSeedSameDay(t *testing.T) {
-	a, b := draw(t, Default(), 5), draw(t, Default(), 5)
+	a, b := mustDraw(t, Default(), 5), mustDraw(t, Default(), 5)
 	for i, x := range a.Texts {
 		y := b.Texts[i]
-		if x.At != y.At || x.Mark != y.Mark || x.Work != y.Work || x.Destination != y.Destination || a.ID(x, 1) != b.ID(y, 1) {
+		if x.At != y.At || x.Mark != y.Mark || x.WorkFactor != y.WorkFactor || x.Destination != y.Destination || a.ID(x, 1) != b.ID(y, 1) {
 			t.Fatalf("text %d: %+v, %+v", i, x, y)
 		}
 	}
-	if len(a.Texts) != len(b.Texts) || !reflect.DeepEqual(a.Changes, b.Changes) || fmt.Sprint(a.Strikes) != fmt.Sprint(b.Strikes) {
+	if len(a.Texts) != len(b.Texts) || !reflect.DeepEqual(a.Changes, b.Changes) || fmt.Sprint(a.Incidents) != fmt.Sprint(b.Incidents) {
 		t.Error("the days differ")
 	}
-	// One sender asks for much before, the other for nothing: the third call takes as long at both.
-	took := func(d *Day, before int) time.Duration {
+	// The service time of a call must not depend on the calls before it.
+	serviceTime := func(d *Day, before int) time.Duration {
 		r := d.Receivers[7]
 		for i := range before {
 			r.Begin(time.Duration(i)*time.Microsecond, &Call{Text: d.Texts[i]})
 		}
-		c := &Call{Text: d.Texts[90], Submit: 1}
-		due, ever := r.Begin(2*time.Minute, c)
-		if !ever || r.End(due, c).Status != 200 {
+		c := &Call{Text: d.Texts[90], SubmitNo: 1}
+		endAt, ends := r.Begin(2*time.Minute, c)
+		if !ends || r.End(endAt, c).Status != 200 {
 			t.Fatalf("%+v", c)
 		}
-		return due - 2*time.Minute
+		return endAt - 2*time.Minute
 	}
-	if x, y := took(a, 0), took(b, 30); x != y {
+	if x, y := serviceTime(a, 0), serviceTime(b, 30); x != y {
 		t.Errorf("a call takes %s, after others %s", x, y)
 	}
 	w := Default()
 	w.Fate[0].LaterS, w.Trouble[0].LaterS = 2, 2
-	x, y := draw(t, w, 5), draw(t, w, 5)
-	if at := x.Fates[0].AtS; at == w.Fate[0].AtS || at > w.Fate[0].AtS+2 || at != y.Fates[0].AtS || x.Strikes[0].From != y.Strikes[0].From ||
-		x.Strikes[0].To-x.Strikes[0].From != 2*time.Second {
-		t.Errorf("drawn instants: %+v %+v", x.Fates, x.Strikes[0])
+	x, y := mustDraw(t, w, 5), mustDraw(t, w, 5)
+	if at := x.Fates[0].AtS; at == w.Fate[0].AtS || at > w.Fate[0].AtS+2 || at != y.Fates[0].AtS || x.Incidents[0].From != y.Incidents[0].From ||
+		x.Incidents[0].To-x.Incidents[0].From != 2*time.Second {
+		t.Errorf("drawn instants: %+v %+v", x.Fates, x.Incidents[0])
 	}
-	if c := draw(t, Default(), 6); c.Texts[0].At == a.Texts[0].At {
+	if c := mustDraw(t, Default(), 6); c.Texts[0].At == a.Texts[0].At {
 		t.Error("another seed gives the same day")
 	}
 }
 
-// Mistakes that no single value shows.
-func TestWorldsThatMakeNoSense(t *testing.T) {
+// Read must reject descriptions whose values are invalid by themselves or inconsistent with each other.
+func TestReadRejectsInconsistentWorlds(t *testing.T) {
 	for text, want := range map[string]string{
 		"[[product]]\nname='a'\nshare=1\nsla_s=9\nvalidity_s=2\nrepeat='resendable'":    "product 1 (a): sla_s: 9 is over validity_s, 2",
 		"[[product]]\nname='a'\nshare=1\nsla_s=1\nvalidity_s=2\nrepeat='referenced'":    "product 1 (a): window_s: missing",
@@ -94,8 +94,8 @@
 	}
 }
 
-// anyOf draws a world that has all kinds of limits and troubles.
-func anyOf(t *rapid.T) *World {
+// randomWorld draws a world with any kind of limits and troubles.
+func randomWorld(t *rapid.T) *World {
 	w := Default()
 	w.Seconds, w.Fate = 5, nil
 	w.Load.PerSecond = rapid.Float64Range(1, 200).Draw(t, "rate")
@@ -117,10 +117,11 @@
 	return w
 }
 
-// No receiver gives out more than its limit, no queue or table is over its size, and a told wait is honest.
+// No destination lets more calls through than its limit, no queue or connection table exceeds its size, and a call passes
+// after the wait that a refusal gives.
 func TestModelsKeepTheirBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := anyOf(t)
+		w := randomWorld(t)
 		d, err := w.Draw(rapid.Uint64().Draw(t, "seed"))
 		if err != nil {
 			t.Fatal(err)
@@ -130,33 +131,33 @@
 		for i := range rapid.IntRange(1, 150).Draw(t, "calls") {
 			now += time.Duration(rapid.IntRange(0, 80).Draw(t, "gap")) * time.Millisecond
 			r := d.Receivers[rapid.IntRange(0, len(d.Receivers)-1).Draw(t, "receiver")]
-			c := &Call{Text: &Text{No: i, Product: &w.Product[0], Work: 1}, Sender: i % 2}
-			due, ever := r.Begin(now, c)
-			if len(r.waiting) > r.mostQueue {
-				t.Fatalf("%d wait, %d may", len(r.waiting), r.mostQueue)
+			c := &Call{Text: &Text{No: i, Product: &w.Product[0], WorkFactor: 1}, Sender: i % 2}
+			endAt, ends := r.Begin(now, c)
+			if len(r.queuedStarts) > r.maxQueue {
+				t.Fatalf("%d wait, %d may", len(r.queuedStarts), r.maxQueue)
 			}
-			if !ever {
+			if !ends {
 				continue
 			}
-			if due < now {
-				t.Fatalf("due %s before %s", due, now)
+			if endAt < now {
+				t.Fatalf("due %s before %s", endAt, now)
 			}
-			if c.refused && c.wait > 0 && c.why == "limit" {
+			if c.refused && c.retryAfter > 0 && c.reason == "limit" {
 				l := *r.dest.Limit
-				if left := l.leftAt(now + c.wait + time.Microsecond); left < 0.999 {
-					t.Fatalf("told to wait %s, and %v is left then", c.wait, left)
+				if left := l.remainingAt(now + c.retryAfter + time.Microsecond); left < 0.999 {
+					t.Fatalf("told to wait %s, and %v is left then", c.retryAfter, left)
 				}
 			}
-			if !c.refused || c.why == "queue" {
+			if !c.refused || c.reason == "queue" {
 				passed[r.dest.No] = append(passed[r.dest.No], now)
 			}
 			for r.Connect() && r.conns < 99 {
 			}
-			if r.mostConns > 0 && r.conns > r.mostConns {
-				t.Fatalf("%d connections, %d may", r.conns, r.mostConns)
+			if r.maxConns > 0 && r.conns > r.maxConns {
+				t.Fatalf("%d connections, %d may", r.conns, r.maxConns)
 			}
-			if rep := r.dest.reports(now); rep.OK && (rep.Share < 0 || rep.Share > 1) {
-				t.Fatalf("%+v", rep)
+			if report := r.dest.currentReport(now); report.Present && (report.Share < 0 || report.Share > 1) {
+				t.Fatalf("%+v", report)
 			}
 		}
 		for i, dest := range d.Destinations {
@@ -164,20 +165,20 @@
 			if l == nil {
 				continue
 			}
-			span, most := time.Second, 2*l.burst(0)
+			span, maxCalls := time.Second, 2*l.burst(0)
 			if l.span > 0 {
-				span = l.span // any window as long lies in two spans
+				span = l.span // any window of that length overlaps at most two spans
 			}
 			for k, at := range passed[i] {
 				end, _ := slices.BinarySearch(passed[i], at+span)
-				if n := float64(end - k); n > most+1 {
+				if n := float64(end - k); n > maxCalls+1 {
 					t.Fatalf("%v calls within %s, the limit is %v", n, span, l.count)
 				}
 			}
 		}
 		best := 0.0
-		for _, e := range d.Best() {
-			best += e
+		for _, revenue := range d.BestRevenue() {
+			best += revenue
 		}
 		asked := 0.0
 		for _, x := range d.Texts {
@@ -189,7 +190,8 @@
 	})
 }
 
-// Revenue: all of it within the SLA time, half with each further one, never under what is left at the end.
+// Revenue is full within the SLA time, halves with each further SLA time, and stays at or above the late share until the
+// validity period ends.
 func TestWorth(t *testing.T) {
 	x := &Text{At: time.Second, Product: &Product{SLAS: 2, ValidityS: 8, Revenue: 4, LateShare: 0.3}}
 	for at, want := range map[float64]float64{1: 4, 3: 4, 3.01: 2, 5: 2, 5.01: 1.2, 9: 1.2, 9.01: 0} {
@@ -199,15 +201,15 @@
 	}
 }
 
-// A cold receiver bears a multiple of what it can do just then; a sender that keeps to it does not push it over.
-func TestFallsOverWhenPushed(t *testing.T) {
+// A cold receiver tolerates a multiple of its current capacity. It must fail above that, and not for a sender below it.
+func TestColdReceiverOverloads(t *testing.T) {
 	w := Default()
 	w.Trouble = []Trouble{{What: "silent", AtS: 1, ForS: 1, Kind: "plain", Share: 1}}
 	for _, c := range []struct {
 		times float64
 		falls bool
 	}{{0.9, false}, {1.6, true}} {
-		d := draw(t, w, 3)
+		d := mustDraw(t, w, 3)
 		r := d.Receivers[len(d.Receivers)-1]
 		base := r.Capacity(0)
 		now := 2 * time.Second
@@ -215,35 +217,35 @@
 			now += seconds(1 / (c.times * w.Rules.FallMultiple * r.Capacity(now)))
 			r.Begin(now, &Call{Text: d.Texts[i], Sender: 1})
 		}
-		if r.fallen != c.falls || c.falls && r.Fell.BySender[1] == 0 {
-			t.Errorf("at %v times what it bears (%.1f a second warm): %+v", c.times, base, r.Fell)
+		if r.overloaded != c.falls || c.falls && r.Overload.BySender[1] == 0 {
+			t.Errorf("at %v times what it bears (%.1f a second warm): %+v", c.times, base, r.Overload)
 		}
 	}
 }
 
-// The list: in order to each sender, silent while it is silent, and what is gone is not named in a whole list.
-func TestListIsToldInOrder(t *testing.T) {
+// Each sender must get list changes in order and none while the list is silent; a full list must omit removed receivers.
+func TestListChangesArriveInOrder(t *testing.T) {
 	w := Default()
 	w.Trouble = []Trouble{{What: "drain", AtS: 1, ForS: 2}, {What: "replace", AtS: 2, ForS: 1, Kind: "plain"}, {What: "list_silent", AtS: 1, ForS: 3}}
-	d := draw(t, w, 9)
+	d := mustDraw(t, w, 9)
 	if len(d.Changes) != 5 {
 		t.Fatalf("%+v", d.Changes)
 	}
 	for s := range w.Senders {
 		last := time.Duration(0)
 		for _, c := range d.Changes {
-			if c.Told[s] < last || c.Told[s] < c.At || c.Told[s] < 4*time.Second {
-				t.Errorf("sender %d: version %d of %s is told at %s", s, c.Version, c.At, c.Told[s])
+			if c.NotifyAt[s] < last || c.NotifyAt[s] < c.At || c.NotifyAt[s] < 4*time.Second {
+				t.Errorf("sender %d: version %d of %s is told at %s", s, c.Version, c.At, c.NotifyAt[s])
 			}
-			last = c.Told[s]
+			last = c.NotifyAt[s]
 		}
 		if d.Version(s, last) != 6 || d.Version(s, 0) != 1 {
 			t.Error(d.Version(s, last))
 		}
 	}
-	next := d.Receivers[len(d.Receivers)-1]
-	if old := d.Receivers[next.Place]; old == next || d.State(old, 6) != Left || d.State(next, 1) != "" || d.State(next, 6) != Active {
-		t.Errorf("%+v is followed by %+v", old, next)
+	replacement := d.Receivers[len(d.Receivers)-1]
+	if old := d.Receivers[replacement.AddressNo]; old == replacement || d.State(old, 6) != Left || d.State(replacement, 1) != "" || d.State(replacement, 6) != Active {
+		t.Errorf("%+v is followed by %+v", old, replacement)
 	}
 }
 
