--- a/internal/lab/world/receiver.go
+++ b/internal/lab/world/receiver.go
@@ -21,7 +21,7 @@
 	reportInterval time.Duration
 	reportedAt     time.Duration // time at which report was made
 	report         Report
-	marksSeen      map[string]time.Duration // first delivery of each mark
+	marksSeen      map[string]time.Duration // time at which each mark was recorded
 	markExpiries   []markExpiry
 }
 
