--- a/internal/lab/tierreport/charts.go
+++ b/internal/lab/tierreport/charts.go
@@ -22,7 +22,7 @@
 	"emberquay/internal/lab/tierworld"
 )
 
-// The sizes of the charts.
+// Sizes of the charts.
 const (
 	chartWidth         = 30 * vg.Centimeter
 	panelHeight        = 7 * vg.Centimeter
@@ -31,48 +31,48 @@
 )
 
 var (
-	markColor = color.NRGBA{R: 200, G: 60, B: 60, A: 160}
-	spanColor = color.NRGBA{R: 200, G: 60, B: 60, A: 28}
+	faultMarkColor = color.NRGBA{R: 200, G: 60, B: 60, A: 160}
+	faultSpanColor = color.NRGBA{R: 200, G: 60, B: 60, A: 28}
 )
 
-// series is one line of a panel.
+// series holds one line of a panel.
 type series struct {
 	name   string
 	points []point
-	step   bool // it holds from one point to the next
+	step   bool // each value holds until the next point
 }
 
-// panel is a chart over time.
+// panel describes a chart over time.
 type panel struct {
 	title, unit string
 	lines       []series
 }
 
-// WriteDay draws the day over time: what became of tries, latencies, the receivers' load, with marks where
-// troubles struck. Their numbers are those of the table of troubles.
+// WriteDay draws the day over time as SVG: outcomes of tries, latencies and the load of the receivers, with a
+// mark at the start of each trouble. The marks are numbered as in the table of troubles.
 func WriteDay(out io.Writer, title string, r *tierlab.Result) error {
 	var plots [][]*plot.Plot
 	for _, p := range dayPanels(title, r.Recording) {
-		drawn, err := p.draw(r.Recording)
+		chart, err := p.draw(r.Recording)
 		if err != nil {
 			return eris.Wrap(err, p.title)
 		}
-		plots = append(plots, []*plot.Plot{drawn})
+		plots = append(plots, []*plot.Plot{chart})
 	}
-	return write(out, plots, vg.Length(len(plots))*panelHeight)
+	return writeSVG(out, plots, vg.Length(len(plots))*panelHeight)
 }
 
-// dayPanels are those of a day; the load of a service has one if it has receivers.
+// dayPanels returns the panels of a day. A service without recorded load gets no load panel.
 func dayPanels(title string, rec *tierlab.Recording) []panel {
 	panels := []panel{
 		{title + ": tries, by when they were sent", "a second", triesOverTime(rec)},
 		{"To the first event, half and slowest of each second", "ms", latencyOverTime(rec)},
 	}
-	load := loads(rec)
+	load := loadsByService(rec)
 	for _, service := range []string{tierworld.Alfa, tierworld.Beta, tierworld.Model} {
 		if l := load[service]; l != nil {
 			panels = append(panels, panel{"Receivers of " + service + " together", "requests", []series{
-				{"running and queued", l.inHand, true},
+				{"running and queued", l.outstanding, true},
 				{"running", l.running, true},
 				{"slots", l.slots, true},
 			}})
@@ -81,7 +81,7 @@
 	return panels
 }
 
-// triesOverTime counts tries by what became of them.
+// triesOverTime counts the tries sent in each second, by outcome.
 func triesOverTime(rec *tierlab.Recording) []series {
 	var lines []series
 	for _, kind := range []struct {
@@ -97,12 +97,12 @@
 			}
 			return float64(n)
 		}
-		lines = append(lines, series{name: kind.name, points: binned(rec, rec.Requests, sent, count)})
+		lines = append(lines, series{name: kind.name, points: valuesPerSecond(rec, rec.Requests, sentAt, count)})
 	}
 	return lines
 }
 
-// latencyOverTime is the median and the slowest of streams to their first event.
+// latencyOverTime returns the median and the maximum latency of streams to their first event, by class.
 func latencyOverTime(rec *tierlab.Recording) []series {
 	var lines []series
 	for _, class := range []string{"turn", "text"} {
@@ -111,66 +111,66 @@
 			percent float64
 		}{{"p50", 50}, {"most", 100}} {
 			latency := func(in []*tierrules.Request) float64 {
-				l := firstEvents(in)[class]
+				l := firstEventLatencies(in)[class]
 				if l.Histogram == nil {
 					return math.NaN()
 				}
-				return l.at(figure.percent).Seconds() * 1000
+				return l.valueAtPercentile(figure.percent).Seconds() * 1000
 			}
-			points := binned(rec, rec.Requests, sent, latency)
+			points := valuesPerSecond(rec, rec.Requests, sentAt, latency)
 			lines = append(lines, series{name: class + " " + figure.name, points: points})
 		}
 	}
 	return lines
 }
 
-// draw draws a panel with the marks of troubles.
+// draw plots the panel with the marks of the troubles.
 func (p panel) draw(rec *tierlab.Recording) (*plot.Plot, error) {
-	drawn := plot.New()
-	drawn.Title.Text, drawn.X.Label.Text, drawn.Y.Label.Text = p.title, "s", p.unit
-	drawn.Legend.Top = true
-	drawn.Add(plotter.NewGrid())
-	top := 1.0
+	chart := plot.New()
+	chart.Title.Text, chart.X.Label.Text, chart.Y.Label.Text = p.title, "s", p.unit
+	chart.Legend.Top = true
+	chart.Add(plotter.NewGrid())
+	maxValue := 1.0
 	for i, l := range p.lines {
-		line, err := lineOf(l, i)
+		line, err := newLine(l, i)
 		if err != nil {
 			return nil, err
 		}
-		drawn.Add(line)
-		drawn.Legend.Add(l.name, line)
+		chart.Add(line)
+		chart.Legend.Add(l.name, line)
 		for _, point := range l.points {
-			top = max(top, point.value)
+			maxValue = max(maxValue, point.value)
 		}
 	}
-	if err := addMarks(drawn, rec, 1.12*top); err != nil {
+	if err := addMarks(chart, rec, 1.12*maxValue); err != nil {
 		return nil, err
 	}
-	drawn.X.Min, drawn.X.Max = 0, (rec.To - rec.From).Seconds()
-	drawn.Y.Min, drawn.Y.Max = 0, 1.25*top // the numbers of the marks stand above the lines
-	return drawn, nil
+	chart.X.Min, chart.X.Max = 0, (rec.To - rec.From).Seconds()
+	chart.Y.Min, chart.Y.Max = 0, 1.25*maxValue // leaves room for the mark numbers above the lines
+	return chart, nil
 }
 
-func lineOf(l series, no int) (*plotter.Line, error) {
+func newLine(l series, colorIndex int) (*plotter.Line, error) {
 	points := make(plotter.XYs, 0, len(l.points))
 	for _, p := range l.points {
-		points = append(points, plotter.XY{X: p.at, Y: p.value})
+		points = append(points, plotter.XY{X: p.atSeconds, Y: p.value})
 	}
-	if len(points) == 0 { // the library draws no line of nothing
+	if len(points) == 0 { // plotter.NewLine fails without points
 		points = plotter.XYs{{}}
 	}
 	line, err := plotter.NewLine(points)
 	if err != nil {
 		return nil, err
 	}
-	line.Color = plotutil.Color(no)
+	line.Color = plotutil.Color(colorIndex)
 	if l.step {
 		line.StepStyle = plotter.PostStep
 	}
 	return line, nil
 }
 
-// addMarks draws a line where each trouble struck, its number above, and a shade for as long as it went on.
-func addMarks(drawn *plot.Plot, rec *tierlab.Recording, top float64) error {
+// addMarks draws a numbered vertical line at the start of each trouble and shades its duration.
+func addMarks(chart *plot.Plot, rec *tierlab.Recording, top float64) error {
 	var numbers plotter.XYLabels
 	for i, m := range rec.Marks {
 		from, to := (m.From - rec.From).Seconds(), (m.To - rec.From).Seconds()
@@ -179,13 +179,13 @@
 		if err != nil {
 			return err
 		}
-		shade.Color, shade.LineStyle.Width = spanColor, 0
+		shade.Color, shade.LineStyle.Width = faultSpanColor, 0
 		line, err := plotter.NewLine(plotter.XYs{{X: from, Y: 0}, {X: from, Y: top}})
 		if err != nil {
 			return err
 		}
-		line.Color = markColor
-		drawn.Add(shade, line)
+		line.Color = faultMarkColor
+		chart.Add(shade, line)
 		numbers.XYs = append(numbers.XYs, plotter.XY{X: from, Y: top})
 		numbers.Labels = append(numbers.Labels, fmt.Sprint(i+1))
 	}
@@ -196,69 +196,69 @@
 	if err != nil {
 		return err
 	}
-	drawn.Add(labels)
+	chart.Add(labels)
 	return nil
 }
 
-func sent(r *tierrules.Request) time.Duration { return r.Sent }
+func sentAt(r *tierrules.Request) time.Duration { return r.Sent }
 
-// percents are the places at which distributions are drawn.
-var percents = []float64{0, 10, 25, 50, 75, 90, 95, 99, 99.9, 100}
+// percentiles lists the percentiles at which distributions are drawn.
+var percentiles = []float64{0, 10, 25, 50, 75, 90, 95, 99, 99.9, 100}
 
-// WriteDistribution draws the distributions of latencies and of the programs' times.
+// WriteDistribution draws the distributions of latencies and of program durations as SVG.
 func WriteDistribution(out io.Writer, title string, r *tierlab.Result) error {
-	first := distribution(title+": to the first event (of plain answers: to their end)", "ms")
-	events := firstEvents(r.Recording.Requests)
+	first := newDistributionChart(title+": to the first event (of plain answers: to their end)", "ms")
+	events := firstEventLatencies(r.Recording.Requests)
 	for i, class := range slices.Sorted(maps.Keys(events)) {
 		if err := addDistribution(first, class, i, events[class], 1000); err != nil {
 			return eris.Wrap(err, class)
 		}
 	}
-	second := distribution("Programs, by how they ended", "s")
-	times := programTimes(r.Recording.Programs)
+	second := newDistributionChart("Programs, by how they ended", "s")
+	times := programDurations(r.Recording.Programs)
 	for i, o := range slices.Sorted(maps.Keys(times)) {
 		if err := addDistribution(second, string(o), i, times[o], 1); err != nil {
 			return eris.Wrap(err, string(o))
 		}
 	}
-	return write(out, [][]*plot.Plot{{first}, {second}}, distributionHeight)
+	return writeSVG(out, [][]*plot.Plot{{first}, {second}}, distributionHeight)
 }
 
-// distribution is an empty panel of a latency over the share that does not exceed it.
-func distribution(title, unit string) *plot.Plot {
-	drawn := plot.New()
-	drawn.Title.Text, drawn.X.Label.Text, drawn.Y.Label.Text = title, "% of them take no longer", unit
-	drawn.Legend.Top, drawn.Legend.Left = true, true
-	ticks := make([]plot.Tick, 0, len(percents))
-	for i, percent := range percents {
+// newDistributionChart returns an empty chart of durations by percentile.
+func newDistributionChart(title, unit string) *plot.Plot {
+	chart := plot.New()
+	chart.Title.Text, chart.X.Label.Text, chart.Y.Label.Text = title, "% of them take no longer", unit
+	chart.Legend.Top, chart.Legend.Left = true, true
+	ticks := make([]plot.Tick, 0, len(percentiles))
+	for i, percent := range percentiles {
 		ticks = append(ticks, plot.Tick{Value: float64(i), Label: fmt.Sprint(percent)})
 	}
-	drawn.X.Tick.Marker = plot.ConstantTicks(ticks)
-	drawn.X.Min, drawn.X.Max = 0, float64(len(percents)-1)
-	drawn.Y.Min, drawn.Y.Max = 0, 1
-	drawn.Add(plotter.NewGrid())
-	return drawn
+	chart.X.Tick.Marker = plot.ConstantTicks(ticks)
+	chart.X.Min, chart.X.Max = 0, float64(len(percentiles)-1)
+	chart.Y.Min, chart.Y.Max = 0, 1
+	chart.Add(plotter.NewGrid())
+	return chart
 }
 
-// addDistribution adds one histogram; perSecond turns seconds into the panel's unit.
-func addDistribution(drawn *plot.Plot, name string, no int, l latencies, perSecond float64) error {
-	points := make(plotter.XYs, 0, len(percents))
-	for i, percent := range percents {
-		points = append(points, plotter.XY{X: float64(i), Y: l.at(percent).Seconds() * perSecond})
+// addDistribution adds the line of one histogram. unitsPerSecond converts seconds to the unit of the chart.
+func addDistribution(chart *plot.Plot, name string, colorIndex int, l latencies, unitsPerSecond float64) error {
+	points := make(plotter.XYs, 0, len(percentiles))
+	for i, percent := range percentiles {
+		points = append(points, plotter.XY{X: float64(i), Y: l.valueAtPercentile(percent).Seconds() * unitsPerSecond})
 	}
 	line, dots, err := plotter.NewLinePoints(points)
 	if err != nil {
 		return err
 	}
-	line.Color, dots.Color = plotutil.Color(no), plotutil.Color(no)
-	drawn.Add(line, dots)
-	drawn.Legend.Add(fmt.Sprintf("%s (%d)", name, l.TotalCount()), line, dots)
-	drawn.Y.Min = 0
+	line.Color, dots.Color = plotutil.Color(colorIndex), plotutil.Color(colorIndex)
+	chart.Add(line, dots)
+	chart.Legend.Add(fmt.Sprintf("%s (%d)", name, l.TotalCount()), line, dots)
+	chart.Y.Min = 0
 	return nil
 }
 
-// write draws panels below each other as an SVG.
-func write(out io.Writer, plots [][]*plot.Plot, height vg.Length) error {
+// writeSVG draws the charts below each other into one SVG.
+func writeSVG(out io.Writer, plots [][]*plot.Plot, height vg.Length) error {
 	canvas := vgsvg.New(chartWidth, height)
 	tiles := draw.Tiles{Rows: len(plots), Cols: 1, PadX: panelSpace, PadY: panelSpace, PadTop: panelSpace,
 		PadBottom: panelSpace, PadLeft: panelSpace, PadRight: panelSpace}
--- a/internal/lab/tierreport/doc.go
+++ b/internal/lab/tierreport/doc.go
@@ -1,8 +1,8 @@
-// Package tierreport writes what a day of the tier on loopback came to: tables in Markdown and charts in SVG.
+// Package tierreport writes the results of a day of the tier on loopback: tables in Markdown and charts in SVG.
 //
 //	err := tierreport.Write("report", "a rough day", result) // report.md, day.svg, distribution.svg
 //
-// It only reads the result. Latencies are counted by HdrHistogram from a microsecond to ten minutes, to three
-// digits; what is slower counts as ten minutes. Instants in tables and charts are seconds since traffic
-// began.
+// It does not modify the result. HdrHistogram counts latencies from a microsecond to ten minutes with three
+// significant digits; longer latencies count as ten minutes. Times in tables and charts are seconds since the
+// start of traffic.
 package tierreport
--- a/internal/lab/tierreport/figures.go
+++ b/internal/lab/tierreport/figures.go
@@ -15,29 +15,29 @@
 )
 
 const (
-	// Latencies are counted in microseconds up to ten minutes, to three digits.
-	lowestLatency  = 1
-	highestLatency = 600_000_000
-	latencyDigits  = 3
+	// Histograms count microseconds up to ten minutes with three significant digits.
+	lowestLatencyMicros      = 1
+	highestLatencyMicros     = 600_000_000
+	latencySignificantDigits = 3
 )
 
-// latencies is a histogram of spans.
+// latencies is a histogram of durations in microseconds.
 type latencies struct{ *hdrhistogram.Histogram }
 
 func newLatencies() latencies {
-	return latencies{hdrhistogram.New(lowestLatency, highestLatency, latencyDigits)}
+	return latencies{hdrhistogram.New(lowestLatencyMicros, highestLatencyMicros, latencySignificantDigits)}
 }
 
 func (l latencies) add(d time.Duration) {
-	_ = l.RecordValue(min(max(d.Microseconds(), lowestLatency), highestLatency)) // within the range
+	_ = l.RecordValue(min(max(d.Microseconds(), lowestLatencyMicros), highestLatencyMicros)) // clamped, so it cannot fail
 }
 
-// at is the latency that a share of all, in percent, does not exceed.
-func (l latencies) at(percent float64) time.Duration {
-	return time.Duration(l.ValueAtQuantile(percent)) * time.Microsecond
+// valueAtPercentile returns the latency at a percentile from 0 to 100.
+func (l latencies) valueAtPercentile(percentile float64) time.Duration {
+	return time.Duration(l.ValueAtQuantile(percentile)) * time.Microsecond
 }
 
-// outcome is what became of a try.
+// outcome classifies how a try ended.
 type outcome int
 
 const (
@@ -58,9 +58,9 @@
 	return failed
 }
 
-// firstEvent is when a request's first event came, of an answer that is no stream when it had come whole;
-// false: never.
-func firstEvent(r *tierrules.Request) (time.Duration, bool) {
+// firstEventTime returns when the first event of a stream arrived or when a plain answer was complete. It
+// returns false if that never happened.
+func firstEventTime(r *tierrules.Request) (time.Duration, bool) {
 	if r.Answer == nil || r.Answer.Status/100 != 2 {
 		return 0, false
 	}
@@ -73,41 +73,41 @@
 	return r.Answer.Events[0].At, true
 }
 
-// firstEvents are the latencies to the first event, by class.
-func firstEvents(requests []*tierrules.Request) map[string]latencies {
-	by := map[string]latencies{}
+// firstEventLatencies returns the latencies to the first event, by request class.
+func firstEventLatencies(requests []*tierrules.Request) map[string]latencies {
+	byClass := map[string]latencies{}
 	for _, r := range requests {
-		at, came := firstEvent(r)
-		if !came {
+		at, ok := firstEventTime(r)
+		if !ok {
 			continue
 		}
-		if by[r.Class].Histogram == nil {
-			by[r.Class] = newLatencies()
+		if byClass[r.Class].Histogram == nil {
+			byClass[r.Class] = newLatencies()
 		}
-		by[r.Class].add(at - r.Sent)
+		byClass[r.Class].add(at - r.Sent)
 	}
-	return by
+	return byClass
 }
 
-// programTimes are the programs' times, by outcome.
-func programTimes(programs []tierlab.ProgramRun) map[tierlab.Outcome]latencies {
-	by := map[tierlab.Outcome]latencies{}
+// programDurations returns the durations of the programs, by outcome.
+func programDurations(programs []tierlab.ProgramRun) map[tierlab.Outcome]latencies {
+	byOutcome := map[tierlab.Outcome]latencies{}
 	for _, p := range programs {
-		if by[p.Outcome].Histogram == nil {
-			by[p.Outcome] = newLatencies()
+		if byOutcome[p.Outcome].Histogram == nil {
+			byOutcome[p.Outcome] = newLatencies()
 		}
-		by[p.Outcome].add(p.Ended - p.Began)
+		byOutcome[p.Outcome].add(p.Ended - p.Began)
 	}
-	return by
+	return byOutcome
 }
 
-// point is a figure at an instant, seconds since traffic began.
-type point struct{ at, value float64 }
+// point is a value at a time, in seconds since the start of traffic.
+type point struct{ atSeconds, value float64 }
 
-// binned gives for each second of the traffic a figure of what falls into it; seconds of which there is none,
-// NaN, are left out.
-func binned[T any](
-	rec *tierlab.Recording, items []T, at func(T) time.Duration, figure func([]T) float64,
+// valuesPerSecond aggregates the items of each second of the traffic into one value. Seconds whose value is NaN
+// are left out.
+func valuesPerSecond[T any](
+	rec *tierlab.Recording, items []T, at func(T) time.Duration, aggregate func([]T) float64,
 ) []point {
 	bins := make([][]T, int((rec.To-rec.From)/time.Second)+1)
 	for _, item := range items {
@@ -117,60 +117,61 @@
 	}
 	var points []point
 	for bin, in := range bins {
-		if value := figure(in); !math.IsNaN(value) {
-			points = append(points, point{at: float64(bin) + 0.5, value: value})
+		if value := aggregate(in); !math.IsNaN(value) {
+			points = append(points, point{atSeconds: float64(bin) + 0.5, value: value})
 		}
 	}
 	return points
 }
 
-// receiverFigures are those of one receiver over the day.
-type receiverFigures struct {
+// receiverStats holds the statistics of one receiver over the day.
+type receiverStats struct {
 	instance, service string
 	slots             int
-	looks             int
-	busy              float64 // running requests, sum over the looks
-	most              int     // running and queued
+	samples           int
+	runningSum        float64 // running requests, summed over the samples
+	maxOutstanding    int     // largest number of running and queued requests
 	runs              int
-	brokeOff          int
+	abortedRuns       int
 }
 
-// receivers gives the figures of each receiver, in the order of service and name.
-func receivers(rec *tierlab.Recording) []receiverFigures {
-	by := map[string]*receiverFigures{}
-	of := func(instance, service string) *receiverFigures {
-		if by[instance] == nil {
-			by[instance] = &receiverFigures{instance: instance, service: service}
+// receiverStatsOf returns the statistics of each receiver, sorted by service and name.
+func receiverStatsOf(rec *tierlab.Recording) []receiverStats {
+	byInstance := map[string]*receiverStats{}
+	statsFor := func(instance, service string) *receiverStats {
+		if byInstance[instance] == nil {
+			byInstance[instance] = &receiverStats{instance: instance, service: service}
 		}
-		return by[instance]
+		return byInstance[instance]
 	}
 	for _, load := range rec.Loads {
-		f := of(load.Instance, load.Service)
-		f.looks++
-		f.slots = load.Slots
-		f.busy += float64(load.Running)
-		f.most = max(f.most, load.Running+load.Queued)
+		stats := statsFor(load.Instance, load.Service)
+		stats.samples++
+		stats.slots = load.Slots
+		stats.runningSum += float64(load.Running)
+		stats.maxOutstanding = max(stats.maxOutstanding, load.Running+load.Queued)
 	}
 	for _, run := range rec.Runs {
-		f := of(run.Instance, run.Service)
-		f.runs++
+		stats := statsFor(run.Instance, run.Service)
+		stats.runs++
 		if run.Aborted {
-			f.brokeOff++
+			stats.abortedRuns++
 		}
 	}
-	var list []receiverFigures
-	for _, instance := range slices.Sorted(maps.Keys(by)) {
-		list = append(list, *by[instance])
+	var list []receiverStats
+	for _, instance := range slices.Sorted(maps.Keys(byInstance)) {
+		list = append(list, *byInstance[instance])
 	}
-	slices.SortStableFunc(list, func(a, b receiverFigures) int { return cmp.Compare(a.service, b.service) })
+	slices.SortStableFunc(list, func(a, b receiverStats) int { return cmp.Compare(a.service, b.service) })
 	return list
 }
 
-// serviceLoad is what the receivers of a service have in hand together, at each look.
-type serviceLoad struct{ slots, running, inHand []point }
+// serviceLoad holds the total load of the receivers of a service at each sample; outstanding counts running and
+// queued requests.
+type serviceLoad struct{ slots, running, outstanding []point }
 
-// loads sums up the looks at receivers by service.
-func loads(rec *tierlab.Recording) map[string]*serviceLoad {
+// loadsByService sums the load samples of the receivers of each service.
+func loadsByService(rec *tierlab.Recording) map[string]*serviceLoad {
 	type sum struct{ slots, running, inHand int }
 	sums := map[string]map[time.Duration]*sum{}
 	for _, load := range rec.Loads {
@@ -186,16 +187,16 @@
 		s.running += load.Running
 		s.inHand += load.Running + load.Queued
 	}
-	by := map[string]*serviceLoad{}
-	for service, looks := range sums {
+	byService := map[string]*serviceLoad{}
+	for service, sumsByTime := range sums {
 		l := &serviceLoad{}
-		for _, at := range slices.Sorted(maps.Keys(looks)) {
-			x, s := (at - rec.From).Seconds(), looks[at]
+		for _, at := range slices.Sorted(maps.Keys(sumsByTime)) {
+			x, s := (at - rec.From).Seconds(), sumsByTime[at]
 			l.slots = append(l.slots, point{x, float64(s.slots)})
 			l.running = append(l.running, point{x, float64(s.running)})
-			l.inHand = append(l.inHand, point{x, float64(s.inHand)})
+			l.outstanding = append(l.outstanding, point{x, float64(s.inHand)})
 		}
-		by[service] = l
+		byService[service] = l
 	}
-	return by
+	return byService
 }
--- a/internal/lab/tierreport/tables.go
+++ b/internal/lab/tierreport/tables.go
@@ -13,10 +13,10 @@
 	"emberquay/internal/lab/tierlab"
 )
 
-// mostBreaches bounds the breaches that are told one by one.
-const mostBreaches = 50
+// maxListedBreaches limits the breaches that are listed individually.
+const maxListedBreaches = 50
 
-// WriteTables writes the tables as Markdown.
+// WriteTables writes the tables of the report as Markdown.
 func WriteTables(out io.Writer, title string, r *tierlab.Result) error {
 	var text bytes.Buffer
 	fmt.Fprintf(&text, "# %s\n\n", title)
@@ -24,118 +24,118 @@
 		(r.Recording.To - r.Recording.From).Seconds())
 	fmt.Fprintf(&text, " The whole took %.1f s.\n\n", r.Took.Seconds())
 	fmt.Fprintf(&text, "![The day over time](%s)\n\n![Latencies](%s)\n", DayFile, DistributionFile)
-	rulesTable(&text, r)
-	servedTable(&text, r)
-	programsTable(&text, r)
-	receiversTable(&text, r)
-	troublesTable(&text, r)
+	writeRulesTable(&text, r)
+	writeTriesTable(&text, r)
+	writeProgramsTable(&text, r)
+	writeReceiversTable(&text, r)
+	writeTroublesTable(&text, r)
 	_, err := out.Write(text.Bytes())
 	return err
 }
 
-// row writes a line of a table.
-func row(out io.Writer, cells ...any) {
+// writeRow writes one row of a Markdown table.
+func writeRow(out io.Writer, cells ...any) {
 	for _, cell := range cells {
 		fmt.Fprintf(out, "| %v ", cell)
 	}
 	fmt.Fprintln(out, "|")
 }
 
-// head begins a table.
-func head(out io.Writer, title string, names ...string) {
+// writeTableHeader writes the section heading and the header row of a table.
+func writeTableHeader(out io.Writer, title string, names ...string) {
 	fmt.Fprintf(out, "\n## %s\n\n", title)
 	cells := make([]any, 0, len(names))
 	for _, name := range names {
 		cells = append(cells, name)
 	}
-	row(out, cells...)
+	writeRow(out, cells...)
 	fmt.Fprintln(out, strings.Repeat("| --- ", len(names))+"|")
 }
 
-func rulesTable(out io.Writer, r *tierlab.Result) {
-	head(out, "Rules", "rule", "verdict", "looked at")
+func writeRulesTable(out io.Writer, r *tierlab.Result) {
+	writeTableHeader(out, "Rules", "rule", "verdict", "looked at")
 	for _, rule := range tierrules.Rules {
 		verdict := "kept"
 		if n := r.Verdict.BreachCount(rule); n > 0 {
 			verdict = fmt.Sprintf("**broken %d times**", n)
 		}
-		row(out, rule, verdict, r.Verdict.Checked[rule])
+		writeRow(out, rule, verdict, r.Verdict.Checked[rule])
 	}
-	said := false
-	item := func(format string, args ...any) {
-		if !said {
+	listStarted := false
+	writeItem := func(format string, args ...any) {
+		if !listStarted {
 			fmt.Fprintln(out)
 		}
-		said = true
+		listStarted = true
 		fmt.Fprintf(out, "- "+format+"\n", args...)
 	}
 	for i, breach := range r.Verdict.Breaches {
-		if i == mostBreaches {
-			item("and %d more", len(r.Verdict.Breaches)-mostBreaches)
+		if i == maxListedBreaches {
+			writeItem("and %d more", len(r.Verdict.Breaches)-maxListedBreaches)
 			break
 		}
-		item("%s", breach)
+		writeItem("%s", breach)
 	}
 	for _, crash := range r.Crashes {
-		item("CRASH: %s", strings.ReplaceAll(crash, "\n", " "))
+		writeItem("CRASH: %s", strings.ReplaceAll(crash, "\n", " "))
 	}
 	for _, note := range r.Notes {
-		item("%s", note)
+		writeItem("%s", note)
 	}
 }
 
-func servedTable(out io.Writer, r *tierlab.Result) {
-	head(out, "Tries, and milliseconds to the first event (of plain answers: to their end)",
+func writeTriesTable(out io.Writer, r *tierlab.Result) {
+	writeTableHeader(out, "Tries, and milliseconds to the first event (of plain answers: to their end)",
 		"kind", "tries", "served", "refused", "failed", "p50", "p90", "p99", "most")
-	events := firstEvents(r.Recording.Requests)
+	events := firstEventLatencies(r.Recording.Requests)
 	for _, s := range r.Served {
 		cells := []any{s.Class, s.Tries, s.Whole, s.Refused, s.Failed}
-		row(out, append(cells, quantiles(events[s.Class], time.Millisecond)...)...)
+		writeRow(out, append(cells, percentileCells(events[s.Class], time.Millisecond)...)...)
 	}
 }
 
-func programsTable(out io.Writer, r *tierlab.Result) {
-	head(out, "Programs, and seconds that they took", "outcome", "programs", "p50", "p90", "p99", "most")
-	times := programTimes(r.Recording.Programs)
+func writeProgramsTable(out io.Writer, r *tierlab.Result) {
+	writeTableHeader(out, "Programs, and seconds that they took", "outcome", "programs", "p50", "p90", "p99", "most")
+	times := programDurations(r.Recording.Programs)
 	for _, o := range slices.Sorted(maps.Keys(times)) {
-		row(out, append([]any{o, times[o].TotalCount()}, quantiles(times[o], time.Second)...)...)
+		writeRow(out, append([]any{o, times[o].TotalCount()}, percentileCells(times[o], time.Second)...)...)
 	}
 }
 
-// quantiles are the cells p50, p90, p99 and most, in a unit.
-func quantiles(l latencies, unit time.Duration) []any {
+// percentileCells returns the cells p50, p90, p99 and most in the given unit; they are empty without latencies.
+func percentileCells(l latencies, unit time.Duration) []any {
 	var cells []any
-	for _, percent := range []float64{50, 90, 99, 100} {
+	for _, percentile := range []float64{50, 90, 99, 100} {
 		if l.Histogram == nil {
 			cells = append(cells, "")
 			continue
 		}
-		cells = append(cells, fmt.Sprintf("%.1f", float64(l.at(percent))/float64(unit)))
+		cells = append(cells, fmt.Sprintf("%.1f", float64(l.valueAtPercentile(percentile))/float64(unit)))
 	}
 	return cells
 }
 
-func receiversTable(out io.Writer, r *tierlab.Result) {
-	head(out, "Receivers",
+func writeReceiversTable(out io.Writer, r *tierlab.Result) {
+	writeTableHeader(out, "Receivers",
 		"service", "receiver", "slots", "runs", "broke off", "slots in use", "most running and queued")
-	for _, f := range receivers(r.Recording) {
-		use := ""
-		if f.looks > 0 && f.slots > 0 {
-			use = fmt.Sprintf("%.0f %%", 100*f.busy/float64(f.looks*f.slots))
+	for _, stats := range receiverStatsOf(r.Recording) {
+		utilization := ""
+		if stats.samples > 0 && stats.slots > 0 {
+			utilization = fmt.Sprintf("%.0f %%", 100*stats.runningSum/float64(stats.samples*stats.slots))
 		}
-		row(out, f.service, f.instance, f.slots, f.runs, f.brokeOff, use, f.most)
+		writeRow(out, stats.service, stats.instance, stats.slots, stats.runs, stats.abortedRuns, utilization, stats.maxOutstanding)
 	}
 }
 
-func troublesTable(out io.Writer, r *tierlab.Result) {
+func writeTroublesTable(out io.Writer, r *tierlab.Result) {
 	if len(r.Recording.Marks) == 0 {
 		fmt.Fprint(out, "\n## Troubles\n\nNone struck.\n")
 		return
 	}
-	head(out, "Troubles", "no", "from", "to", "what")
+	writeTableHeader(out, "Troubles", "no", "from", "to", "what")
 	for i, m := range r.Recording.Marks {
-		row(out, i+1, seconds(m.From-r.Recording.From), seconds(m.To-r.Recording.From), m.Strike)
+		writeRow(out, i+1, formatSeconds(m.From-r.Recording.From), formatSeconds(m.To-r.Recording.From), m.Strike)
 	}
 }
 
-func seconds(d time.Duration) string { return fmt.Sprintf("%.2f", d.Seconds()) }
+func formatSeconds(d time.Duration) string { return fmt.Sprintf("%.2f", d.Seconds()) }
--- a/internal/lab/tierreport/tierreport_test.go
+++ b/internal/lab/tierreport/tierreport_test.go
@@ -29,16 +29,16 @@
 	s  = time.Second
 )
 
-// recorded is a fixed day of four seconds, whose traffic began at 1 s of its clock.
-func recorded() *tierlab.Result {
+// recordedResult returns a fixed day with four seconds of traffic that starts at 1 s on its clock.
+func recordedResult() *tierlab.Result {
 	read := &tierrules.Request{ID: "1", Class: "read", Kind: tierrules.Safe, Sent: 1500 * ms, Ended: 1510 * ms,
 		Answer: &tierrules.Answer{Status: http.StatusOK, Complete: true}}
 	turn := &tierrules.Request{ID: "2", Class: "turn", Kind: tierrules.Streaming, Sent: 2 * s, Ended: 3 * s,
 		Answer: &tierrules.Answer{Status: http.StatusOK, Complete: true,
 			Events: []tierrules.Event{{ID: 1, At: 2250 * ms}, {ID: 2, At: 3 * s}}}}
-	turnedAway := &tierrules.Request{ID: "3", Class: "turn", Kind: tierrules.Streaming, Sent: 3 * s,
+	refusedTurn := &tierrules.Request{ID: "3", Class: "turn", Kind: tierrules.Streaming, Sent: 3 * s,
 		Ended: 3010 * ms, Answer: &tierrules.Answer{Status: http.StatusServiceUnavailable, Complete: true}}
-	silent := &tierrules.Request{ID: "4", Class: "read", Kind: tierrules.Safe, Sent: 4 * s, Ended: 6 * s}
+	unanswered := &tierrules.Request{ID: "4", Class: "read", Kind: tierrules.Safe, Sent: 4 * s, Ended: 6 * s}
 	return &tierlab.Result{
 		Verdict: &tierrules.Verdict{
 			Breaches: []tierrules.Breach{{Rule: tierrules.Twice, At: 2 * s, Request: "2", Reason: "it ran twice"}},
@@ -53,7 +53,7 @@
 		Took:    6 * s,
 		Recording: &tierlab.Recording{
 			From: 1 * s, To: 5 * s,
-			Requests: []*tierrules.Request{read, turn, turnedAway, silent},
+			Requests: []*tierrules.Request{read, turn, refusedTurn, unanswered},
 			Runs: []*tierrules.Run{
 				{Instance: "i-model-1", Service: "model"},
 				{Instance: "i-alfa-2", Service: "alfa", Aborted: true},
@@ -76,10 +76,10 @@
 	}
 }
 
-var _ = Describe("The tables", func() {
-	It("say what the day came to", func() {
+var _ = Describe("WriteTables", func() {
+	It("writes the results of the day", func() {
 		var out bytes.Buffer
-		Expect(tierreport.WriteTables(&out, "A fixed day", recorded())).To(Succeed())
+		Expect(tierreport.WriteTables(&out, "A fixed day", recordedResult())).To(Succeed())
 		text := out.String()
 		for _, line := range []string{
 			"# A fixed day",
@@ -100,20 +100,20 @@
 			Expect(text).To(ContainSubstring(line + "\n"))
 		}
 	})
-	It("say that nothing struck on a calm day", func() {
-		calm := recorded()
-		calm.Recording.Marks = nil
+	It("reports a day without troubles", func() {
+		withoutTroubles := recordedResult()
+		withoutTroubles.Recording.Marks = nil
 		var out bytes.Buffer
-		Expect(tierreport.WriteTables(&out, "Calm", calm)).To(Succeed())
+		Expect(tierreport.WriteTables(&out, "Calm", withoutTroubles)).To(Succeed())
 		Expect(out.String()).To(ContainSubstring("## Troubles\n\nNone struck.\n"))
 	})
 })
 
-var _ = DescribeTable("The charts are whole SVGs with their panels named",
+var _ = DescribeTable("Charts are well-formed SVG and contain the titles of their panels",
 	func(write func(io.Writer, string, *tierlab.Result) error, names ...string) {
 		var out bytes.Buffer
-		Expect(write(&out, "A fixed day", recorded())).To(Succeed())
-		Expect(wellFormed(out.Bytes())).To(Succeed())
+		Expect(write(&out, "A fixed day", recordedResult())).To(Succeed())
+		Expect(checkWellFormed(out.Bytes())).To(Succeed())
 		for _, name := range names {
 			Expect(out.String()).To(ContainSubstring(name))
 		}
@@ -124,8 +124,8 @@
 		"ended (1)"),
 )
 
-var _ = Describe("A report", func() {
-	It("is written into a folder that it makes, also of a day on which nothing was served", func() {
+var _ = Describe("Write", func() {
+	It("creates the directory and writes all files, also for a day without requests", func() {
 		dir := filepath.Join(GinkgoT().TempDir(), "new", "report")
 		empty := &tierlab.Result{Verdict: &tierrules.Verdict{}, Recording: &tierlab.Recording{From: 1 * s, To: 2 * s}}
 		Expect(tierreport.Write(dir, "Empty", empty)).To(Succeed())
@@ -133,16 +133,16 @@
 			Expect(os.ReadFile(filepath.Join(dir, name))).NotTo(BeEmpty())
 		}
 	})
-	It("says where it cannot be written", func() {
+	It("returns the error when the directory cannot be created", func() {
 		file := filepath.Join(GinkgoT().TempDir(), "file")
 		Expect(os.WriteFile(file, nil, 0o600)).To(Succeed())
-		err := tierreport.Write(filepath.Join(file, "report"), "Title", recorded())
+		err := tierreport.Write(filepath.Join(file, "report"), "Title", recordedResult())
 		Expect(err).To(MatchError(ContainSubstring("not a directory")))
 	})
 })
 
-// wellFormed reads XML to its end.
-func wellFormed(raw []byte) error {
+// checkWellFormed reads XML to its end and returns the first syntax error.
+func checkWellFormed(raw []byte) error {
 	decoder := xml.NewDecoder(bytes.NewReader(raw))
 	for {
 		_, err := decoder.Token()
--- a/internal/lab/tierreport/write.go
+++ b/internal/lab/tierreport/write.go
@@ -10,21 +10,21 @@
 	"emberquay/internal/lab/tierlab"
 )
 
-// The files of a report.
+// Names of the files of a report.
 const (
 	TablesFile       = "report.md"
 	DayFile          = "day.svg"
 	DistributionFile = "distribution.svg"
 )
 
-// Write writes a report into a folder, which it makes. Files of an earlier one are replaced.
+// Write writes a report into a directory, which it creates if needed. It replaces the files of an earlier report.
 func Write(dir, title string, result *tierlab.Result) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return eris.Wrap(err, "report")
 	}
 	for _, part := range []struct {
 		name  string
-		write writer
+		write partWriter
 	}{
 		{TablesFile, WriteTables},
 		{DayFile, WriteDay},
@@ -37,10 +37,10 @@
 	return nil
 }
 
-// writer writes one part of a report.
-type writer func(out io.Writer, title string, result *tierlab.Result) error
+// partWriter writes one file of a report.
+type partWriter func(out io.Writer, title string, result *tierlab.Result) error
 
-func writeFile(path, title string, result *tierlab.Result, write writer) error {
+func writeFile(path, title string, result *tierlab.Result, write partWriter) error {
 	file, err := os.Create(path)
 	if err != nil {
 		return err
