--- a/cmd/quaylab/tier.go
+++ b/cmd/quaylab/tier.go
@@ -66,7 +66,7 @@
 // describeTierWorld prints what a world comes to.
 func describeTierWorld(out io.Writer, w *tierworld.World) {
 	fmt.Fprintf(out, "%g s of traffic; %d control planes, %d stores, %d proxies; %d receivers\n", w.Seconds,
-		w.Tier.ControlPlanes, w.Tier.Stores, w.Tier.Proxies, len(w.Receivers.Places()))
+		w.Tier.ControlPlanes, w.Tier.Stores, w.Tier.Proxies, len(w.Receivers.ServicePerReceiver()))
 	for _, strike := range w.Schedule() {
 		fmt.Fprintf(out, "%8.2fs  %s\n", strike.From.Seconds(), strike)
 	}
--- a/internal/lab/tierlab/acts.go
+++ b/internal/lab/tierlab/acts.go
@@ -18,7 +18,7 @@
 )
 
 // orders are the troubles that are orders of the operator.
-var orders = map[tierworld.What]func(*operator, context.Context){
+var orders = map[tierworld.TroubleKind]func(*operator, context.Context){
 	tierworld.AddRoute:      (*operator).add,
 	tierworld.MoveRoute:     (*operator).move,
 	tierworld.RemoveRoute:   (*operator).remove,
@@ -30,15 +30,15 @@
 }
 
 // strike carries out one trouble of the day, to its end.
-func (l *lab) strike(ctx context.Context, s tierworld.Strike) {
+func (l *lab) strike(ctx context.Context, s tierworld.ScheduledTrouble) {
 	l.say("%s", s)
 	over := l.mark(s)
 	defer over()
-	if order := orders[s.What]; order != nil {
+	if order := orders[s.Kind]; order != nil {
 		order(l.operator, ctx)
 		return
 	}
-	switch s.What {
+	switch s.Kind {
 	case tierworld.Drain:
 		l.replaceReceiver(ctx, s, (*receiver).drain)
 	case tierworld.Crash:
@@ -60,29 +60,29 @@
 	case tierworld.KillAll:
 		l.killAll(ctx, s)
 	default: // what receivers and arrivals look up in the schedule themselves
-		sleep(ctx, s.Lasts())
+		sleep(ctx, s.Duration())
 	}
 }
 
 // processAt is the process that a strike is on.
-func (l *lab) processAt(s tierworld.Strike) *process {
-	switch s.On {
+func (l *lab) processAt(s tierworld.ScheduledTrouble) *process {
+	switch s.Target {
 	case tierworld.ControlPlane:
-		return l.controls[s.No]
+		return l.controls[s.Index]
 	case tierworld.Store:
-		return l.stores[s.No]
+		return l.stores[s.Index]
 	default:
-		return l.proxies[s.No]
+		return l.proxies[s.Index]
 	}
 }
 
 // replaceReceiver ends the receiver of a place, and for the strike's length later starts one at its address.
-func (l *lab) replaceReceiver(ctx context.Context, s tierworld.Strike, end func(*receiver, context.Context)) {
-	place := l.shape.Receivers.Place(s.On, s.No)
+func (l *lab) replaceReceiver(ctx context.Context, s tierworld.ScheduledTrouble, end func(*receiver, context.Context)) {
+	place := l.shape.Receivers.ReceiverIndex(s.Target, s.Index)
 	l.replacing[place].Lock()
 	defer l.replacing[place].Unlock()
 	end(l.receiverAt(place), ctx)
-	sleep(ctx, s.Lasts())
+	sleep(ctx, s.Duration())
 	if ctx.Err() != nil {
 		return
 	}
@@ -116,17 +116,17 @@
 func (p *process) core() bool { return p.role != proxyRole }
 
 // kill kills a process, wipes its disk where that is meant, and starts it again.
-func (l *lab) kill(ctx context.Context, s tierworld.Strike, p *process) {
+func (l *lab) kill(ctx context.Context, s tierworld.ScheduledTrouble, p *process) {
 	what := tierrules.Killed
-	if s.What == tierworld.Wipe {
+	if s.Kind == tierworld.Wipe {
 		what = tierrules.Wiped
 	}
 	over := l.struck(p, what)
 	p.kill()
-	if s.What == tierworld.Wipe {
+	if s.Kind == tierworld.Wipe {
 		l.wipe(p)
 	}
-	sleep(ctx, s.Lasts())
+	sleep(ctx, s.Duration())
 	l.again(p)
 	over()
 }
@@ -144,28 +144,28 @@
 }
 
 // freeze stops a process where it is, and wakes it.
-func (l *lab) freeze(ctx context.Context, s tierworld.Strike, p *process) {
+func (l *lab) freeze(ctx context.Context, s tierworld.ScheduledTrouble, p *process) {
 	over := l.struck(p, tierrules.Frozen)
 	p.signal(syscall.SIGSTOP, false)
-	sleep(ctx, s.Lasts())
+	sleep(ctx, s.Duration())
 	p.signal(syscall.SIGCONT, false)
 	over()
 }
 
 // restart stops a process as planned. Clients that come in the meantime go to other proxies.
-func (l *lab) restart(ctx context.Context, s tierworld.Strike, p *process) {
+func (l *lab) restart(ctx context.Context, s tierworld.ScheduledTrouble, p *process) {
 	over := l.struck(p, tierrules.Terminated)
 	p.stop(ctx)
-	sleep(ctx, s.Lasts())
+	sleep(ctx, s.Duration())
 	l.again(p)
 	over()
 }
 
 // restartMachine stops all processes of a proxy's machine at the same moment, as the platform does.
-func (l *lab) restartMachine(ctx context.Context, s tierworld.Strike) {
+func (l *lab) restartMachine(ctx context.Context, s tierworld.ScheduledTrouble) {
 	var all sync.WaitGroup
 	for _, p := range l.all() {
-		if p.machine == l.proxies[s.No].machine {
+		if p.machine == l.proxies[s.Index].machine {
 			all.Go(func() { l.restart(ctx, s, p) })
 		}
 	}
@@ -200,7 +200,7 @@
 }
 
 // killAll kills every process at the same moment, and starts all of them again: the day's final fault.
-func (l *lab) killAll(ctx context.Context, s tierworld.Strike) {
+func (l *lab) killAll(ctx context.Context, s tierworld.ScheduledTrouble) {
 	over := l.noteTrouble(tierrules.Fault{Kind: tierrules.FinalFault, Core: true})
 	all := l.all()
 	exits := make([]chan struct{}, 0, len(all))
@@ -210,7 +210,7 @@
 	for _, exited := range exits {
 		<-exited
 	}
-	sleep(ctx, s.Lasts())
+	sleep(ctx, s.Duration())
 	for _, p := range all {
 		l.again(p)
 	}
--- a/internal/lab/tierlab/conduct_test.go
+++ b/internal/lab/tierlab/conduct_test.go
@@ -15,12 +15,12 @@
 )
 
 // struckReceiver serves as one of a service does, from the traffic's first instant on, under a strike of an hour.
-func struckReceiver(service string, strike tierworld.Strike) (*lab, *httptest.Server) {
-	strike.To, strike.On = time.Hour, service
+func struckReceiver(service string, strike tierworld.ScheduledTrouble) (*lab, *httptest.Server) {
+	strike.To, strike.Target = time.Hour, service
 	l := newLab(Options{Day: Day{Strikes: tierworld.Schedule{strike}}}, &network{})
 	DeferCleanup(l.launch.Close)
 	l.trafficFrom.Store(1)
-	r := l.newReceiver(l.shape.Receivers.Place(service, 0), service)
+	r := l.newReceiver(l.shape.Receivers.ReceiverIndex(service, 0), service)
 	ctx, stop := context.WithCancel(context.Background())
 	DeferCleanup(stop)
 	if r.model != nil {
@@ -41,7 +41,7 @@
 }
 
 var _ = DescribeTable("A receiver that is struck",
-	func(ctx SpecContext, service string, strike tierworld.Strike, check func(l *lab, resp *http.Response, body error)) {
+	func(ctx SpecContext, service string, strike tierworld.ScheduledTrouble, check func(l *lab, resp *http.Response, body error)) {
 		l, server := struckReceiver(service, strike)
 		resp, err := ask(ctx, server)
 		if err == nil {
@@ -51,10 +51,10 @@
 		server.Close() // its handlers have ended
 		check(l, resp, err)
 	},
-	Entry("fails a plain request", tierworld.Alfa, tierworld.Strike{What: tierworld.Errors, Share: 1}, failsWhole),
-	Entry("fails a stream", tierworld.Model, tierworld.Strike{What: tierworld.Errors, Share: 1}, failsWhole),
-	Entry("loses the answer of a plain request", tierworld.Alfa, tierworld.Strike{What: tierworld.LoseAnswers, Share: 1}, breaksOff),
-	Entry("loses the rest of a stream", tierworld.Model, tierworld.Strike{What: tierworld.LoseAnswers, Share: 1}, breaksOff),
+	Entry("fails a plain request", tierworld.Alfa, tierworld.ScheduledTrouble{Kind: tierworld.Errors, Share: 1}, failsWhole),
+	Entry("fails a stream", tierworld.Model, tierworld.ScheduledTrouble{Kind: tierworld.Errors, Share: 1}, failsWhole),
+	Entry("loses the answer of a plain request", tierworld.Alfa, tierworld.ScheduledTrouble{Kind: tierworld.LoseAnswers, Share: 1}, breaksOff),
+	Entry("loses the rest of a stream", tierworld.Model, tierworld.ScheduledTrouble{Kind: tierworld.LoseAnswers, Share: 1}, breaksOff),
 )
 
 // failsWhole: a 500 with the run's stamp, and the referee is told so.
@@ -80,7 +80,7 @@
 
 var _ = DescribeTable("A receiver that hangs holds a run until its client goes",
 	func(ctx SpecContext, service string) {
-		l, server := struckReceiver(service, tierworld.Strike{What: tierworld.Hang, Share: 1})
+		l, server := struckReceiver(service, tierworld.ScheduledTrouble{Kind: tierworld.Hang, Share: 1})
 		client, leave := context.WithCancel(ctx)
 		ended := make(chan error)
 		go func() {
--- a/internal/lab/tierlab/day.go
+++ b/internal/lab/tierlab/day.go
@@ -21,7 +21,7 @@
 
 // DayOf is the day that a world describes.
 func DayOf(w *tierworld.World) Day {
-	return Day{Length: w.Length(), Plain: w.Traffic.PlainPerS, Texts: w.Traffic.TextsPerS,
+	return Day{Length: w.TrafficDuration(), Plain: w.Traffic.PlainPerS, Texts: w.Traffic.TextsPerS,
 		Programs: w.Programs.PerS, Strikes: w.Schedule(), Shape: w}
 }
 
--- a/internal/lab/tierlab/lab.go
+++ b/internal/lab/tierlab/lab.go
@@ -142,7 +142,7 @@
 	if l.shape == nil {
 		l.shape = tierworld.Default()
 	}
-	l.replacing = make([]sync.Mutex, len(l.shape.Receivers.Places()))
+	l.replacing = make([]sync.Mutex, len(l.shape.Receivers.ServicePerReceiver()))
 	l.record = newRecord(l.bounds)
 	l.operator = &operator{lab: l}
 	tier := l.shape.Tier
@@ -207,7 +207,7 @@
 
 // startAll starts the tier and the receivers, gives it its first configuration and waits until clients can come.
 func (l *lab) startAll(ctx context.Context) error {
-	for place, service := range l.shape.Receivers.Places() {
+	for place, service := range l.shape.Receivers.ServicePerReceiver() {
 		r, err := l.startReceiver(ctx, place, service)
 		if err != nil {
 			return err
--- a/internal/lab/tierlab/load.go
+++ b/internal/lab/tierlab/load.go
@@ -53,7 +53,7 @@
 	if rate <= 0 {
 		return
 	}
-	most := l.day.Strikes.MostRate(kind)
+	most := l.day.Strikes.MaxArrivalFactor(kind)
 	limit := make(chan struct{}, mostCalls)
 	dropped := 0
 	for {
@@ -62,7 +62,7 @@
 		if ctx.Err() != nil || at >= l.day.Length {
 			break
 		}
-		if rand.Float64()*most >= l.day.Strikes.Rate(kind, at) {
+		if rand.Float64()*most >= l.day.Strikes.ArrivalFactor(kind, at) {
 			continue
 		}
 		select {
--- a/internal/lab/tierlab/model.go
+++ b/internal/lab/tierlab/model.go
@@ -59,7 +59,7 @@
 		var done <-chan time.Time
 		if !idle {
 			conduct, _ := m.receiver.conduct()
-			done = time.After(time.Duration(conduct.Slow * float64(pass.Took)))
+			done = time.After(time.Duration(conduct.Slowdown * float64(pass.Took)))
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/lab/tierlab/receiver.go
+++ b/internal/lab/tierlab/receiver.go
@@ -57,7 +57,7 @@
 	no := l.receiverCount.Add(1)
 	r := &receiver{lab: l, id: fmt.Sprintf("i-%s-%d", service, no), service: service, zone: zones[place%len(zones)],
 		address: l.net.receiver(place)}
-	places := l.shape.Receivers.Places()
+	places := l.shape.Receivers.ServicePerReceiver()
 	r.home = places[place]
 	r.homeNo = place - slices.Index(places, r.home)
 	switch service {
@@ -193,17 +193,17 @@
 }
 
 // conduct is how the receiver is told to treat requests now, and the instant on the clock of the strikes.
-func (r *receiver) conduct() (tierworld.Conduct, time.Duration) {
+func (r *receiver) conduct() (tierworld.ReceiverBehavior, time.Duration) {
 	at := r.lab.sinceTraffic()
-	return r.lab.day.Strikes.Conduct(r.home, r.homeNo, at), at
+	return r.lab.day.Strikes.ReceiverBehavior(r.home, r.homeNo, at), at
 }
 
 // draw draws a request's fate.
 func (r *receiver) draw() fate {
 	c, at := r.conduct()
-	f := fate{fails: rand.Float64() < c.Errors, loses: rand.Float64() < c.Lose, slow: c.Slow}
-	if rand.Float64() < c.Hang {
-		f.hangs = c.Until - at
+	f := fate{fails: rand.Float64() < c.ErrorShare, loses: rand.Float64() < c.LoseShare, slow: c.Slowdown}
+	if rand.Float64() < c.HangShare {
+		f.hangs = c.HangEnd - at
 	}
 	return f
 }
--- a/internal/lab/tierlab/recording.go
+++ b/internal/lab/tierlab/recording.go
@@ -50,7 +50,7 @@
 }
 
 // mark notes a strike that begins now; its end is told by what it gives.
-func (l *lab) mark(s tierworld.Strike) (over func()) {
+func (l *lab) mark(s tierworld.ScheduledTrouble) (over func()) {
 	now := l.record.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/tierlab/soak_test.go
+++ b/internal/lab/tierlab/soak_test.go
@@ -21,7 +21,7 @@
 var _ = Describe("A soak of planned work", func() {
 	for _, seed := range []uint64{1, 2, 3} {
 		It(fmt.Sprintf("of seed %d keeps every rule", seed), func(ctx SpecContext) {
-			world := tierworld.Soak(seed, soakSeconds, tierworld.SoakTier())
+			world := tierworld.Soak(seed, soakSeconds, tierworld.DefaultSoakTier())
 			result, err := Play(ctx, Options{Program: binary, Day: DayOf(world)})
 			Expect(err).NotTo(HaveOccurred())
 			Expect(result.Crashes).To(BeEmpty())
--- a/internal/lab/tierworld/builtin.go
+++ b/internal/lab/tierworld/builtin.go
@@ -6,25 +6,25 @@
 	return &World{
 		Seconds:   21,
 		Tier:      Tier{ControlPlanes: 3, Stores: 3, Proxies: 2},
-		Receivers: usualReceivers(),
+		Receivers: defaultReceivers(),
 		Traffic: Traffic{PlainPerS: 30, Unsafe: 0.33, TextsPerS: 3, PromptTokens: []int{200, 600},
 			OutTokens: []int{30, 117}, Clients: 12},
 		Programs: Programs{PerS: 2, Turns: 3, Tools: 2, SubAgents: 2, SubTurns: 2, OutTokens: []int{24, 57},
 			Budget: []int{180, 480}, Retained: true, Looping: 0.125, LoopingBudget: 240, FinishS: 12},
 		Trouble: []Trouble{
-			{What: AddRoute, AtS: 1},
-			{What: Drain, AtS: 1.5, ForS: 2.2, On: Alfa, No: 0, Next: Beta},
-			{What: MoveRoute, AtS: 2.5},
-			{What: Race, AtS: 3},
-			{What: Invalid, AtS: 3.5},
-			{What: Repeat, AtS: 4},
-			{What: Reload, AtS: 4.2, On: Proxy, No: 0},
-			{What: Crash, AtS: 4.5, ForS: 2.2, On: Model, No: 1},
-			{What: Kill, AtS: 5, ForS: 0.5, On: ControlPlane, No: 0},
-			{What: Wipe, AtS: 7, ForS: 0.5, On: Store, No: 0},
-			{What: Restart, AtS: 9.8, ForS: 0.5, On: Proxy, No: 1},
-			{What: RemoveRoute, AtS: 10.5},
-			{What: KillAll, AtS: 14, ForS: 0.5},
+			{Kind: AddRoute, AtS: 1},
+			{Kind: Drain, AtS: 1.5, ForS: 2.2, Target: Alfa, Index: 0, Next: Beta},
+			{Kind: MoveRoute, AtS: 2.5},
+			{Kind: Race, AtS: 3},
+			{Kind: Invalid, AtS: 3.5},
+			{Kind: Repeat, AtS: 4},
+			{Kind: Reload, AtS: 4.2, Target: Proxy, Index: 0},
+			{Kind: Crash, AtS: 4.5, ForS: 2.2, Target: Model, Index: 1},
+			{Kind: Kill, AtS: 5, ForS: 0.5, Target: ControlPlane, Index: 0},
+			{Kind: Wipe, AtS: 7, ForS: 0.5, Target: Store, Index: 0},
+			{Kind: Restart, AtS: 9.8, ForS: 0.5, Target: Proxy, Index: 1},
+			{Kind: RemoveRoute, AtS: 10.5},
+			{Kind: KillAll, AtS: 14, ForS: 0.5},
 		},
 	}
 }
@@ -35,18 +35,18 @@
 	w.Seconds = 7
 	w.Traffic.PlainPerS, w.Traffic.TextsPerS, w.Programs.PerS = 15, 2, 2
 	w.Trouble = []Trouble{
-		{What: AddRoute, AtS: 0.5},
-		{What: Drain, AtS: 0.8, ForS: 2.2, On: Alfa, No: 0, Next: Beta},
-		{What: Race, AtS: 1.2},
-		{What: Invalid, AtS: 1.5},
-		{What: Kill, AtS: 2, ForS: 0.5, On: ControlPlane, No: 0},
-		{What: Wipe, AtS: 3.5, ForS: 0.5, On: Store, No: 0},
-		{What: RemoveRoute, AtS: 5},
+		{Kind: AddRoute, AtS: 0.5},
+		{Kind: Drain, AtS: 0.8, ForS: 2.2, Target: Alfa, Index: 0, Next: Beta},
+		{Kind: Race, AtS: 1.2},
+		{Kind: Invalid, AtS: 1.5},
+		{Kind: Kill, AtS: 2, ForS: 0.5, Target: ControlPlane, Index: 0},
+		{Kind: Wipe, AtS: 3.5, ForS: 0.5, Target: Store, Index: 0},
+		{Kind: RemoveRoute, AtS: 5},
 	}
 	return w
 }
 
-func usualReceivers() Receivers {
+func defaultReceivers() Receivers {
 	return Receivers{
 		Alfa: PlainReceivers{Count: 3, Slots: 6, Queue: 12, WorkMs: []float64{3, 23}, Errors: 0.01},
 		Beta: PlainReceivers{Count: 2, Slots: 6, Queue: 12, WorkMs: []float64{3, 23}, Errors: 0.01},
--- a/internal/lab/tierworld/read.go
+++ b/internal/lab/tierworld/read.go
@@ -36,24 +36,24 @@
 	out.WriteString("# What a file leaves out is as here, but for the troubles.\n#\n")
 	out.WriteString("# [[trouble]] takes: what, at_s (since traffic began), and as the sort asks for it for_s,\n")
 	out.WriteString("# on and no (which role's process or service's receiver, from 0), share or factor, next.\n#\n")
-	for _, k := range kinds {
-		fmt.Fprintf(&out, "# %-13s%s\n#              takes: %s\n", k.what, k.help, strings.Join(k.takes(), ", "))
+	for _, k := range kindSpecs {
+		fmt.Fprintf(&out, "# %-13s%s\n#              takes: %s\n", k.kind, k.help, strings.Join(k.acceptedKeys(), ", "))
 	}
 	out.WriteString("\n")
 	out.Write(body)
 	return out.Bytes(), nil
 }
 
-// takes lists the keys of a sort of trouble beside what and at_s.
-func (k kind) takes() []string {
+// acceptedKeys lists the keys of a sort of trouble beside what and at_s.
+func (k kindSpec) acceptedKeys() []string {
 	var keys []string
-	if k.lasts {
+	if k.hasDuration {
 		keys = append(keys, "for_s")
 	}
-	if len(k.on) > 0 {
-		keys = append(keys, "on = "+strings.Join(k.on, " | "))
+	if len(k.targets) > 0 {
+		keys = append(keys, "on = "+strings.Join(k.targets, " | "))
 	}
-	if len(k.on) > 0 && !k.all {
+	if len(k.targets) > 0 && !k.strikesAllTargets {
 		keys = append(keys, "no")
 	}
 	switch k.strength {
@@ -62,7 +62,7 @@
 	case byFactor:
 		keys = append(keys, "factor")
 	}
-	if k.next {
+	if k.takesSuccessor {
 		keys = append(keys, "next")
 	}
 	if len(keys) == 0 {
--- a/internal/lab/tierworld/schedule.go
+++ b/internal/lab/tierworld/schedule.go
@@ -8,31 +8,31 @@
 	"time"
 )
 
-// Strike is a trouble with its instants, on the clock of the traffic.
-type Strike struct {
-	What     What
+// ScheduledTrouble is a trouble with its instants, on the clock of the traffic.
+type ScheduledTrouble struct {
+	Kind     TroubleKind
 	From, To time.Duration // alike: it has no length of its own
-	On       string        // a role, a service or a kind of arrivals; may be empty
-	No       int           // which of them, from 0
+	Target   string        // a role, a service or a kind of arrivals; may be empty
+	Index    int           // which of them, from 0
 	Share    float64
 	Factor   float64
 	Next     string // service that takes the address of a receiver
 }
 
-// Lasts is how long the strike goes on.
-func (s Strike) Lasts() time.Duration { return s.To - s.From }
+// Duration is how long the strike goes on.
+func (s ScheduledTrouble) Duration() time.Duration { return s.To - s.From }
 
-// acts says whether the strike goes on at an instant.
-func (s Strike) acts(at time.Duration) bool { return at >= s.From && at < s.To }
+// activeAt says whether the strike goes on at an instant.
+func (s ScheduledTrouble) activeAt(at time.Duration) bool { return at >= s.From && at < s.To }
 
 // String names the strike as a world does.
-func (s Strike) String() string {
-	parts := []string{string(s.What)}
-	k, _ := kindOf(s.What)
-	if s.On != "" && k.all {
-		parts = append(parts, "of "+s.On)
-	} else if s.On != "" {
-		parts = append(parts, fmt.Sprintf("%s %d", s.On, s.No))
+func (s ScheduledTrouble) String() string {
+	parts := []string{string(s.Kind)}
+	k, _ := kindSpecOf(s.Kind)
+	if s.Target != "" && k.strikesAllTargets {
+		parts = append(parts, "of "+s.Target)
+	} else if s.Target != "" {
+		parts = append(parts, fmt.Sprintf("%s %d", s.Target, s.Index))
 	}
 	switch k.strength {
 	case byShare:
@@ -40,82 +40,82 @@
 	case byFactor:
 		parts = append(parts, fmt.Sprintf("factor %g", s.Factor))
 	}
-	if s.Next != "" && s.Next != s.On {
+	if s.Next != "" && s.Next != s.Target {
 		parts = append(parts, "then "+s.Next)
 	}
-	if s.Lasts() > 0 {
-		parts = append(parts, fmt.Sprintf("for %gs", s.Lasts().Seconds()))
+	if s.Duration() > 0 {
+		parts = append(parts, fmt.Sprintf("for %gs", s.Duration().Seconds()))
 	}
 	return strings.Join(parts, " ")
 }
 
 // Schedule is all that strikes on a day, in the order of its instants.
-type Schedule []Strike
+type Schedule []ScheduledTrouble
 
 // Schedule lays the troubles of a world out in time.
 func (w *World) Schedule() Schedule {
 	list := make(Schedule, 0, len(w.Trouble))
 	for _, t := range w.Trouble {
-		from := span(t.AtS)
+		from := secondsToDuration(t.AtS)
 		next := t.Next
-		if k, _ := kindOf(t.What); k.next && next == "" {
-			next = t.On
+		if k, _ := kindSpecOf(t.Kind); k.takesSuccessor && next == "" {
+			next = t.Target
 		}
-		list = append(list, Strike{What: t.What, From: from, To: from + span(t.ForS), On: t.On, No: t.No,
+		list = append(list, ScheduledTrouble{Kind: t.Kind, From: from, To: from + secondsToDuration(t.ForS), Target: t.Target, Index: t.Index,
 			Share: t.Share, Factor: t.Factor, Next: next})
 	}
-	slices.SortStableFunc(list, func(a, b Strike) int { return cmp.Compare(a.From, b.From) })
+	slices.SortStableFunc(list, func(a, b ScheduledTrouble) int { return cmp.Compare(a.From, b.From) })
 	return list
 }
 
-// Conduct is how a receiver treats a request that reaches it at an instant.
-type Conduct struct {
-	Lose   float64       // share of answers whose connection breaks
-	Errors float64       // share of requests that get a 500
-	Hang   float64       // share of requests that are not answered before Until
-	Until  time.Duration // the hanging is over
-	Slow   float64       // its work takes so many times as long; 1 usually
+// ReceiverBehavior is how a receiver treats a request that reaches it at an instant.
+type ReceiverBehavior struct {
+	LoseShare  float64       // share of answers whose connection breaks
+	ErrorShare float64       // share of requests that get a 500
+	HangShare  float64       // share of requests that are not answered before Until
+	HangEnd    time.Duration // the hanging is over
+	Slowdown   float64       // its work takes so many times as long; 1 usually
 }
 
-// Conduct is that of a service's receiver of a number. Of strikes at once the strongest counts, and slowness
+// ReceiverBehavior is that of a service's receiver of a number. Of strikes at once the strongest counts, and slowness
 // multiplies.
-func (s Schedule) Conduct(service string, no int, at time.Duration) Conduct {
-	c := Conduct{Slow: 1}
+func (s Schedule) ReceiverBehavior(service string, index int, at time.Duration) ReceiverBehavior {
+	behavior := ReceiverBehavior{Slowdown: 1}
 	for _, strike := range s {
-		if strike.On != service || strike.No != no || !strike.acts(at) {
+		if strike.Target != service || strike.Index != index || !strike.activeAt(at) {
 			continue
 		}
-		switch strike.What {
+		switch strike.Kind {
 		case LoseAnswers:
-			c.Lose = max(c.Lose, strike.Share)
+			behavior.LoseShare = max(behavior.LoseShare, strike.Share)
 		case Errors:
-			c.Errors = max(c.Errors, strike.Share)
+			behavior.ErrorShare = max(behavior.ErrorShare, strike.Share)
 		case Hang:
-			c.Hang = max(c.Hang, strike.Share)
-			c.Until = max(c.Until, strike.To)
+			behavior.HangShare = max(behavior.HangShare, strike.Share)
+			behavior.HangEnd = max(behavior.HangEnd, strike.To)
 		case Slow:
-			c.Slow *= strike.Factor
+			behavior.Slowdown *= strike.Factor
 		}
 	}
-	return c
+	return behavior
 }
 
-// Rate is by how much the arrivals of a kind exceed the usual at an instant. Bursts at once multiply.
-func (s Schedule) Rate(arrivals string, at time.Duration) float64 {
-	rate := 1.0
+// ArrivalFactor is by how much the arrivals of a kind exceed the usual at an instant. Bursts at once multiply.
+func (s Schedule) ArrivalFactor(arrivals string, at time.Duration) float64 {
+	factor := 1.0
 	for _, strike := range s {
-		if strike.What == Burst && (strike.On == "" || strike.On == arrivals) && strike.acts(at) {
-			rate *= strike.Factor
+		if strike.Kind == Burst && (strike.Target == "" || strike.Target == arrivals) && strike.activeAt(at) {
+			factor *= strike.Factor
 		}
 	}
-	return rate
+	return factor
 }
 
-// MostRate is the highest Rate of the day. The rate only rises where a burst begins.
-func (s Schedule) MostRate(arrivals string) float64 {
-	most := 1.0
+// MaxArrivalFactor is the highest Rate of the day. The rate only rises where a burst begins.
+func (s Schedule) MaxArrivalFactor(arrivals string) float64 {
+	maxFactor := 1.0
 	for _, strike := range s {
-		most = max(most, s.Rate(arrivals, strike.From))
+		maxFactor = max(maxFactor, s.ArrivalFactor(arrivals, strike.From))
 	}
-	return most
+	return maxFactor
 }
--- a/internal/lab/tierworld/soak_test.go
+++ b/internal/lab/tierworld/soak_test.go
@@ -8,10 +8,10 @@
 )
 
 var _ = Describe("A soak", func() {
-	count := func(w *tierworld.World, what tierworld.What, on string) int {
+	count := func(w *tierworld.World, what tierworld.TroubleKind, on string) int {
 		n := 0
 		for _, t := range w.Trouble {
-			if t.What == what && t.On == on {
+			if t.Kind == what && t.Target == on {
 				n++
 			}
 		}
@@ -19,13 +19,13 @@
 	}
 
 	It("is the same for the same seed, and another for another", func() {
-		Expect(tierworld.Soak(7, 20, tierworld.SoakTier())).To(Equal(tierworld.Soak(7, 20, tierworld.SoakTier())))
-		Expect(tierworld.Soak(7, 20, tierworld.SoakTier())).NotTo(Equal(tierworld.Soak(8, 20, tierworld.SoakTier())))
+		Expect(tierworld.Soak(7, 20, tierworld.DefaultSoakTier())).To(Equal(tierworld.Soak(7, 20, tierworld.DefaultSoakTier())))
+		Expect(tierworld.Soak(7, 20, tierworld.DefaultSoakTier())).NotTo(Equal(tierworld.Soak(8, 20, tierworld.DefaultSoakTier())))
 	})
 
 	It("has stops of all roles, reloads and changes in series, and troubles that its tier has", func() {
 		for seed := range uint64(50) {
-			w := tierworld.Soak(seed, 60, tierworld.SoakTier())
+			w := tierworld.Soak(seed, 60, tierworld.DefaultSoakTier())
 			Expect(count(w, tierworld.Restart, tierworld.Proxy)).To(BeNumerically(">=", 10))
 			Expect(count(w, tierworld.Restart, tierworld.Store) + count(w, tierworld.Restart, tierworld.ControlPlane)).To(BeNumerically(">=", 6))
 			Expect(count(w, tierworld.Reload, tierworld.Proxy)).To(BeNumerically(">=", 5))
@@ -41,7 +41,7 @@
 
 	It("stops whole machines, rewrites settings without a word and changes time-outs as well", func() {
 		for seed := range uint64(50) {
-			w := tierworld.Soak(seed, 60, tierworld.SoakTier())
+			w := tierworld.Soak(seed, 60, tierworld.DefaultSoakTier())
 			Expect(count(w, tierworld.RestartMachine, tierworld.Proxy)).To(BeNumerically(">=", 1))
 			Expect(count(w, tierworld.Rewrite, tierworld.Proxy) + count(w, tierworld.Rewrite, tierworld.Store) +
 				count(w, tierworld.Rewrite, tierworld.ControlPlane)).To(BeNumerically(">=", 1))
@@ -54,18 +54,18 @@
 			share          float64
 			finals, retire int
 		}{1: {share: 0.35}, 2: {}, 4: {finals: 1}, 7: {retire: 1}, 6: {}, 16: {share: 0.35, finals: 1}} {
-			w := tierworld.Soak(seed, 60, tierworld.SoakTier())
+			w := tierworld.Soak(seed, 60, tierworld.DefaultSoakTier())
 			Expect(w.Tier.ProcessorShare).To(Equal(wanted.share))
 			Expect(count(w, tierworld.KillAll, "")).To(Equal(wanted.finals))
 			Expect(count(w, tierworld.Retire, tierworld.Store)).To(Equal(wanted.retire))
 		}
-		short := tierworld.Soak(4, 20, tierworld.SoakTier())
+		short := tierworld.Soak(4, 20, tierworld.DefaultSoakTier())
 		Expect(count(short, tierworld.KillAll, "")).To(BeZero(), "it has no time to recover")
 	})
 
 	It("meets unplanned trouble on some seeds only", func() {
 		unplanned := func(seed uint64) int {
-			w := tierworld.Soak(seed, 60, tierworld.SoakTier())
+			w := tierworld.Soak(seed, 60, tierworld.DefaultSoakTier())
 			return count(w, tierworld.Kill, tierworld.Proxy) + count(w, tierworld.Freeze, tierworld.Proxy)
 		}
 		Expect(unplanned(1)).To(BeZero())
--- a/internal/lab/tierworld/trouble.go
+++ b/internal/lab/tierworld/trouble.go
@@ -2,35 +2,35 @@
 
 import "slices"
 
-// What happens.
-type What string
+// TroubleKind happens.
+type TroubleKind string
 
 // All that can happen.
 const (
-	Kill           What = "kill"
-	Wipe           What = "wipe"
-	Freeze         What = "freeze"
-	Restart        What = "restart"
-	RestartMachine What = "restart_machine"
-	Reload         What = "reload"
-	Rewrite        What = "rewrite"
-	KillAll        What = "kill_all"
-	Retire         What = "retire"
-	Drain          What = "drain"
-	Crash          What = "crash"
-	LoseAnswers    What = "lose_answers"
-	Errors         What = "errors"
-	Hang           What = "hang"
-	Slow           What = "slow"
-	Burst          What = "burst"
-	AddRoute       What = "add_route"
-	MoveRoute      What = "move_route"
-	RemoveRoute    What = "remove_route"
-	ChangeIdle     What = "change_idle"
-	ChangeTimeout  What = "change_timeout"
-	Race           What = "race"
-	Invalid        What = "invalid"
-	Repeat         What = "repeat"
+	Kill           TroubleKind = "kill"
+	Wipe           TroubleKind = "wipe"
+	Freeze         TroubleKind = "freeze"
+	Restart        TroubleKind = "restart"
+	RestartMachine TroubleKind = "restart_machine"
+	Reload         TroubleKind = "reload"
+	Rewrite        TroubleKind = "rewrite"
+	KillAll        TroubleKind = "kill_all"
+	Retire         TroubleKind = "retire"
+	Drain          TroubleKind = "drain"
+	Crash          TroubleKind = "crash"
+	LoseAnswers    TroubleKind = "lose_answers"
+	Errors         TroubleKind = "errors"
+	Hang           TroubleKind = "hang"
+	Slow           TroubleKind = "slow"
+	Burst          TroubleKind = "burst"
+	AddRoute       TroubleKind = "add_route"
+	MoveRoute      TroubleKind = "move_route"
+	RemoveRoute    TroubleKind = "remove_route"
+	ChangeIdle     TroubleKind = "change_idle"
+	ChangeTimeout  TroubleKind = "change_timeout"
+	Race           TroubleKind = "race"
+	Invalid        TroubleKind = "invalid"
+	Repeat         TroubleKind = "repeat"
 )
 
 // The roles of processes.
@@ -49,80 +49,80 @@
 	byFactor            // above 1
 )
 
-// kind is what a trouble of a sort takes.
-type kind struct {
-	what     What
-	on       []string // what it may strike; empty: it strikes no single thing
-	all      bool     // on may be left out and then means all of them
-	lasts    bool
-	strength strength
-	next     bool // next may name the service that takes the address
-	help     string
+// kindSpec is what a trouble of a sort takes.
+type kindSpec struct {
+	kind              TroubleKind
+	targets           []string // what it may strike; empty: it strikes no single thing
+	strikesAllTargets bool     // on may be left out and then means all of them
+	hasDuration       bool
+	strength          strength
+	takesSuccessor    bool // next may name the service that takes the address
+	help              string
 }
 
 var (
-	processes    = []string{ControlPlane, Store, Proxy}
-	keepingDisks = []string{ControlPlane, Store}
-	arrivals     = []string{PlainCalls, TextCalls, AgentRuns}
+	processRoles = []string{ControlPlane, Store, Proxy}
+	diskRoles    = []string{ControlPlane, Store}
+	arrivalKinds = []string{PlainCalls, TextCalls, AgentRuns}
 )
 
-// kinds are all sorts of trouble, in the order in which they are explained.
-var kinds = []kind{
-	{what: Kill, on: processes, lasts: true, help: "SIGKILL; started again after for_s"},
-	{what: Wipe, on: keepingDisks, lasts: true,
+// kindSpecs are all sorts of trouble, in the order in which they are explained.
+var kindSpecs = []kindSpec{
+	{kind: Kill, targets: processRoles, hasDuration: true, help: "SIGKILL; started again after for_s"},
+	{kind: Wipe, targets: diskRoles, hasDuration: true,
 		help: "SIGKILL and the data folder is emptied; started again after for_s"},
-	{what: Freeze, on: processes, lasts: true, help: "SIGSTOP, and SIGCONT after for_s"},
-	{what: Restart, on: processes, lasts: true, help: "SIGTERM; started again for_s after it has ended"},
-	{what: RestartMachine, on: []string{Proxy}, lasts: true,
+	{kind: Freeze, targets: processRoles, hasDuration: true, help: "SIGSTOP, and SIGCONT after for_s"},
+	{kind: Restart, targets: processRoles, hasDuration: true, help: "SIGTERM; started again for_s after it has ended"},
+	{kind: RestartMachine, targets: []string{Proxy}, hasDuration: true,
 		help: "SIGTERM to all processes of the proxy's machine; each started again for_s after it has ended"},
-	{what: Rewrite, on: processes, help: "the settings file is written anew with the same meaning, and no signal tells of it"},
-	{what: Reload, on: processes, help: "the settings file is written anew with the same meaning, and SIGHUP"},
-	{what: KillAll, lasts: true,
+	{kind: Rewrite, targets: processRoles, help: "the settings file is written anew with the same meaning, and no signal tells of it"},
+	{kind: Reload, targets: processRoles, help: "the settings file is written anew with the same meaning, and SIGHUP"},
+	{kind: KillAll, hasDuration: true,
 		help: "SIGKILL to every process; all started again after for_s; the last trouble of processes"},
-	{what: Retire, on: []string{Store},
+	{kind: Retire, targets: []string{Store},
 		help: "the store is emptied as its operator does it, then stopped for good"},
-	{what: Drain, on: services, lasts: true, next: true,
+	{kind: Drain, targets: services, hasDuration: true, takesSuccessor: true,
 		help: "drains, leaves and ends; for_s later one of the service next (its own without) has its address"},
-	{what: Crash, on: services, lasts: true, next: true,
+	{kind: Crash, targets: services, hasDuration: true, takesSuccessor: true,
 		help: "connections are reset; for_s later one of the service next (its own without) has its address"},
-	{what: LoseAnswers, on: services, lasts: true, strength: byShare,
+	{kind: LoseAnswers, targets: services, hasDuration: true, strength: byShare,
 		help: "share of its answers: the work is done, the connection breaks"},
-	{what: Errors, on: services, lasts: true, strength: byShare,
+	{kind: Errors, targets: services, hasDuration: true, strength: byShare,
 		help: "share of its requests are answered with a 500 of its own"},
-	{what: Hang, on: services, lasts: true, strength: byShare,
+	{kind: Hang, targets: services, hasDuration: true, strength: byShare,
 		help: "share of its requests are not answered before it is over"},
-	{what: Slow, on: services, lasts: true, strength: byFactor, help: "its work takes factor times as long"},
-	{what: Burst, on: arrivals, all: true, lasts: true, strength: byFactor,
+	{kind: Slow, targets: services, hasDuration: true, strength: byFactor, help: "its work takes factor times as long"},
+	{kind: Burst, targets: arrivalKinds, strikesAllTargets: true, hasDuration: true, strength: byFactor,
 		help: "factor times as much arrives; all kinds without on"},
-	{what: AddRoute, help: "the configuration gets one more route, to beta"},
-	{what: MoveRoute, help: "the route of orders goes to beta from then on"},
-	{what: RemoveRoute, help: "the added route is taken away"},
-	{what: ChangeIdle, help: "the idle timeout of clients' connections becomes the other of two"},
-	{what: ChangeTimeout, help: "the time-out of streams becomes the other of two"},
-	{what: Race, help: "two operators change the same version at the same moment"},
-	{what: Invalid, help: "four configurations that have to be refused"},
-	{what: Repeat, help: "the newest change that was taken is sent once more"},
+	{kind: AddRoute, help: "the configuration gets one more route, to beta"},
+	{kind: MoveRoute, help: "the route of orders goes to beta from then on"},
+	{kind: RemoveRoute, help: "the added route is taken away"},
+	{kind: ChangeIdle, help: "the idle timeout of clients' connections becomes the other of two"},
+	{kind: ChangeTimeout, help: "the time-out of streams becomes the other of two"},
+	{kind: Race, help: "two operators change the same version at the same moment"},
+	{kind: Invalid, help: "four configurations that have to be refused"},
+	{kind: Repeat, help: "the newest change that was taken is sent once more"},
 }
 
-// kindOf finds a sort by its name.
-func kindOf(what What) (kind, bool) {
-	at := slices.IndexFunc(kinds, func(k kind) bool { return k.what == what })
+// kindSpecOf finds a sort by its name.
+func kindSpecOf(what TroubleKind) (kindSpec, bool) {
+	at := slices.IndexFunc(kindSpecs, func(k kindSpec) bool { return k.kind == what })
 	if at < 0 {
-		return kind{}, false
+		return kindSpec{}, false
 	}
-	return kinds[at], true
+	return kindSpecs[at], true
 }
 
-// down says whether a process does not serve while the trouble lasts.
-func (w What) down() bool {
+// causesOutage says whether a process does not serve while the trouble lasts.
+func (w TroubleKind) causesOutage() bool {
 	return w == Kill || w == Wipe || w == Freeze || w == Restart || w == RestartMachine || w == KillAll
 }
 
-// sorts are the names of all sorts of trouble.
-func sorts() []string {
-	names := make([]string, 0, len(kinds))
-	for _, k := range kinds {
-		names = append(names, string(k.what))
+// kindNames are the names of all sorts of trouble.
+func kindNames() []string {
+	names := make([]string, 0, len(kindSpecs))
+	for _, k := range kindSpecs {
+		names = append(names, string(k.kind))
 	}
 	return names
 }
--- a/internal/lab/tierworld/world.go
+++ b/internal/lab/tierworld/world.go
@@ -92,24 +92,26 @@
 
 // Trouble is one thing that happens. Which keys it takes depends on what it is.
 type Trouble struct {
-	What   What    `toml:"what"` // one of kinds
-	AtS    float64 `toml:"at_s" range:"0 600"`
-	ForS   float64 `toml:"for_s,omitempty" range:"0 600"`
-	On     string  `toml:"on,omitempty"`
-	No     int     `toml:"no,omitempty" range:"0 119"`
-	Share  float64 `toml:"share,omitempty" range:"0 1"`
-	Factor float64 `toml:"factor,omitempty" range:"0 50"`
-	Next   string  `toml:"next,omitempty"`
+	Kind   TroubleKind `toml:"what"` // one of kinds
+	AtS    float64     `toml:"at_s" range:"0 600"`
+	ForS   float64     `toml:"for_s,omitempty" range:"0 600"`
+	Target string      `toml:"on,omitempty"`
+	Index  int         `toml:"no,omitempty" range:"0 119"`
+	Share  float64     `toml:"share,omitempty" range:"0 1"`
+	Factor float64     `toml:"factor,omitempty" range:"0 50"`
+	Next   string      `toml:"next,omitempty"`
 }
 
-// Length is that of the traffic.
-func (w *World) Length() time.Duration { return span(w.Seconds) }
+// TrafficDuration is that of the traffic.
+func (w *World) TrafficDuration() time.Duration { return secondsToDuration(w.Seconds) }
 
-// span turns seconds into a duration.
-func span(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
+// secondsToDuration turns seconds into a duration.
+func secondsToDuration(seconds float64) time.Duration {
+	return time.Duration(seconds * float64(time.Second))
+}
 
-// count is the number of receivers of a service.
-func (r *Receivers) count(service string) int {
+// receiverCount is the number of receivers of a service.
+func (r *Receivers) receiverCount(service string) int {
 	switch service {
 	case Alfa:
 		return r.Alfa.Count
@@ -121,27 +123,27 @@
 	return 0
 }
 
-// Places are the services of all receivers, those of a service next to each other.
-func (r *Receivers) Places() []string {
-	var places []string
+// ServicePerReceiver are the services of all receivers, those of a service next to each other.
+func (r *Receivers) ServicePerReceiver() []string {
+	var serviceNames []string
 	for _, service := range services {
-		for range r.count(service) {
-			places = append(places, service)
+		for range r.receiverCount(service) {
+			serviceNames = append(serviceNames, service)
 		}
 	}
-	return places
+	return serviceNames
 }
 
-// Place is the index in Places of a service's receiver of a number.
-func (r *Receivers) Place(service string, no int) int {
+// ReceiverIndex is the index in Places of a service's receiver of a number.
+func (r *Receivers) ReceiverIndex(service string, index int) int {
 	first := 0
 	for _, s := range services {
 		if s == service {
 			break
 		}
-		first += r.count(s)
+		first += r.receiverCount(s)
 	}
-	return first + no
+	return first + index
 }
 
 var services = []string{Alfa, Beta, Model}
