--- a/internal/lab/tierworld/builtin.go
+++ b/internal/lab/tierworld/builtin.go
@@ -1,7 +1,7 @@
 package tierworld
 
-// Default is the world that `quaylab tier try` plays and `quaylab tier world` prints: some 20 s of traffic,
-// in which each sort of loss strikes once that the tier has to bear.
+// Default returns the world that `quaylab tier try` plays and `quaylab tier world` prints: about 20 s of traffic
+// in which each kind of loss that the tier must tolerate occurs once.
 func Default() *World {
 	return &World{
 		Seconds:   21,
@@ -29,7 +29,7 @@
 	}
 }
 
-// Short is a small one for tests.
+// Short returns a small world for tests.
 func Short() *World {
 	w := Default()
 	w.Seconds = 7
--- a/internal/lab/tierworld/check.go
+++ b/internal/lab/tierworld/check.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// ToleratedDiskLosses is how many machines' disks the tier bears the loss of at once.
+// ToleratedDiskLosses is how many disks the tier tolerates losing at the same time.
 const ToleratedDiskLosses = 1
 
 const (
-	// diskRecoveryTime is for how long after a disk was lost no other may be lost: the bound within which a store or a
-	// control plane with a fresh disk is complete again.
+	// diskRecoveryTime is the minimum time between two disk losses: within it a store or a control plane with an
+	// empty disk has recovered all its data.
 	diskRecoveryTime = 4200 * time.Millisecond
-	// gracefulStopTime is how long a process that is told to stop usually serves on: a proxy, until the platform has
-	// noticed.
+	// gracefulStopTime is how long a process usually keeps serving after SIGTERM. A proxy serves until the platform
+	// has noticed.
 	gracefulStopTime = 2500 * time.Millisecond
-	// systemPromptTokens is the length of the prompt part that programs share, and turnInput a bound for a turn's
-	// input, in tokens.
+	// systemPromptTokens is the length of the prompt prefix that programs share; maxTurnInputTokens bounds the input
+	// of a turn.
 	systemPromptTokens = 300
 	maxTurnInputTokens = 32
 )
 
-// KeyError is a key of a world whose value does not fit the rest.
+// KeyError reports a key of a world whose value is missing, not allowed or inconsistent with other keys.
 type KeyError struct {
-	Trouble int    // which [[trouble]], from 1; 0: none
-	Key     string // with its tables
+	Trouble int    // number of the [[trouble]] from 1; 0 if the key is in none
+	Key     string // including its tables, separated by dots
 	Reason  string
 }
 
-// Error names the key.
+// Error returns the number of the trouble, the key and the reason.
 func (e *KeyError) Error() string {
 	if e.Trouble > 0 {
 		return fmt.Sprintf("trouble %d: %s: %s", e.Trouble, e.Key, e.Reason)
@@ -38,7 +38,7 @@
 	return e.Key + ": " + e.Reason
 }
 
-// Check looks at what belongs together. The error, if any, is a *KeyError.
+// Check validates the values that depend on each other. Any error is a *KeyError.
 func (w *World) Check() error {
 	for _, check := range []func() *KeyError{w.checkRanges, w.checkModelMemory, w.checkTroubles, w.checkCombinations} {
 		if err := check(); err != nil {
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// checkRanges looks at lists that are a least and a most.
+// checkRanges validates the lists that hold a minimum and a maximum.
 func (w *World) checkRanges() *KeyError {
 	for _, p := range []struct {
 		key    string
@@ -76,8 +76,8 @@
 	return out
 }
 
-// checkModelMemory guards against requests that no receiver could ever run, whose clients would be refused for
-// good.
+// checkModelMemory rejects worlds with requests that no receiver has the memory to run: their clients would be
+// refused forever.
 func (w *World) checkModelMemory() *KeyError {
 	text := w.Traffic.PromptTokens[1] + w.Traffic.OutTokens[1]
 	turns := w.Programs.Turns + w.Programs.SubTurns
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// checkTroubles looks at each trouble by itself.
+// checkTroubles validates each trouble on its own.
 func (w *World) checkTroubles() *KeyError {
 	for i, t := range w.Trouble {
 		if err := w.checkTrouble(t); err != nil {
@@ -143,16 +143,16 @@
 
 func (w *World) checkTarget(k kindSpec, t Trouble) *KeyError {
 	switch {
-	case t.Target == "" && len(k.targets) > 0 && !k.strikesAllTargets:
+	case t.Target == "" && len(k.targets) > 0 && !k.defaultsToAll:
 		return &KeyError{Key: "on", Reason: "missing; allowed: " + strings.Join(k.targets, ", ")}
 	case t.Target != "" && len(k.targets) == 0:
 		return unsupportedKeyError("on", k)
 	case t.Target != "" && !slices.Contains(k.targets, t.Target):
 		return unknownValueError("on", t.Target, k.targets)
-	case t.Index != 0 && (len(k.targets) == 0 || k.strikesAllTargets):
+	case t.Index != 0 && (len(k.targets) == 0 || k.defaultsToAll):
 		return unsupportedKeyError("no", k)
 	}
-	if k.strikesAllTargets || t.Target == "" {
+	if k.defaultsToAll || t.Target == "" {
 		return nil
 	}
 	if count := w.targetCount(t.Target); t.Index >= count {
@@ -161,7 +161,7 @@
 	return nil
 }
 
-// targetCount is how many processes of a role or receivers of a service there are.
+// targetCount returns the number of processes of a role or receivers of a service.
 func (w *World) targetCount(target string) int {
 	switch target {
 	case ControlPlane:
@@ -198,28 +198,29 @@
 	return &KeyError{Key: key, Reason: why}
 }
 
-// outage is the time in which a process does not serve.
+// outage is a period in which a process does not serve.
 type outage struct {
 	trouble  int // from 1
 	kind     TroubleKind
-	target   string // empty: all processes
+	target   string // role or service; empty: all processes
 	index    int
 	from, to time.Duration
 }
 
-// outages are those of all troubles, in the order of the file.
+// outages returns the outages caused by the troubles, in the order of the file.
 func (w *World) outages() []outage {
 	var list []outage
 	for i, t := range w.Trouble {
 		if !t.Kind.causesOutage() && t.Kind != Retire {
 			continue
 		}
-		o := outage{trouble: i + 1, kind: t.Kind, target: t.Target, index: t.Index, from: secondsToDuration(t.AtS), to: secondsToDuration(t.AtS + t.ForS)}
+		o := outage{trouble: i + 1, kind: t.Kind, target: t.Target, index: t.Index,
+			from: secondsToDuration(t.AtS), to: secondsToDuration(t.AtS + t.ForS)}
 		switch t.Kind {
 		case Restart, RestartMachine:
 			o.to += gracefulStopTime
 		case Retire:
-			o.to = w.TrafficDuration() + gracefulStopTime // for good
+			o.to = w.TrafficDuration() + gracefulStopTime // never serves again
 		}
 		list = append(list, o)
 	}
@@ -230,8 +231,8 @@
 
 func (o outage) sameProcess(p outage) bool { return o.target == p.target && o.index == p.index }
 
-// checkCombinations looks at troubles that would undo each other's meaning or go beyond what the tier is built to
-// bear.
+// checkCombinations rejects troubles that contradict each other or together exceed what the tier is designed to
+// tolerate.
 func (w *World) checkCombinations() *KeyError {
 	list := w.outages()
 	for i, late := range list {
@@ -244,7 +245,8 @@
 	return w.checkRetiredStores(list)
 }
 
-// checkOutagePair compares two outages, in either order of time; the error is about the later one in the file.
+// checkOutagePair validates two outages, which may be in either order of time. The error names the later one in the
+// file, b.
 func checkOutagePair(a, b outage) *KeyError {
 	first, last := a, b
 	if b.from < a.from {
@@ -265,7 +267,7 @@
 	return nil
 }
 
-// checkRetiredStores guards against a tier with too few stores to keep a turn.
+// checkRetiredStores rejects worlds that retire so many stores that the tier can no longer replicate a turn.
 func (w *World) checkRetiredStores(list []outage) *KeyError {
 	left := w.Tier.Stores
 	for _, o := range list {
--- a/internal/lab/tierworld/doc.go
+++ b/internal/lab/tierworld/doc.go
@@ -1,10 +1,9 @@
-// Package tierworld describes days of the serving tier on loopback: how many processes and receivers there
-// are, what arrives, and which troubles strike when. It is pure; internal/lab/tierlab plays what it describes.
+// Package tierworld describes days of the serving tier on loopback: the number of processes and receivers,
+// the arrivals, and the kind and time of each trouble. It does no I/O; internal/lab/tierlab plays the days.
 //
 //	world, err := tierworld.Read(raw) // strict; the error names the key
-//	for _, strike := range world.Schedule() { fmt.Println(strike) }
+//	for _, trouble := range world.Schedule() { fmt.Println(trouble) }
 //
-// Every instant of a Schedule is the span since traffic began. A World that Read or Check has passed is
-// bounded in time, in processes and in arrivals, and loses no more disks at once than the tier is built to
-// bear.
+// Times in a Schedule are durations since the start of traffic. A World accepted by Read or Check is bounded in
+// time, processes and arrivals, and loses no more disks at once than the tier is designed to tolerate.
 package tierworld
--- a/internal/lab/tierworld/read.go
+++ b/internal/lab/tierworld/read.go
@@ -10,9 +10,9 @@
 	"emberquay/internal/tomlfile"
 )
 
-// Read reads a world strictly: an unknown key, a value of the wrong type or out of range, and what does not
-// fit together are errors that name the key. What the file does not name is as in the default world, which
-// has troubles that a file does not inherit.
+// Read decodes a world strictly: unknown keys, values of the wrong type or out of range, and inconsistent values
+// are errors that name the key. Omitted keys have the values of Default, except that its troubles are not
+// inherited.
 func Read(raw []byte) (*World, error) {
 	w := Default()
 	w.Trouble = nil
@@ -25,7 +25,7 @@
 	return w, nil
 }
 
-// Print writes a world as a file that Read takes, with what each key and each trouble means.
+// Print encodes a world as a file that Read accepts, with comments on each key and each kind of trouble.
 func Print(w *World) ([]byte, error) {
 	body, err := tomlfile.Encode(w)
 	if err != nil {
@@ -44,7 +44,7 @@
 	return out.Bytes(), nil
 }
 
-// acceptedKeys lists the keys of a sort of trouble beside what and at_s.
+// acceptedKeys returns the keys that a kind of trouble accepts in addition to what and at_s.
 func (k kindSpec) acceptedKeys() []string {
 	var keys []string
 	if k.hasDuration {
@@ -53,7 +53,7 @@
 	if len(k.targets) > 0 {
 		keys = append(keys, "on = "+strings.Join(k.targets, " | "))
 	}
-	if len(k.targets) > 0 && !k.strikesAllTargets {
+	if len(k.targets) > 0 && !k.defaultsToAll {
 		keys = append(keys, "no")
 	}
 	switch k.strength {
--- a/internal/lab/tierworld/schedule.go
+++ b/internal/lab/tierworld/schedule.go
@@ -8,28 +8,28 @@
 	"time"
 )
 
-// ScheduledTrouble is a trouble with its instants, on the clock of the traffic.
+// ScheduledTrouble is a trouble with its start and end, as durations since the start of traffic.
 type ScheduledTrouble struct {
 	Kind     TroubleKind
-	From, To time.Duration // alike: it has no length of its own
-	Target   string        // a role, a service or a kind of arrivals; may be empty
-	Index    int           // which of them, from 0
+	From, To time.Duration // equal if the trouble has no duration
+	Target   string        // role, service or kind of arrivals; may be empty
+	Index    int           // number of the process or receiver, from 0
 	Share    float64
 	Factor   float64
-	Next     string // service that takes the address of a receiver
+	Next     string // service of the receiver that takes over the address
 }
 
-// Duration is how long the strike goes on.
+// Duration returns the time from the start to the end of the trouble.
 func (s ScheduledTrouble) Duration() time.Duration { return s.To - s.From }
 
-// activeAt says whether the strike goes on at an instant.
+// activeAt reports whether the trouble is in progress at a time.
 func (s ScheduledTrouble) activeAt(at time.Duration) bool { return at >= s.From && at < s.To }
 
-// String names the strike as a world does.
+// String describes the trouble in the terms of a world file.
 func (s ScheduledTrouble) String() string {
 	parts := []string{string(s.Kind)}
 	k, _ := kindSpecOf(s.Kind)
-	if s.Target != "" && k.strikesAllTargets {
+	if s.Target != "" && k.defaultsToAll {
 		parts = append(parts, "of "+s.Target)
 	} else if s.Target != "" {
 		parts = append(parts, fmt.Sprintf("%s %d", s.Target, s.Index))
@@ -49,10 +49,10 @@
 	return strings.Join(parts, " ")
 }
 
-// Schedule is all that strikes on a day, in the order of its instants.
+// Schedule lists the troubles of a day in order of their start.
 type Schedule []ScheduledTrouble
 
-// Schedule lays the troubles of a world out in time.
+// Schedule returns the troubles of the world sorted by start; those that start together keep the order of the file.
 func (w *World) Schedule() Schedule {
 	list := make(Schedule, 0, len(w.Trouble))
 	for _, t := range w.Trouble {
@@ -61,61 +61,62 @@
 		if k, _ := kindSpecOf(t.Kind); k.takesSuccessor && next == "" {
 			next = t.Target
 		}
-		list = append(list, ScheduledTrouble{Kind: t.Kind, From: from, To: from + secondsToDuration(t.ForS), Target: t.Target, Index: t.Index,
-			Share: t.Share, Factor: t.Factor, Next: next})
+		list = append(list, ScheduledTrouble{Kind: t.Kind, From: from, To: from + secondsToDuration(t.ForS),
+			Target: t.Target, Index: t.Index, Share: t.Share, Factor: t.Factor, Next: next})
 	}
 	slices.SortStableFunc(list, func(a, b ScheduledTrouble) int { return cmp.Compare(a.From, b.From) })
 	return list
 }
 
-// ReceiverBehavior is how a receiver treats a request that reaches it at an instant.
+// ReceiverBehavior describes how a receiver treats a request that arrives at a given time.
 type ReceiverBehavior struct {
-	LoseShare  float64       // share of answers whose connection breaks
-	ErrorShare float64       // share of requests that get a 500
-	HangShare  float64       // share of requests that are not answered before Until
-	HangEnd    time.Duration // the hanging is over
-	Slowdown   float64       // its work takes so many times as long; 1 usually
+	LoseShare  float64       // share of answers whose connection is broken
+	ErrorShare float64       // share of requests answered with a 500
+	HangShare  float64       // share of requests that are not answered before HangEnd
+	HangEnd    time.Duration // end of the last active hang
+	Slowdown   float64       // factor on the duration of the work; 1 without a trouble
 }
 
-// ReceiverBehavior is that of a service's receiver of a number. Of strikes at once the strongest counts, and slowness
-// multiplies.
+// ReceiverBehavior returns the behavior of a receiver of a service at a time. Of simultaneous troubles the largest
+// share applies; slowdown factors multiply.
 func (s Schedule) ReceiverBehavior(service string, index int, at time.Duration) ReceiverBehavior {
 	behavior := ReceiverBehavior{Slowdown: 1}
-	for _, strike := range s {
-		if strike.Target != service || strike.Index != index || !strike.activeAt(at) {
+	for _, trouble := range s {
+		if trouble.Target != service || trouble.Index != index || !trouble.activeAt(at) {
 			continue
 		}
-		switch strike.Kind {
+		switch trouble.Kind {
 		case LoseAnswers:
-			behavior.LoseShare = max(behavior.LoseShare, strike.Share)
+			behavior.LoseShare = max(behavior.LoseShare, trouble.Share)
 		case Errors:
-			behavior.ErrorShare = max(behavior.ErrorShare, strike.Share)
+			behavior.ErrorShare = max(behavior.ErrorShare, trouble.Share)
 		case Hang:
-			behavior.HangShare = max(behavior.HangShare, strike.Share)
-			behavior.HangEnd = max(behavior.HangEnd, strike.To)
+			behavior.HangShare = max(behavior.HangShare, trouble.Share)
+			behavior.HangEnd = max(behavior.HangEnd, trouble.To)
 		case Slow:
-			behavior.Slowdown *= strike.Factor
+			behavior.Slowdown *= trouble.Factor
 		}
 	}
 	return behavior
 }
 
-// ArrivalFactor is by how much the arrivals of a kind exceed the usual at an instant. Bursts at once multiply.
+// ArrivalFactor returns the factor on the arrival rate of a kind at a time. Simultaneous bursts multiply.
 func (s Schedule) ArrivalFactor(arrivals string, at time.Duration) float64 {
 	factor := 1.0
-	for _, strike := range s {
-		if strike.Kind == Burst && (strike.Target == "" || strike.Target == arrivals) && strike.activeAt(at) {
-			factor *= strike.Factor
+	for _, trouble := range s {
+		if trouble.Kind == Burst && (trouble.Target == "" || trouble.Target == arrivals) && trouble.activeAt(at) {
+			factor *= trouble.Factor
 		}
 	}
 	return factor
 }
 
-// MaxArrivalFactor is the highest Rate of the day. The rate only rises where a burst begins.
+// MaxArrivalFactor returns the highest ArrivalFactor of the day. It only looks at the starts of troubles, since the
+// factor rises only where a burst starts.
 func (s Schedule) MaxArrivalFactor(arrivals string) float64 {
 	maxFactor := 1.0
-	for _, strike := range s {
-		maxFactor = max(maxFactor, s.ArrivalFactor(arrivals, strike.From))
+	for _, trouble := range s {
+		maxFactor = max(maxFactor, s.ArrivalFactor(arrivals, trouble.From))
 	}
 	return maxFactor
 }
--- a/internal/lab/tierworld/schedule_test.go
+++ b/internal/lab/tierworld/schedule_test.go
@@ -7,8 +7,8 @@
 	"emberquay/internal/lab/tierworld"
 )
 
-var _ = Describe("The schedule of troubles", func() {
-	It("is in the order of time, those of one instant as in the file", func() {
+var _ = Describe("Schedule", func() {
+	It("is sorted by start and keeps the order of the file for equal starts", func() {
 		w := &tierworld.World{Trouble: []tierworld.Trouble{
 			{Kind: tierworld.Kill, AtS: 3, ForS: 0.5, Target: tierworld.Store, Index: 1},
 			{Kind: tierworld.Race, AtS: 1},
@@ -25,7 +25,7 @@
 		}))
 	})
 
-	It("names each strike as its world does", func() {
+	It("describes each trouble in the terms of the world file", func() {
 		schedule := (&tierworld.World{Trouble: []tierworld.Trouble{
 			{Kind: tierworld.Drain, AtS: 1, ForS: 2.2, Target: tierworld.Alfa, Next: tierworld.Beta},
 			{Kind: tierworld.Slow, AtS: 2, ForS: 3, Target: tierworld.Model, Index: 1, Factor: 4},
@@ -34,14 +34,14 @@
 			{Kind: tierworld.Race, AtS: 5},
 		}}).Schedule()
 		var names []string
-		for _, strike := range schedule {
-			names = append(names, strike.String())
+		for _, scheduled := range schedule {
+			names = append(names, scheduled.String())
 		}
 		Expect(names).To(Equal([]string{"drain alfa 0 then beta for 2.2s", "slow model 1 factor 4 for 3s",
 			"errors beta 0 share 0.5 for 3s", "burst of texts factor 3 for 1s", "race"}))
 	})
 
-	It("says how a receiver treats a request", func() {
+	It("combines the simultaneous troubles of a receiver", func() {
 		schedule := tierworld.Schedule{
 			{Kind: tierworld.Errors, From: 1 * s, To: 3 * s, Target: tierworld.Alfa, Index: 1, Share: 0.2},
 			{Kind: tierworld.Errors, From: 2 * s, To: 4 * s, Target: tierworld.Alfa, Index: 1, Share: 0.5},
@@ -51,17 +51,17 @@
 			{Kind: tierworld.Slow, From: 2 * s, To: 3 * s, Target: tierworld.Alfa, Index: 1, Factor: 3},
 			{Kind: tierworld.Crash, From: 2 * s, To: 3 * s, Target: tierworld.Alfa, Index: 1},
 		}
-		calm := tierworld.ReceiverBehavior{Slowdown: 1}
-		Expect(schedule.ReceiverBehavior(tierworld.Alfa, 1, 999*ms)).To(Equal(calm))
-		Expect(schedule.ReceiverBehavior(tierworld.Alfa, 0, 2*s)).To(Equal(calm))
-		Expect(schedule.ReceiverBehavior(tierworld.Beta, 1, 2*s)).To(Equal(calm))
+		normal := tierworld.ReceiverBehavior{Slowdown: 1}
+		Expect(schedule.ReceiverBehavior(tierworld.Alfa, 1, 999*ms)).To(Equal(normal))
+		Expect(schedule.ReceiverBehavior(tierworld.Alfa, 0, 2*s)).To(Equal(normal))
+		Expect(schedule.ReceiverBehavior(tierworld.Beta, 1, 2*s)).To(Equal(normal))
 		Expect(schedule.ReceiverBehavior(tierworld.Alfa, 1, 1*s)).To(Equal(tierworld.ReceiverBehavior{ErrorShare: 0.2, Slowdown: 1}))
 		Expect(schedule.ReceiverBehavior(tierworld.Alfa, 1, 2*s)).To(
 			Equal(tierworld.ReceiverBehavior{ErrorShare: 0.5, LoseShare: 0.1, HangShare: 1, HangEnd: 5 * s, Slowdown: 6}))
-		Expect(schedule.ReceiverBehavior(tierworld.Alfa, 1, 5*s)).To(Equal(calm))
+		Expect(schedule.ReceiverBehavior(tierworld.Alfa, 1, 5*s)).To(Equal(normal))
 	})
 
-	It("says by how much more arrives", func() {
+	It("multiplies simultaneous bursts of a kind of arrivals", func() {
 		schedule := tierworld.Schedule{
 			{Kind: tierworld.Burst, From: 1 * s, To: 3 * s, Factor: 2},
 			{Kind: tierworld.Burst, From: 2 * s, To: 4 * s, Target: tierworld.PlainCalls, Factor: 5},
@@ -77,8 +77,8 @@
 	})
 })
 
-var _ = Describe("Places of receivers", func() {
-	It("stand service by service", func() {
+var _ = Describe("Indexes of receivers", func() {
+	It("are grouped by service", func() {
 		r := tierworld.Default().Receivers
 		Expect(r.ServicePerReceiver()).To(HaveLen(8))
 		Expect(r.ReceiverIndex(tierworld.Alfa, 0)).To(Equal(0))
--- a/internal/lab/tierworld/soak.go
+++ b/internal/lab/tierworld/soak.go
@@ -2,32 +2,33 @@
 
 import "math/rand/v2"
 
-// DefaultSoakTier is the tier of a soak where nothing else is asked for.
+// DefaultSoakTier returns the tier of a soak unless another one is requested.
 func DefaultSoakTier() Tier { return Tier{ControlPlanes: 3, Stores: 3, Proxies: 3} }
 
 const (
-	// soakRandStream separates the draws of a soak from others of the same seed.
+	// soakRandStream is the PCG stream of a soak; it keeps its draws independent of others with the same seed.
 	soakRandStream = 0x50a4
-	// restartSeconds is about how long a process is away that is told to stop and started again, in seconds.
+	// restartSeconds is roughly how long a process is unavailable during a graceful restart.
 	restartSeconds = 4.0
-	// unplannedSeedInterval is one in how many seeds meets unplanned trouble too: such trouble excuses what it strikes, so most days
-	// are of planned work alone.
+	// One in unplannedSeedInterval seeds also has unplanned trouble. The rules excuse failures caused by such trouble, so
+	// most days have planned work only.
 	unplannedSeedInterval = 3
-	// cpuShareSeedInterval is one in how many of the others has proxies with a share of a processor, soakShare.
+	// Of the other seeds, those with a remainder of 1 when divided by cpuShareSeedInterval limit each proxy to the share
+	// soakCPUShare of a processor.
 	cpuShareSeedInterval = 5
 	soakCPUShare         = 0.35
-	// killAllSeedInterval is one in how many seeds ends with the final fault, soakRetire one in how many has a store emptied.
+	// One in killAllSeedInterval seeds ends with kill_all; one in retireSeedInterval retires a store.
 	killAllSeedInterval = 4
 	retireSeedInterval  = 7
-	// killAllSpanSeconds is the end of a day that the final fault takes, from the last planned work on, in seconds; finalAt is when
-	// in it the fault strikes.
+	// killAllSpanSeconds is the time reserved for kill_all at the end of a day, after the last planned work;
+	// killAllOffsetSeconds is the time from its start to the fault.
 	killAllSpanSeconds, killAllOffsetSeconds = 15.0, 4.0
 )
 
-// Soak draws a day of planned work that comes in series and overlaps: processes are told to stop, also while they stop or
-// start, settings files change, the configuration changes about each second, receivers are replaced, under a load that
-// leaves no moment without requests. It has no length of outages to keep to, so that Check does not pass it; Schedule does
-// what a day needs. The same seed draws the same day.
+// Soak draws a day of series of overlapping planned work: processes receive SIGTERM, also while they stop or start,
+// settings files change, the configuration changes about once a second, and receivers are replaced, under a load that
+// never leaves the tier without requests. Outages may overlap, so Check may reject the world; Schedule accepts it. The
+// same seed draws the same day.
 func Soak(seed uint64, seconds float64, tier Tier) *World {
 	w := Default()
 	w.Seconds, w.Tier, w.Trouble = seconds, tier, nil
@@ -35,7 +36,7 @@
 	w.Traffic.PlainPerS = min(300, 5*proxies)
 	w.Traffic.TextsPerS = min(50, 7*proxies)
 	w.Traffic.OutTokens = []int{120, 390}
-	w.Traffic.Clients = 200 // so many that most connections are at rest when a notice ends
+	w.Traffic.Clients = 200 // so many that most connections are idle when a notice ends
 	w.Programs.PerS = min(8, proxies)
 	w.Receivers.Alfa.Count, w.Receivers.Beta.Count, w.Receivers.Model.Count = 6, 4, 12
 	w.Receivers.Model.Slots = 12
@@ -63,14 +64,15 @@
 	return w
 }
 
-// soakBuilder is a day being drawn.
+// soakBuilder holds the state while a day is drawn.
 type soakBuilder struct {
 	world             *World
 	rng               *rand.Rand
-	plannedEndSeconds float64 // planned work ends by then
+	plannedEndSeconds float64 // time by which planned work has ended
 }
 
-// addSeries adds troubles at intervals drawn between two bounds, in seconds, as long as one of them ends in time.
+// addSeries adds troubles at intervals drawn between two bounds, in seconds, until one would end after
+// plannedEndSeconds.
 func (s *soakBuilder) addSeries(least, most float64, draw func() Trouble) {
 	for at := s.uniform(least/2, most); ; at += s.uniform(least, most) {
 		t := draw()
@@ -111,7 +113,7 @@
 	return Proxy, tier.Proxies
 }
 
-// drawProxyRestart may choose one that stops or starts just now: then signals come in series.
+// drawProxyRestart may choose a proxy that is stopping or starting, which then receives several signals in a row.
 func (s *soakBuilder) drawProxyRestart() Trouble {
 	what := Restart
 	if s.rng.IntN(3) == 0 {
@@ -120,7 +122,8 @@
 	return Trouble{Kind: what, Target: Proxy, Index: s.rng.IntN(s.world.Tier.Proxies), ForS: s.uniform(0.05, 1)}
 }
 
-// drawDiskRoleRestart stops one of those that keep disks, one after the other.
+// drawDiskRoleRestart restarts a process that stores data on disk. The interval of its series makes these restarts
+// happen one after the other.
 func (s *soakBuilder) drawDiskRoleRestart() Trouble {
 	if s.rng.IntN(2) == 0 {
 		return Trouble{Kind: Restart, Target: Store, Index: s.rng.IntN(s.world.Tier.Stores), ForS: s.uniform(0.05, 1)}
@@ -133,7 +136,7 @@
 	return Trouble{Kind: Drain, Target: service, Index: s.rng.IntN(s.world.Receivers.receiverCount(service)), ForS: 2.2}
 }
 
-// drawAddedLoad makes the stops hard: more arrives, or receivers turn slow.
+// drawAddedLoad makes graceful stops harder by more arrivals or by a slow receiver.
 func (s *soakBuilder) drawAddedLoad() Trouble {
 	if s.rng.IntN(2) == 0 {
 		return Trouble{Kind: Burst, Factor: s.uniform(1.3, 2.5), ForS: s.uniform(1, 4)}
--- a/internal/lab/tierworld/soak_test.go
+++ b/internal/lab/tierworld/soak_test.go
@@ -7,7 +7,7 @@
 	"emberquay/internal/lab/tierworld"
 )
 
-var _ = Describe("A soak", func() {
+var _ = Describe("Soak", func() {
 	count := func(w *tierworld.World, what tierworld.TroubleKind, on string) int {
 		n := 0
 		for _, t := range w.Trouble {
@@ -18,12 +18,12 @@
 		return n
 	}
 
-	It("is the same for the same seed, and another for another", func() {
+	It("draws the same world from the same seed and different worlds from different seeds", func() {
 		Expect(tierworld.Soak(7, 20, tierworld.DefaultSoakTier())).To(Equal(tierworld.Soak(7, 20, tierworld.DefaultSoakTier())))
 		Expect(tierworld.Soak(7, 20, tierworld.DefaultSoakTier())).NotTo(Equal(tierworld.Soak(8, 20, tierworld.DefaultSoakTier())))
 	})
 
-	It("has stops of all roles, reloads and changes in series, and troubles that its tier has", func() {
+	It("draws series of restarts of all roles, reloads and configuration changes, each valid by itself", func() {
 		for seed := range uint64(50) {
 			w := tierworld.Soak(seed, 60, tierworld.DefaultSoakTier())
 			Expect(count(w, tierworld.Restart, tierworld.Proxy)).To(BeNumerically(">=", 10))
@@ -31,7 +31,7 @@
 			Expect(count(w, tierworld.Reload, tierworld.Proxy)).To(BeNumerically(">=", 5))
 			Expect(count(w, tierworld.ChangeIdle, "")).To(BeNumerically(">=", 3))
 			Expect(count(w, tierworld.Drain, tierworld.Alfa) + count(w, tierworld.Drain, tierworld.Beta) + count(w, tierworld.Drain, tierworld.Model)).To(BeNumerically(">=", 5))
-			for _, t := range w.Trouble { // each by itself is one that a file may have
+			for _, t := range w.Trouble { // each trouble alone is valid in a file
 				one := *w
 				one.Trouble = []tierworld.Trouble{t}
 				Expect(one.Check()).To(Succeed())
@@ -39,7 +39,7 @@
 		}
 	})
 
-	It("stops whole machines, rewrites settings without a word and changes time-outs as well", func() {
+	It("also restarts machines, rewrites settings without a signal and changes timeouts", func() {
 		for seed := range uint64(50) {
 			w := tierworld.Soak(seed, 60, tierworld.DefaultSoakTier())
 			Expect(count(w, tierworld.RestartMachine, tierworld.Proxy)).To(BeNumerically(">=", 1))
@@ -49,7 +49,7 @@
 		}
 	})
 
-	It("has proxies with a share of a processor, an emptied store and the final fault on some seeds only", func() {
+	It("limits the processor share of proxies, retires a store and ends with kill_all on some seeds only", func() {
 		for seed, wanted := range map[uint64]struct {
 			share          float64
 			finals, retire int
@@ -60,10 +60,10 @@
 			Expect(count(w, tierworld.Retire, tierworld.Store)).To(Equal(wanted.retire))
 		}
 		short := tierworld.Soak(4, 20, tierworld.DefaultSoakTier())
-		Expect(count(short, tierworld.KillAll, "")).To(BeZero(), "it has no time to recover")
+		Expect(count(short, tierworld.KillAll, "")).To(BeZero(), "the day is too short to recover from kill_all")
 	})
 
-	It("meets unplanned trouble on some seeds only", func() {
+	It("adds unplanned trouble on some seeds only", func() {
 		unplanned := func(seed uint64) int {
 			w := tierworld.Soak(seed, 60, tierworld.DefaultSoakTier())
 			return count(w, tierworld.Kill, tierworld.Proxy) + count(w, tierworld.Freeze, tierworld.Proxy)
--- a/internal/lab/tierworld/trouble.go
+++ b/internal/lab/tierworld/trouble.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// TroubleKind happens.
+// TroubleKind names what a trouble does.
 type TroubleKind string
 
-// All that can happen.
+// The kinds of trouble.
 const (
 	Kill           TroubleKind = "kill"
 	Wipe           TroubleKind = "wipe"
@@ -40,7 +40,7 @@
 	Proxy        = "proxy"
 )
 
-// strength is what the strength of a trouble is told by.
+// strength tells which key sets the strength of a trouble.
 type strength int
 
 const (
@@ -49,15 +49,15 @@
 	byFactor            // above 1
 )
 
-// kindSpec is what a trouble of a sort takes.
+// kindSpec describes the keys that a kind of trouble accepts.
 type kindSpec struct {
-	kind              TroubleKind
-	targets           []string // what it may strike; empty: it strikes no single thing
-	strikesAllTargets bool     // on may be left out and then means all of them
-	hasDuration       bool
-	strength          strength
-	takesSuccessor    bool // next may name the service that takes the address
-	help              string
+	kind           TroubleKind
+	targets        []string // allowed values of on; empty: on is not allowed
+	defaultsToAll  bool     // on may be omitted and then means all of them
+	hasDuration    bool
+	strength       strength
+	takesSuccessor bool // next may name the service that takes over the address
+	help           string
 }
 
 var (
@@ -66,7 +66,7 @@
 	arrivalKinds = []string{PlainCalls, TextCalls, AgentRuns}
 )
 
-// kindSpecs are all sorts of trouble, in the order in which they are explained.
+// kindSpecs lists all kinds of trouble in the order in which Print describes them.
 var kindSpecs = []kindSpec{
 	{kind: Kill, targets: processRoles, hasDuration: true, help: "SIGKILL; started again after for_s"},
 	{kind: Wipe, targets: diskRoles, hasDuration: true,
@@ -92,7 +92,7 @@
 	{kind: Hang, targets: services, hasDuration: true, strength: byShare,
 		help: "share of its requests are not answered before it is over"},
 	{kind: Slow, targets: services, hasDuration: true, strength: byFactor, help: "its work takes factor times as long"},
-	{kind: Burst, targets: arrivalKinds, strikesAllTargets: true, hasDuration: true, strength: byFactor,
+	{kind: Burst, targets: arrivalKinds, defaultsToAll: true, hasDuration: true, strength: byFactor,
 		help: "factor times as much arrives; all kinds without on"},
 	{kind: AddRoute, help: "the configuration gets one more route, to beta"},
 	{kind: MoveRoute, help: "the route of orders goes to beta from then on"},
@@ -104,7 +104,7 @@
 	{kind: Repeat, help: "the newest change that was taken is sent once more"},
 }
 
-// kindSpecOf finds a sort by its name.
+// kindSpecOf returns the description of a kind.
 func kindSpecOf(what TroubleKind) (kindSpec, bool) {
 	at := slices.IndexFunc(kindSpecs, func(k kindSpec) bool { return k.kind == what })
 	if at < 0 {
@@ -113,12 +113,12 @@
 	return kindSpecs[at], true
 }
 
-// causesOutage says whether a process does not serve while the trouble lasts.
+// causesOutage reports whether processes do not serve while the trouble lasts.
 func (w TroubleKind) causesOutage() bool {
 	return w == Kill || w == Wipe || w == Freeze || w == Restart || w == RestartMachine || w == KillAll
 }
 
-// kindNames are the names of all sorts of trouble.
+// kindNames returns the names of all kinds of trouble.
 func kindNames() []string {
 	names := make([]string, 0, len(kindSpecs))
 	for _, k := range kindSpecs {
--- a/internal/lab/tierworld/world.go
+++ b/internal/lab/tierworld/world.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// The services that receivers belong to. The routes of the day's configuration name them.
+// Services of the receivers, as named by the routes of the day's configuration.
 const (
 	Alfa  = "alfa"  // plain requests: reads, orders, tools
-	Beta  = "beta"  // plain requests: of routes that are added or moved
+	Beta  = "beta"  // plain requests on routes that are added or moved
 	Model = "model" // streams and turns
 )
 
-// The kinds of arrivals that a burst can be of.
+// Kinds of arrivals that a burst can multiply.
 const (
 	PlainCalls = "plain"
 	TextCalls  = "texts"
 	AgentRuns  = "programs"
 )
 
-// World is a described day. Lists of two are the least and the most of what is drawn evenly between them.
+// World describes a day. A list of two numbers holds the bounds of a uniform draw.
 type World struct {
 	Seconds   float64   `toml:"seconds" range:"1 600" comment:"of traffic; every trouble ends by then"`
 	Tier      Tier      `toml:"tier" comment:"processes of each role; the loss of one disk is borne"`
@@ -26,24 +26,24 @@
 	Trouble   []Trouble `toml:"trouble"`
 }
 
-// Tier is the number of processes of each role. Three control planes and three stores are the least that bear
-// the loss of one while orders are taken and budgets granted.
+// Tier sets the number of processes of each role. Three control planes and three stores are the minimum that
+// tolerates the loss of one while orders are accepted and budgets granted.
 type Tier struct {
 	ControlPlanes int `toml:"control_planes" range:"3 9"`
 	Stores        int `toml:"stores" range:"3 12"`
 	Proxies       int `toml:"proxies" range:"1 120"`
-	// ProcessorShare is of each tenth of a second how much a proxy runs, at full speed; then it stands still.
+	// ProcessorShare is the share of each tenth of a second that a proxy runs at full speed; it is paused for the rest.
 	ProcessorShare float64 `toml:"processor_share,omitempty" range:"0 1" comment:"of each tenth of a second, for a proxy; 0: all of it"`
 }
 
-// Receivers are those of each service.
+// Receivers describes the receivers of each service.
 type Receivers struct {
 	Alfa  PlainReceivers `toml:"alfa" comment:"answer reads, orders and tools"`
 	Beta  PlainReceivers `toml:"beta" comment:"answer routes that are added or moved later"`
 	Model ModelReceivers `toml:"model" comment:"stream answers"`
 }
 
-// PlainReceivers are the receivers of a plain service.
+// PlainReceivers describes the receivers of a service with plain answers.
 type PlainReceivers struct {
 	Count  int       `toml:"count" range:"1 12"`
 	Slots  int       `toml:"slots" range:"1 64" comment:"requests that are worked on at once"`
@@ -52,7 +52,7 @@
 	Errors float64   `toml:"errors" range:"0 1" comment:"share of requests that get a 500 of its own"`
 }
 
-// ModelReceivers are the receivers that run language models.
+// ModelReceivers describes the receivers that run language models.
 type ModelReceivers struct {
 	Count        int     `toml:"count" range:"1 12"`
 	Slots        int     `toml:"slots" range:"1 64" comment:"requests in the batch"`
@@ -64,7 +64,7 @@
 	PrefillPiece int     `toml:"prefill_piece" range:"16 8192" comment:"prompt tokens that one pass reads"`
 }
 
-// Traffic is what arrives beside programs, each kind at drawn instants.
+// Traffic describes the arrivals other than programs, each kind at randomly drawn times.
 type Traffic struct {
 	PlainPerS    float64 `toml:"plain_per_s" range:"0 300" comment:"plain calls a second"`
 	Unsafe       float64 `toml:"unsafe" range:"0 1" comment:"share of plain calls that may not be repeated"`
@@ -74,7 +74,7 @@
 	Clients      int     `toml:"clients" range:"1 200" comment:"of a kind; each has one call at a time"`
 }
 
-// Programs are runs of agents: a turn, tools side by side, further turns, sub-agents side by side, the last
+// Programs describes the runs of agents: a turn, parallel tool calls, further turns, parallel sub-agents and a last
 // turn.
 type Programs struct {
 	PerS          float64 `toml:"per_s" range:"0 20" comment:"programs that begin in a second"`
@@ -90,9 +90,9 @@
 	FinishS       float64 `toml:"finish_s" range:"0.1 600" comment:"what a program may take, as it tells the tier"`
 }
 
-// Trouble is one thing that happens. Which keys it takes depends on what it is.
+// Trouble describes one planned change or fault. The keys that it accepts depend on its kind.
 type Trouble struct {
-	Kind   TroubleKind `toml:"what"` // one of kinds
+	Kind   TroubleKind `toml:"what"` // one of kindSpecs
 	AtS    float64     `toml:"at_s" range:"0 600"`
 	ForS   float64     `toml:"for_s,omitempty" range:"0 600"`
 	Target string      `toml:"on,omitempty"`
@@ -102,15 +102,15 @@
 	Next   string      `toml:"next,omitempty"`
 }
 
-// TrafficDuration is that of the traffic.
+// TrafficDuration returns how long the traffic lasts.
 func (w *World) TrafficDuration() time.Duration { return secondsToDuration(w.Seconds) }
 
-// secondsToDuration turns seconds into a duration.
+// secondsToDuration converts seconds to a duration.
 func secondsToDuration(seconds float64) time.Duration {
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// receiverCount is the number of receivers of a service.
+// receiverCount returns the number of receivers of a service.
 func (r *Receivers) receiverCount(service string) int {
 	switch service {
 	case Alfa:
@@ -123,7 +123,7 @@
 	return 0
 }
 
-// ServicePerReceiver are the services of all receivers, those of a service next to each other.
+// ServicePerReceiver returns the service of each receiver; the receivers of a service are adjacent.
 func (r *Receivers) ServicePerReceiver() []string {
 	var serviceNames []string
 	for _, service := range services {
@@ -134,7 +134,7 @@
 	return serviceNames
 }
 
-// ReceiverIndex is the index in Places of a service's receiver of a number.
+// ReceiverIndex returns the index in ServicePerReceiver of a service's receiver with the given number.
 func (r *Receivers) ReceiverIndex(service string, index int) int {
 	first := 0
 	for _, s := range services {
