--- a/cmd/quaylab/play.go
+++ b/cmd/quaylab/play.go
@@ -72,7 +72,7 @@
 	if live {
 		opt.Progress = func(p standin.Progress) {
 			fmt.Fprintf(os.Stderr, "\r\033[K%5.1f s of %.0f: %d handed in, %d delivered, %d submits, %d open, %d breaches",
-				p.Now.Seconds(), p.End.Seconds(), p.HandIns, p.Delivered, p.Submits, p.Open, p.Breaches)
+				p.Now.Seconds(), p.End.Seconds(), p.HandIns, p.Delivered, p.Submits, p.OpenTexts, p.Breaches)
 		}
 	}
 	result, err := standin.Play(ctx, day, opt)
@@ -95,7 +95,7 @@
 	switch {
 	case err != nil:
 		return fmt.Errorf("ended early: %w", err)
-	case !result.Kept():
+	case !result.Passed():
 		return errBroken
 	}
 	return nil
@@ -188,7 +188,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	return standin.Stand(ctx, day, dir, func(no int, conf, listen string) {
+	return standin.RunEnvironment(ctx, day, dir, func(no int, conf, listen string) {
 		product := w.Product[slices.IndexFunc(w.Product, func(p world.Product) bool { return p.Share > 0 })]
 		mark := ""
 		if product.Repeat == "referenced" {
--- a/cmd/quaylab/report.go
+++ b/cmd/quaylab/report.go
@@ -18,7 +18,7 @@
 	fmt.Fprintln(t, "product\ttexts\tin time\tlate\tnacked\tfailed\tlost\tunheard\tp50 ms\tp99 ms\trevenue\tof\tbest by capacity\t")
 	for _, p := range a.Products {
 		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%.1f\t%.1f\t%.1f\t\n", p.Name, p.Texts, p.InTime, p.Late, p.Nacked,
-			p.Failed, p.Lost, p.Unheard, p.P50, p.P99, p.Earned+p.Faded, p.Asked, r.Best[p.Name])
+			p.Failed, p.Lost, p.Unheard, p.P50, p.P99, p.Earned+p.Faded, p.Asked, r.BestRevenue[p.Name])
 	}
 	t.Flush()
 	fmt.Fprintln(out)
@@ -43,18 +43,18 @@
 	t.Flush()
 	inTime, late, asked := a.Revenue()
 	fmt.Fprintf(out, "\nrevenue %.1f in time and %.1f late of %.1f asked for: %.3f; by capacity alone about %.3f\n", inTime, late, asked,
-		(inTime+late)/max(1e-9, asked), total(r.Best)/max(1e-9, asked))
+		(inTime+late)/max(1e-9, asked), total(r.BestRevenue)/max(1e-9, asked))
 	fmt.Fprintf(out, "%d hand-ins, %d submits (%d worked on for nothing), %d refusals, %d waits told\n", a.HandIns, a.Submits, a.Wasted, a.Refusals, a.Waits)
 	fmt.Fprintf(out, "took %.1f s; CPU of the senders %.2f s, of the stand-ins %.2f s; senders' peak memory %v KB; texts at most %s late\n",
-		r.Took.Seconds(), r.CPU.Seconds(), r.OwnCPU.Seconds(), r.MemoryKB, r.Late.Round(100*time.Microsecond))
-	if r.Late > lateAtMost {
-		fmt.Fprintf(out, "the machine was busy: texts were up to %s late, take the figures with care\n", r.Late.Round(time.Millisecond))
+		r.Elapsed.Seconds(), r.SenderCPU.Seconds(), r.StandinCPU.Seconds(), r.PeakMemoryKB, r.MaxHandInDelay.Round(100*time.Microsecond))
+	if r.MaxHandInDelay > lateAtMost {
+		fmt.Fprintf(out, "the machine was busy: texts were up to %s late, take the figures with care\n", r.MaxHandInDelay.Round(time.Millisecond))
 	}
 	fmt.Fprintf(out, "\n%s", r.Verdict)
 	for _, c := range r.Crashes {
 		fmt.Fprintf(out, "CRASHED: %s\n", c)
 	}
-	breaches(out, r.Breaches, r.More, show)
+	breaches(out, r.Breaches, r.OmittedBreaches, show)
 }
 
 // total adds up what products earned.
--- a/internal/lab/standin/clients.go
+++ b/internal/lab/standin/clients.go
@@ -20,26 +20,26 @@
 
 // handIn is one hand-in of a text.
 type handIn struct {
-	id   string
-	text *world.Text
-	n    int // the how-manieth, from 0
-	over bool
+	id       string
+	text     *world.Text
+	attempt  int // the how-manieth, from 0
+	finished bool
 }
 
 // front deals hand-ins out to the senders that it takes to live.
 type front struct {
-	stage   *Stage
+	stage   *Playback
 	clients []*http.Client
-	places  chan struct{} // bounds the hand-ins under way
+	slots   chan struct{} // bounds the hand-ins under way
 	ctx     context.Context
 	work    sync.WaitGroup
 }
 
-// mostAtOnce bounds the hand-ins that wait for their answers.
-const mostAtOnce = 4096
+// maxPendingHandIns bounds the hand-ins that wait for their answers.
+const maxPendingHandIns = 4096
 
-func newFront(ctx context.Context, s *Stage) *front {
-	f := &front{ctx: ctx, stage: s, places: make(chan struct{}, mostAtOnce)}
+func newFront(ctx context.Context, s *Playback) *front {
+	f := &front{ctx: ctx, stage: s, slots: make(chan struct{}, maxPendingHandIns)}
 	for range s.senders {
 		most := s.day.World.Clients.Conns
 		f.clients = append(f.clients, &http.Client{Transport: &http.Transport{
@@ -49,7 +49,7 @@
 	}
 	s.mu.Lock()
 	s.front = f
-	s.due = len(s.day.Texts)
+	s.pendingHandIns = len(s.day.Texts)
 	s.mu.Unlock()
 	return f
 }
@@ -65,94 +65,94 @@
 func (f *front) play() {
 	s := f.stage
 	for _, t := range s.day.Texts {
-		if !s.until(f.ctx, t.At) {
+		if !s.waitUntil(f.ctx, t.At) {
 			return
 		}
-		f.hand(t, 0, "")
+		f.startHandIn(t, 0, "")
 	}
 }
 
-// hand hands a text in, in a goroutine of its own.
-func (f *front) hand(t *world.Text, n int, again string) {
+// startHandIn hands a text in, in a goroutine of its own.
+func (f *front) startHandIn(t *world.Text, attempt int, retryMark string) {
 	select {
-	case f.places <- struct{}{}:
+	case f.slots <- struct{}{}:
 	case <-f.ctx.Done():
 		return
 	}
 	f.work.Go(func() {
-		defer func() { <-f.places }()
-		f.handIn(t, n, again)
-		f.stage.see(func(time.Duration) { f.stage.due-- })
+		defer func() { <-f.slots }()
+		f.handIn(t, attempt, retryMark)
+		f.stage.locked(func(time.Duration) { f.stage.pendingHandIns-- })
 	})
 }
 
-// again has a client come again, if it does. It is called under the stage's lock.
-func (f *front) again(now time.Duration, h *handIn, heard world.ClientReply, advice time.Duration) {
-	if h.over {
+// scheduleRetry has a client come again, if it does. It is called under the stage's lock.
+func (f *front) scheduleRetry(now time.Duration, h *handIn, outcome world.ClientReply, retryAfter time.Duration) {
+	if h.finished {
 		return
 	}
-	h.over = true
-	next, ok := f.stage.day.NextHandIn(now, h.text, h.n, heard, advice)
+	h.finished = true
+	next, ok := f.stage.day.NextHandIn(now, h.text, h.attempt, outcome, retryAfter)
 	if !ok || next.At >= f.stage.day.End {
 		return
 	}
-	f.stage.due++
+	f.stage.pendingHandIns++
 	time.AfterFunc(next.At-now, func() {
 		if f.ctx.Err() == nil {
-			f.hand(h.text, h.n+1, next.Mark)
+			f.startHandIn(h.text, h.attempt+1, next.Mark)
 		}
 	})
 }
 
-// noticed tells the referee, and the client, how a text ended.
-func (s *Stage) noticed(sender int, id string, back bool, advice time.Duration) {
-	s.see(func(now time.Duration) {
-		s.ref.NoticeSent(now, sender, id, back)
-		s.say("event=notice text=%s sender=%d handed_back=%v come_back=%s", id, sender, back, advice)
-		if h := s.byID[id]; h != nil && back && s.front != nil {
-			s.front.again(now, h, world.Nacked, advice)
+// recordNotice tells the referee, and the client, how a text ended.
+func (s *Playback) recordNotice(sender int, id string, handedBack bool, retryAfter time.Duration) {
+	s.locked(func(now time.Duration) {
+		s.ref.NoticeSent(now, sender, id, handedBack)
+		s.logEvent("event=notice text=%s sender=%d handed_back=%v come_back=%s", id, sender, handedBack, retryAfter)
+		if h := s.handInsByID[id]; h != nil && handedBack && s.front != nil {
+			s.front.scheduleRetry(now, h, world.Nacked, retryAfter)
 		}
 	})
 }
 
 // handIn makes one hand-in and hears its answer.
-func (f *front) handIn(t *world.Text, n int, again string) {
+func (f *front) handIn(t *world.Text, attempt int, retryMark string) {
 	s := f.stage
-	to := s.pick()
+	to := s.nextSender()
 	if to == nil { // none lives: as if nobody answered
-		s.see(func(now time.Duration) {
-			if n == 0 {
+		s.locked(func(now time.Duration) {
+			if attempt == 0 {
 				s.ref.SenderUnavailable(now, t)
 			}
-			f.again(now, &handIn{text: t, n: n}, world.NoAnswer, 0)
+			f.scheduleRetry(now, &handIn{text: t, attempt: attempt}, world.NoAnswer, 0)
 		})
 		return
 	}
-	h := &handIn{id: s.day.ID(t, n), text: t, n: n}
-	left := t.Validity() - s.now()
-	s.see(func(now time.Duration) {
-		if n == 0 {
-			s.late = max(s.late, now-t.At)
+	h := &handIn{id: s.day.ID(t, attempt), text: t, attempt: attempt}
+	remaining := t.Validity() - s.now()
+	s.locked(func(now time.Duration) {
+		if attempt == 0 {
+			s.maxHandInDelay = max(s.maxHandInDelay, now-t.At)
 		}
-		left = t.Validity() - now
-		s.byID[h.id] = h
+		remaining = t.Validity() - now
+		s.handInsByID[h.id] = h
 		s.ref.HandedIn(now, referee.HandIn{ID: h.id, Sender: to.no, Text: t, ValidUntil: t.Validity()})
 	})
-	heard, advice, after, dropped := f.ask(to, h, again, left)
-	s.see(func(now time.Duration) {
+	outcome, retryAfter, elapsed, dropped := f.post(to, h, retryMark, remaining)
+	s.locked(func(now time.Duration) {
 		if dropped {
-			s.ref.ClientConnectionClosed(now, h.id, after)
+			s.ref.ClientConnectionClosed(now, h.id, elapsed)
 		} else {
-			s.ref.ClientAnswered(now, h.id, heard, advice)
+			s.ref.ClientAnswered(now, h.id, outcome, retryAfter)
 		}
-		if heard != world.Accepted {
-			f.again(now, h, heard, advice)
+		if outcome != world.Accepted {
+			f.scheduleRetry(now, h, outcome, retryAfter)
 		}
 	})
 }
 
-// body gives a text's bytes, the same at each hand-in.
-func body(seed uint64, t *world.Text) []byte {
+// textBody gives a text's bytes, the same at each hand-in.
+func textBody(seed uint64, t *world.Text) []byte {
 	b := make([]byte, t.BodyBytes)
 	c := rand.New(rand.NewPCG(seed, uint64(t.No)))
 	for i := 0; i < len(b); i += 8 {
@@ -165,33 +165,33 @@
 	return b
 }
 
-// once hides from the transport that a body could be had again: a request must not be sent twice by itself.
-type once struct{ io.Reader }
+// singleUseBody hides from the transport that a body could be had again: a request must not be sent twice by itself.
+type singleUseBody struct{ io.Reader }
 
-func (once) Close() error { return nil }
+func (singleUseBody) Close() error { return nil }
 
-// ask makes the request. dropped: the sender ended the connection without an answer, so long after the request.
-func (f *front) ask(to *sender, h *handIn, again string, left time.Duration) (heard world.ClientReply, advice, after time.Duration, dropped bool) {
+// post makes the request. dropped: the sender ended the connection without an answer, so long after the request.
+func (f *front) post(to *sender, h *handIn, retryMark string, remaining time.Duration) (outcome world.ClientReply, retryAfter, elapsed time.Duration, dropped bool) {
 	s := f.stage
 	ctx, cancel := context.WithTimeout(f.ctx, s.day.ReplyTimeout())
 	defer cancel()
-	bytesOf := body(s.day.Seed, h.text)
+	content := textBody(s.day.Seed, h.text)
 	for tries := 0; ; tries++ {
-		var wrote time.Time
-		var kept bool
+		var writtenAt time.Time
+		var reused bool
 		traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-			GotConn:      func(i httptrace.GotConnInfo) { kept = i.Reused },
-			WroteRequest: func(httptrace.WroteRequestInfo) { wrote = time.Now() },
+			GotConn:      func(i httptrace.GotConnInfo) { reused = i.Reused },
+			WroteRequest: func(httptrace.WroteRequestInfo) { writtenAt = time.Now() },
 		})
-		req, err := http.NewRequestWithContext(traced, http.MethodPost, "http://"+s.net.front(to.no)+"/api", once{bytes.NewReader(bytesOf)})
+		req, err := http.NewRequestWithContext(traced, http.MethodPost, "http://"+s.net.frontAddr(to.no)+"/api", singleUseBody{bytes.NewReader(content)})
 		if err != nil {
 			panic(err) // the address is our own
 		}
-		req.ContentLength = int64(len(bytesOf))
+		req.ContentLength = int64(len(content))
 		req.Host = "app.svc"
 		req.Header["X-Call-Id"] = []string{h.id}
 		req.Header["X-Call-Class"] = []string{h.text.Product.Name}
-		req.Header["X-Budget"] = []string{strconv.FormatFloat(max(0, left.Seconds()), 'f', 4, 64)}
+		req.Header["X-Budget"] = []string{strconv.FormatFloat(max(0, remaining.Seconds()), 'f', 4, 64)}
 		req.Header["X-Envelope"] = []string{fmt.Sprintf("dest=%d", h.text.Destination)}
 		if h.text.Key != "" {
 			req.Header["X-Route-Hash"] = []string{h.text.Key}
@@ -199,24 +199,24 @@
 		if h.text.Mark != "" {
 			req.Header["Idempotency-Key"] = []string{h.text.Mark}
 		}
-		if again != "" {
-			req.Header["X-Again"] = []string{again}
+		if retryMark != "" {
+			req.Header["X-Again"] = []string{retryMark}
 		}
 		resp, err := f.clients[to.no].Do(req)
 		if err != nil {
-			since := time.Duration(0)
-			if !wrote.IsZero() {
-				since = time.Since(wrote)
+			sinceWritten := time.Duration(0)
+			if !writtenAt.IsZero() {
+				sinceWritten = time.Since(writtenAt)
 			}
 			switch {
 			case errors.Is(err, context.DeadlineExceeded), ctx.Err() != nil:
 				return world.NoAnswer, 0, 0, false
-			case kept && since < s.slack() && tries < 3 && !to.isDown():
+			case reused && sinceWritten < s.slack() && tries < 3 && !to.isDown():
 				continue // its close crossed the request
-			case wrote.IsZero(), to.isDown():
+			case writtenAt.IsZero(), to.isDown():
 				return world.NoAnswer, 0, 0, false
 			}
-			return world.NoAnswer, 0, since, true
+			return world.NoAnswer, 0, sinceWritten, true
 		}
 		io.Copy(io.Discard, io.LimitReader(resp.Body, 64<<10))
 		resp.Body.Close()
@@ -231,17 +231,17 @@
 	}
 }
 
-func (s *Stage) slack() time.Duration {
+func (s *Playback) slack() time.Duration {
 	return time.Duration(s.day.World.Rules.SlackMs * float64(time.Millisecond))
 }
 
-// pick deals the senders out in turn, of those that the front takes to live.
-func (s *Stage) pick() *sender {
+// nextSender deals the senders out in turn, of those that the front takes to live.
+func (s *Playback) nextSender() *sender {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for range s.senders {
-		s.turn++
-		if snd := s.senders[s.turn%len(s.senders)]; snd.listed {
+		s.lastSender++
+		if snd := s.senders[s.lastSender%len(s.senders)]; snd.inRotation {
 			return snd
 		}
 	}
--- a/internal/lab/standin/platform.go
+++ b/internal/lab/standin/platform.go
@@ -13,9 +13,9 @@
 	"emberquay/internal/lab/world"
 )
 
-// agent is the platform as one sender reaches it: the list of receivers, and where notices go.
-type agent struct {
-	stage    *Stage
+// platform is the platform as one sender reaches it: the list of receivers, and where notices go.
+type platform struct {
+	stage    *Playback
 	sender   int
 	listener net.Listener
 	http     *http.Server
@@ -23,33 +23,33 @@
 	once     sync.Once
 }
 
-func newAgent(s *Stage, sender int, addr string) (*agent, error) {
+func newPlatform(s *Playback, sender int, addr string) (*platform, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("the platform at %s: %w", addr, err)
 	}
-	a := &agent{stage: s, sender: sender, listener: l, closing: make(chan struct{})}
+	a := &platform{stage: s, sender: sender, listener: l, closing: make(chan struct{})}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /discovery/hosts", a.hosts)
-	mux.HandleFunc("POST /v2/finals", a.finals)
+	mux.HandleFunc("GET /discovery/hosts", a.serveHosts)
+	mux.HandleFunc("POST /v2/finals", a.serveFinals)
 	a.http = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, MaxHeaderBytes: 16 << 10}
-	s.work.Go(func() { a.http.Serve(l) })
+	s.actors.Go(func() { a.http.Serve(l) })
 	return a, nil
 }
 
-func (a *agent) close() {
+func (a *platform) close() {
 	a.once.Do(func() { close(a.closing) })
 	a.http.Close()
 }
 
-// listed is the list on the wire.
-type listed struct {
-	Version int      `json:"version"`
-	Full    bool     `json:"full"`
-	Servers []server `json:"servers"`
+// receiverList is the list on the wire.
+type receiverList struct {
+	Version int              `json:"version"`
+	Full    bool             `json:"full"`
+	Servers []listedReceiver `json:"servers"`
 }
 
-type server struct {
+type listedReceiver struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"`
 	Zone    string  `json:"zone"`
@@ -62,28 +62,28 @@
 	receiver int
 }
 
-// list is what a sender is told: the whole of a version, or what changed of it since another.
-func (s *Stage) list(sender, since, version int) listed {
-	l := listed{Version: version, Full: since <= 0 || since > version, Servers: []server{}}
+// receiverListSince is what a sender is told: the whole of a version, or what changed of it since another.
+func (s *Playback) receiverListSince(sender, since, version int) receiverList {
+	l := receiverList{Version: version, Full: since <= 0 || since > version, Servers: []listedReceiver{}}
 	for _, r := range s.day.Receivers {
 		state := s.day.State(r, version)
 		if l.Full && (state == "" || state == world.Left) || !l.Full && state == s.day.State(r, since) {
 			continue
 		}
-		l.Servers = append(l.Servers, server{ID: r.ID, Addr: s.net.receiver(sender, r.AddressNo), Zone: "a", Kind: r.Destination().Kind.Name,
+		l.Servers = append(l.Servers, listedReceiver{ID: r.ID, Addr: s.net.receiverAddr(sender, r.AddressNo), Zone: "a", Kind: r.Destination().Kind.Name,
 			Cell: r.Destination().No, State: state, Weight: r.Rate, receiver: r.No})
 	}
 	return l
 }
 
-// told notes what a list says, once it is written.
-func (a *agent) told(l listed) {
+// recordNotified notes what a list says, once it is written.
+func (a *platform) recordNotified(l receiverList) {
 	s := a.stage
-	s.see(func(now time.Duration) {
+	s.locked(func(now time.Duration) {
 		named := map[int]bool{}
-		for _, one := range l.Servers {
-			named[one.receiver] = true
-			s.ref.ReceiverStateNotified(now, a.sender, one.receiver, one.State)
+		for _, entry := range l.Servers {
+			named[entry.receiver] = true
+			s.ref.ReceiverStateNotified(now, a.sender, entry.receiver, entry.State)
 		}
 		for _, r := range s.day.Receivers {
 			if l.Full && !named[r.No] && s.day.State(r, l.Version) == world.Left {
@@ -93,10 +93,10 @@
 	})
 }
 
-func (a *agent) version() int { return a.stage.day.Version(a.sender, a.stage.now()) }
+func (a *platform) listVersion() int { return a.stage.day.Version(a.sender, a.stage.now()) }
 
-// hosts tells the list, or keeps a watch.
-func (a *agent) hosts(w http.ResponseWriter, r *http.Request) {
+// serveHosts tells the list, or keeps a watch.
+func (a *platform) serveHosts(w http.ResponseWriter, r *http.Request) {
 	day := a.stage.day
 	if day.ListSilent(a.stage.now()) { // nothing is answered
 		select {
@@ -106,10 +106,10 @@
 		return
 	}
 	if r.URL.Query().Get("stream") == "" {
-		l := a.stage.list(a.sender, 0, a.version())
+		l := a.stage.receiverListSince(a.sender, 0, a.listVersion())
 		w.Header().Set("Content-Type", "application/json")
 		if json.NewEncoder(w).Encode(l) == nil {
-			a.told(l)
+			a.recordNotified(l)
 		}
 		return
 	}
@@ -119,42 +119,42 @@
 		return
 	}
 	flush := func() bool { return http.NewResponseController(w).Flush() == nil }
-	step := time.NewTicker(10 * time.Millisecond)
-	defer step.Stop()
-	beat := a.stage.now()
-	every := time.Duration(day.World.List.HeartbeatS * float64(time.Second))
+	poll := time.NewTicker(10 * time.Millisecond)
+	defer poll.Stop()
+	lastWrite := a.stage.now()
+	heartbeatInterval := time.Duration(day.World.List.HeartbeatS * float64(time.Second))
 	for first := true; ; first = false {
 		now := a.stage.now()
-		switch v := a.version(); {
+		switch v := a.listVersion(); {
 		case day.ListCut(now):
 			return
 		case day.ListSilent(now):
 		case v != since || first:
-			l := a.stage.list(a.sender, since, v)
+			l := a.stage.receiverListSince(a.sender, since, v)
 			if json.NewEncoder(w).Encode(l) != nil || !flush() {
 				return
 			}
-			a.told(l)
-			since, beat = v, now
-		case now-beat >= every:
+			a.recordNotified(l)
+			since, lastWrite = v, now
+		case now-lastWrite >= heartbeatInterval:
 			w.Write([]byte("\n"))
 			if !flush() {
 				return
 			}
-			beat = now
+			lastWrite = now
 		}
 		select {
 		case <-r.Context().Done():
 			return
 		case <-a.closing:
 			return
-		case <-step.C:
+		case <-poll.C:
 		}
 	}
 }
 
-// finals takes notices.
-func (a *agent) finals(w http.ResponseWriter, r *http.Request) {
+// serveFinals takes notices.
+func (a *platform) serveFinals(w http.ResponseWriter, r *http.Request) {
 	type notice struct {
 		Message string  `json:"message"`
 		Outcome string  `json:"outcome"`
@@ -171,7 +171,7 @@
 		all = append(all, n)
 	}
 	for _, n := range all {
-		a.stage.noticed(a.sender, n.Message, n.Outcome == "handed_back", time.Duration(n.RetryMs*float64(time.Millisecond)))
+		a.stage.recordNotice(a.sender, n.Message, n.Outcome == "handed_back", time.Duration(n.RetryMs*float64(time.Millisecond)))
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/internal/lab/standin/receivers.go
+++ b/internal/lab/standin/receivers.go
@@ -17,16 +17,16 @@
 	"emberquay/internal/lab/world"
 )
 
-// place listens at the address under which a sender reaches the receivers of a place, one after the other, whenever
+// serveReceivers listens at the address under which a sender reaches the receivers of a place, one after the other, whenever
 // the one that has it does.
-func (s *Stage) place(ctx context.Context, sender, place int) {
-	addr := s.net.receiver(sender, place)
+func (s *Playback) serveReceivers(ctx context.Context, sender, place int) {
+	addr := s.net.receiverAddr(sender, place)
 	for ctx.Err() == nil {
 		now := s.now()
-		r := s.at(place, now)
-		next := s.edge(place, now)
+		r := s.listeningReceiver(place, now)
+		next := s.nextListenChange(place, now)
 		if r == nil {
-			if !s.until(ctx, next) {
+			if !s.waitUntil(ctx, next) {
 				return
 			}
 			continue
@@ -36,21 +36,21 @@
 			s.fail(fmt.Errorf("receiver at %s: %w", addr, err))
 			return
 		}
-		h := &host{stage: s, sender: sender, r: r, open: map[*conn]bool{}}
+		h := &receiverServer{stage: s, sender: sender, receiver: r, conns: map[*conn]bool{}}
 		over := make(chan struct{})
 		go func() {
 			defer close(over)
 			h.accept(l)
 		}()
-		s.until(ctx, next)
+		s.waitUntil(ctx, next)
 		l.Close()
 		<-over
-		h.down()
+		h.closeConns()
 	}
 }
 
-// at is the receiver that listens at a place.
-func (s *Stage) at(place int, now time.Duration) *world.Receiver {
+// listeningReceiver is the receiver that listens at a place.
+func (s *Playback) listeningReceiver(place int, now time.Duration) *world.Receiver {
 	for _, r := range s.day.Receivers {
 		if r.AddressNo == place && r.Listens(now) {
 			return r
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// edge is when that may change next.
-func (s *Stage) edge(place int, now time.Duration) time.Duration {
+// nextListenChange is when that may change next.
+func (s *Playback) nextListenChange(place int, now time.Duration) time.Duration {
 	next := now + time.Hour
 	look := func(at time.Duration) {
 		if at > now {
@@ -82,18 +82,18 @@
 	return next
 }
 
-// host is a receiver as one sender reaches it, for as long as it listens.
-type host struct {
-	stage  *Stage
-	sender int
-	r      *world.Receiver
+// receiverServer is a receiver as one sender reaches it, for as long as it listens.
+type receiverServer struct {
+	stage    *Playback
+	sender   int
+	receiver *world.Receiver
 
-	mu   sync.Mutex
-	open map[*conn]bool
-	work sync.WaitGroup
+	mu    sync.Mutex
+	conns map[*conn]bool
+	work  sync.WaitGroup
 }
 
-func (h *host) accept(l net.Listener) {
+func (h *receiverServer) accept(l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -103,19 +103,19 @@
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
-		k := &conn{host: h, tcp: c.(*net.TCPConn), end: make(chan struct{})}
-		k.in = bufio.NewReaderSize(c, 4096)
+		k := &conn{server: h, tcp: c.(*net.TCPConn), aborted: make(chan struct{})}
+		k.reader = bufio.NewReaderSize(c, 4096)
 		h.mu.Lock()
-		h.open[k] = true
+		h.conns[k] = true
 		h.mu.Unlock()
 		h.work.Go(k.serve)
 	}
 }
 
-// down resets what is open: the receiver is gone, or refuses connections now.
-func (h *host) down() {
+// closeConns resets what is open: the receiver is gone, or refuses connections now.
+func (h *receiverServer) closeConns() {
 	h.mu.Lock()
-	for k := range h.open {
+	for k := range h.conns {
 		k.abort()
 	}
 	h.mu.Unlock()
@@ -124,13 +124,13 @@
 
 // conn is one connection to a receiver. It carries one call at a time.
 type conn struct {
-	host *host
-	tcp  *net.TCPConn
-	in   *bufio.Reader
+	server *receiverServer
+	tcp    *net.TCPConn
+	reader *bufio.Reader
 
-	once sync.Once
-	end  chan struct{} // closed by abort
-	last int64         // the call that was answered last, 0 for none
+	once         sync.Once
+	aborted      chan struct{} // closed by abort
+	lastAnswered int64         // the call that was answered last, 0 for none
 }
 
 // abort resets the connection.
@@ -138,57 +138,57 @@
 	k.once.Do(func() {
 		k.tcp.SetLinger(0)
 		k.tcp.Close()
-		close(k.end)
+		close(k.aborted)
 	})
 }
 
-// byteCome is the first byte of a request, or why there is none.
-type byteCome struct {
+// readResult is the first byte of a request, or why there is none.
+type readResult struct {
 	at  time.Duration
 	err error
 }
 
-// wait tells on a channel when the next byte comes, or the connection ends.
-func (k *conn) wait() <-chan byteCome {
-	ch := make(chan byteCome, 1)
+// awaitByte tells on a channel when the next byte comes, or the connection ends.
+func (k *conn) awaitByte() <-chan readResult {
+	ch := make(chan readResult, 1)
 	go func() {
-		_, err := k.in.Peek(1)
-		ch <- byteCome{k.host.stage.now(), err}
+		_, err := k.reader.Peek(1)
+		ch <- readResult{k.server.stage.now(), err}
 	}()
 	return ch
 }
 
 func (k *conn) serve() {
-	s, h := k.host.stage, k.host
-	crowded, full := false, false
-	s.see(func(time.Duration) {
-		if full = s.conns >= mostConns; !full {
-			s.conns++
-			crowded = !h.r.Connect()
+	s, h := k.server.stage, k.server
+	overLimit, atCapacity := false, false
+	s.locked(func(time.Duration) {
+		if atCapacity = s.openConns >= maxConns; !atCapacity {
+			s.openConns++
+			overLimit = !h.receiver.Connect()
 		}
 	})
 	defer func() {
-		s.see(func(time.Duration) {
-			if !full {
-				s.conns--
+		s.locked(func(time.Duration) {
+			if !atCapacity {
+				s.openConns--
 			}
-			if !crowded && !full {
-				h.r.Disconnect()
+			if !overLimit && !atCapacity {
+				h.receiver.Disconnect()
 			}
 		})
 		h.mu.Lock()
-		delete(h.open, k)
+		delete(h.conns, k)
 		h.mu.Unlock()
 		k.tcp.Close()
 	}()
-	if full {
+	if atCapacity {
 		return
 	}
 	idle := time.Duration(s.day.World.Sender.ConnIdleS * float64(time.Second))
-	next := k.wait()
+	next := k.awaitByte()
 	for {
 		timer := time.NewTimer(idle)
-		var first byteCome
+		var first readResult
 		select {
 		case first = <-next:
 		case <-timer.C:
@@ -196,34 +196,34 @@
 		}
 		timer.Stop()
 		if first.err != nil {
-			k.ended(first.err)
+			k.recordIdleEnd(first.err)
 			return
 		}
 		var more bool
-		if next, more = k.call(first.at, crowded); !more {
+		if next, more = k.handleCall(first.at, overLimit); !more {
 			return
 		}
 	}
 }
 
-// ended tells how an idle connection ended. If the sender's end was reset, the last answer had not been read.
-func (k *conn) ended(err error) {
-	s := k.host.stage
+// recordIdleEnd tells how an idle connection ended. If the sender's end was reset, the last answer had not been read.
+func (k *conn) recordIdleEnd(err error) {
+	s := k.server.stage
 	select {
-	case <-k.end: // by ourselves
-		s.see(func(now time.Duration) { s.ref.IdleConnectionBroken(now, k.host.sender, k.host.r.No) })
+	case <-k.aborted: // by ourselves
+		s.locked(func(now time.Duration) { s.ref.IdleConnectionBroken(now, k.server.sender, k.server.receiver.No) })
 		return
 	default:
 	}
-	if k.last != 0 && errors.Is(err, syscall.ECONNRESET) {
-		s.see(func(now time.Duration) { s.ref.CallAnswerUnread(now, k.last) })
+	if k.lastAnswered != 0 && errors.Is(err, syscall.ECONNRESET) {
+		s.locked(func(now time.Duration) { s.ref.CallAnswerUnread(now, k.lastAnswered) })
 	}
 }
 
-// call takes one request and gives it what the receiver's model says; more if the connection goes on.
-func (k *conn) call(first time.Duration, crowded bool) (next <-chan byteCome, more bool) {
-	s, h := k.host.stage, k.host
-	req, err := http.ReadRequest(k.in)
+// handleCall takes one request and gives it what the receiver's model says; more if the connection goes on.
+func (k *conn) handleCall(firstByteAt time.Duration, overLimit bool) (next <-chan readResult, more bool) {
+	s, h := k.server.stage, k.server
+	req, err := http.ReadRequest(k.reader)
 	if err != nil {
 		io.WriteString(k.tcp, "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 		return nil, false
@@ -231,54 +231,54 @@
 	if req.Method != http.MethodPost || req.URL.Path != "/events" {
 		io.WriteString(k.tcp, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
 		io.Copy(io.Discard, io.LimitReader(req.Body, 1<<20))
-		return k.wait(), true
+		return k.awaitByte(), true
 	}
 	id := req.Header.Get("X-Call-Id")
 	var no int64
 	c := &world.Call{Sender: h.sender}
-	s.see(func(now time.Duration) {
-		s.calls++
-		no = s.calls
-		s.ref.CallBegan(now, first, no, id, h.sender, h.r.No)
-		if hand := s.byID[id]; hand != nil {
+	s.locked(func(now time.Duration) {
+		s.lastCallNo++
+		no = s.lastCallNo
+		s.ref.CallBegan(now, firstByteAt, no, id, h.sender, h.receiver.No)
+		if hand := s.handInsByID[id]; hand != nil {
 			c.Text = hand.text
-			c.SubmitNo = s.submits[c.Text]
-			s.submits[c.Text]++
+			c.SubmitNo = s.submitCounts[c.Text]
+			s.submitCounts[c.Text]++
 		}
 	})
 	body, err := io.ReadAll(io.LimitReader(req.Body, 64<<10+1))
 	if err != nil || int64(len(body)) != req.ContentLength {
-		s.see(func(now time.Duration) { s.ref.CallEnded(now, no, true) })
+		s.locked(func(now time.Duration) { s.ref.CallEnded(now, no, true) })
 		return nil, false
 	}
-	var due time.Duration
-	ever := true
-	s.see(func(now time.Duration) {
+	var dueAt time.Duration
+	completes := true
+	s.locked(func(now time.Duration) {
 		s.ref.CallArrived(now, no)
-		if crowded {
-			due = now
+		if overLimit {
+			dueAt = now
 			return
 		}
-		fell := h.r.Overload
-		due, ever = h.r.Begin(now, c)
-		if h.r.Overload != fell {
-			s.ref.ReceiverOverloaded(now, h.r.No, h.r.Overload)
+		overloadedBefore := h.receiver.Overload
+		dueAt, completes = h.receiver.Begin(now, c)
+		if h.receiver.Overload != overloadedBefore {
+			s.ref.ReceiverOverloaded(now, h.receiver.No, h.receiver.Overload)
 		}
 	})
-	next = k.wait()
+	next = k.awaitByte()
 	var timer <-chan time.Time
-	if ever {
-		t := time.NewTimer(due - s.now())
+	if completes {
+		t := time.NewTimer(dueAt - s.now())
 		defer t.Stop()
 		timer = t.C
 	}
 	for {
 		select {
 		case <-timer:
-			return next, k.answer(no, id, c, crowded, next)
-		case <-k.end:
-			s.see(func(now time.Duration) { s.ref.CallEnded(now, no, false) })
-			k.runOn(no, c, due, ever)
+			return next, k.answer(no, id, c, overLimit, next)
+		case <-k.aborted:
+			s.locked(func(now time.Duration) { s.ref.CallEnded(now, no, false) })
+			k.finishAbandoned(no, c, dueAt, completes)
 			return nil, false
 		case b := <-next:
 			if b.err == nil { // more on a connection with a call out: the protocol has no such thing
@@ -286,26 +286,26 @@
 				continue
 			}
 			select {
-			case <-k.end:
+			case <-k.aborted:
 				continue
 			default:
 			}
-			s.see(func(now time.Duration) { s.ref.CallEnded(now, no, true) })
-			k.runOn(no, c, due, ever)
+			s.locked(func(now time.Duration) { s.ref.CallEnded(now, no, true) })
+			k.finishAbandoned(no, c, dueAt, completes)
 			return nil, false
 		}
 	}
 }
 
-// runOn: what was given up runs to its end all the same, and may have its effect.
-func (k *conn) runOn(no int64, c *world.Call, due time.Duration, ever bool) {
-	s := k.host.stage
-	if !ever {
+// finishAbandoned: what was given up runs to its end all the same, and may have its effect.
+func (k *conn) finishAbandoned(no int64, c *world.Call, dueAt time.Duration, completes bool) {
+	s := k.server.stage
+	if !completes {
 		return
 	}
-	time.AfterFunc(due-s.now(), func() {
-		s.see(func(now time.Duration) {
-			if a := k.host.r.End(now, c); a.Executed || a.Duplicate {
+	time.AfterFunc(dueAt-s.now(), func() {
+		s.locked(func(now time.Duration) {
+			if a := k.server.receiver.End(now, c); a.Executed || a.Duplicate {
 				s.ref.CallExecuted(no, a.Duplicate)
 			}
 		})
@@ -313,19 +313,19 @@
 }
 
 // answer writes what is due; true if the connection goes on.
-func (k *conn) answer(no int64, id string, c *world.Call, crowded bool, next <-chan byteCome) bool {
-	s, h := k.host.stage, k.host
+func (k *conn) answer(no int64, id string, c *world.Call, overLimit bool, next <-chan readResult) bool {
+	s, h := k.server.stage, k.server
 	var a world.Answer
-	there := stillOpen(k.tcp)
-	s.see(func(now time.Duration) {
-		if crowded {
+	open := stillOpen(k.tcp)
+	s.locked(func(now time.Duration) {
+		if overLimit {
 			a = world.Answer{Status: http.StatusServiceUnavailable, Reason: "connections"}
-		} else if a = h.r.End(now, c); a.Executed || a.Duplicate {
+		} else if a = h.receiver.End(now, c); a.Executed || a.Duplicate {
 			s.ref.CallExecuted(no, a.Duplicate)
 		}
-		s.say("event=call text=%s sender=%d receiver=%d status=%d wait=%s why=%s", id, h.sender, h.r.No, a.Status, a.RetryAfter, a.Reason)
+		s.logEvent("event=call text=%s sender=%d receiver=%d status=%d wait=%s why=%s", id, h.sender, h.receiver.No, a.Status, a.RetryAfter, a.Reason)
 		switch {
-		case a.Action == world.Respond && there:
+		case a.Action == world.Respond && open:
 			s.ref.CallAnswered(now, no, a.Status, a.RetryAfter)
 		case a.Action == world.Respond: // its sender had hung up; the end of the connection is on its way
 			s.ref.CallEnded(now, no, true)
@@ -338,9 +338,9 @@
 		k.abort()
 		return false
 	case a.Action == world.NeverAnswer:
-		k.silent(no, next)
+		k.awaitClose(no, next)
 		return false
-	case !there:
+	case !open:
 		return false
 	}
 	out := make([]byte, 0, 192)
@@ -352,27 +352,27 @@
 	if a.Report.Present {
 		out = fmt.Appendf(out, "X-Load-Report: x0=%.4f,x1=%.4f\r\n", a.Report.Share, a.Report.PerSecond)
 	}
-	if crowded {
+	if overLimit {
 		out = append(out, "Connection: close\r\n"...)
 	}
 	if _, err := k.tcp.Write(append(out, "\r\n"...)); err != nil {
-		s.see(func(now time.Duration) { s.ref.CallAnswerUnread(now, no) })
+		s.locked(func(now time.Duration) { s.ref.CallAnswerUnread(now, no) })
 		return false
 	}
-	k.last = no
-	return !crowded
+	k.lastAnswered = no
+	return !overLimit
 }
 
-// silent keeps the connection open until its sender ends it.
-func (k *conn) silent(no int64, next <-chan byteCome) {
-	s := k.host.stage
+// awaitClose keeps the connection open until its sender ends it.
+func (k *conn) awaitClose(no int64, next <-chan readResult) {
+	s := k.server.stage
 	b := <-next
 	select {
-	case <-k.end:
-		s.see(func(now time.Duration) { s.ref.CallEnded(now, no, false) })
+	case <-k.aborted:
+		s.locked(func(now time.Duration) { s.ref.CallEnded(now, no, false) })
 	default:
 		if b.err != nil {
-			s.see(func(now time.Duration) { s.ref.CallEnded(now, no, true) })
+			s.locked(func(now time.Duration) { s.ref.CallEnded(now, no, true) })
 		}
 	}
 }
--- a/internal/lab/standin/senders.go
+++ b/internal/lab/standin/senders.go
@@ -17,33 +17,33 @@
 
 // sender is one real sender: its process, started anew as the day has it.
 type sender struct {
-	stage *Stage
-	no    int
-	moves int // new configurations
+	stage            *Playback
+	no               int
+	reconfigurations int // new configurations
 
 	// under the stage's lock
-	agent  *agent
-	listed bool // the front sends to it
-	down   bool
-	deaths int
-	cpu    time.Duration
-	peak   int64
+	platform     *platform
+	inRotation   bool // the front sends to it
+	down         bool
+	downCount    int
+	cpuTime      time.Duration
+	peakMemoryKB int64
 
-	cmd    *exec.Cmd
-	exited chan struct{}
-	meant  bool // its end is wanted
+	cmd          *exec.Cmd
+	exited       chan struct{}
+	exitExpected bool // its end is wanted
 }
 
-func newSender(s *Stage, no int) *sender { return &sender{stage: s, no: no, down: true} }
+func newSender(s *Playback, no int) *sender { return &sender{stage: s, no: no, down: true} }
 
-func (o *sender) name() string      { return fmt.Sprintf("n%d", o.no+1) }
-func (o *sender) discovery() string { return o.stage.net.agent(o.no, o.moves) }
-func (o *sender) dir() string       { return filepath.Join(o.stage.opt.Dir, o.name()) }
+func (o *sender) name() string         { return fmt.Sprintf("n%d", o.no+1) }
+func (o *sender) platformAddr() string { return o.stage.net.platformAddr(o.no, o.reconfigurations) }
+func (o *sender) dir() string          { return filepath.Join(o.stage.opt.Dir, o.name()) }
 
-func (o *sender) agentNow() *agent {
+func (o *sender) currentPlatform() *platform {
 	o.stage.mu.Lock()
 	defer o.stage.mu.Unlock()
-	return o.agent
+	return o.platform
 }
 
 func (o *sender) isDown() bool {
@@ -52,15 +52,15 @@
 	return o.down
 }
 
-// configure writes the configuration that the sender is started with, or told to read anew.
-func (o *sender) configure() error {
+// writeConfig writes the configuration that the sender is started with, or told to read anew.
+func (o *sender) writeConfig() error {
 	s, w := o.stage, o.stage.day.World
-	conf := map[string]any{"name": o.name(), "listen": s.net.front(o.no), "discovery": o.discovery(), "state": filepath.Join(o.dir(), "state"),
+	conf := map[string]any{"name": o.name(), "listen": s.net.frontAddr(o.no), "discovery": o.platformAddr(), "state": filepath.Join(o.dir(), "state"),
 		"seed":     fmt.Sprintf("%x", s.day.Seed+uint64(o.no)),
 		"limits":   map[string]any{"cores": w.Sender.Cores, "memory_mb": w.Sender.MemoryMB, "sockets": w.Sender.Sockets, "disk_mb": w.Sender.DiskMB},
 		"settings": s.day.Settings()}
 	if w.List.Known {
-		conf["known"] = s.list(o.no, 0, s.day.Version(o.no, s.now()))
+		conf["known"] = s.receiverListSince(o.no, 0, s.day.Version(o.no, s.now()))
 	}
 	raw, err := json.MarshalIndent(conf, "", " ")
 	if err != nil {
@@ -76,7 +76,7 @@
 
 // start starts the process.
 func (o *sender) start(ctx context.Context, launch *processes.Launcher) error {
-	if err := o.configure(); err != nil {
+	if err := o.writeConfig(); err != nil {
 		return err
 	}
 	if err := ctx.Err(); err != nil {
@@ -91,33 +91,33 @@
 	cmd := exec.Command(s.opt.Command[0], s.opt.Command[1:]...)
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.Env = append([]string{"PATH=" + os.Getenv("PATH"), "HOME=" + o.dir(), "TMPDIR=" + o.dir(), "GW_NAME=" + o.name(),
-		"GW_LISTEN=" + s.net.front(o.no), "GW_DISCOVERY=" + o.discovery(), "GW_STATE=" + filepath.Join(o.dir(), "state"),
+		"GW_LISTEN=" + s.net.frontAddr(o.no), "GW_DISCOVERY=" + o.platformAddr(), "GW_STATE=" + filepath.Join(o.dir(), "state"),
 		"GW_CONFIG=" + filepath.Join(o.dir(), "config.json")}, s.opt.Env...)
-	s.see(func(now time.Duration) { s.ref.SenderStarted(now, o.no) })
+	s.locked(func(now time.Duration) { s.ref.SenderStarted(now, o.no) })
 	if err := launch.Start(cmd); err != nil {
 		return fmt.Errorf("sender %s: %w", o.name(), err)
 	}
 	exited := make(chan struct{})
 	s.mu.Lock()
-	o.cmd, o.exited, o.meant = cmd, exited, false
+	o.cmd, o.exited, o.exitExpected = cmd, exited, false
 	s.mu.Unlock()
-	s.work.Go(func() {
+	s.actors.Go(func() {
 		defer close(exited)
 		err := cmd.Wait()
-		s.see(func(now time.Duration) {
-			if !o.meant {
+		s.locked(func(now time.Duration) {
+			if !o.exitExpected {
 				s.crashes = append(s.crashes, fmt.Sprintf("sender %s ended by itself at %.3fs: %v; see its log", o.name(), now.Seconds(), err))
-				o.dies(now)
+				o.markDown(now)
 			}
-			o.cpu += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
+			o.cpuTime += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
 		})
 	})
 	return nil
 }
 
-// weigh notes how much memory the process has taken at most. What the system tells of one that has ended counts what we had
+// recordPeakMemory notes how much memory the process has taken at most. What the system tells of one that has ended counts what we had
 // when we started it. Under the stage's lock.
-func (o *sender) weigh() {
+func (o *sender) recordPeakMemory() {
 	if o.cmd == nil {
 		return
 	}
@@ -128,58 +128,58 @@
 	for line := range strings.Lines(string(raw)) {
 		var kb int64
 		if n, _ := fmt.Sscanf(line, "VmHWM: %d kB", &kb); n == 1 {
-			o.peak = max(o.peak, kb)
+			o.peakMemoryKB = max(o.peakMemoryKB, kb)
 		}
 	}
 }
 
-// dies: it is down from now on; the front goes on sending to it until it notices. Under the stage's lock.
-func (o *sender) dies(now time.Duration) {
+// markDown: it is down from now on; the front goes on sending to it until it notices. Under the stage's lock.
+func (o *sender) markDown(now time.Duration) {
 	s := o.stage
 	o.down = true
 	s.ref.SenderDown(now, o.no)
-	life := o.deaths
-	o.deaths++
+	life := o.downCount
+	o.downCount++
 	time.AfterFunc(s.day.DeathNoticeDelay(o.no, life), func() {
-		s.see(func(time.Duration) {
-			if o.down && o.deaths == life+1 {
-				o.listed = false
+		s.locked(func(time.Duration) {
+			if o.down && o.downCount == life+1 {
+				o.inRotation = false
 			}
 		})
 	})
 }
 
-// ready waits until the sender says that it serves.
-func (o *sender) ready(ctx context.Context) error {
+// waitReady waits until the sender says that it serves.
+func (o *sender) waitReady(ctx context.Context) error {
 	s := o.stage
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	end := time.Now().Add(time.Duration(s.day.World.Sender.ReadyWithS * float64(time.Second)))
 	for time.Now().Before(end) && ctx.Err() == nil {
-		resp, err := client.Get("http://" + s.net.front(o.no) + "/up")
+		resp, err := client.Get("http://" + s.net.frontAddr(o.no) + "/up")
 		if err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
-				s.see(func(now time.Duration) {
+				s.locked(func(now time.Duration) {
 					s.ref.SenderReady(now, o.no)
-					o.down, o.listed = false, true
+					o.down, o.inRotation = false, true
 				})
 				return nil
 			}
 		}
 		select {
 		case <-o.exited:
-			return fmt.Errorf("sender %s ended before it was ready; its log says: %s", o.name(), o.lastLine())
+			return fmt.Errorf("sender %s ended before it was ready; its log says: %s", o.name(), o.logTail())
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	return fmt.Errorf("sender %s does not answer GET /up at %s within %vs; its log says: %s", o.name(), s.net.front(o.no),
-		s.day.World.Sender.ReadyWithS, o.lastLine())
+	return fmt.Errorf("sender %s does not answer GET /up at %s within %vs; its log says: %s", o.name(), s.net.frontAddr(o.no),
+		s.day.World.Sender.ReadyWithS, o.logTail())
 }
 
-func (o *sender) lastLine() string {
+func (o *sender) logTail() string {
 	raw, _ := os.ReadFile(filepath.Join(o.dir(), "log"))
 	if len(raw) > 400 {
 		raw = raw[len(raw)-400:]
@@ -187,11 +187,11 @@
 	return string(raw)
 }
 
-// fates plays what befalls the sender, one thing after the other.
-func (o *sender) fates(ctx context.Context, launch *processes.Launcher) {
+// playEvents plays what befalls the sender, one thing after the other.
+func (o *sender) playEvents(ctx context.Context, launch *processes.Launcher) {
 	s := o.stage
 	for _, f := range s.day.Fates {
-		if f.Sender != o.no || !s.until(ctx, time.Duration(f.AtS*float64(time.Second))) {
+		if f.Sender != o.no || !s.waitUntil(ctx, time.Duration(f.AtS*float64(time.Second))) {
 			continue
 		}
 		switch f.What {
@@ -209,9 +209,9 @@
 		case <-time.After(time.Duration(f.DownS * float64(time.Second))):
 		}
 		if err := o.start(ctx, launch); err == nil {
-			err = o.ready(ctx)
+			err = o.waitReady(ctx)
 			if err != nil && ctx.Err() == nil {
-				s.see(func(time.Duration) { s.crashes = append(s.crashes, err.Error()) })
+				s.locked(func(time.Duration) { s.crashes = append(s.crashes, err.Error()) })
 			}
 		}
 	}
@@ -219,38 +219,38 @@
 
 // kill ends the process with SIGKILL.
 func (o *sender) kill() {
-	o.stage.see(func(now time.Duration) {
-		o.meant = true
-		o.weigh()
+	o.stage.locked(func(now time.Duration) {
+		o.exitExpected = true
+		o.recordPeakMemory()
 		if !o.down {
-			o.dies(now)
+			o.markDown(now)
 		}
 		o.cmd.Process.Kill()
 	})
 	<-o.exited
 }
 
-// stopWithin is when SIGKILL follows SIGTERM.
-const stopWithin = 3700 * time.Millisecond
+// stopTimeout is when SIGKILL follows SIGTERM.
+const stopTimeout = 3700 * time.Millisecond
 
 // terminate ends it with SIGTERM. For a moment the front goes on sending to it.
 func (o *sender) terminate(ctx context.Context) {
 	s := o.stage
-	s.see(func(now time.Duration) {
-		o.meant = true
-		o.weigh()
+	s.locked(func(now time.Duration) {
+		o.exitExpected = true
+		o.recordPeakMemory()
 		s.ref.SenderStopping(now, o.no)
 		o.cmd.Process.Signal(syscall.SIGTERM)
 	})
-	time.AfterFunc(300*time.Millisecond, func() { s.see(func(time.Duration) { o.listed = false }) })
+	time.AfterFunc(300*time.Millisecond, func() { s.locked(func(time.Duration) { o.inRotation = false }) })
 	select {
 	case <-o.exited:
-	case <-time.After(stopWithin):
+	case <-time.After(stopTimeout):
 		o.kill()
 	case <-ctx.Done():
 		o.kill()
 	}
-	s.see(func(now time.Duration) {
+	s.locked(func(now time.Duration) {
 		if !o.down {
 			o.down = true
 			s.ref.SenderDown(now, o.no)
@@ -261,18 +261,18 @@
 // reload gives the sender a new configuration: the platform has moved, and the old place ends after 1.5 s.
 func (o *sender) reload() {
 	s := o.stage
-	old := o.agentNow()
-	o.moves++
-	next, err := newAgent(s, o.no, o.discovery())
+	old := o.currentPlatform()
+	o.reconfigurations++
+	next, err := newPlatform(s, o.no, o.platformAddr())
 	if err == nil {
-		err = o.configure()
+		err = o.writeConfig()
 	}
 	if err != nil {
 		s.fail(err)
 		return
 	}
-	s.see(func(time.Duration) {
-		o.agent = next
+	s.locked(func(time.Duration) {
+		o.platform = next
 		if !o.down {
 			o.cmd.Process.Signal(syscall.SIGHUP)
 		}
@@ -281,12 +281,12 @@
 	time.AfterFunc(1500*time.Millisecond, old.close)
 }
 
-// end ends the process, whatever it does.
-func (o *sender) end() {
+// shutdown ends the process, whatever it does.
+func (o *sender) shutdown() {
 	o.stage.mu.Lock()
 	cmd, exited := o.cmd, o.exited
-	o.meant = true
-	o.weigh()
+	o.exitExpected = true
+	o.recordPeakMemory()
 	o.stage.mu.Unlock()
 	if cmd == nil {
 		return
@@ -294,7 +294,7 @@
 	cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-exited:
-	case <-time.After(stopWithin):
+	case <-time.After(stopTimeout):
 		cmd.Process.Kill()
 		<-exited
 	}
--- a/internal/lab/standin/standin.go
+++ b/internal/lab/standin/standin.go
@@ -45,66 +45,66 @@
 	HandIns   int
 	Submits   int
 	Delivered int
-	Open      int // taken on, not ended
+	OpenTexts int // taken on, not ended
 	Breaches  int
 }
 
 // Result is what a day came to.
 type Result struct {
-	Seed     uint64             `json:"seed"`
-	Account  *referee.Account   `json:"account"`
-	Breaches []referee.Breach   `json:"breaches"`
-	More     int                `json:"breaches_not_kept"`
-	Verdict  string             `json:"-"`
-	Best     map[string]float64 `json:"best_by_capacity"` // revenue by product
-	Crashes  []string           `json:"crashes"`
-	Late     time.Duration      `json:"late_ns"`        // the latest that a text was handed in after its time: the machine was busy
-	CPU      time.Duration      `json:"sender_cpu_ns"`  // of all senders
-	OwnCPU   time.Duration      `json:"standin_cpu_ns"` // of the stand-ins
-	Took     time.Duration      `json:"took_ns"`
-	MemoryKB []int64            `json:"sender_peak_kb"` // of each sender, the most of its processes
+	Seed            uint64             `json:"seed"`
+	Account         *referee.Account   `json:"account"`
+	Breaches        []referee.Breach   `json:"breaches"`
+	OmittedBreaches int                `json:"breaches_not_kept"`
+	Verdict         string             `json:"-"`
+	BestRevenue     map[string]float64 `json:"best_by_capacity"` // revenue by product
+	Crashes         []string           `json:"crashes"`
+	MaxHandInDelay  time.Duration      `json:"late_ns"`        // the latest that a text was handed in after its time: the machine was busy
+	SenderCPU       time.Duration      `json:"sender_cpu_ns"`  // of all senders
+	StandinCPU      time.Duration      `json:"standin_cpu_ns"` // of the stand-ins
+	Elapsed         time.Duration      `json:"took_ns"`
+	PeakMemoryKB    []int64            `json:"sender_peak_kb"` // of each sender, the most of its processes
 }
 
-// Kept says whether all rules were kept and no sender crashed.
-func (r *Result) Kept() bool { return len(r.Breaches) == 0 && len(r.Crashes) == 0 }
+// Passed says whether all rules were kept and no sender crashed.
+func (r *Result) Passed() bool { return len(r.Breaches) == 0 && len(r.Crashes) == 0 }
 
-// mostConns bounds the connections at the receivers together.
-const mostConns = 8192
+// maxConns bounds the connections at the receivers together.
+const maxConns = 8192
 
-// Stage is a day that is being played.
-type Stage struct {
+// Playback is a day that is being played.
+type Playback struct {
 	day *world.Day
 	opt Options
 	net *network
 
-	begun chan struct{} // closed once the day has begun
-	zero  time.Time     // when; read only after begun
+	started   chan struct{} // closed once the day has begun
+	startTime time.Time     // when; read only after begun
 
-	mu      sync.Mutex
-	ref     *referee.Referee
-	submits map[*world.Text]int // calls that came, of each text
-	byID    map[string]*handIn
-	calls   int64
-	conns   int
-	due     int // hand-ins to come, first ones and repeats
-	late    time.Duration
-	crashes []string
-	failed  error
+	mu             sync.Mutex
+	ref            *referee.Referee
+	submitCounts   map[*world.Text]int // calls that came, of each text
+	handInsByID    map[string]*handIn
+	lastCallNo     int64
+	openConns      int
+	pendingHandIns int // hand-ins to come, first ones and repeats
+	maxHandInDelay time.Duration
+	crashes        []string
+	failure        error
 
-	senders []*sender
-	turn    int            // the sender that had the last hand-in
-	log     io.Writer      // where somebody looks on; nil else
-	front   *front         // nil before the day begins
-	work    sync.WaitGroup // actors
+	senders    []*sender
+	lastSender int            // the sender that had the last hand-in
+	log        io.Writer      // where somebody looks on; nil else
+	front      *front         // nil before the day begins
+	actors     sync.WaitGroup // actors
 }
 
 // New lays a day out: addresses are taken, nothing listens yet.
-func New(day *world.Day, opt Options) (*Stage, error) {
+func New(day *world.Day, opt Options) (*Playback, error) {
 	n, err := newNetwork()
 	if err != nil {
 		return nil, err
 	}
-	s := &Stage{day: day, opt: opt, net: n, begun: make(chan struct{}), submits: map[*world.Text]int{}, byID: map[string]*handIn{}}
+	s := &Playback{day: day, opt: opt, net: n, started: make(chan struct{}), submitCounts: map[*world.Text]int{}, handInsByID: map[string]*handIn{}}
 	s.ref = referee.New(day.World.Rules, day.World.Senders, func(r int) int { return day.Receivers[r].Destination().No })
 	for no := range day.World.Senders {
 		s.senders = append(s.senders, newSender(s, no))
@@ -113,35 +113,35 @@
 }
 
 // now is the span since the day began; nought before it.
-func (s *Stage) now() time.Duration {
+func (s *Playback) now() time.Duration {
 	select {
-	case <-s.begun:
-		return time.Since(s.zero)
+	case <-s.started:
+		return time.Since(s.startTime)
 	default:
 		return 0
 	}
 }
 
-// see runs under the lock, with the instant.
-func (s *Stage) see(do func(now time.Duration)) {
+// locked runs under the lock, with the instant.
+func (s *Playback) locked(do func(now time.Duration)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	do(s.now())
 }
 
 // fail ends the day: the stand-ins themselves cannot go on.
-func (s *Stage) fail(err error) {
+func (s *Playback) fail(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.failed == nil {
-		s.failed = err
+	if s.failure == nil {
+		s.failure = err
 	}
 }
 
-// until waits for an instant of the day; false if the context ended first.
-func (s *Stage) until(ctx context.Context, at time.Duration) bool {
+// waitUntil waits for an instant of the day; false if the context ended first.
+func (s *Playback) waitUntil(ctx context.Context, at time.Duration) bool {
 	select {
-	case <-s.begun:
+	case <-s.started:
 	case <-ctx.Done():
 		return false
 	}
@@ -173,52 +173,52 @@
 	return s.play(ctx)
 }
 
-func (s *Stage) play(parent context.Context) (*Result, error) {
+func (s *Playback) play(parent context.Context) (*Result, error) {
 	ctx, stop := context.WithCancel(parent)
 	defer stop()
 	launch := processes.NewLauncher()
 	defer launch.Close()
 	// The outside stands before the senders start, and until they have ended.
-	if err := s.stand(ctx); err != nil {
+	if err := s.startEnvironment(ctx); err != nil {
 		stop()
-		s.work.Wait()
+		s.actors.Wait()
 		return nil, err
 	}
-	err := s.startAll(ctx, launch)
+	err := s.startSenders(ctx, launch)
 	if err == nil {
 		err = s.run(ctx, launch)
 	}
 	for _, snd := range s.senders {
-		snd.end()
+		snd.shutdown()
 	}
 	stop()
-	s.work.Wait()
+	s.actors.Wait()
 	if err != nil {
 		return nil, err
 	}
 	return s.result(), parent.Err()
 }
 
-// stand puts up receivers and the platform.
-func (s *Stage) stand(ctx context.Context) error {
+// startEnvironment puts up receivers and the platform.
+func (s *Playback) startEnvironment(ctx context.Context) error {
 	for _, snd := range s.senders {
-		a, err := newAgent(s, snd.no, snd.discovery())
+		a, err := newPlatform(s, snd.no, snd.platformAddr())
 		if err != nil {
 			return err
 		}
-		snd.agent = a
-		s.work.Go(func() { <-ctx.Done(); snd.agentNow().close() })
+		snd.platform = a
+		s.actors.Go(func() { <-ctx.Done(); snd.currentPlatform().close() })
 		for place := range s.day.Receivers {
 			if s.day.Receivers[place].AddressNo == place {
-				s.work.Go(func() { s.place(ctx, snd.no, place) })
+				s.actors.Go(func() { s.serveReceivers(ctx, snd.no, place) })
 			}
 		}
 	}
 	return nil
 }
 
-// startAll starts the senders and waits until all are ready; the day begins then.
-func (s *Stage) startAll(ctx context.Context, launch *processes.Launcher) error {
+// startSenders starts the senders and waits until all are ready; the day begins then.
+func (s *Playback) startSenders(ctx context.Context, launch *processes.Launcher) error {
 	for _, snd := range s.senders {
 		if err := os.MkdirAll(filepath.Join(s.opt.Dir, snd.name(), "state"), 0o700); err != nil {
 			return err
@@ -228,64 +228,64 @@
 		}
 	}
 	for _, snd := range s.senders {
-		if err := snd.ready(ctx); err != nil {
+		if err := snd.waitReady(ctx); err != nil {
 			return err
 		}
 	}
-	s.zero = time.Now()
-	close(s.begun)
+	s.startTime = time.Now()
+	close(s.started)
 	return nil
 }
 
 // run plays from the first text until nothing is open any more.
-func (s *Stage) run(ctx context.Context, launch *processes.Launcher) error {
+func (s *Playback) run(ctx context.Context, launch *processes.Launcher) error {
 	f := newFront(ctx, s)
 	defer f.close()
-	fates, cancel := context.WithCancel(ctx)
+	eventsCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var doom sync.WaitGroup
+	var events sync.WaitGroup
 	for _, snd := range s.senders {
-		doom.Go(func() { snd.fates(fates, launch) })
+		events.Go(func() { snd.playEvents(eventsCtx, launch) })
 	}
 	for _, c := range s.day.Changes {
-		s.work.Go(func() {
-			if s.until(ctx, c.At) {
-				s.see(func(now time.Duration) { s.ref.ReceiverStateChanged(now, c.Receiver, c.State) })
+		s.actors.Go(func() {
+			if s.waitUntil(ctx, c.At) {
+				s.locked(func(now time.Duration) { s.ref.ReceiverStateChanged(now, c.Receiver, c.State) })
 			}
 		})
 	}
-	s.work.Go(f.play)
+	s.actors.Go(f.play)
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
 	for n := 0; ; n++ {
 		select {
 		case <-ctx.Done():
 			cancel()
-			doom.Wait()
+			events.Wait()
 			return nil
 		case <-tick.C:
 		}
-		over := false
+		done := false
 		var err error
-		s.see(func(now time.Duration) {
+		s.locked(func(now time.Duration) {
 			s.ref.Advance(now)
-			over = now >= s.day.End || now >= s.day.Length && s.due == 0 && s.ref.OpenTexts() == 0 && s.fatesOver(now)
-			err = s.failed
+			done = now >= s.day.End || now >= s.day.Length && s.pendingHandIns == 0 && s.ref.OpenTexts() == 0 && s.senderEventsDone(now)
+			err = s.failure
 		})
 		if s.opt.Progress != nil && n%3 == 0 {
 			s.opt.Progress(s.progress())
 		}
-		if over || err != nil {
+		if done || err != nil {
 			cancel()
-			doom.Wait()
-			s.see(func(now time.Duration) { s.ref.Finish(max(now, s.day.End)) })
+			events.Wait()
+			s.locked(func(now time.Duration) { s.ref.Finish(max(now, s.day.End)) })
 			return err
 		}
 	}
 }
 
-// fatesOver: nothing befalls a sender any more.
-func (s *Stage) fatesOver(now time.Duration) bool {
+// senderEventsDone: nothing befalls a sender any more.
+func (s *Playback) senderEventsDone(now time.Duration) bool {
 	for _, f := range s.day.Fates {
 		if now < time.Duration((f.AtS+f.DownS)*float64(time.Second))+500*time.Millisecond {
 			return false
@@ -294,37 +294,37 @@
 	return true
 }
 
-func (s *Stage) progress() Progress {
+func (s *Playback) progress() Progress {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.ref.Account()
-	p := Progress{Now: s.now(), End: s.day.Length, HandIns: a.HandIns, Submits: a.Submits, Open: s.ref.OpenTexts(), Breaches: len(s.ref.Breaches) + s.ref.OmittedBreaches}
+	p := Progress{Now: s.now(), End: s.day.Length, HandIns: a.HandIns, Submits: a.Submits, OpenTexts: s.ref.OpenTexts(), Breaches: len(s.ref.Breaches) + s.ref.OmittedBreaches}
 	for _, o := range a.Products {
 		p.Delivered += o.InTime + o.Late
 	}
 	return p
 }
 
-func (s *Stage) result() *Result {
+func (s *Playback) result() *Result {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := &Result{Seed: s.day.Seed, Account: s.ref.Account(), Breaches: s.ref.Breaches, More: s.ref.OmittedBreaches, Verdict: s.ref.Verdict(),
-		Best: s.day.BestRevenue(), Crashes: s.crashes, Late: s.late, Took: s.now()}
+	r := &Result{Seed: s.day.Seed, Account: s.ref.Account(), Breaches: s.ref.Breaches, OmittedBreaches: s.ref.OmittedBreaches, Verdict: s.ref.Verdict(),
+		BestRevenue: s.day.BestRevenue(), Crashes: s.crashes, MaxHandInDelay: s.maxHandInDelay, Elapsed: s.now()}
 	for _, snd := range s.senders {
-		r.CPU += snd.cpu
-		r.MemoryKB = append(r.MemoryKB, snd.peak)
+		r.SenderCPU += snd.cpuTime
+		r.PeakMemoryKB = append(r.PeakMemoryKB, snd.peakMemoryKB)
 	}
 	var own syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &own) == nil {
-		r.OwnCPU = time.Duration(own.Utime.Nano() + own.Stime.Nano())
+		r.StandinCPU = time.Duration(own.Utime.Nano() + own.Stime.Nano())
 	}
 	return r
 }
 
 // network is the part of the loopback range that one stage has to itself.
 type network struct {
-	block int
-	hold  net.Listener // while it listens, the block is taken
+	block       int
+	reservation net.Listener // while it listens, the block is taken
 }
 
 // newNetwork takes a block of addresses that no other stage has.
@@ -339,17 +339,19 @@
 	return nil, errors.New("no block of loopback addresses is free: 127.16.255.1 to 127.115.255.1 are all taken at port 7999")
 }
 
-func (n *network) close() { n.hold.Close() }
+func (n *network) close() { n.reservation.Close() }
 
-// receiver is where a sender reaches the receiver of a place.
-func (n *network) receiver(sender, place int) string {
+// receiverAddr is where a sender reaches the receiver of a place.
+func (n *network) receiverAddr(sender, place int) string {
 	return fmt.Sprintf("127.%d.%d.1:%d", n.block, sender+1, 10000+place)
 }
 
-// agent is a sender's platform, anew after each new configuration.
-func (n *network) agent(sender, move int) string {
-	return fmt.Sprintf("127.%d.%d.2:%d", n.block, sender+1, 8500+move)
+// platformAddr is a sender's platform, anew after each new configuration.
+func (n *network) platformAddr(sender, reconfigurations int) string {
+	return fmt.Sprintf("127.%d.%d.2:%d", n.block, sender+1, 8500+reconfigurations)
 }
 
-// front is where clients reach a sender.
-func (n *network) front(sender int) string { return fmt.Sprintf("127.%d.%d.3:8443", n.block, sender+1) }
+// frontAddr is where clients reach a sender.
+func (n *network) frontAddr(sender int) string {
+	return fmt.Sprintf("127.%d.%d.3:8443", n.block, sender+1)
+}
--- a/internal/lab/standin/standin_test.go
+++ b/internal/lab/standin/standin_test.go
@@ -17,14 +17,14 @@
 
 func TestMain(m *testing.M) {
 	if fault := os.Getenv("TINY_FAULT"); fault != "" {
-		fmt.Fprintln(os.Stderr, tinyMain(fault))
+		fmt.Fprintln(os.Stderr, testSenderMain(fault))
 		os.Exit(1)
 	}
 	os.Exit(m.Run())
 }
 
-// rough is a world in which each rule can be broken: waits, a drain, an outage with a cold return, a kill and a stop.
-func rough() *world.World {
+// faultyWorld is a world in which each rule can be broken: waits, a drain, an outage with a cold return, a kill and a stop.
+func faultyWorld() *world.World {
 	w := world.Default()
 	w.Seconds, w.Senders = 6, 1
 	w.Load.PerSecond, w.Load.Clumps, w.Load.Zipf, w.Load.Swing = 9, 0, 0, 0
@@ -56,7 +56,7 @@
 	return Options{Command: []string{os.Args[0]}, Env: []string{"TINY_FAULT=" + fault}, Dir: t.TempDir()}
 }
 
-func drawn(t *testing.T, w *world.World) *world.Day {
+func drawDay(t *testing.T, w *world.World) *world.Day {
 	t.Helper()
 	day, err := w.Draw(7)
 	if err != nil {
@@ -71,7 +71,7 @@
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
 			opt := options(t, fault)
-			r, err := Play(t.Context(), drawn(t, rough()), opt)
+			r, err := Play(t.Context(), drawDay(t, faultyWorld()), opt)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -79,7 +79,7 @@
 			for _, b := range r.Breaches {
 				found[b.Rule]++
 			}
-			if rule == 0 && !r.Kept() || rule > 0 && found[rule] == 0 {
+			if rule == 0 && !r.Passed() || rule > 0 && found[rule] == 0 {
 				raw, _ := os.ReadFile(filepath.Join(opt.Dir, "n1", "log"))
 				t.Errorf("rules broken %v, expected %d; crashes %v\n%s%s", found, rule, r.Crashes, r.Verdict, raw)
 				for _, b := range r.Breaches[:min(3, len(r.Breaches))] {
@@ -93,8 +93,8 @@
 	}
 }
 
-// leftBehind says what of a stage is still there: its processes, its listeners.
-func leftBehind(t *testing.T, dir string, addrs ...string) (left []string) {
+// leftovers says what of a stage is still there: its processes, its listeners.
+func leftovers(t *testing.T, dir string, addrs ...string) (left []string) {
 	t.Helper()
 	procs, _ := filepath.Glob("/proc/[0-9]*/environ")
 	for _, p := range procs {
@@ -120,16 +120,16 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			opt := options(t, fault)
-			s, err := New(drawn(t, rough()), opt)
+			s, err := New(drawDay(t, faultyWorld()), opt)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer s.net.close()
-			addrs := []string{s.net.front(0), s.net.agent(0, 0), s.net.receiver(0, 0)}
+			addrs := []string{s.net.frontAddr(0), s.net.platformAddr(0, 0), s.net.receiverAddr(0, 0)}
 			go func() {
-				<-s.begun
+				<-s.started
 				time.Sleep(1500 * time.Millisecond)
-				if there := leftBehind(t, opt.Dir, addrs...); fault == "none" && len(there) != 4 {
+				if there := leftovers(t, opt.Dir, addrs...); fault == "none" && len(there) != 4 {
 					t.Errorf("in the middle of the day there are %v", there)
 				}
 				cancel()
@@ -138,7 +138,7 @@
 			if err != context.Canceled || r == nil {
 				t.Fatal(r, err)
 			}
-			if left := leftBehind(t, opt.Dir, addrs...); len(left) > 0 {
+			if left := leftovers(t, opt.Dir, addrs...); len(left) > 0 {
 				t.Errorf("%v are left behind", left)
 			}
 			if crashed := slices.ContainsFunc(r.Crashes, func(c string) bool { return strings.Contains(c, "exit status 3") }); crashed != (fault == "crash") {
@@ -150,10 +150,10 @@
 
 // A sender that does not start, or never answers, is an error that says so.
 func TestSenderThatDoesNotStart(t *testing.T) {
-	w := rough()
+	w := faultyWorld()
 	w.Sender.ReadyWithS = 0.3
 	for command, want := range map[string]string{"/bin/false": "ended before it was ready", "/nowhere/at/all": "no such file"} {
-		_, err := Play(t.Context(), drawn(t, w), Options{Command: []string{command}})
+		_, err := Play(t.Context(), drawDay(t, w), Options{Command: []string{command}})
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", command, err)
 		}
@@ -162,9 +162,9 @@
 
 // A sender that ends by itself after SIGHUP has crashed: the tiny one does not know the signal.
 func TestNewConfiguration(t *testing.T) {
-	w := rough()
+	w := faultyWorld()
 	w.Seconds, w.Fate = 1, []world.Fate{{What: "hup", AtS: 0.5}}
-	r, err := Play(t.Context(), drawn(t, w), options(t, "none"))
+	r, err := Play(t.Context(), drawDay(t, w), options(t, "none"))
 	if err != nil || len(r.Crashes) != 1 || !strings.Contains(r.Crashes[0], syscall.SIGHUP.String()) {
 		t.Error(r, err)
 	}
--- a/internal/lab/standin/tiny_test.go
+++ b/internal/lab/standin/tiny_test.go
@@ -21,7 +21,7 @@
 // A tiny sender: one call at a time to each destination, in order of arrival. It is right as it is; a fault by name
 // makes it wrong in one way. The test binary runs as this program when TINY_FAULT is set.
 
-type tinyText struct {
+type testText struct {
 	ID, Product, Mark string
 	Dest              int
 	Until             time.Time
@@ -30,7 +30,7 @@
 	Over              bool
 }
 
-type tiny struct {
+type testSender struct {
 	fault    string
 	products map[string]struct {
 		Repeat         string
@@ -38,21 +38,21 @@
 	}
 	discovery string
 
-	turn   atomic.Int64
-	mu     sync.Mutex
-	ledger *os.File
-	addrs  map[string]tinyAddr // by id
-	queues map[int]chan *tinyText
-	waits  map[int]time.Time
+	turn      atomic.Int64
+	mu        sync.Mutex
+	ledger    *os.File
+	addrs     map[string]testReceiver // by id
+	queues    map[int]chan *testText
+	waitUntil map[int]time.Time
 }
 
-type tinyAddr struct {
+type testReceiver struct {
 	addr  string
 	cell  int
 	state string
 }
 
-func tinyMain(fault string) error {
+func testSenderMain(fault string) error {
 	raw, err := os.ReadFile(os.Getenv("GW_CONFIG"))
 	if err != nil {
 		return err
@@ -69,7 +69,7 @@
 	if err := json.Unmarshal(raw, &conf); err != nil {
 		return err
 	}
-	s := &tiny{fault: fault, discovery: conf.Discovery, addrs: map[string]tinyAddr{}, queues: map[int]chan *tinyText{}, waits: map[int]time.Time{}}
+	s := &testSender{fault: fault, discovery: conf.Discovery, addrs: map[string]testReceiver{}, queues: map[int]chan *testText{}, waitUntil: map[int]time.Time{}}
 	s.products = map[string]struct {
 		Repeat         string
 		RepeatWindowUs float64
@@ -89,17 +89,17 @@
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("/up", func(http.ResponseWriter, *http.Request) {})
-	mux.HandleFunc("/api", s.take)
+	mux.HandleFunc("/api", s.accept)
 	return http.ListenAndServe(conf.Listen, mux)
 }
 
 // open reads what was held, and goes on with it.
-func (s *tiny) open(path string) error {
-	texts := map[string]*tinyText{}
-	var order []*tinyText
+func (s *testSender) open(path string) error {
+	texts := map[string]*testText{}
+	var order []*testText
 	if raw, err := os.ReadFile(path); err == nil && s.fault != "loses" {
 		for line := range bytes.Lines(raw) {
-			var t tinyText
+			var t testText
 			if json.Unmarshal(line, &t) != nil {
 				continue
 			}
@@ -123,7 +123,7 @@
 	return nil
 }
 
-func (s *tiny) keep(t *tinyText) {
+func (s *testSender) persist(t *testText) {
 	raw, _ := json.Marshal(t)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -131,7 +131,7 @@
 }
 
 // watch follows the list.
-func (s *tiny) watch() {
+func (s *testSender) watch() {
 	for version := 0; ; time.Sleep(20 * time.Millisecond) {
 		resp, err := http.Get(fmt.Sprintf("http://%s/discovery/hosts?stream=1&index=%d", s.discovery, version))
 		if err != nil {
@@ -140,14 +140,14 @@
 		in := bufio.NewScanner(resp.Body)
 		in.Buffer(nil, 1<<20)
 		for in.Scan() {
-			var l listed
+			var l receiverList
 			if json.Unmarshal(in.Bytes(), &l) != nil {
 				continue
 			}
 			version = l.Version
 			s.mu.Lock()
 			for _, one := range l.Servers {
-				s.addrs[one.ID] = tinyAddr{one.Addr, one.Cell, one.State}
+				s.addrs[one.ID] = testReceiver{one.Addr, one.Cell, one.State}
 			}
 			s.mu.Unlock()
 		}
@@ -155,7 +155,7 @@
 	}
 }
 
-func (s *tiny) take(w http.ResponseWriter, r *http.Request) {
+func (s *testSender) accept(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	budget, _ := strconv.ParseFloat(r.Header.Get("X-Budget"), 64)
 	dest, _, _ := strings.Cut(strings.TrimPrefix(r.Header.Get("X-Envelope"), "dest="), ",")
@@ -163,9 +163,9 @@
 	if err != nil {
 		return
 	}
-	t := &tinyText{ID: r.Header.Get("X-Call-Id"), Product: r.Header.Get("X-Call-Class"), Mark: r.Header.Get("Idempotency-Key"), Dest: no,
+	t := &testText{ID: r.Header.Get("X-Call-Id"), Product: r.Header.Get("X-Call-Class"), Mark: r.Header.Get("Idempotency-Key"), Dest: no,
 		Until: time.Now().Add(time.Duration(budget * float64(time.Second))), Body: body}
-	s.keep(t)
+	s.persist(t)
 	if s.fault == "twice" {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	} else {
@@ -175,12 +175,12 @@
 	s.queue(t)
 }
 
-func (s *tiny) queue(t *tinyText) {
+func (s *testSender) queue(t *testText) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	q := s.queues[t.Dest]
 	if q == nil {
-		q = make(chan *tinyText, 4096)
+		q = make(chan *testText, 4096)
 		s.queues[t.Dest] = q
 		workers := map[string]int{"floods": 40, "order": 8}[s.fault]
 		for range max(1, workers) {
@@ -195,7 +195,7 @@
 }
 
 // deliver submits a text until it is delivered or over.
-func (s *tiny) deliver(t *tinyText) {
+func (s *testSender) deliver(t *testText) {
 	p := s.products[t.Product]
 	pause := 150 * time.Millisecond
 	if s.fault == "floods" {
@@ -203,17 +203,17 @@
 	}
 	for ; ; time.Sleep(pause) {
 		now := time.Now()
-		late := now.After(t.Until.Add(-100 * time.Millisecond))
+		expired := now.After(t.Until.Add(-100 * time.Millisecond))
 		if !t.RanAt.IsZero() {
 			window := time.Duration(p.RepeatWindowUs) * time.Microsecond
-			late = late || p.Repeat == "unsafe" && s.fault != "repeats" || p.Repeat == "keyed" && now.After(t.RanAt.Add(window-100*time.Millisecond))
+			expired = expired || p.Repeat == "unsafe" && s.fault != "repeats" || p.Repeat == "keyed" && now.After(t.RanAt.Add(window-100*time.Millisecond))
 		}
-		if late {
-			s.notice(t)
+		if expired {
+			s.giveUp(t)
 			return
 		}
 		s.mu.Lock()
-		wait := s.waits[t.Dest]
+		wait := s.waitUntil[t.Dest]
 		var open []string
 		for _, a := range s.addrs {
 			if a.cell == t.Dest && (a.state == "active" || s.fault == "drains") {
@@ -226,34 +226,34 @@
 		}
 		slices.Sort(open)
 		if s.fault == "drains" {
-			open = s.drainingFirst(open)
+			open = s.onlyDraining(open)
 		}
 		ran := t.RanAt
 		if ran.IsZero() {
 			t.RanAt = now
-			s.keep(t) // before the call: it may run
+			s.persist(t) // before the call: it may run
 		}
-		delivered, never, told := s.submit(t, open[int(s.turn.Add(1))%len(open)])
+		delivered, notRun, retryIn := s.submit(t, open[int(s.turn.Add(1))%len(open)])
 		if delivered {
 			t.Over = true
-			s.keep(t)
+			s.persist(t)
 			return
 		}
-		if never {
+		if notRun {
 			t.RanAt = ran
-			s.keep(t)
+			s.persist(t)
 		}
-		if told > 0 {
+		if retryIn > 0 {
 			s.mu.Lock()
-			s.waits[t.Dest] = time.Now().Add(told)
+			s.waitUntil[t.Dest] = time.Now().Add(retryIn)
 			s.mu.Unlock()
 		}
 	}
 }
 
-// drainingFirst leaves those that drain, where there are any: which of a destination's endpoints a call goes to hangs on
+// onlyDraining leaves those that drain, where there are any: which of a destination's endpoints a call goes to hangs on
 // the turns of all destinations, and by chance no call of a day may meet the one that drains.
-func (s *tiny) drainingFirst(open []string) []string {
+func (s *testSender) onlyDraining(open []string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var draining []string
@@ -268,10 +268,10 @@
 	return draining
 }
 
-func (s *tiny) submit(t *tinyText, addr string) (delivered, never bool, told time.Duration) {
+func (s *testSender) submit(t *testText, addr string) (delivered, notRun bool, retryIn time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), min(600*time.Millisecond, time.Until(t.Until)))
 	defer cancel()
-	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/events", once{bytes.NewReader(t.Body)})
+	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/events", singleUseBody{bytes.NewReader(t.Body)})
 	req.ContentLength = int64(len(t.Body))
 	req.Header = http.Header{"X-Call-Id": {t.ID}, "X-Budget": {"0.6"}}
 	if t.Mark != "" {
@@ -286,8 +286,8 @@
 	return resp.StatusCode == 200, resp.StatusCode == 429 || resp.StatusCode == 503, time.Duration(ms * float64(time.Millisecond))
 }
 
-// notice gives a text up.
-func (s *tiny) notice(t *tinyText) {
+// giveUp gives a text up.
+func (s *testSender) giveUp(t *testText) {
 	line := fmt.Sprintf(`{"message":%q,"outcome":"given_up"}`, t.ID)
 	for ; ; time.Sleep(20 * time.Millisecond) {
 		resp, err := http.Post("http://"+s.discovery+"/v2/finals", "application/json", strings.NewReader(line))
@@ -297,5 +297,5 @@
 		}
 	}
 	t.Over = true
-	s.keep(t)
+	s.persist(t)
 }
