--- a/internal/lab/standin/clients.go
+++ b/internal/lab/standin/clients.go
@@ -18,28 +18,28 @@
 	"emberquay/internal/lab/world"
 )
 
-// handIn is one hand-in of a text.
+// handIn is one attempt of a client to hand a text in.
 type handIn struct {
 	id       string
 	text     *world.Text
-	attempt  int // the how-manieth, from 0
+	attempt  int // counts from 0
 	finished bool
 }
 
-// front deals hand-ins out to the senders that it takes to live.
+// front is the load balancer: it distributes hand-ins to the senders that it considers up.
 type front struct {
-	stage   *Playback
-	clients []*http.Client
-	slots   chan struct{} // bounds the hand-ins under way
-	ctx     context.Context
-	work    sync.WaitGroup
+	playback *Playback
+	clients  []*http.Client
+	slots    chan struct{} // limits concurrent hand-ins
+	ctx      context.Context
+	work     sync.WaitGroup
 }
 
-// maxPendingHandIns bounds the hand-ins that wait for their answers.
+// maxPendingHandIns limits the hand-ins that wait for their answers.
 const maxPendingHandIns = 4096
 
 func newFront(ctx context.Context, s *Playback) *front {
-	f := &front{ctx: ctx, stage: s, slots: make(chan struct{}, maxPendingHandIns)}
+	f := &front{ctx: ctx, playback: s, slots: make(chan struct{}, maxPendingHandIns)}
 	for range s.senders {
 		most := s.day.World.Clients.Conns
 		f.clients = append(f.clients, &http.Client{Transport: &http.Transport{
@@ -61,9 +61,9 @@
 	}
 }
 
-// play hands in all texts of the day, each at its time, until the context ends.
+// play hands in all texts of the day at their scheduled times, until the context ends.
 func (f *front) play() {
-	s := f.stage
+	s := f.playback
 	for _, t := range s.day.Texts {
 		if !s.waitUntil(f.ctx, t.At) {
 			return
@@ -72,7 +72,7 @@
 	}
 }
 
-// startHandIn hands a text in, in a goroutine of its own.
+// startHandIn hands a text in on a new goroutine; it blocks while maxPendingHandIns are pending.
 func (f *front) startHandIn(t *world.Text, attempt int, retryMark string) {
 	select {
 	case f.slots <- struct{}{}:
@@ -82,21 +82,21 @@
 	f.work.Go(func() {
 		defer func() { <-f.slots }()
 		f.handIn(t, attempt, retryMark)
-		f.stage.locked(func(time.Duration) { f.stage.pendingHandIns-- })
+		f.playback.locked(func(time.Duration) { f.playback.pendingHandIns-- })
 	})
 }
 
-// scheduleRetry has a client come again, if it does. It is called under the stage's lock.
+// scheduleRetry schedules the client's next attempt, if it makes one. The caller holds the playback's lock.
 func (f *front) scheduleRetry(now time.Duration, h *handIn, outcome world.ClientReply, retryAfter time.Duration) {
 	if h.finished {
 		return
 	}
 	h.finished = true
-	next, ok := f.stage.day.NextHandIn(now, h.text, h.attempt, outcome, retryAfter)
-	if !ok || next.At >= f.stage.day.End {
+	next, ok := f.playback.day.NextHandIn(now, h.text, h.attempt, outcome, retryAfter)
+	if !ok || next.At >= f.playback.day.End {
 		return
 	}
-	f.stage.pendingHandIns++
+	f.playback.pendingHandIns++
 	time.AfterFunc(next.At-now, func() {
 		if f.ctx.Err() == nil {
 			f.startHandIn(h.text, h.attempt+1, next.Mark)
@@ -104,10 +104,10 @@
 	})
 }
 
-// recordNotice tells the referee, and the client, how a text ended.
+// recordNotice reports a text's notice to the referee, and to the client if the text was handed back.
 func (s *Playback) recordNotice(sender int, id string, handedBack bool, retryAfter time.Duration) {
 	s.locked(func(now time.Duration) {
-		s.ref.NoticeSent(now, sender, id, handedBack)
+		s.referee.NoticeSent(now, sender, id, handedBack)
 		s.logEvent("event=notice text=%s sender=%d handed_back=%v come_back=%s", id, sender, handedBack, retryAfter)
 		if h := s.handInsByID[id]; h != nil && handedBack && s.front != nil {
 			s.front.scheduleRetry(now, h, world.Nacked, retryAfter)
@@ -115,14 +115,14 @@
 	})
 }
 
-// handIn makes one hand-in and hears its answer.
+// handIn makes one hand-in and records its outcome.
 func (f *front) handIn(t *world.Text, attempt int, retryMark string) {
-	s := f.stage
+	s := f.playback
 	to := s.nextSender()
-	if to == nil { // none lives: as if nobody answered
+	if to == nil { // no sender is up: counts as no answer
 		s.locked(func(now time.Duration) {
 			if attempt == 0 {
-				s.ref.SenderUnavailable(now, t)
+				s.referee.SenderUnavailable(now, t)
 			}
 			f.scheduleRetry(now, &handIn{text: t, attempt: attempt}, world.NoAnswer, 0)
 		})
@@ -136,14 +136,14 @@
 		}
 		remaining = t.Validity() - now
 		s.handInsByID[h.id] = h
-		s.ref.HandedIn(now, referee.HandIn{ID: h.id, Sender: to.no, Text: t, ValidUntil: t.Validity()})
+		s.referee.HandedIn(now, referee.HandIn{ID: h.id, Sender: to.no, Text: t, ValidUntil: t.Validity()})
 	})
 	outcome, retryAfter, elapsed, dropped := f.post(to, h, retryMark, remaining)
 	s.locked(func(now time.Duration) {
 		if dropped {
-			s.ref.ClientConnectionClosed(now, h.id, elapsed)
+			s.referee.ClientConnectionClosed(now, h.id, elapsed)
 		} else {
-			s.ref.ClientAnswered(now, h.id, outcome, retryAfter)
+			s.referee.ClientAnswered(now, h.id, outcome, retryAfter)
 		}
 		if outcome != world.Accepted {
 			f.scheduleRetry(now, h, outcome, retryAfter)
@@ -151,7 +151,7 @@
 	})
 }
 
-// textBody gives a text's bytes, the same at each hand-in.
+// textBody generates a text's bytes, the same for each hand-in.
 func textBody(seed uint64, t *world.Text) []byte {
 	b := make([]byte, t.BodyBytes)
 	c := rand.New(rand.NewPCG(seed, uint64(t.No)))
@@ -165,14 +165,15 @@
 	return b
 }
 
-// singleUseBody hides from the transport that a body could be had again: a request must not be sent twice by itself.
+// singleUseBody hides from the transport that the body can be replayed, so that it never resends a request by itself.
 type singleUseBody struct{ io.Reader }
 
 func (singleUseBody) Close() error { return nil }
 
-// post makes the request. dropped: the sender ended the connection without an answer, so long after the request.
+// post sends the request. dropped reports that the sender closed the connection without an answer, elapsed after the
+// request was written.
 func (f *front) post(to *sender, h *handIn, retryMark string, remaining time.Duration) (outcome world.ClientReply, retryAfter, elapsed time.Duration, dropped bool) {
-	s := f.stage
+	s := f.playback
 	ctx, cancel := context.WithTimeout(f.ctx, s.day.ReplyTimeout())
 	defer cancel()
 	content := textBody(s.day.Seed, h.text)
@@ -185,7 +186,7 @@
 		})
 		req, err := http.NewRequestWithContext(traced, http.MethodPost, "http://"+s.net.frontAddr(to.no)+"/api", singleUseBody{bytes.NewReader(content)})
 		if err != nil {
-			panic(err) // the address is our own
+			panic(err) // the URL is built from a valid address
 		}
 		req.ContentLength = int64(len(content))
 		req.Host = "app.svc"
@@ -212,7 +213,7 @@
 			case errors.Is(err, context.DeadlineExceeded), ctx.Err() != nil:
 				return world.NoAnswer, 0, 0, false
 			case reused && sinceWritten < s.slack() && tries < 3 && !to.isDown():
-				continue // its close crossed the request
+				continue // the sender closed the idle connection as the request was sent
 			case writtenAt.IsZero(), to.isDown():
 				return world.NoAnswer, 0, 0, false
 			}
@@ -235,7 +236,7 @@
 	return time.Duration(s.day.World.Rules.SlackMs * float64(time.Millisecond))
 }
 
-// nextSender deals the senders out in turn, of those that the front takes to live.
+// nextSender returns the next sender in round-robin order that the front considers up, or nil.
 func (s *Playback) nextSender() *sender {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/standin/open_linux.go
+++ b/internal/lab/standin/open_linux.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// stillOpen says whether the other end had not closed the connection by now. On loopback its close is known to the
-// kernel at once; an answer written after it is never read, and what it says was not told.
+// stillOpen reports whether the peer has not closed the connection yet. On loopback the kernel knows of the close at
+// once; an answer written after it is never read, so it does not count as delivered.
 func stillOpen(c *net.TCPConn) bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
--- a/internal/lab/standin/open_other.go
+++ b/internal/lab/standin/open_other.go
@@ -4,5 +4,6 @@
 
 import "net"
 
-// stillOpen cannot be known here: an answer counts as told unless the connection is reset with it unread.
+// stillOpen always returns true, since the state is unknown on this system: an answer counts as delivered unless the
+// connection is reset with it unread.
 func stillOpen(*net.TCPConn) bool { return true }
--- a/internal/lab/standin/platform.go
+++ b/internal/lab/standin/platform.go
@@ -13,9 +13,9 @@
 	"emberquay/internal/lab/world"
 )
 
-// platform is the platform as one sender reaches it: the list of receivers, and where notices go.
+// platform serves the platform's endpoints to one sender: the receiver list and the notices.
 type platform struct {
-	stage    *Playback
+	playback *Playback
 	sender   int
 	listener net.Listener
 	http     *http.Server
@@ -28,7 +28,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("the platform at %s: %w", addr, err)
 	}
-	a := &platform{stage: s, sender: sender, listener: l, closing: make(chan struct{})}
+	a := &platform{playback: s, sender: sender, listener: l, closing: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /discovery/hosts", a.serveHosts)
 	mux.HandleFunc("POST /v2/finals", a.serveFinals)
@@ -42,7 +42,7 @@
 	a.http.Close()
 }
 
-// receiverList is the list on the wire.
+// receiverList is the wire format of the receiver list.
 type receiverList struct {
 	Version int              `json:"version"`
 	Full    bool             `json:"full"`
@@ -62,7 +62,7 @@
 	receiver int
 }
 
-// receiverListSince is what a sender is told: the whole of a version, or what changed of it since another.
+// receiverListSince returns the list for a sender: a full version, or its changes since an earlier one.
 func (s *Playback) receiverListSince(sender, since, version int) receiverList {
 	l := receiverList{Version: version, Full: since <= 0 || since > version, Servers: []listedReceiver{}}
 	for _, r := range s.day.Receivers {
@@ -76,29 +76,29 @@
 	return l
 }
 
-// recordNotified notes what a list says, once it is written.
+// recordNotified reports the states in a list to the referee after the list was written.
 func (a *platform) recordNotified(l receiverList) {
-	s := a.stage
+	s := a.playback
 	s.locked(func(now time.Duration) {
 		named := map[int]bool{}
 		for _, entry := range l.Servers {
 			named[entry.receiver] = true
-			s.ref.ReceiverStateNotified(now, a.sender, entry.receiver, entry.State)
+			s.referee.ReceiverStateNotified(now, a.sender, entry.receiver, entry.State)
 		}
 		for _, r := range s.day.Receivers {
 			if l.Full && !named[r.No] && s.day.State(r, l.Version) == world.Left {
-				s.ref.ReceiverStateNotified(now, a.sender, r.No, world.Left)
+				s.referee.ReceiverStateNotified(now, a.sender, r.No, world.Left)
 			}
 		}
 	})
 }
 
-func (a *platform) listVersion() int { return a.stage.day.Version(a.sender, a.stage.now()) }
+func (a *platform) listVersion() int { return a.playback.day.Version(a.sender, a.playback.now()) }
 
-// serveHosts tells the list, or keeps a watch.
+// serveHosts answers with the list, or streams its changes.
 func (a *platform) serveHosts(w http.ResponseWriter, r *http.Request) {
-	day := a.stage.day
-	if day.ListSilent(a.stage.now()) { // nothing is answered
+	day := a.playback.day
+	if day.ListSilent(a.playback.now()) { // the request stays unanswered
 		select {
 		case <-r.Context().Done():
 		case <-a.closing:
@@ -106,7 +106,7 @@
 		return
 	}
 	if r.URL.Query().Get("stream") == "" {
-		l := a.stage.receiverListSince(a.sender, 0, a.listVersion())
+		l := a.playback.receiverListSince(a.sender, 0, a.listVersion())
 		w.Header().Set("Content-Type", "application/json")
 		if json.NewEncoder(w).Encode(l) == nil {
 			a.recordNotified(l)
@@ -121,16 +121,16 @@
 	flush := func() bool { return http.NewResponseController(w).Flush() == nil }
 	poll := time.NewTicker(10 * time.Millisecond)
 	defer poll.Stop()
-	lastWrite := a.stage.now()
+	lastWrite := a.playback.now()
 	heartbeatInterval := time.Duration(day.World.List.HeartbeatS * float64(time.Second))
 	for first := true; ; first = false {
-		now := a.stage.now()
+		now := a.playback.now()
 		switch v := a.listVersion(); {
 		case day.ListCut(now):
 			return
 		case day.ListSilent(now):
 		case v != since || first:
-			l := a.stage.receiverListSince(a.sender, since, v)
+			l := a.playback.receiverListSince(a.sender, since, v)
 			if json.NewEncoder(w).Encode(l) != nil || !flush() {
 				return
 			}
@@ -153,7 +153,7 @@
 	}
 }
 
-// serveFinals takes notices.
+// serveFinals accepts notices, one JSON object a line.
 func (a *platform) serveFinals(w http.ResponseWriter, r *http.Request) {
 	type notice struct {
 		Message string  `json:"message"`
@@ -171,7 +171,7 @@
 		all = append(all, n)
 	}
 	for _, n := range all {
-		a.stage.recordNotice(a.sender, n.Message, n.Outcome == "handed_back", time.Duration(n.RetryMs*float64(time.Millisecond)))
+		a.playback.recordNotice(a.sender, n.Message, n.Outcome == "handed_back", time.Duration(n.RetryMs*float64(time.Millisecond)))
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/internal/lab/standin/receivers.go
+++ b/internal/lab/standin/receivers.go
@@ -17,8 +17,8 @@
 	"emberquay/internal/lab/world"
 )
 
-// serveReceivers listens at the address under which a sender reaches the receivers of a place, one after the other, whenever
-// the one that has it does.
+// serveReceivers serves the address at which a sender reaches the receivers of a place. They use it one after the
+// other; the address listens whenever its current receiver does.
 func (s *Playback) serveReceivers(ctx context.Context, sender, place int) {
 	addr := s.net.receiverAddr(sender, place)
 	for ctx.Err() == nil {
@@ -36,7 +36,7 @@
 			s.fail(fmt.Errorf("receiver at %s: %w", addr, err))
 			return
 		}
-		h := &receiverServer{stage: s, sender: sender, receiver: r, conns: map[*conn]bool{}}
+		h := &receiverServer{playback: s, sender: sender, receiver: r, conns: map[*conn]bool{}}
 		over := make(chan struct{})
 		go func() {
 			defer close(over)
@@ -49,7 +49,7 @@
 	}
 }
 
-// listeningReceiver is the receiver that listens at a place.
+// listeningReceiver returns the receiver that listens at a place, or nil.
 func (s *Playback) listeningReceiver(place int, now time.Duration) *world.Receiver {
 	for _, r := range s.day.Receivers {
 		if r.AddressNo == place && r.Listens(now) {
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// nextListenChange is when that may change next.
+// nextListenChange returns the next time at which listeningReceiver may change, at most an hour ahead.
 func (s *Playback) nextListenChange(place int, now time.Duration) time.Duration {
 	next := now + time.Hour
 	look := func(at time.Duration) {
@@ -82,9 +82,9 @@
 	return next
 }
 
-// receiverServer is a receiver as one sender reaches it, for as long as it listens.
+// receiverServer serves a receiver to one sender while the receiver listens.
 type receiverServer struct {
-	stage    *Playback
+	playback *Playback
 	sender   int
 	receiver *world.Receiver
 
@@ -99,7 +99,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // out of descriptors, as a rule
+		if err != nil { // usually out of file descriptors
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
@@ -112,7 +112,7 @@
 	}
 }
 
-// closeConns resets what is open: the receiver is gone, or refuses connections now.
+// closeConns resets the open connections: the receiver is gone or now refuses connections.
 func (h *receiverServer) closeConns() {
 	h.mu.Lock()
 	for k := range h.conns {
@@ -130,7 +130,7 @@
 
 	once         sync.Once
 	aborted      chan struct{} // closed by abort
-	lastAnswered int64         // the call that was answered last, 0 for none
+	lastAnswered int64         // number of the last answered call, 0 for none
 }
 
 // abort resets the connection.
@@ -142,24 +142,24 @@
 	})
 }
 
-// readResult is the first byte of a request, or why there is none.
+// readResult is the arrival of a request's first byte, or the error in its place.
 type readResult struct {
 	at  time.Duration
 	err error
 }
 
-// awaitByte tells on a channel when the next byte comes, or the connection ends.
+// awaitByte returns a channel that reports the next byte's arrival or the end of the connection.
 func (k *conn) awaitByte() <-chan readResult {
 	ch := make(chan readResult, 1)
 	go func() {
 		_, err := k.reader.Peek(1)
-		ch <- readResult{k.server.stage.now(), err}
+		ch <- readResult{k.server.playback.now(), err}
 	}()
 	return ch
 }
 
 func (k *conn) serve() {
-	s, h := k.server.stage, k.server
+	s, h := k.server.playback, k.server
 	overLimit, atCapacity := false, false
 	s.locked(func(time.Duration) {
 		if atCapacity = s.openConns >= maxConns; !atCapacity {
@@ -206,23 +206,24 @@
 	}
 }
 
-// recordIdleEnd tells how an idle connection ended. If the sender's end was reset, the last answer had not been read.
+// recordIdleEnd reports how an idle connection ended. After a reset by the sender, the last answer was unread.
 func (k *conn) recordIdleEnd(err error) {
-	s := k.server.stage
+	s := k.server.playback
 	select {
-	case <-k.aborted: // by ourselves
-		s.locked(func(now time.Duration) { s.ref.IdleConnectionBroken(now, k.server.sender, k.server.receiver.No) })
+	case <-k.aborted: // reset by the receiver
+		s.locked(func(now time.Duration) { s.referee.IdleConnectionBroken(now, k.server.sender, k.server.receiver.No) })
 		return
 	default:
 	}
 	if k.lastAnswered != 0 && errors.Is(err, syscall.ECONNRESET) {
-		s.locked(func(now time.Duration) { s.ref.CallAnswerUnread(now, k.lastAnswered) })
+		s.locked(func(now time.Duration) { s.referee.CallAnswerUnread(now, k.lastAnswered) })
 	}
 }
 
-// handleCall takes one request and gives it what the receiver's model says; more if the connection goes on.
+// handleCall reads one request and answers it as the receiver's model decides; more reports whether the connection
+// stays open.
 func (k *conn) handleCall(firstByteAt time.Duration, overLimit bool) (next <-chan readResult, more bool) {
-	s, h := k.server.stage, k.server
+	s, h := k.server.playback, k.server
 	req, err := http.ReadRequest(k.reader)
 	if err != nil {
 		io.WriteString(k.tcp, "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
@@ -239,7 +240,7 @@
 	s.locked(func(now time.Duration) {
 		s.lastCallNo++
 		no = s.lastCallNo
-		s.ref.CallBegan(now, firstByteAt, no, id, h.sender, h.receiver.No)
+		s.referee.CallBegan(now, firstByteAt, no, id, h.sender, h.receiver.No)
 		if hand := s.handInsByID[id]; hand != nil {
 			c.Text = hand.text
 			c.SubmitNo = s.submitCounts[c.Text]
@@ -248,13 +249,13 @@
 	})
 	body, err := io.ReadAll(io.LimitReader(req.Body, 64<<10+1))
 	if err != nil || int64(len(body)) != req.ContentLength {
-		s.locked(func(now time.Duration) { s.ref.CallEnded(now, no, true) })
+		s.locked(func(now time.Duration) { s.referee.CallEnded(now, no, true) })
 		return nil, false
 	}
 	var dueAt time.Duration
 	completes := true
 	s.locked(func(now time.Duration) {
-		s.ref.CallArrived(now, no)
+		s.referee.CallArrived(now, no)
 		if overLimit {
 			dueAt = now
 			return
@@ -262,7 +263,7 @@
 		overloadedBefore := h.receiver.Overload
 		dueAt, completes = h.receiver.Begin(now, c)
 		if h.receiver.Overload != overloadedBefore {
-			s.ref.ReceiverOverloaded(now, h.receiver.No, h.receiver.Overload)
+			s.referee.ReceiverOverloaded(now, h.receiver.No, h.receiver.Overload)
 		}
 	})
 	next = k.awaitByte()
@@ -277,11 +278,11 @@
 		case <-timer:
 			return next, k.answer(no, id, c, overLimit, next)
 		case <-k.aborted:
-			s.locked(func(now time.Duration) { s.ref.CallEnded(now, no, false) })
+			s.locked(func(now time.Duration) { s.referee.CallEnded(now, no, false) })
 			k.finishAbandoned(no, c, dueAt, completes)
 			return nil, false
 		case b := <-next:
-			if b.err == nil { // more on a connection with a call out: the protocol has no such thing
+			if b.err == nil { // data during a call: the protocol has no pipelining
 				k.abort()
 				continue
 			}
@@ -290,47 +291,47 @@
 				continue
 			default:
 			}
-			s.locked(func(now time.Duration) { s.ref.CallEnded(now, no, true) })
+			s.locked(func(now time.Duration) { s.referee.CallEnded(now, no, true) })
 			k.finishAbandoned(no, c, dueAt, completes)
 			return nil, false
 		}
 	}
 }
 
-// finishAbandoned: what was given up runs to its end all the same, and may have its effect.
+// finishAbandoned runs an abandoned call to its end, since it may still take effect at the receiver.
 func (k *conn) finishAbandoned(no int64, c *world.Call, dueAt time.Duration, completes bool) {
-	s := k.server.stage
+	s := k.server.playback
 	if !completes {
 		return
 	}
 	time.AfterFunc(dueAt-s.now(), func() {
 		s.locked(func(now time.Duration) {
 			if a := k.server.receiver.End(now, c); a.Executed || a.Duplicate {
-				s.ref.CallExecuted(no, a.Duplicate)
+				s.referee.CallExecuted(no, a.Duplicate)
 			}
 		})
 	})
 }
 
-// answer writes what is due; true if the connection goes on.
+// answer writes the model's answer; it returns true if the connection stays open.
 func (k *conn) answer(no int64, id string, c *world.Call, overLimit bool, next <-chan readResult) bool {
-	s, h := k.server.stage, k.server
+	s, h := k.server.playback, k.server
 	var a world.Answer
 	open := stillOpen(k.tcp)
 	s.locked(func(now time.Duration) {
 		if overLimit {
 			a = world.Answer{Status: http.StatusServiceUnavailable, Reason: "connections"}
 		} else if a = h.receiver.End(now, c); a.Executed || a.Duplicate {
-			s.ref.CallExecuted(no, a.Duplicate)
+			s.referee.CallExecuted(no, a.Duplicate)
 		}
 		s.logEvent("event=call text=%s sender=%d receiver=%d status=%d wait=%s why=%s", id, h.sender, h.receiver.No, a.Status, a.RetryAfter, a.Reason)
 		switch {
 		case a.Action == world.Respond && open:
-			s.ref.CallAnswered(now, no, a.Status, a.RetryAfter)
-		case a.Action == world.Respond: // its sender had hung up; the end of the connection is on its way
-			s.ref.CallEnded(now, no, true)
+			s.referee.CallAnswered(now, no, a.Status, a.RetryAfter)
+		case a.Action == world.Respond: // the sender had closed the connection; the read of that is pending
+			s.referee.CallEnded(now, no, true)
 		case a.Action == world.Reset:
-			s.ref.CallEnded(now, no, false)
+			s.referee.CallEnded(now, no, false)
 		}
 	})
 	switch {
@@ -356,23 +357,23 @@
 		out = append(out, "Connection: close\r\n"...)
 	}
 	if _, err := k.tcp.Write(append(out, "\r\n"...)); err != nil {
-		s.locked(func(now time.Duration) { s.ref.CallAnswerUnread(now, no) })
+		s.locked(func(now time.Duration) { s.referee.CallAnswerUnread(now, no) })
 		return false
 	}
 	k.lastAnswered = no
 	return !overLimit
 }
 
-// awaitClose keeps the connection open until its sender ends it.
+// awaitClose keeps the connection open without an answer until the sender closes it.
 func (k *conn) awaitClose(no int64, next <-chan readResult) {
-	s := k.server.stage
+	s := k.server.playback
 	b := <-next
 	select {
 	case <-k.aborted:
-		s.locked(func(now time.Duration) { s.ref.CallEnded(now, no, false) })
+		s.locked(func(now time.Duration) { s.referee.CallEnded(now, no, false) })
 	default:
 		if b.err != nil {
-			s.locked(func(now time.Duration) { s.ref.CallEnded(now, no, true) })
+			s.locked(func(now time.Duration) { s.referee.CallEnded(now, no, true) })
 		}
 	}
 }
--- a/internal/lab/standin/senders.go
+++ b/internal/lab/standin/senders.go
@@ -15,15 +15,15 @@
 	"emberquay/internal/lab/processes"
 )
 
-// sender is one real sender: its process, started anew as the day has it.
+// sender is one real sender process; it is restarted as the day's events demand.
 type sender struct {
-	stage            *Playback
+	playback         *Playback
 	no               int
-	reconfigurations int // new configurations
+	reconfigurations int // number of reconfigurations so far
 
-	// under the stage's lock
+	// guarded by the playback's lock
 	platform     *platform
-	inRotation   bool // the front sends to it
+	inRotation   bool // the front sends hand-ins to it
 	down         bool
 	downCount    int
 	cpuTime      time.Duration
@@ -31,30 +31,30 @@
 
 	cmd          *exec.Cmd
 	exited       chan struct{}
-	exitExpected bool // its end is wanted
+	exitExpected bool // the exit of the process is intended, so it is no crash
 }
 
-func newSender(s *Playback, no int) *sender { return &sender{stage: s, no: no, down: true} }
+func newSender(s *Playback, no int) *sender { return &sender{playback: s, no: no, down: true} }
 
 func (o *sender) name() string         { return fmt.Sprintf("n%d", o.no+1) }
-func (o *sender) platformAddr() string { return o.stage.net.platformAddr(o.no, o.reconfigurations) }
-func (o *sender) dir() string          { return filepath.Join(o.stage.opt.Dir, o.name()) }
+func (o *sender) platformAddr() string { return o.playback.net.platformAddr(o.no, o.reconfigurations) }
+func (o *sender) dir() string          { return filepath.Join(o.playback.opt.Dir, o.name()) }
 
 func (o *sender) currentPlatform() *platform {
-	o.stage.mu.Lock()
-	defer o.stage.mu.Unlock()
+	o.playback.mu.Lock()
+	defer o.playback.mu.Unlock()
 	return o.platform
 }
 
 func (o *sender) isDown() bool {
-	o.stage.mu.Lock()
-	defer o.stage.mu.Unlock()
+	o.playback.mu.Lock()
+	defer o.playback.mu.Unlock()
 	return o.down
 }
 
-// writeConfig writes the configuration that the sender is started with, or told to read anew.
+// writeConfig writes the configuration file that the sender reads at its start and on a reload.
 func (o *sender) writeConfig() error {
-	s, w := o.stage, o.stage.day.World
+	s, w := o.playback, o.playback.day.World
 	conf := map[string]any{"name": o.name(), "listen": s.net.frontAddr(o.no), "discovery": o.platformAddr(), "state": filepath.Join(o.dir(), "state"),
 		"seed":     fmt.Sprintf("%x", s.day.Seed+uint64(o.no)),
 		"limits":   map[string]any{"cores": w.Sender.Cores, "memory_mb": w.Sender.MemoryMB, "sockets": w.Sender.Sockets, "disk_mb": w.Sender.DiskMB},
@@ -66,7 +66,7 @@
 	if err != nil {
 		return err
 	}
-	// In one step: a sender may read it just now.
+	// Replaced atomically, since a sender may be reading the file.
 	path := filepath.Join(o.dir(), "config.json")
 	if err := os.WriteFile(path+".new", raw, 0o600); err != nil {
 		return err
@@ -87,13 +87,13 @@
 		return err
 	}
 	defer log.Close()
-	s := o.stage
+	s := o.playback
 	cmd := exec.Command(s.opt.Command[0], s.opt.Command[1:]...)
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.Env = append([]string{"PATH=" + os.Getenv("PATH"), "HOME=" + o.dir(), "TMPDIR=" + o.dir(), "GW_NAME=" + o.name(),
 		"GW_LISTEN=" + s.net.frontAddr(o.no), "GW_DISCOVERY=" + o.platformAddr(), "GW_STATE=" + filepath.Join(o.dir(), "state"),
 		"GW_CONFIG=" + filepath.Join(o.dir(), "config.json")}, s.opt.Env...)
-	s.locked(func(now time.Duration) { s.ref.SenderStarted(now, o.no) })
+	s.locked(func(now time.Duration) { s.referee.SenderStarted(now, o.no) })
 	if err := launch.Start(cmd); err != nil {
 		return fmt.Errorf("sender %s: %w", o.name(), err)
 	}
@@ -115,15 +115,15 @@
 	return nil
 }
 
-// recordPeakMemory notes how much memory the process has taken at most. What the system tells of one that has ended counts what we had
-// when we started it. Under the stage's lock.
+// recordPeakMemory records the peak memory of the running process. The usage that the system reports for an exited child
+// is no substitute: it includes this process's own memory at the time of the start. The caller holds the lock.
 func (o *sender) recordPeakMemory() {
 	if o.cmd == nil {
 		return
 	}
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", o.cmd.Process.Pid))
 	if err != nil {
-		return // it has ended, or this system has no such file
+		return // the process has exited, or the system has no /proc
 	}
 	for line := range strings.Lines(string(raw)) {
 		var kb int64
@@ -133,11 +133,11 @@
 	}
 }
 
-// markDown: it is down from now on; the front goes on sending to it until it notices. Under the stage's lock.
+// markDown records that the sender is down; the front sends to it until it detects that. The caller holds the lock.
 func (o *sender) markDown(now time.Duration) {
-	s := o.stage
+	s := o.playback
 	o.down = true
-	s.ref.SenderDown(now, o.no)
+	s.referee.SenderDown(now, o.no)
 	life := o.downCount
 	o.downCount++
 	time.AfterFunc(s.day.DeathNoticeDelay(o.no, life), func() {
@@ -149,9 +149,9 @@
 	})
 }
 
-// waitReady waits until the sender says that it serves.
+// waitReady waits until the sender answers GET /up with 200.
 func (o *sender) waitReady(ctx context.Context) error {
-	s := o.stage
+	s := o.playback
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	end := time.Now().Add(time.Duration(s.day.World.Sender.ReadyWithS * float64(time.Second)))
 	for time.Now().Before(end) && ctx.Err() == nil {
@@ -160,7 +160,7 @@
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
 				s.locked(func(now time.Duration) {
-					s.ref.SenderReady(now, o.no)
+					s.referee.SenderReady(now, o.no)
 					o.down, o.inRotation = false, true
 				})
 				return nil
@@ -187,9 +187,9 @@
 	return string(raw)
 }
 
-// playEvents plays what befalls the sender, one thing after the other.
+// playEvents runs the sender's scheduled events (reload, kill, stop) one after the other.
 func (o *sender) playEvents(ctx context.Context, launch *processes.Launcher) {
-	s := o.stage
+	s := o.playback
 	for _, f := range s.day.Fates {
 		if f.Sender != o.no || !s.waitUntil(ctx, time.Duration(f.AtS*float64(time.Second))) {
 			continue
@@ -219,7 +219,7 @@
 
 // kill ends the process with SIGKILL.
 func (o *sender) kill() {
-	o.stage.locked(func(now time.Duration) {
+	o.playback.locked(func(now time.Duration) {
 		o.exitExpected = true
 		o.recordPeakMemory()
 		if !o.down {
@@ -230,16 +230,16 @@
 	<-o.exited
 }
 
-// stopTimeout is when SIGKILL follows SIGTERM.
+// stopTimeout is the time from SIGTERM to SIGKILL.
 const stopTimeout = 3700 * time.Millisecond
 
-// terminate ends it with SIGTERM. For a moment the front goes on sending to it.
+// terminate stops the process with SIGTERM. The front keeps sending to it for another 300 ms.
 func (o *sender) terminate(ctx context.Context) {
-	s := o.stage
+	s := o.playback
 	s.locked(func(now time.Duration) {
 		o.exitExpected = true
 		o.recordPeakMemory()
-		s.ref.SenderStopping(now, o.no)
+		s.referee.SenderStopping(now, o.no)
 		o.cmd.Process.Signal(syscall.SIGTERM)
 	})
 	time.AfterFunc(300*time.Millisecond, func() { s.locked(func(time.Duration) { o.inRotation = false }) })
@@ -253,14 +253,15 @@
 	s.locked(func(now time.Duration) {
 		if !o.down {
 			o.down = true
-			s.ref.SenderDown(now, o.no)
+			s.referee.SenderDown(now, o.no)
 		}
 	})
 }
 
-// reload gives the sender a new configuration: the platform has moved, and the old place ends after 1.5 s.
+// reload moves the platform to a new address and has the sender reload its configuration. The old address takes no new
+// connections from then on; its open ones are closed after 1.5 s.
 func (o *sender) reload() {
-	s := o.stage
+	s := o.playback
 	old := o.currentPlatform()
 	o.reconfigurations++
 	next, err := newPlatform(s, o.no, o.platformAddr())
@@ -281,13 +282,13 @@
 	time.AfterFunc(1500*time.Millisecond, old.close)
 }
 
-// shutdown ends the process, whatever it does.
+// shutdown stops the process at the end of a playback, with SIGKILL after stopTimeout.
 func (o *sender) shutdown() {
-	o.stage.mu.Lock()
+	o.playback.mu.Lock()
 	cmd, exited := o.cmd, o.exited
 	o.exitExpected = true
 	o.recordPeakMemory()
-	o.stage.mu.Unlock()
+	o.playback.mu.Unlock()
 	if cmd == nil {
 		return
 	}
--- a/internal/lab/standin/stand.go
+++ b/internal/lab/standin/stand.go
@@ -11,9 +11,9 @@
 	"emberquay/internal/lab/world"
 )
 
-// RunEnvironment keeps receivers and the platform up until the context ends, for senders that somebody else starts. It writes
-// each sender's configuration below dir and tells where; what comes is written to log as key=value lines. Nobody
-// hands texts in but that somebody, so every text that comes to a receiver is taken as it is and no rule is judged.
+// RunEnvironment runs receivers and the platform until the context ends, for senders that the caller starts. It writes
+// each sender's configuration below dir and passes its path and listen address to tell; calls and notices are written
+// to log as key=value lines. Only the caller hands texts in, so receivers accept every text and no rule is checked.
 func RunEnvironment(ctx context.Context, day *world.Day, dir string, tell func(no int, conf, listen string), log io.Writer) error {
 	s, err := New(day, Options{Dir: dir})
 	if err != nil {
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// logEvent writes a line of what is seen, where somebody looks on. Under the lock.
+// logEvent writes a line to the event log, if there is one. The caller holds the lock.
 func (s *Playback) logEvent(format string, args ...any) {
 	if s.log != nil {
 		fmt.Fprintf(s.log, "at=%.3fs "+format+"\n", append([]any{s.now().Seconds()}, args...)...)
--- a/internal/lab/standin/standin.go
+++ b/internal/lab/standin/standin.go
@@ -1,17 +1,16 @@
-// Package standin plays a day of internal/lab/world on loopback sockets round real sender processes: receivers, the
-// platform's list and notices, clients behind a front, and the senders' starts, ends and restarts. What is seen goes to
-// internal/lab/referee. How to use it:
+// Package standin runs a day of internal/lab/world on loopback sockets around real sender processes. It simulates the
+// receivers, the platform (receiver list and notices) and the clients behind a load balancer, and it starts, stops and
+// restarts the senders. Every observation is passed to internal/lab/referee. Usage:
 //
 //	day, err := world.Default().Draw(1)
 //	result, err := standin.Play(ctx, day, standin.Options{Command: []string{"bin/emberquay", "serve"}})
 //	fmt.Print(result.Verdict)
 //
-// Everything binds to addresses in 127.0.0.0/8 and is bounded: in time by the day, in calls by its texts, in
-// connections by mostConns. When Play returns, also because its context ended, every process that it started has
-// ended and every listener is closed. Each sender reaches everything at addresses of its own, so that it is known
-// which sender a call is from.
+// Everything binds to addresses in 127.0.0.0/8 and is bounded: time by the day, calls by its texts, connections by
+// maxConns. When Play returns, also after its context was cancelled, every process that it started has exited and
+// every listener is closed. Each sender uses its own set of addresses, which identifies the sender of a call.
 //
-// One lock holds the world and the referee: everything that is seen is told under it, in the order of its instants.
+// One lock guards the world and the referee: observations are reported under it, in chronological order.
 package standin
 
 import (
@@ -31,25 +30,25 @@
 	"emberquay/internal/lab/world"
 )
 
-// Options say how a day is played.
+// Options configure how a day is played.
 type Options struct {
-	Command  []string // starts one sender; it is told where everything is by the GW_ variables
-	Env      []string // more of its environment
-	Dir      string   // for state, configuration and logs; empty: one of its own, removed at the end
+	Command  []string // starts one sender; the GW_ variables pass it the addresses and paths
+	Env      []string // additional environment variables of the sender
+	Dir      string   // for state, configuration and logs; empty: a temporary directory, removed at the end
 	Progress func(Progress)
 }
 
-// Progress is told a few times a second.
+// Progress is reported about three times a second.
 type Progress struct {
 	Now, End  time.Duration
 	HandIns   int
 	Submits   int
 	Delivered int
-	OpenTexts int // taken on, not ended
+	OpenTexts int // accepted and without a final outcome
 	Breaches  int
 }
 
-// Result is what a day came to.
+// Result holds the outcome of a day.
 type Result struct {
 	Seed            uint64             `json:"seed"`
 	Account         *referee.Account   `json:"account"`
@@ -58,17 +57,17 @@
 	Verdict         string             `json:"-"`
 	BestRevenue     map[string]float64 `json:"best_by_capacity"` // revenue by product
 	Crashes         []string           `json:"crashes"`
-	MaxHandInDelay  time.Duration      `json:"late_ns"`        // the latest that a text was handed in after its time: the machine was busy
-	SenderCPU       time.Duration      `json:"sender_cpu_ns"`  // of all senders
-	StandinCPU      time.Duration      `json:"standin_cpu_ns"` // of the stand-ins
+	MaxHandInDelay  time.Duration      `json:"late_ns"`        // longest delay of a hand-in behind its scheduled time, caused by a busy machine
+	SenderCPU       time.Duration      `json:"sender_cpu_ns"`  // total of all senders
+	StandinCPU      time.Duration      `json:"standin_cpu_ns"` // of this process, which runs the stand-ins
 	Elapsed         time.Duration      `json:"took_ns"`
-	PeakMemoryKB    []int64            `json:"sender_peak_kb"` // of each sender, the most of its processes
+	PeakMemoryKB    []int64            `json:"sender_peak_kb"` // by sender, the maximum over its processes
 }
 
-// Passed says whether all rules were kept and no sender crashed.
+// Passed reports whether no rule was broken and no sender crashed.
 func (r *Result) Passed() bool { return len(r.Breaches) == 0 && len(r.Crashes) == 0 }
 
-// maxConns bounds the connections at the receivers together.
+// maxConns limits the connections to all receivers together.
 const maxConns = 8192
 
 // Playback is a day that is being played.
@@ -77,42 +76,42 @@
 	opt Options
 	net *network
 
-	started   chan struct{} // closed once the day has begun
-	startTime time.Time     // when; read only after begun
+	started   chan struct{} // closed when the day starts
+	startTime time.Time     // read only after started is closed
 
 	mu             sync.Mutex
-	ref            *referee.Referee
-	submitCounts   map[*world.Text]int // calls that came, of each text
+	referee        *referee.Referee
+	submitCounts   map[*world.Text]int // calls received, by text
 	handInsByID    map[string]*handIn
 	lastCallNo     int64
 	openConns      int
-	pendingHandIns int // hand-ins to come, first ones and repeats
+	pendingHandIns int // outstanding hand-ins, first ones and retries
 	maxHandInDelay time.Duration
 	crashes        []string
 	failure        error
 
 	senders    []*sender
-	lastSender int            // the sender that had the last hand-in
-	log        io.Writer      // where somebody looks on; nil else
-	front      *front         // nil before the day begins
-	actors     sync.WaitGroup // actors
+	lastSender int            // index of the sender of the last hand-in, for round-robin
+	log        io.Writer      // event log of RunEnvironment; nil otherwise
+	front      *front         // nil before the day starts
+	actors     sync.WaitGroup // goroutines of the simulated parties
 }
 
-// New lays a day out: addresses are taken, nothing listens yet.
+// New prepares a day: it reserves a block of addresses; no receiver, platform or sender listens yet.
 func New(day *world.Day, opt Options) (*Playback, error) {
 	n, err := newNetwork()
 	if err != nil {
 		return nil, err
 	}
 	s := &Playback{day: day, opt: opt, net: n, started: make(chan struct{}), submitCounts: map[*world.Text]int{}, handInsByID: map[string]*handIn{}}
-	s.ref = referee.New(day.World.Rules, day.World.Senders, func(r int) int { return day.Receivers[r].Destination().No })
+	s.referee = referee.New(day.World.Rules, day.World.Senders, func(r int) int { return day.Receivers[r].Destination().No })
 	for no := range day.World.Senders {
 		s.senders = append(s.senders, newSender(s, no))
 	}
 	return s, nil
 }
 
-// now is the span since the day began; nought before it.
+// now returns the time since the start of the day, and 0 before it.
 func (s *Playback) now() time.Duration {
 	select {
 	case <-s.started:
@@ -122,14 +121,14 @@
 	}
 }
 
-// locked runs under the lock, with the instant.
+// locked calls do under the lock with the current time of the day.
 func (s *Playback) locked(do func(now time.Duration)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	do(s.now())
 }
 
-// fail ends the day: the stand-ins themselves cannot go on.
+// fail ends the day because of an error of the stand-ins themselves; the first error is kept.
 func (s *Playback) fail(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,7 +137,7 @@
 	}
 }
 
-// waitUntil waits for an instant of the day; false if the context ended first.
+// waitUntil waits for a time of the day; it returns false if the context ends first.
 func (s *Playback) waitUntil(ctx context.Context, at time.Duration) bool {
 	select {
 	case <-s.started:
@@ -155,7 +154,7 @@
 	}
 }
 
-// Play plays a day and gives what it came to.
+// Play plays a day and returns its result.
 func Play(ctx context.Context, day *world.Day, opt Options) (*Result, error) {
 	if opt.Dir == "" {
 		dir, err := os.MkdirTemp("", "quaylab-")
@@ -178,7 +177,7 @@
 	defer stop()
 	launch := processes.NewLauncher()
 	defer launch.Close()
-	// The outside stands before the senders start, and until they have ended.
+	// Receivers and the platform are up before the senders start and until they have exited.
 	if err := s.startEnvironment(ctx); err != nil {
 		stop()
 		s.actors.Wait()
@@ -199,7 +198,7 @@
 	return s.result(), parent.Err()
 }
 
-// startEnvironment puts up receivers and the platform.
+// startEnvironment starts the receivers and the platform.
 func (s *Playback) startEnvironment(ctx context.Context) error {
 	for _, snd := range s.senders {
 		a, err := newPlatform(s, snd.no, snd.platformAddr())
@@ -217,7 +216,7 @@
 	return nil
 }
 
-// startSenders starts the senders and waits until all are ready; the day begins then.
+// startSenders starts the senders and waits until all are ready; the day starts then.
 func (s *Playback) startSenders(ctx context.Context, launch *processes.Launcher) error {
 	for _, snd := range s.senders {
 		if err := os.MkdirAll(filepath.Join(s.opt.Dir, snd.name(), "state"), 0o700); err != nil {
@@ -237,7 +236,7 @@
 	return nil
 }
 
-// run plays from the first text until nothing is open any more.
+// run plays the day until no text, hand-in or sender event is outstanding, or until the day's end.
 func (s *Playback) run(ctx context.Context, launch *processes.Launcher) error {
 	f := newFront(ctx, s)
 	defer f.close()
@@ -250,7 +249,7 @@
 	for _, c := range s.day.Changes {
 		s.actors.Go(func() {
 			if s.waitUntil(ctx, c.At) {
-				s.locked(func(now time.Duration) { s.ref.ReceiverStateChanged(now, c.Receiver, c.State) })
+				s.locked(func(now time.Duration) { s.referee.ReceiverStateChanged(now, c.Receiver, c.State) })
 			}
 		})
 	}
@@ -268,8 +267,8 @@
 		done := false
 		var err error
 		s.locked(func(now time.Duration) {
-			s.ref.Advance(now)
-			done = now >= s.day.End || now >= s.day.Length && s.pendingHandIns == 0 && s.ref.OpenTexts() == 0 && s.senderEventsDone(now)
+			s.referee.Advance(now)
+			done = now >= s.day.End || now >= s.day.Length && s.pendingHandIns == 0 && s.referee.OpenTexts() == 0 && s.senderEventsDone(now)
 			err = s.failure
 		})
 		if s.opt.Progress != nil && n%3 == 0 {
@@ -278,13 +277,13 @@
 		if done || err != nil {
 			cancel()
 			events.Wait()
-			s.locked(func(now time.Duration) { s.ref.Finish(max(now, s.day.End)) })
+			s.locked(func(now time.Duration) { s.referee.Finish(max(now, s.day.End)) })
 			return err
 		}
 	}
 }
 
-// senderEventsDone: nothing befalls a sender any more.
+// senderEventsDone reports whether all scheduled sender events are over.
 func (s *Playback) senderEventsDone(now time.Duration) bool {
 	for _, f := range s.day.Fates {
 		if now < time.Duration((f.AtS+f.DownS)*float64(time.Second))+500*time.Millisecond {
@@ -297,8 +296,8 @@
 func (s *Playback) progress() Progress {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := s.ref.Account()
-	p := Progress{Now: s.now(), End: s.day.Length, HandIns: a.HandIns, Submits: a.Submits, OpenTexts: s.ref.OpenTexts(), Breaches: len(s.ref.Breaches) + s.ref.OmittedBreaches}
+	a := s.referee.Account()
+	p := Progress{Now: s.now(), End: s.day.Length, HandIns: a.HandIns, Submits: a.Submits, OpenTexts: s.referee.OpenTexts(), Breaches: len(s.referee.Breaches) + s.referee.OmittedBreaches}
 	for _, o := range a.Products {
 		p.Delivered += o.InTime + o.Late
 	}
@@ -308,7 +307,7 @@
 func (s *Playback) result() *Result {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := &Result{Seed: s.day.Seed, Account: s.ref.Account(), Breaches: s.ref.Breaches, OmittedBreaches: s.ref.OmittedBreaches, Verdict: s.ref.Verdict(),
+	r := &Result{Seed: s.day.Seed, Account: s.referee.Account(), Breaches: s.referee.Breaches, OmittedBreaches: s.referee.OmittedBreaches, Verdict: s.referee.Verdict(),
 		BestRevenue: s.day.BestRevenue(), Crashes: s.crashes, MaxHandInDelay: s.maxHandInDelay, Elapsed: s.now()}
 	for _, snd := range s.senders {
 		r.SenderCPU += snd.cpuTime
@@ -321,13 +320,13 @@
 	return r
 }
 
-// network is the part of the loopback range that one stage has to itself.
+// network is the block of loopback addresses that is reserved for one playback.
 type network struct {
 	block       int
-	reservation net.Listener // while it listens, the block is taken
+	reservation net.Listener // reserves the block as long as it listens
 }
 
-// newNetwork takes a block of addresses that no other stage has.
+// newNetwork reserves a block of addresses that no other playback uses.
 func newNetwork() (*network, error) {
 	for i := range 100 {
 		block := 16 + (os.Getpid()+i)%100
@@ -341,17 +340,17 @@
 
 func (n *network) close() { n.reservation.Close() }
 
-// receiverAddr is where a sender reaches the receiver of a place.
+// receiverAddr returns the address at which a sender reaches the receiver of a place.
 func (n *network) receiverAddr(sender, place int) string {
 	return fmt.Sprintf("127.%d.%d.1:%d", n.block, sender+1, 10000+place)
 }
 
-// platformAddr is a sender's platform, anew after each new configuration.
+// platformAddr returns the address of a sender's platform; it changes with each reconfiguration.
 func (n *network) platformAddr(sender, reconfigurations int) string {
 	return fmt.Sprintf("127.%d.%d.2:%d", n.block, sender+1, 8500+reconfigurations)
 }
 
-// frontAddr is where clients reach a sender.
+// frontAddr returns the address at which clients reach a sender.
 func (n *network) frontAddr(sender int) string {
 	return fmt.Sprintf("127.%d.%d.3:8443", n.block, sender+1)
 }
--- a/internal/lab/standin/standin_test.go
+++ b/internal/lab/standin/standin_test.go
@@ -23,7 +23,8 @@
 	os.Exit(m.Run())
 }
 
-// faultyWorld is a world in which each rule can be broken: waits, a drain, an outage with a cold return, a kill and a stop.
+// faultyWorld returns a world in which each rule can be broken: waits, a drain, an outage with a cold return, a kill and
+// a stop.
 func faultyWorld() *world.World {
 	w := world.Default()
 	w.Seconds, w.Senders = 6, 1
@@ -65,7 +66,7 @@
 	return day
 }
 
-// Small senders that are wrong in one way each get the verdict they deserve, and a right one gets none.
+// The referee finds the broken rule of test senders with one fault each, and none for a correct sender.
 func TestVerdicts(t *testing.T) {
 	for fault, rule := range map[string]int{"none": 0, "twice": 1, "loses": 1, "repeats": 2, "drains": 3, "floods": 4, "order": 5, "deaf": 6} {
 		t.Run(fault, func(t *testing.T) {
@@ -87,13 +88,13 @@
 				}
 			}
 			if a := r.Account; a.HandIns < 40 || a.Submits < 20 {
-				t.Errorf("little happened: %+v", a)
+				t.Errorf("too little traffic: %+v", a)
 			}
 		})
 	}
 }
 
-// leftovers says what of a stage is still there: its processes, its listeners.
+// leftovers returns the processes and listeners of a playback that still exist.
 func leftovers(t *testing.T, dir string, addrs ...string) (left []string) {
 	t.Helper()
 	procs, _ := filepath.Glob("/proc/[0-9]*/environ")
@@ -112,7 +113,7 @@
 	return left
 }
 
-// Ctrl-C, which ends the context, leaves no process and no listener; nor does a sender that crashes.
+// No process and no listener remains after the context is cancelled (as Ctrl-C does) or after a sender crashes.
 func TestNothingIsLeftBehind(t *testing.T) {
 	for _, fault := range []string{"none", "crash"} {
 		t.Run(fault, func(t *testing.T) {
@@ -130,7 +131,7 @@
 				<-s.started
 				time.Sleep(1500 * time.Millisecond)
 				if there := leftovers(t, opt.Dir, addrs...); fault == "none" && len(there) != 4 {
-					t.Errorf("in the middle of the day there are %v", there)
+					t.Errorf("during the day: processes and listeners %v, want 4", there)
 				}
 				cancel()
 			}()
@@ -139,7 +140,7 @@
 				t.Fatal(r, err)
 			}
 			if left := leftovers(t, opt.Dir, addrs...); len(left) > 0 {
-				t.Errorf("%v are left behind", left)
+				t.Errorf("left over after the playback: %v", left)
 			}
 			if crashed := slices.ContainsFunc(r.Crashes, func(c string) bool { return strings.Contains(c, "exit status 3") }); crashed != (fault == "crash") {
 				t.Errorf("crashes: %v", r.Crashes)
@@ -148,7 +149,7 @@
 	}
 }
 
-// A sender that does not start, or never answers, is an error that says so.
+// Play returns an error with the cause if a sender does not start or exits before it is ready.
 func TestSenderThatDoesNotStart(t *testing.T) {
 	w := faultyWorld()
 	w.Sender.ReadyWithS = 0.3
@@ -160,7 +161,7 @@
 	}
 }
 
-// A sender that ends by itself after SIGHUP has crashed: the tiny one does not know the signal.
+// A sender that exits on SIGHUP counts as crashed: the test sender does not handle the signal.
 func TestNewConfiguration(t *testing.T) {
 	w := faultyWorld()
 	w.Seconds, w.Fate = 1, []world.Fate{{What: "hup", AtS: 0.5}}
--- a/internal/lab/standin/tiny_test.go
+++ b/internal/lab/standin/tiny_test.go
@@ -18,15 +18,15 @@
 	"time"
 )
 
-// A tiny sender: one call at a time to each destination, in order of arrival. It is right as it is; a fault by name
-// makes it wrong in one way. The test binary runs as this program when TINY_FAULT is set.
+// A minimal sender: one call at a time to each destination, in order of arrival. It keeps all rules, unless a named fault
+// makes it break one. The test binary runs as this program when TINY_FAULT is set.
 
 type testText struct {
 	ID, Product, Mark string
 	Dest              int
 	Until             time.Time
 	Body              []byte
-	RanAt             time.Time // of the first submit that may have run
+	RanAt             time.Time // time of the first submit that may have run
 	Over              bool
 }
 
@@ -93,7 +93,7 @@
 	return http.ListenAndServe(conf.Listen, mux)
 }
 
-// open reads what was held, and goes on with it.
+// open loads the persisted texts and resumes those that are not over.
 func (s *testSender) open(path string) error {
 	texts := map[string]*testText{}
 	var order []*testText
@@ -130,7 +130,7 @@
 	s.ledger.Write(append(raw, '\n'))
 }
 
-// watch follows the list.
+// watch follows the stream of the receiver list.
 func (s *testSender) watch() {
 	for version := 0; ; time.Sleep(20 * time.Millisecond) {
 		resp, err := http.Get(fmt.Sprintf("http://%s/discovery/hosts?stream=1&index=%d", s.discovery, version))
@@ -194,7 +194,7 @@
 	q <- t
 }
 
-// deliver submits a text until it is delivered or over.
+// deliver submits a text until it is delivered or given up.
 func (s *testSender) deliver(t *testText) {
 	p := s.products[t.Product]
 	pause := 150 * time.Millisecond
@@ -251,8 +251,8 @@
 	}
 }
 
-// onlyDraining leaves those that drain, where there are any: which of a destination's endpoints a call goes to hangs on
-// the turns of all destinations, and by chance no call of a day may meet the one that drains.
+// onlyDraining returns the draining receivers if there are any, otherwise all. The round-robin turn is shared by all
+// destinations, so by chance no call of a day might reach the draining receiver.
 func (s *testSender) onlyDraining(open []string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -286,7 +286,7 @@
 	return resp.StatusCode == 200, resp.StatusCode == 429 || resp.StatusCode == 503, time.Duration(ms * float64(time.Millisecond))
 }
 
-// giveUp gives a text up.
+// giveUp sends the notice that a text was given up.
 func (s *testSender) giveUp(t *testText) {
 	line := fmt.Sprintf(`{"message":%q,"outcome":"given_up"}`, t.ID)
 	for ; ; time.Sleep(20 * time.Millisecond) {
