--- a/internal/lab/standin/clients.go
+++ b/internal/lab/standin/clients.go
@@ -165,7 +165,8 @@
 	return b
 }
 
-// singleUseBody hides from the transport that the body can be replayed, so that it never resends a request by itself.
+// singleUseBody hides from the transport that the body can be replayed, so that the transport never resends a request
+// by itself.
 type singleUseBody struct{ io.Reader }
 
 func (singleUseBody) Close() error { return nil }
@@ -241,8 +242,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for range s.senders {
-		s.lastSender++
-		if snd := s.senders[s.lastSender%len(s.senders)]; snd.inRotation {
+		s.turns++
+		if snd := s.senders[s.turns%len(s.senders)]; snd.inRotation {
 			return snd
 		}
 	}
--- a/internal/lab/standin/stand.go
+++ b/internal/lab/standin/stand.go
@@ -27,14 +27,14 @@
 	if err := s.startEnvironment(ctx); err != nil {
 		return err
 	}
-	for _, o := range s.senders {
-		if err := os.MkdirAll(filepath.Join(o.dir(), "state"), 0o700); err != nil {
+	for _, snd := range s.senders {
+		if err := os.MkdirAll(filepath.Join(snd.dir(), "state"), 0o700); err != nil {
 			return err
 		}
-		if err := o.writeConfig(); err != nil {
+		if err := snd.writeConfig(); err != nil {
 			return err
 		}
-		tell(o.no, filepath.Join(o.dir(), "config.json"), s.net.frontAddr(o.no))
+		tell(snd.no, filepath.Join(snd.dir(), "config.json"), s.net.frontAddr(snd.no))
 	}
 	s.startTime = time.Now()
 	close(s.started)
--- a/internal/lab/standin/standin.go
+++ b/internal/lab/standin/standin.go
@@ -90,11 +90,11 @@
 	crashes        []string
 	failure        error
 
-	senders    []*sender
-	lastSender int            // index of the sender of the last hand-in, for round-robin
-	log        io.Writer      // event log of RunEnvironment; nil otherwise
-	front      *front         // nil before the day starts
-	actors     sync.WaitGroup // goroutines of the simulated parties
+	senders []*sender
+	turns   int            // counts the picks of nextSender, for round-robin
+	log     io.Writer      // event log of RunEnvironment; nil otherwise
+	front   *front         // nil before the day starts
+	actors  sync.WaitGroup // goroutines of the simulated parties
 }
 
 // New prepares a day: it reserves a block of addresses; no receiver, platform or sender listens yet.
