--- a/internal/lab/processes/attributes_linux.go
+++ b/internal/lab/processes/attributes_linux.go
@@ -2,7 +2,7 @@
 
 import "syscall"
 
-// attributes: a child is in a group of its own and ends when its starter does.
+// attributes puts a child into a process group of its own and has it killed when the thread that started it ends.
 func attributes() *syscall.SysProcAttr {
 	return &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 }
--- a/internal/lab/processes/attributes_other.go
+++ b/internal/lab/processes/attributes_other.go
@@ -4,5 +4,5 @@
 
 import "syscall"
 
-// attributes: a child is in a group of its own.
+// attributes puts a child into a process group of its own.
 func attributes() *syscall.SysProcAttr { return &syscall.SysProcAttr{Setpgid: true} }
--- a/internal/lab/processes/processes.go
+++ b/internal/lab/processes/processes.go
@@ -1,12 +1,11 @@
-// Package processes starts programs that are not left behind: they end with the process that started them, even if that
-// is killed.
+// Package processes starts child processes that don't outlive their parent, even if it is killed (on Linux).
 //
 //	launch := processes.NewLauncher()
 //	defer launch.Close()
 //	err := launch.Start(exec.Command("bin/emberquay", "proxy"))
 //
-// A Launcher starts all of them from one thread that lives as long as they do, since the kernel ties a child's end to
-// the thread that started it.
+// A Launcher starts all children from one OS thread that it keeps until Close: the kernel sends the parent-death signal
+// when the thread that started the child ends.
 package processes
 
 import (
@@ -16,28 +15,28 @@
 
 // Launcher starts processes. It is safe for concurrent use.
 type Launcher struct {
-	ask  chan *exec.Cmd
-	tell chan error
+	commands    chan *exec.Cmd
+	startErrors chan error
 }
 
-// NewLauncher makes one; Close ends it.
+// NewLauncher starts the launcher's thread; Close ends it.
 func NewLauncher() *Launcher {
-	l := &Launcher{ask: make(chan *exec.Cmd), tell: make(chan error)}
+	l := &Launcher{commands: make(chan *exec.Cmd), startErrors: make(chan error)}
 	go func() {
 		runtime.LockOSThread()
-		for cmd := range l.ask {
-			l.tell <- cmd.Start()
+		for cmd := range l.commands {
+			l.startErrors <- cmd.Start()
 		}
 	}()
 	return l
 }
 
-// Start starts a command in a group of its own, so that Ctrl-C is for the starter alone.
+// Start starts a command in a process group of its own, so that Ctrl-C interrupts only the parent.
 func (l *Launcher) Start(cmd *exec.Cmd) error {
 	cmd.SysProcAttr = attributes()
-	l.ask <- cmd
-	return <-l.tell
+	l.commands <- cmd
+	return <-l.startErrors
 }
 
-// Close ends the thread, and with it, where the system has such a tie, what it started.
-func (l *Launcher) Close() { close(l.ask) }
+// Close ends the thread and with it, on Linux, the processes that it started.
+func (l *Launcher) Close() { close(l.commands) }
--- a/internal/lab/tierlab/model.go
+++ b/internal/lab/tierlab/model.go
@@ -40,8 +40,8 @@
 func newModel(r *receiver) *model {
 	shape := r.lab.shape.Receivers.Model
 	ms := func(n float64) time.Duration { return time.Duration(n * float64(time.Millisecond)) }
-	config := engine.Config{Slots: shape.Slots, Queue: shape.Queue, Capacity: shape.MemoryTokens, PrefillPiece: shape.PrefillPiece,
-		Pass: ms(shape.PassMs), PassEach: ms(shape.EachMs), PassPrefill: ms(shape.PrefillMs)}
+	config := engine.Config{Slots: shape.Slots, QueueLimit: shape.Queue, MemoryTokens: shape.MemoryTokens, PrefillChunkTokens: shape.PrefillPiece,
+		BasePassTime: ms(shape.PassMs), PassTimePerRequest: ms(shape.EachMs), PassTimePer100PromptTokens: ms(shape.PrefillMs)}
 	return &model{receiver: r, engine: engine.New(config), outlets: map[string]chan engine.Token{}, wake: make(chan struct{}, 1)}
 }
 
@@ -59,7 +59,7 @@
 		var done <-chan time.Time
 		if !idle {
 			conduct, _ := m.receiver.conduct()
-			done = time.After(time.Duration(conduct.Slowdown * float64(pass.Took)))
+			done = time.After(time.Duration(conduct.Slowdown * float64(pass.Duration)))
 		}
 		select {
 		case <-ctx.Done():
@@ -119,7 +119,7 @@
 // add takes a request into the engine; nil: it is full.
 func (m *model) add(key string, q *http.Request, first int) chan engine.Token {
 	prompt, out := usage(q.Header.Get("Emberquay-Token-Usage"))
-	request := engine.Request{ID: key, Parts: parts(q.Header.Get("Emberquay-Prompt-Prefix"), prompt), Out: max(1, out-first*chunkTokens), Priority: usualPriority}
+	request := engine.Request{ID: key, Parts: parts(q.Header.Get("Emberquay-Prompt-Prefix"), prompt), OutputTokens: max(1, out-first*chunkTokens), Priority: usualPriority}
 	if text := q.Header.Get("Priority"); text != "" {
 		if p, err := strconv.Atoi(text); err == nil {
 			request.Priority = p
@@ -130,7 +130,7 @@
 	if !m.engine.Add(request) {
 		return nil
 	}
-	outlet := make(chan engine.Token, request.Out+1)
+	outlet := make(chan engine.Token, request.OutputTokens+1)
 	m.outlets[key] = outlet
 	select {
 	case m.wake <- struct{}{}:
@@ -174,7 +174,7 @@
 					return
 				}
 			}
-			if token.Made%chunkTokens != 0 && !token.Last {
+			if token.Generated%chunkTokens != 0 && !token.Last {
 				continue
 			}
 			next++
@@ -239,18 +239,18 @@
 }
 
 // parts reads the parts of a prompt; one without them is a part of its own.
-func parts(text string, prompt int) []engine.Part {
-	var list []engine.Part
+func parts(text string, prompt int) []engine.PromptPart {
+	var list []engine.PromptPart
 	for item := range strings.SplitSeq(text, ",") {
 		name, tokens, ok := strings.Cut(item, ":")
 		id, err := strconv.ParseUint(name, 16, 64)
 		count, bad := strconv.Atoi(tokens)
 		if ok && err == nil && bad == nil {
-			list = append(list, engine.Part{ID: id, Tokens: count})
+			list = append(list, engine.PromptPart{ID: id, Tokens: count})
 		}
 	}
 	if len(list) == 0 {
-		list = append(list, engine.Part{Tokens: prompt})
+		list = append(list, engine.PromptPart{Tokens: prompt})
 	}
 	return list
 }
--- a/internal/lab/tierlab/receiver.go
+++ b/internal/lab/tierlab/receiver.go
@@ -152,7 +152,7 @@
 	report := r.model.report()
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(map[string]any{"stage": "both", "models": []any{map[string]any{"name": modelName, "version": 1, "adapters": []string{}}},
-		"busy": false, "sequence": 0, "queued": report.Queued, "running": report.Running, "kv_used": report.Used, "kv_total": report.Total, "handles": 0})
+		"busy": false, "sequence": 0, "queued": report.Queued, "running": report.Running, "kv_used": report.UsedTokens, "kv_total": report.TotalTokens, "handles": 0})
 }
 
 // turnAway states that a request has not run.
