--- a/cmd/quaylab/count.go
+++ b/cmd/quaylab/count.go
@@ -17,12 +17,12 @@
 )
 
 type countCmd struct {
-	Dir string `arg:"" help:"A folder with the logs of a fleet, a file (*.log) for each sender, at any depth." type:"existingdir"`
+	Dir string `arg:"" help:"Folder with the logs of a fleet: one file (*.log) per sender, at any depth." type:"existingdir"`
 }
 
-// Run adds up what all senders of a fleet logged, second by second.
+// Run sums the counts in the logs of all senders of a fleet per second and prints the table.
 func (c *countCmd) Run() error {
-	t := &totals{}
+	totals := &fleetTotals{}
 	logs := 0
 	err := filepath.WalkDir(c.Dir, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || filepath.Ext(path) != ".log" {
@@ -34,23 +34,23 @@
 		}
 		defer f.Close()
 		logs++
-		return t.read(f)
+		return totals.readLog(f)
 	})
 	if err != nil {
 		return err
 	}
-	if len(t.seconds) == 0 {
+	if len(totals.countsBySecond) == 0 {
 		return fmt.Errorf("%s: no line with a time and an event in %d logs (*.log, format = \"text\")", c.Dir, logs)
 	}
-	fmt.Printf("%d logs, from %s\n", logs, t.first.Format(time.RFC3339))
-	t.print(os.Stdout)
-	if !t.counted {
+	fmt.Printf("%d logs, from %s\n", logs, totals.firstTime.Format(time.RFC3339))
+	totals.printTable(os.Stdout)
+	if !totals.hasCounts {
 		fmt.Println("\nNo event=counted in the logs: texts and calls are only told where [log] count_s is set in the file of --with.")
 	}
 	return nil
 }
 
-// columns are what is added up: the head of each, and the key of event=counted or the event itself.
+// columns lists the columns of the table: the heading, and either the keys of event=counted to sum or the event to count.
 var columns = []struct{ head, key, event string }{
 	{"handed in", "taken+refused", ""}, {"delivered", "delivered", ""}, {"refused", "refused", ""}, {"nacked", "nacked", ""},
 	{"undeliv.", "undeliverable", ""}, {"submits", "submits", ""}, {"full", "full", ""}, {"crowded", "crowded", ""},
@@ -58,75 +58,76 @@
 	{"lists", "", "listed"}, {"no list", "", "watch_ended"}, {"repeats", "", "repeat"}, {"starts", "", "ready"},
 }
 
-// totals are sums over a fleet by the second.
-type totals struct {
-	first   time.Time
-	seconds map[int64][]int // by Unix time
-	counted bool
+// fleetTotals holds the counts of a fleet per second.
+type fleetTotals struct {
+	firstTime      time.Time
+	countsBySecond map[int64][]int // by Unix time in seconds; a value per column
+	hasCounts      bool
 }
 
 var (
-	timeIs  = regexp.MustCompile(`(?:^|\s)time=(\S+)`)
-	eventIs = regexp.MustCompile(`\sevent=(\S+)`)
-	pairs   = regexp.MustCompile(`(\w+)=(\d+)(?:\s|$)`)
+	timePattern  = regexp.MustCompile(`(?:^|\s)time=(\S+)`)
+	eventPattern = regexp.MustCompile(`\sevent=(\S+)`)
+	countPattern = regexp.MustCompile(`(\w+)=(\d+)(?:\s|$)`)
 )
 
-// mostLine bounds what is read as one line of a log; what is longer is passed over.
-const mostLine = 64 << 10
+// maxLineBytes is the maximum length of a log line; longer lines are skipped.
+const maxLineBytes = 64 << 10
 
-// read takes one sender's log. Lines that are no text log of ours are passed over: what a fleet's supervisor writes
-// among them, or before each, says nothing here.
-func (t *totals) read(from io.Reader) error {
-	in := bufio.NewReaderSize(from, mostLine)
+// readLog adds one sender's log. It skips lines that are not in the sender's text format, such as those of a supervisor,
+// and ignores a prefix that a supervisor puts before each line.
+func (t *fleetTotals) readLog(log io.Reader) error {
+	in := bufio.NewReaderSize(log, maxLineBytes)
 	for {
-		line, long, err := in.ReadLine()
+		line, truncated, err := in.ReadLine()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		if !long {
-			t.add(string(line))
+		if !truncated {
+			t.addLine(string(line))
 			continue
 		}
-		for long && err == nil {
-			_, long, err = in.ReadLine()
+		for truncated && err == nil {
+			_, truncated, err = in.ReadLine()
 		}
 	}
 }
 
-func (t *totals) add(line string) {
-	at, event := timeIs.FindStringSubmatch(line), eventIs.FindStringSubmatch(line)
-	if at == nil || event == nil {
+// addLine adds a log line; it skips a line without a valid time and an event.
+func (t *fleetTotals) addLine(line string) {
+	timeMatch, eventMatch := timePattern.FindStringSubmatch(line), eventPattern.FindStringSubmatch(line)
+	if timeMatch == nil || eventMatch == nil {
 		return
 	}
-	when, err := time.Parse(time.RFC3339Nano, at[1])
+	logged, err := time.Parse(time.RFC3339Nano, timeMatch[1])
 	if err != nil {
 		return
 	}
-	if t.seconds == nil {
-		t.seconds = map[int64][]int{}
+	if t.countsBySecond == nil {
+		t.countsBySecond = map[int64][]int{}
 	}
-	if t.first.IsZero() || when.Before(t.first) {
-		t.first = when
+	if t.firstTime.IsZero() || logged.Before(t.firstTime) {
+		t.firstTime = logged
 	}
-	row := t.seconds[when.Unix()]
+	row := t.countsBySecond[logged.Unix()]
 	if row == nil {
 		row = make([]int, len(columns))
-		t.seconds[when.Unix()] = row
+		t.countsBySecond[logged.Unix()] = row
 	}
 	for i, c := range columns {
-		if c.event == event[1] {
+		if c.event == eventMatch[1] {
 			row[i]++
 		}
 	}
-	if event[1] != "counted" {
+	if eventMatch[1] != "counted" {
 		return
 	}
-	t.counted = true
+	t.hasCounts = true
 	values := map[string]int{}
-	for _, p := range pairs.FindAllStringSubmatch(line, -1) {
+	for _, p := range countPattern.FindAllStringSubmatch(line, -1) {
 		values[p[1]], _ = strconv.Atoi(p[2])
 	}
 	for i, c := range columns {
@@ -136,34 +137,34 @@
 	}
 }
 
-// print writes the table; a second in which nobody logged is an empty row.
-func (t *totals) print(to io.Writer) {
-	fmt.Fprint(to, "second")
+// printTable writes the table. A single second without log lines is a row of zeros; a longer gap is one row of dots.
+func (t *fleetTotals) printTable(out io.Writer) {
+	fmt.Fprint(out, "second")
 	for _, c := range columns {
-		fmt.Fprintf(to, "  %9s", c.head)
+		fmt.Fprintf(out, "  %9s", c.head)
 	}
-	fmt.Fprintln(to)
+	fmt.Fprintln(out)
 	sums := make([]int, len(columns))
-	row := func(name string, values []int) {
-		fmt.Fprintf(to, "%6s", name)
+	printRow := func(name string, values []int) {
+		fmt.Fprintf(out, "%6s", name)
 		for _, n := range values {
-			fmt.Fprintf(to, "  %9d", n)
+			fmt.Fprintf(out, "  %9d", n)
 		}
-		fmt.Fprintln(to)
-	}
-	before := int64(0)
-	for i, at := range slices.Sorted(maps.Keys(t.seconds)) {
-		switch { // a gap of hours is not an hour of rows
-		case i > 0 && at == before+2:
-			row(strconv.FormatInt(at-1-t.first.Unix(), 10), make([]int, len(columns)))
-		case i > 0 && at > before+2:
-			fmt.Fprintln(to, "   ...")
+		fmt.Fprintln(out)
+	}
+	previous := int64(0)
+	for i, second := range slices.Sorted(maps.Keys(t.countsBySecond)) {
+		switch { // keeps a gap of hours from printing thousands of rows
+		case i > 0 && second == previous+2:
+			printRow(strconv.FormatInt(second-1-t.firstTime.Unix(), 10), make([]int, len(columns)))
+		case i > 0 && second > previous+2:
+			fmt.Fprintln(out, "   ...")
 		}
-		row(strconv.FormatInt(at-t.first.Unix(), 10), t.seconds[at])
-		for i, v := range t.seconds[at] {
+		printRow(strconv.FormatInt(second-t.firstTime.Unix(), 10), t.countsBySecond[second])
+		for i, v := range t.countsBySecond[second] {
 			sums[i] += v
 		}
-		before = at
+		previous = second
 	}
-	row("all", sums)
+	printRow("all", sums)
 }
--- a/cmd/quaylab/main_test.go
+++ b/cmd/quaylab/main_test.go
@@ -12,8 +12,8 @@
 	"emberquay/internal/lab/standin"
 )
 
-// build makes the two programs in a folder.
-func build(t *testing.T) string {
+// buildPrograms builds emberquay and quaylab into a temporary folder.
+func buildPrograms(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	if out, err := exec.Command("go", "build", "-o", dir, "emberquay/cmd/emberquay", "emberquay/cmd/quaylab").CombinedOutput(); err != nil {
@@ -22,7 +22,7 @@
 	return dir
 }
 
-const described = `
+const roughWorld = `
 seconds = 4
 senders = 2
 [load]
@@ -53,11 +53,11 @@
 down_s = 0.3
 `
 
-// The real sender, on a rough day with a new configuration and a restart, keeps the rules.
+// The real sender keeps the rules on a day with faults, a configuration reload and a restart.
 func TestWorldWithTheRealSender(t *testing.T) {
-	dir := build(t)
+	dir := buildPrograms(t)
 	file, result := filepath.Join(dir, "w.toml"), filepath.Join(dir, "r.json")
-	os.WriteFile(file, []byte(described), 0o600)
+	os.WriteFile(file, []byte(roughWorld), 0o600)
 	out, err := exec.Command(filepath.Join(dir, "quaylab"), "world", file, "--seed", "4", "--json", result).CombinedOutput()
 	if err != nil {
 		t.Fatalf("%v\n%s", err, out)
@@ -78,9 +78,10 @@
 	}
 }
 
-// killed is thirty seconds of senders that are killed at drawn times. Receivers bear some more calls than elsewhere while they
-// are cold: a start forgets what is spent of return budgets (docs/ROADMAP.md), and that is not what is looked at here.
-const killed = `
+// killWorld is a world of 22 seconds whose senders are killed at drawn times; the test adds the kills. fall_slack lets
+// receivers bear more calls than elsewhere while they are cold: a restarted sender forgets the spent part of return
+// budgets (docs/ROADMAP.md), which this test doesn't check.
+const killWorld = `
 seconds = 22
 senders = 2
 [rules]
@@ -100,10 +101,10 @@
 factor = 0.4
 ` + "%s"
 
-// Killed at random points under load, in both modes of the ledger: each text has one final answer, once-only texts never
-// run twice.
+// Senders are killed at random times under load, in both durability modes of the ledger: each text gets one final
+// answer, and once-only texts never run twice.
 func TestKilledAtRandom(t *testing.T) {
-	dir := build(t)
+	dir := buildPrograms(t)
 	fates := ""
 	for i := range 6 {
 		for no := range 2 {
@@ -111,7 +112,7 @@
 		}
 	}
 	file, own := filepath.Join(dir, "w.toml"), filepath.Join(dir, "own.toml")
-	os.WriteFile(file, fmt.Appendf(nil, killed, fates), 0o600)
+	os.WriteFile(file, fmt.Appendf(nil, killWorld, fates), 0o600)
 	os.WriteFile(own, []byte("[ledger]\ndurability = \"power\"\n"), 0o600)
 	for name, more := range map[string][]string{"process": nil, "power": {"--with", own}} {
 		t.Run(name, func(t *testing.T) {
@@ -128,8 +129,8 @@
 				t.Fatal(err)
 			}
 			for _, p := range r.Account.Products {
-				// A referenced text may have two effects where its client hands it in again past the window. How many are
-				// in time is the machine's matter; that most are delivered shows that texts flow between the kills.
+				// A referenced text may have two effects if its client submits it again after the window. How many texts
+				// are in time depends on the machine; that most are delivered shows that texts flow between the kills.
 				if p.Lost > 0 || p.Name == "charge" && p.Doubled > 0 || p.InTime+p.Late < p.Texts*6/10 {
 					t.Errorf("%+v", p)
 				}
@@ -138,9 +139,9 @@
 	}
 }
 
-// What cannot be done is said with its place, and the status is not nought.
+// Invalid input gives an error that names its place, and a non-zero exit status.
 func TestMistakesAreTold(t *testing.T) {
-	dir := build(t)
+	dir := buildPrograms(t)
 	bad := filepath.Join(dir, "bad.toml")
 	os.WriteFile(bad, []byte("[load]\ntexts_per_s = -3\n"), 0o600)
 	for _, c := range []struct {
@@ -158,9 +159,9 @@
 	}
 }
 
-// A whole fleet's day, by hand.
+// The fleet command plays a day of 80 senders without a broken rule; an invalid world is an error.
 func TestFleet(t *testing.T) {
-	lab := filepath.Join(build(t), "quaylab")
+	lab := filepath.Join(buildPrograms(t), "quaylab")
 	out, err := exec.Command(lab, "fleet", "../../docs/worlds/days-at-size.toml", "--seed", "2").CombinedOutput()
 	if err != nil || !strings.Contains(string(out), "seed 2, 80 senders, 20 receivers") || strings.Contains(string(out), "BROKEN") {
 		t.Errorf("%v\n%s", err, out)
--- a/cmd/quaylab/play.go
+++ b/cmd/quaylab/play.go
@@ -15,18 +15,18 @@
 	"emberquay/internal/lab/world"
 )
 
-// how are the flags that the commands which play a day share.
-type how struct {
-	Sender string `help:"The sender's program." type:"path" placeholder:"FILE"`
-	With   string `help:"A file of our own that each sender gets by --with." type:"path" placeholder:"FILE"`
-	Logs   string `help:"Keep the senders' folders (state, configuration, log) here." type:"path" placeholder:"DIR"`
-	Seed   uint64 `help:"The day's seed; 0 for the one of the world." default:"0"`
-	JSON   string `help:"Write the result here." type:"path" placeholder:"FILE"`
-	Show   int    `help:"So many breaches are printed." default:"5"`
+// dayFlags holds the flags shared by the commands that play a day.
+type dayFlags struct {
+	Sender string `help:"Path of the sender's program (emberquay)." type:"path" placeholder:"FILE"`
+	With   string `help:"Settings file to pass to each sender by --with." type:"path" placeholder:"FILE"`
+	Logs   string `help:"Folder in which to keep the senders' folders (state, configuration, log)." type:"path" placeholder:"DIR"`
+	Seed   uint64 `help:"Seed of the day; 0 uses the seed of the world." default:"0"`
+	JSON   string `help:"File to write the result to, as JSON." type:"path" placeholder:"FILE"`
+	Show   int    `help:"Maximum number of breaches to print." default:"5"`
 }
 
-// program finds the sender's program: as told, beside this one, or on the path.
-func (h how) program() (string, error) {
+// program returns the path of the sender's program: from the flag, beside this executable, or from PATH.
+func (h dayFlags) program() (string, error) {
 	if h.Sender != "" {
 		return h.Sender, nil
 	}
@@ -43,8 +43,8 @@
 	return found, nil
 }
 
-// options are those of a day.
-func (h how) options() (standin.Options, error) {
+// options returns the options to play a day with.
+func (h dayFlags) options() (standin.Options, error) {
 	program, err := h.program()
 	if err != nil {
 		return standin.Options{}, err
@@ -56,9 +56,9 @@
 	return opt, nil
 }
 
-// play plays one day and reports it.
-func (h how) play(ctx context.Context, w *world.World) error {
-	day, err := draw(w, h.Seed)
+// play plays one day and prints the result.
+func (h dayFlags) play(ctx context.Context, w *world.World) error {
+	day, err := drawDay(w, h.Seed)
 	if err != nil {
 		return err
 	}
@@ -68,58 +68,58 @@
 	}
 	fmt.Printf("day of seed %d: %d texts in %.0f s, %d senders, %d receivers of %d destinations, %d troubles, %d fates of senders\n",
 		day.Seed, len(day.Texts), day.Length.Seconds(), w.Senders, len(day.Receivers), len(day.Destinations), len(day.Incidents), len(day.Fates))
-	live := terminal(os.Stderr)
-	if live {
+	interactive := isTerminal(os.Stderr)
+	if interactive {
 		opt.Progress = func(p standin.Progress) {
 			fmt.Fprintf(os.Stderr, "\r\033[K%5.1f s of %.0f: %d handed in, %d delivered, %d submits, %d open, %d breaches",
 				p.Now.Seconds(), p.End.Seconds(), p.HandIns, p.Delivered, p.Submits, p.OpenTexts, p.Breaches)
 		}
 	}
 	result, err := standin.Play(ctx, day, opt)
-	if live {
+	if interactive {
 		fmt.Fprint(os.Stderr, "\r\033[K")
 	}
 	if result == nil {
 		return err
 	}
-	report(os.Stdout, day, result, h.Show)
+	printResult(os.Stdout, day, result, h.Show)
 	if h.JSON != "" {
-		raw, bad := json.MarshalIndent(result, "", " ")
-		if bad == nil {
-			bad = os.WriteFile(h.JSON, append(raw, '\n'), 0o644)
+		raw, writeErr := json.MarshalIndent(result, "", " ")
+		if writeErr == nil {
+			writeErr = os.WriteFile(h.JSON, append(raw, '\n'), 0o644)
 		}
-		if bad != nil {
-			return bad
+		if writeErr != nil {
+			return writeErr
 		}
 	}
 	switch {
 	case err != nil:
 		return fmt.Errorf("ended early: %w", err)
 	case !result.Passed():
-		return errBroken
+		return errRuleBroken
 	}
 	return nil
 }
 
-// terminal says whether a file is one.
-func terminal(f *os.File) bool {
+// isTerminal reports whether a file is a terminal (any character device).
+func isTerminal(f *os.File) bool {
 	info, err := f.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-type tryCmd struct{ how }
+type tryCmd struct{ dayFlags }
 
 // Run plays the default world.
 func (c *tryCmd) Run(ctx context.Context) error { return c.play(ctx, world.Default()) }
 
 type worldCmd struct {
-	how
-	File    string  `arg:"" optional:"" help:"The described world (TOML)." type:"path"`
-	Seconds float64 `help:"Texts arrive for so long; 0 for what the world says." default:"0"`
+	dayFlags
+	File    string  `arg:"" optional:"" help:"World file (TOML)." type:"path"`
+	Seconds float64 `help:"Duration of the traffic, in seconds; 0 uses that of the world." default:"0"`
 	Print   bool    `help:"Print the default world as a file with comments."`
 }
 
-// Run plays it, or prints the default one.
+// Run plays the world of a file or prints the default world.
 func (c *worldCmd) Run(ctx context.Context) error {
 	if c.Print {
 		raw, err := world.Print(world.Default())
@@ -138,8 +138,8 @@
 	return c.play(ctx, w)
 }
 
-// draw draws the day of a seed, or of the world's own for 0.
-func draw(w *world.World, seed uint64) (*world.Day, error) {
+// drawDay draws the day of a seed; 0 uses the seed of the world.
+func drawDay(w *world.World, seed uint64) (*world.Day, error) {
 	if seed == 0 {
 		seed = w.Seed
 	}
@@ -162,12 +162,12 @@
 }
 
 type standCmd struct {
-	File string        `arg:"" optional:"" help:"The described world (TOML); the default one without." type:"path"`
-	Seed uint64        `help:"The day's seed; 0 for the one of the world." default:"0"`
-	For  time.Duration `help:"So long, at most a day." default:"1h"`
+	File string        `arg:"" optional:"" help:"World file (TOML); the default world if omitted." type:"path"`
+	Seed uint64        `help:"Seed of the day; 0 uses the seed of the world." default:"0"`
+	For  time.Duration `help:"How long to run, at most 24h." default:"1h"`
 }
 
-// Run keeps the stand-ins up until the time is over or Ctrl-C.
+// Run runs the stand-ins until the time is over or Ctrl-C is pressed.
 func (c *standCmd) Run(ctx context.Context) error {
 	w := world.Default()
 	w.Trouble, w.Fate, w.Senders = nil, nil, 1
@@ -177,7 +177,7 @@
 			return err
 		}
 	}
-	day, err := draw(w, c.Seed)
+	day, err := drawDay(w, c.Seed)
 	if err != nil {
 		return err
 	}
@@ -190,11 +190,11 @@
 	defer os.RemoveAll(dir)
 	return standin.RunEnvironment(ctx, day, dir, func(no int, conf, listen string) {
 		product := w.Product[slices.IndexFunc(w.Product, func(p world.Product) bool { return p.Share > 0 })]
-		mark := ""
+		keyHeader := ""
 		if product.Repeat == "referenced" {
-			mark = " -H 'Idempotency-Key: m1'"
+			keyHeader = " -H 'Idempotency-Key: m1'"
 		}
 		fmt.Printf("sender %d:\n  emberquay serve --config %s\n  curl -i -d 'any bytes' -H 'X-Call-Id: t1' -H 'X-Call-Class: %s' -H 'X-Budget: %.0f' \\\n    -H 'X-Envelope: dest=0'%s http://%s/api\n",
-			no, conf, product.Name, product.ValidityS, mark, listen)
+			no, conf, product.Name, product.ValidityS, keyHeader, listen)
 	}, os.Stdout)
 }
--- a/cmd/quaylab/sim.go
+++ b/cmd/quaylab/sim.go
@@ -13,32 +13,32 @@
 	"emberquay/internal/lab/sim"
 )
 
-// progressEvery is how often a long run says how far it is.
-const progressEvery = 10 * time.Second
+// progressInterval is the time between progress lines.
+const progressInterval = 10 * time.Second
 
-// errNothingPlayed: a run that played no cluster says nothing of the rules.
-var errNothingPlayed = eris.New("no cluster was played")
+// errNoClusterPlayed is returned by a run that played no cluster and so checked no rule.
+var errNoClusterPlayed = eris.New("no cluster was played")
 
 type tierSimCmd struct {
-	Clusters int           `help:"So many clusters, each with a seed of its own." default:"100" aliases:"seeds"`
-	From     uint64        `help:"The seed of the first one." default:"1"`
-	For      time.Duration `help:"Begin no further cluster after this time; 0: no bound." default:"0"`
-	Jobs     int           `help:"So many at once; 0 for as many as there are processors." default:"0" aliases:"at-once"`
-	Report   string        `help:"Write the result to this file too." type:"path" placeholder:"FILE"`
-	Show     int           `help:"So many breaches are printed." default:"10"`
-	Trace    bool          `help:"Print what happens; with one cluster only."`
+	Clusters int           `help:"Number of clusters, each with its own seed." default:"100" aliases:"seeds"`
+	From     uint64        `help:"Seed of the first cluster." default:"1"`
+	For      time.Duration `help:"Start no further cluster after this time; 0: no limit." default:"0"`
+	Jobs     int           `help:"Clusters to run at a time; 0: one per processor." default:"0" aliases:"at-once"`
+	Report   string        `help:"File to write the result to as well." type:"path" placeholder:"FILE"`
+	Show     int           `help:"Maximum number of breaches to print." default:"10"`
+	Trace    bool          `help:"Print the events; runs only the first cluster."`
 }
 
-// simRun is what a run came to and what was asked for.
+// simRun is the result of a run and what was requested.
 type simRun struct {
-	total sim.Total
-	first uint64
-	asked int
-	took  time.Duration
-	show  int
+	total     sim.Total
+	firstSeed uint64
+	requested int
+	elapsed   time.Duration
+	show      int
 }
 
-// Run plays the clusters and says which broke a rule.
+// Run plays the clusters and prints which broke a rule.
 func (c *tierSimCmd) Run(ctx context.Context) error {
 	out, closeReport, err := c.output()
 	if err != nil {
@@ -53,32 +53,32 @@
 }
 
 func (c *tierSimCmd) play(ctx context.Context) simRun {
-	run := simRun{first: c.From, asked: c.Clusters, show: c.Show}
-	began := time.Now()
+	run := simRun{firstSeed: c.From, requested: c.Clusters, show: c.Show}
+	start := time.Now()
 	if c.Trace {
-		run.asked = 1
+		run.requested = 1
 		result := sim.Run(sim.Options{Seed: c.From, Trace: func(line string) { fmt.Println(line) }})
 		run.total = sim.TotalOf(result)
-		run.took = time.Since(began)
+		run.elapsed = time.Since(start)
 		return run
 	}
-	said := began
+	lastProgress := start
 	progress := func(t *sim.Total) {
-		if time.Since(said) < progressEvery {
+		if time.Since(lastProgress) < progressInterval {
 			return
 		}
-		said = time.Now()
+		lastProgress = time.Now()
 		fmt.Fprintf(os.Stderr, "%d of %d clusters, %.1f a second, %d broke a rule\n",
-			t.Seeds, c.Clusters, float64(t.Seeds)/time.Since(began).Seconds(), t.Broken)
+			t.Seeds, c.Clusters, float64(t.Seeds)/time.Since(start).Seconds(), t.Broken)
 	}
-	stop := func() bool { return ctx.Err() != nil || c.For > 0 && time.Since(began) >= c.For }
+	stop := func() bool { return ctx.Err() != nil || c.For > 0 && time.Since(start) >= c.For }
 	run.total = sim.RunRange(c.From, c.Clusters, c.Jobs, stop, progress)
-	run.took = time.Since(began)
+	run.elapsed = time.Since(start)
 	return run
 }
 
-// output is standard output and, where one is asked for, the report, which is opened before a long run and
-// not after it.
+// output returns a writer to standard output and, if requested, the report file. The file is created before the run, so
+// that a bad path fails before a long run and not after it.
 func (c *tierSimCmd) output() (out io.Writer, closeReport func() error, err error) {
 	if c.Report == "" {
 		return os.Stdout, func() error { return nil }, nil
@@ -90,22 +90,22 @@
 	return io.MultiWriter(os.Stdout, file), file.Close, nil
 }
 
-// verdict is an error, and so the command's exit status, unless clusters were played and none broke a rule.
+// verdict returns an error, and so a failing exit status, unless clusters were played and none broke a rule.
 func (r *simRun) verdict(ctx context.Context) error {
 	switch {
 	case r.total.Broken > 0:
 		return fmt.Errorf("%d of %d clusters broke a rule", r.total.Broken, r.total.Seeds)
 	case r.total.Seeds == 0:
-		return errNothingPlayed
+		return errNoClusterPlayed
 	}
 	return ctx.Err()
 }
 
-// print writes what was drawn and which rules broke.
+// print writes the counts of drawn events and the rules that were broken.
 func (r *simRun) print(out io.Writer) {
 	fmt.Fprintf(out, "%d of %d clusters from seed %d on, in %s, %.1f a second\n\n",
-		r.total.Seeds, r.asked, r.first, r.took.Round(time.Second), float64(r.total.Seeds)/r.took.Seconds())
-	r.printDrawn(out)
+		r.total.Seeds, r.requested, r.firstSeed, r.elapsed.Round(time.Second), float64(r.total.Seeds)/r.elapsed.Seconds())
+	r.printCounts(out)
 	r.printRules(out)
 	for at, b := range r.total.Breaches {
 		if at == r.show {
@@ -116,7 +116,7 @@
 	}
 }
 
-func (r *simRun) printDrawn(out io.Writer) {
+func (r *simRun) printCounts(out io.Writer) {
 	n := r.total.Counts
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "scheduler steps\t%d\n", r.total.Steps)
--- a/cmd/quaylab/soak.go
+++ b/cmd/quaylab/soak.go
@@ -15,30 +15,30 @@
 )
 
 const (
-	// soakRule is the rule that a soak is for.
+	// soakRule is the rule that a soak tests above all.
 	soakRule = tierrules.Lost
-	// soakShown is how many breaches of a day are printed.
-	soakShown = 10
+	// maxBreachesShown is the maximum number of breaches printed per day.
+	maxBreachesShown = 10
 )
 
 type tierSoakCmd struct {
-	Program string  `help:"The program emberquay." type:"path" placeholder:"FILE"`
-	Seeds   int     `help:"So many days, each with a seed of its own." default:"50"`
-	From    uint64  `help:"The seed of the first one." default:"1"`
-	Seconds float64 `help:"Traffic of a day, in seconds." default:"20"`
-	Jobs    int     `help:"So many days at once." default:"2"`
-	Logs    string  `help:"Keep the processes' folders of days that broke a rule here, and the programs' lines." type:"path" placeholder:"DIR"`
+	Program string  `help:"Path of the program emberquay." type:"path" placeholder:"FILE"`
+	Seeds   int     `help:"Number of days, each with its own seed." default:"50"`
+	From    uint64  `help:"Seed of the first day." default:"1"`
+	Seconds float64 `help:"Duration of a day's traffic, in seconds." default:"20"`
+	Jobs    int     `help:"Days to play at a time." default:"2"`
+	Logs    string  `help:"Folder in which to keep the processes' folders and the programs' lines of days that broke a rule." type:"path" placeholder:"DIR"`
 
-	ControlPlanes int `help:"Control planes." default:"3"`
-	Stores        int `help:"Stores." default:"3"`
-	Proxies       int `help:"Proxies." default:"3"`
+	ControlPlanes int `help:"Number of control planes." default:"3"`
+	Stores        int `help:"Number of stores." default:"3"`
+	Proxies       int `help:"Number of proxies." default:"3"`
 
-	ProcessorShare float64 `help:"So much of each tenth of a second a proxy runs, on every day; 0: as the seed has it." default:"0"`
+	ProcessorShare float64 `help:"Share of each 100 ms in which a proxy runs, on every day; 0: drawn from the seed." default:"0"`
 }
 
-// Run plays the days and says which broke a rule, with what a person needs to play it again.
+// Run plays the days and prints which broke a rule, with the seed to play it again.
 func (c *tierSoakCmd) Run(ctx context.Context) error {
-	program, err := how{Sender: c.Program}.program()
+	program, err := dayFlags{Sender: c.Program}.program()
 	if err != nil {
 		return err
 	}
@@ -58,39 +58,39 @@
 	}
 	close(seeds)
 	workers.Wait()
-	fmt.Printf("%d days played, %d kept every rule, %d requests round stops judged\n", tally.played, tally.kept, tally.stops)
+	fmt.Printf("%d days played, %d kept every rule, %d requests round stops judged\n", tally.played, tally.kept, tally.stopRequests)
 	switch {
 	case ctx.Err() != nil:
 		return ctx.Err()
 	case tally.kept < c.Seeds:
-		return errBroken
+		return errRuleBroken
 	}
 	return nil
 }
 
-// soakTally counts days. Its methods may be called from any goroutine.
+// soakTally counts days. Its methods are safe for concurrent use.
 type soakTally struct {
-	mu                  sync.Mutex
-	played, kept, stops int
+	mu                         sync.Mutex
+	played, kept, stopRequests int
 }
 
-// soakDay is what a day came to.
+// soakDay is the result of a day.
 type soakDay struct {
-	kept  bool
-	stops int // requests round stops that were judged under LOST
+	kept         bool
+	stopRequests int // requests around stops that were checked under the rule LOST
 }
 
 func (t *soakTally) add(day soakDay) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.played++
-	t.stops += day.stops
+	t.stopRequests += day.stopRequests
 	if day.kept {
 		t.kept++
 	}
 }
 
-// day plays one and prints a line, and more of one that broke a rule or could not be played.
+// day plays a day and prints a line; for a day that broke a rule, it prints the full result.
 func (c *tierSoakCmd) day(ctx context.Context, program string, seed uint64, tier tierworld.Tier) soakDay {
 	world := tierworld.Soak(seed, c.Seconds, tier)
 	if c.ProcessorShare > 0 {
@@ -105,15 +105,15 @@
 		fmt.Printf("seed %d: not played: %s\n", seed, eris.ToString(err, false))
 		return soakDay{}
 	}
-	day := soakDay{kept: result.Kept(), stops: result.Verdict.Checked[soakRule]}
+	day := soakDay{kept: result.Kept(), stopRequests: result.Verdict.Checked[soakRule]}
 	if day.kept {
-		fmt.Printf("seed %d: kept, %d requests round stops, took %.0f s\n", seed, day.stops, result.Took.Seconds())
+		fmt.Printf("seed %d: kept, %d requests round stops, took %.0f s\n", seed, day.stopRequests, result.Took.Seconds())
 		if options.Dir != "" {
-			_ = os.RemoveAll(options.Dir) // nothing to look at
+			_ = os.RemoveAll(options.Dir) // no failure to examine
 		}
 		return day
 	}
 	fmt.Printf("seed %d: BROKEN\n", seed)
-	printTier(os.Stdout, result, soakShown)
+	printTierResult(os.Stdout, result, maxBreachesShown)
 	return day
 }
--- a/cmd/quaylab/tier.go
+++ b/cmd/quaylab/tier.go
@@ -17,23 +17,23 @@
 )
 
 type tierCmd struct {
-	Try   tierTryCmd   `cmd:"" help:"Play half a minute round the tier's processes on loopback and judge it by the rules."`
-	Run   tierRunCmd   `cmd:"" help:"Play a described day, as try does its own."`
-	World tierWorldCmd `cmd:"" help:"Print the world that try plays, as a file with comments."`
-	Soak  tierSoakCmd  `cmd:"" help:"Play seeded days of stops, signals and changes that overlap; say which broke a rule."`
-	Sim   tierSimCmd   `cmd:"" help:"Run seeded clusters in virtual time under faults; say which broke a rule."`
+	Try   tierTryCmd   `cmd:"" help:"Play half a minute around the tier's processes on loopback and check the rules."`
+	Run   tierRunCmd   `cmd:"" help:"Play a world file, as try plays the default world."`
+	World tierWorldCmd `cmd:"" help:"Print the default world, which try plays, as a file with comments."`
+	Soak  tierSoakCmd  `cmd:"" help:"Play seeded days of overlapping stops, signals and changes; print which broke a rule."`
+	Sim   tierSimCmd   `cmd:"" help:"Run seeded clusters in virtual time under faults; print which broke a rule."`
 }
 
-// tierDay are the flags of the commands that play a day of the tier.
-type tierDay struct {
-	Program string `help:"The program emberquay." type:"path" placeholder:"FILE"`
-	Logs    string `help:"Keep the processes' folders (settings, disks, logs) here." type:"path" placeholder:"DIR"`
-	Show    int    `help:"So many breaches are printed." default:"10"`
-	Quiet   bool   `help:"Do not print what happens."`
-	Report  string `help:"Write tables and charts of the day here." type:"path" placeholder:"DIR"`
+// tierDayFlags holds the flags of the commands that play a day of the tier.
+type tierDayFlags struct {
+	Program string `help:"Path of the program emberquay." type:"path" placeholder:"FILE"`
+	Logs    string `help:"Folder in which to keep the processes' folders (settings, disks, logs)." type:"path" placeholder:"DIR"`
+	Show    int    `help:"Maximum number of breaches to print." default:"10"`
+	Quiet   bool   `help:"Do not print progress."`
+	Report  string `help:"Folder to write tables and charts of the day to." type:"path" placeholder:"DIR"`
 }
 
-type tierTryCmd struct{ tierDay }
+type tierTryCmd struct{ tierDayFlags }
 
 // Run plays the default world.
 func (c *tierTryCmd) Run(ctx context.Context) error {
@@ -41,8 +41,8 @@
 }
 
 type tierRunCmd struct {
-	tierDay
-	File  string `arg:"" help:"The described world (TOML); quaylab tier world writes one." type:"existingfile"`
+	tierDayFlags
+	File  string `arg:"" help:"World file (TOML); quaylab tier world writes one." type:"existingfile"`
 	Check bool   `help:"Only check the file and print its schedule of troubles."`
 }
 
@@ -63,7 +63,7 @@
 	return c.play(ctx, filepath.Base(c.File), world)
 }
 
-// describeTierWorld prints what a world comes to.
+// describeTierWorld prints the processes, the receivers and the schedule of troubles of a world.
 func describeTierWorld(out io.Writer, w *tierworld.World) {
 	fmt.Fprintf(out, "%g s of traffic; %d control planes, %d stores, %d proxies; %d receivers\n", w.Seconds,
 		w.Tier.ControlPlanes, w.Tier.Stores, w.Tier.Proxies, len(w.Receivers.ServicePerReceiver()))
@@ -84,9 +84,9 @@
 	return eris.Wrap(err, "world")
 }
 
-// play plays a day and says what it came to. The report is written of a day that broke a rule, too.
-func (c *tierDay) play(ctx context.Context, title string, world *tierworld.World) error {
-	program, err := how{Sender: c.Program}.program()
+// play plays a day and prints the result. It writes the report also for a day that broke a rule.
+func (c *tierDayFlags) play(ctx context.Context, title string, world *tierworld.World) error {
+	program, err := dayFlags{Sender: c.Program}.program()
 	if err != nil {
 		return err
 	}
@@ -98,20 +98,20 @@
 	if err != nil {
 		return err
 	}
-	printTier(os.Stdout, result, c.Show)
+	printTierResult(os.Stdout, result, c.Show)
 	if c.Report != "" {
 		if err := tierreport.Write(c.Report, title, result); err != nil {
 			return err
 		}
 	}
 	if !result.Kept() {
-		return errBroken
+		return errRuleBroken
 	}
 	return nil
 }
 
-// printTier prints what was served and a verdict for each rule.
-func printTier(out io.Writer, r *tierlab.Result, show int) {
+// printTierResult prints the request counts by kind and the verdict on each rule.
+func printTierResult(out io.Writer, r *tierlab.Result, show int) {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "kind\ttries\tserved\trefused\tfailed\tp50\tp99\t")
 	for _, s := range r.Served {
--- a/cmd/quaylab/tier_test.go
+++ b/cmd/quaylab/tier_test.go
@@ -9,7 +9,7 @@
 	"emberquay/internal/lab/tierworld"
 )
 
-// A world is checked without anything being played; a bad one is told with its file and key.
+// --check reads a world without playing it; the error for an invalid one names its file and key.
 func TestTierRunChecksAWorld(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "w.toml")
 	for text, want := range map[string]string{
@@ -26,7 +26,7 @@
 	}
 }
 
-// What a world comes to names its processes and each trouble with its instant.
+// The description of a world names its processes and each trouble with its time.
 func TestDescribeTierWorld(t *testing.T) {
 	var out strings.Builder
 	describeTierWorld(&out, tierworld.Short())
