--- a/internal/lab/tierlab/connection.go
+++ b/internal/lab/tierlab/connection.go
@@ -114,11 +114,11 @@
 func readEvents(rec *recorder, answer *tierrules.Answer, body io.Reader) error {
 	lines := bufio.NewReader(body)
 	var event tierrules.Event
-	some := false
+	started := false
 	for {
 		line, err := lines.ReadString('\n')
 		if err != nil {
-			if errors.Is(err, io.EOF) && line == "" && !some {
+			if errors.Is(err, io.EOF) && line == "" && !started {
 				return nil
 			}
 			if errors.Is(err, io.EOF) {
@@ -130,18 +130,18 @@
 		name, value, _ := strings.Cut(line, ":")
 		value = strings.TrimPrefix(value, " ")
 		switch {
-		case line == "" && some:
+		case line == "" && started:
 			rec.update(func(now time.Duration, _ *tierrules.History) {
 				event.At = now
 				answer.Events = append(answer.Events, event)
 			})
-			event, some = tierrules.Event{}, false
+			event, started = tierrules.Event{}, false
 		case name == "id":
 			event.ID, _ = strconv.ParseUint(value, 10, 64)
-			some = true
+			started = true
 		case name == "data":
 			event.Data += value
-			some = true
+			started = true
 		}
 	}
 }
--- a/internal/lab/tierlab/load.go
+++ b/internal/lab/tierlab/load.go
@@ -129,10 +129,10 @@
 }
 
 func (l *lab) textCall() *call {
-	prompt, most := drawInt(l.world.Traffic.PromptTokens), drawWholeChunks(l.world.Traffic.OutTokens)
+	prompt, maxTokens := drawInt(l.world.Traffic.PromptTokens), drawWholeChunks(l.world.Traffic.OutTokens)
 	header := http.Header{}
 	header.Set("Emberquay-Model-Name", modelName)
-	header.Set("Emberquay-Token-Usage", fmt.Sprintf("%d,%d", prompt, most))
+	header.Set("Emberquay-Token-Usage", fmt.Sprintf("%d,%d", prompt, maxTokens))
 	header.Set("Emberquay-Prompt-Prefix", fmt.Sprintf("%x:100,%x:%d", rand.IntN(5), rand.Uint32(), prompt-100))
 	return &call{class: "text", route: textRoute, path: "t", method: http.MethodPost, body: []byte("text"), deadline: textDeadline, header: header}
 }
--- a/internal/lab/tierlab/machine.go
+++ b/internal/lab/tierlab/machine.go
@@ -175,9 +175,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
-		over := make(chan struct{})
-		close(over)
-		return over
+		ended := make(chan struct{})
+		close(ended)
+		return ended
 	}
 	p.exitExpected = p.exitExpected || ending
 	_ = p.cmd.Process.Signal(s) // the process may have ended
--- a/internal/lab/tierlab/model.go
+++ b/internal/lab/tierlab/model.go
@@ -245,8 +245,8 @@
 	for item := range strings.SplitSeq(text, ",") {
 		name, tokens, ok := strings.Cut(item, ":")
 		id, err := strconv.ParseUint(name, 16, 64)
-		count, bad := strconv.Atoi(tokens)
-		if ok && err == nil && bad == nil {
+		count, countErr := strconv.Atoi(tokens)
+		if ok && err == nil && countErr == nil {
 			list = append(list, engine.PromptPart{ID: id, Tokens: count})
 		}
 	}
--- a/internal/lab/tierlab/operator.go
+++ b/internal/lab/tierlab/operator.go
@@ -20,7 +20,7 @@
 	maxOperatorPause       = 500 * time.Millisecond
 	// operatorChangeTimeout bounds one change with all its attempts.
 	operatorChangeTimeout = 8 * time.Second
-	// lostAnswerInterval sets the rate of answers lost on the way to the operator: on first attempts, about one in so many.
+	// lostAnswerInterval is the interval, in changes, at which the answer to the first attempt is lost.
 	lostAnswerInterval = 5
 )
 
--- a/internal/lab/tierlab/program.go
+++ b/internal/lab/tierlab/program.go
@@ -95,9 +95,9 @@
 }
 
 // fork returns a sub-agent's conversation, whose prompt begins with that of its parent.
-func (n *conversation) fork() *conversation {
-	return &conversation{program: n.program, client: n.program.lab.newClient(), session: fmt.Sprintf("s%08x", rand.Uint32()), previousTurn: n.previousTurn,
-		history: slices.Clone(n.history), prefix: append([]string{}, n.prefix...), prompt: n.prompt}
+func (conv *conversation) fork() *conversation {
+	return &conversation{program: conv.program, client: conv.program.lab.newClient(), session: fmt.Sprintf("s%08x", rand.Uint32()), previousTurn: conv.previousTurn,
+		history: slices.Clone(conv.history), prefix: append([]string{}, conv.prefix...), prompt: conv.prompt}
 }
 
 // runTurns runs the program's turns, with tool calls after the first and sub-agents before the last.
@@ -112,9 +112,9 @@
 }
 
 // turns runs count turns in sequence and reports whether all were served.
-func (n *conversation) turns(ctx context.Context, count int) bool {
+func (conv *conversation) turns(ctx context.Context, count int) bool {
 	for range count {
-		if !n.turn(ctx) {
+		if !conv.turn(ctx) {
 			return false
 		}
 	}
@@ -176,28 +176,28 @@
 }
 
 // turn runs one turn, with up to maxTurnRetries retries.
-func (n *conversation) turn(ctx context.Context) bool {
-	most := drawWholeChunks(n.program.shape.OutTokens)
-	input := fmt.Appendf(nil, "input of %s %x\n", n.session, rand.Uint64())
+func (conv *conversation) turn(ctx context.Context) bool {
+	maxTokens := drawWholeChunks(conv.program.shape.OutTokens)
+	input := fmt.Appendf(nil, "input of %s %x\n", conv.session, rand.Uint64())
 	tokens := 20 + len(input)/8
-	prefix := append(append([]string{}, n.prefix...), fmt.Sprintf("%x:%d", rand.Uint32(), tokens))
+	prefix := append(append([]string{}, conv.prefix...), fmt.Sprintf("%x:%d", rand.Uint32(), tokens))
 	for range maxTurnRetries + 1 {
-		if ctx.Err() != nil || n.program.isStopped() {
+		if ctx.Err() != nil || conv.program.isStopped() {
 			return false
 		}
-		r := n.client.send(ctx, n.call(input, prefix, n.prompt+tokens, most))
+		r := conv.client.send(ctx, conv.call(input, prefix, conv.prompt+tokens, maxTokens))
 		status := 0
 		if r != nil && r.Answer != nil {
 			status = r.Answer.Status
 		}
 		switch {
 		case status == http.StatusOK && r.Answer.Complete:
-			n.prompt += tokens + most
-			n.prefix = append(prefix, fmt.Sprintf("%x:%d", rand.Uint32(), most))
-			n.recordTurn(r, input)
+			conv.prompt += tokens + maxTokens
+			conv.prefix = append(prefix, fmt.Sprintf("%x:%d", rand.Uint32(), maxTokens))
+			conv.recordTurn(r, input)
 			return true
 		case status == http.StatusPaymentRequired:
-			n.program.stop()
+			conv.program.stop()
 			return false
 		case status >= 400 && status <= 404, status == http.StatusRequestEntityTooLarge:
 			return false
@@ -208,27 +208,27 @@
 }
 
 // recordTurn records a served turn: its ID if the tier retains turns, else its input and output.
-func (n *conversation) recordTurn(r *tierrules.Request, input []byte) {
-	if n.program.shape.Retained {
-		n.previousTurn = r.ID
-		n.program.lab.recordCompletedTurn(r.ID)
+func (conv *conversation) recordTurn(r *tierrules.Request, input []byte) {
+	if conv.program.shape.Retained {
+		conv.previousTurn = r.ID
+		conv.program.lab.recordCompletedTurn(r.ID)
 		return
 	}
-	n.history = append(n.history, input...)
+	conv.history = append(conv.history, input...)
 	for _, event := range r.Answer.Events {
-		n.history = append(append(n.history, event.Data...), '\n')
+		conv.history = append(append(conv.history, event.Data...), '\n')
 	}
 }
 
-func (n *conversation) call(input []byte, prefix []string, prompt, most int) *call {
+func (conv *conversation) call(input []byte, prefix []string, prompt, maxTokens int) *call {
 	header := http.Header{}
 	header.Set("Emberquay-Model-Name", modelName)
-	header.Set("Emberquay-Token-Usage", fmt.Sprintf("%d,%d", prompt, most))
+	header.Set("Emberquay-Token-Usage", fmt.Sprintf("%d,%d", prompt, maxTokens))
 	header.Set("Emberquay-Prompt-Prefix", strings.Join(prefix, ","))
-	n.program.headers(header, n.session)
-	body := slices.Concat(n.history, input)
-	return &call{class: "turn", route: n.program.lab.turnRoute(), path: n.session, method: http.MethodPost, body: body, deadline: turnDeadline, header: header,
-		program: n.program.name, budget: n.program.budget, maxTokens: int64(most), previous: n.previousTurn, programDeadline: n.program.deadline}
+	conv.program.headers(header, conv.session)
+	body := slices.Concat(conv.history, input)
+	return &call{class: "turn", route: conv.program.lab.turnRoute(), path: conv.session, method: http.MethodPost, body: body, deadline: turnDeadline, header: header,
+		program: conv.program.name, budget: conv.program.budget, maxTokens: int64(maxTokens), previous: conv.previousTurn, programDeadline: conv.program.deadline}
 }
 
 func (p *program) headers(header http.Header, session string) {
--- a/internal/lab/tierlab/receiver.go
+++ b/internal/lab/tierlab/receiver.go
@@ -210,8 +210,8 @@
 
 // drawWorkTime draws the work time of a request to a plain service.
 func (r *receiver) drawWorkTime() time.Duration {
-	least, most := r.plainConfig.WorkMs[0], r.plainConfig.WorkMs[1]
-	return time.Duration((least + rand.Float64()*(most-least)) * float64(time.Millisecond))
+	minMs, maxMs := r.plainConfig.WorkMs[0], r.plainConfig.WorkMs[1]
+	return time.Duration((minMs + rand.Float64()*(maxMs-minMs)) * float64(time.Millisecond))
 }
 
 // abort closes the connection in place of an answer, or of the rest of one. It does not return.
