--- a/admission/dispatch/choice.go
+++ b/admission/dispatch/choice.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Constants of the estimated cost, in milliseconds, of sending a request to a receiver. They fit model engines and web
-// services in general, not one deployment.
+// Constants of the estimated cost, in milliseconds, of sending a request to a receiver. They apply to model
+// engines and web services in general.
 const (
 	prefillTokensPerMs = 38.0 // prompt tokens that an engine processes per millisecond
 	// slowdownPerRequest is the fraction by which one more running request lengthens a call: most of a step's time
--- a/control/buckets.go
+++ b/control/buckets.go
@@ -76,11 +76,11 @@
 	}
 }
 
-// refusalPause returns how long a bucket pauses after a refusal, beyond its Retry-After delay, which alone is trusted
-// once: the time in which this sender's part of the limit frees a call, plus or minus half, twice that from the
-// second refusal on; without a limit a typical call, doubled each time. Refused calls may use up the limit:
-// with shorter pauses the probes of all senders together would take what is freed. If responses carry no
-// reports, the listed rate replaces the limit.
+// refusalPause returns how long a bucket pauses after a refusal, beyond its Retry-After delay. With a delay it is 0 at the
+// first refusal, and always if there is no limit. Else it is the time in which this sender's part of the limit frees a
+// call, plus or minus half, doubled from the second refusal on; without a limit a typical call, doubled each time.
+// Refused calls may use up the limit: with shorter pauses the probes of all senders together would take what is freed.
+// If responses carry no reports, the listed rate replaces the limit.
 func (s *Sender) refusalPause(r *receiver, hasRetryAfter bool) Time {
 	b, limit := r.bucket, s.capacity(r)
 	limited := limit > 0 && (b.limit > 0 || !s.hasReports())
--- a/control/outcomes.go
+++ b/control/outcomes.go
@@ -14,7 +14,7 @@
 func (s *Sender) completeAttempt(t *text, att *attempt, r Result) {
 	c := att.call
 	t.current, t.onResult = nil, nil
-	if r.Outcome == Refused && r.RetryAfter > 0 { // one tick longer, as the clock is rounded down; every text of a bundle counts
+	if r.Outcome == Refused && r.RetryAfter > 0 { // one tick longer, as the clock is rounded down; the delays of all texts of a bundle apply
 		c.receiver.bucket.retryAfterUntil = max(c.receiver.bucket.retryAfterUntil, s.now+r.RetryAfter+1)
 	}
 	if !c.recorded {
--- a/coordination/chain/conformance_test.go
+++ b/coordination/chain/conformance_test.go
@@ -457,7 +457,7 @@
 		for len(t.answers("c")) == 0 {
 			t.runFor(25 * time.Millisecond)
 		}
-		Expect(t.now - began).To(BeNumerically("<=", view.SuspectAfter+100*time.Millisecond))
+		Expect(t.now - began).To(BeNumerically("<=", view.SuspectTimeout+100*time.Millisecond))
 	})
 
 	It("remove a dead one of four, which returns with a new id", func() {
--- a/coordination/chain/contacts.go
+++ b/coordination/chain/contacts.go
@@ -87,17 +87,17 @@
 		return false
 	}
 	if by == c.self.ID {
-		return c.SilentFor(of) < view.SuspectAfter
+		return c.SilentFor(of) < view.SuspectTimeout
 	}
 	other := c.peers[by]
-	if other == nil || c.SilentFor(by) >= view.SuspectAfter {
+	if other == nil || c.SilentFor(by) >= view.SuspectTimeout {
 		return false
 	}
 	heardAt, ok := other.reportedHearing[of]
 	if !ok {
 		heardAt = other.assumedHearing
 	}
-	return c.now-heardAt < view.SuspectAfter
+	return c.now-heardAt < view.SuspectTimeout
 }
 
 func (c connectivity) isLeaving(id view.MemberID) bool {
@@ -115,7 +115,7 @@
 func (c connectivity) Joining() []view.Member {
 	var all []view.Member
 	for _, id := range sortedKeys(c.joining) {
-		if c.SilentFor(id) < view.SuspectAfter {
+		if c.SilentFor(id) < view.SuspectTimeout {
 			all = append(all, c.joining[id])
 		}
 	}
--- a/coordination/chain/node.go
+++ b/coordination/chain/node.go
@@ -14,7 +14,7 @@
 
 // Intervals and timeouts of a node. Safety depends on none of them.
 const (
-	// heartbeatInterval is the time between heartbeats; view.SuspectAfter spans three and a half of them.
+	// heartbeatInterval is the time between heartbeats; view.SuspectTimeout spans three and a half of them.
 	heartbeatInterval = 200 * time.Millisecond
 	// recentlyHeardWithin is the age up to which a node is reported as heard: slightly more than two heartbeats.
 	recentlyHeardWithin = 450 * time.Millisecond
--- a/coordination/chain/reconfigure.go
+++ b/coordination/chain/reconfigure.go
@@ -103,7 +103,7 @@
 	count := 0
 	for _, id := range ids {
 		c := connectivity{n}
-		if c.SilentFor(id) >= view.SuspectAfter || c.isLeaving(id) {
+		if c.SilentFor(id) >= view.SuspectTimeout || c.isLeaving(id) {
 			count++
 		}
 	}
@@ -114,7 +114,7 @@
 func (n *Node) hearsMajority() bool {
 	heard := 0
 	for _, m := range n.view.Members {
-		if (connectivity{n}).SilentFor(m.ID) < view.SuspectAfter {
+		if (connectivity{n}).SilentFor(m.ID) < view.SuspectTimeout {
 			heard++
 		}
 	}
--- a/coordination/hashing/hashing.go
+++ b/coordination/hashing/hashing.go
@@ -1,5 +1,5 @@
 // Package hashing mixes the bits of numbers that are already hashes or ids, for digests and placement. It is not
-// cryptographic: whoever chooses the input can produce collisions.
+// cryptographic: anyone who chooses the inputs can produce collisions.
 package hashing
 
 // GoldenGamma is 2^64 divided by the golden ratio, whose consecutive multiples modulo 2^64 are far apart.
--- a/coordination/view/plan.go
+++ b/coordination/view/plan.go
@@ -19,8 +19,8 @@
 
 // Silence timeouts used for planning.
 const (
-	// SuspectAfter removes a silent member from the chain. It spans a few heartbeats, so a single late one has no effect.
-	SuspectAfter = 700 * time.Millisecond
+	// SuspectTimeout removes a silent member from the chain. It spans a few heartbeats, so a single late one has no effect.
+	SuspectTimeout = 700 * time.Millisecond
 	// ReplaceAfter allows a joining node to replace a silent member.
 	ReplaceAfter = 1500 * time.Millisecond
 )
@@ -29,7 +29,7 @@
 type Connectivity interface {
 	// SilentFor returns how long this member has received nothing from another one.
 	SilentFor(MemberID) time.Duration
-	// Hears reports whether one node has heard the other within SuspectAfter, as far as this member knows.
+	// Hears reports whether one node has heard the other within SuspectTimeout, as far as this member knows.
 	Hears(by, of MemberID) bool
 	// HasInstalled reports whether a member is known to have installed the current view.
 	HasInstalled(MemberID) bool
@@ -59,7 +59,7 @@
 // before that, so a newly added member receives the state before the next change.
 func chainHasInstalled(v View, self MemberID, c Connectivity) bool {
 	for _, id := range v.Chain {
-		if id != self && c.SilentFor(id) < SuspectAfter && !c.HasInstalled(id) {
+		if id != self && c.SilentFor(id) < SuspectTimeout && !c.HasInstalled(id) {
 			return false
 		}
 	}
--- a/coordination/view/plan_test.go
+++ b/coordination/view/plan_test.go
@@ -22,7 +22,7 @@
 func (l fakeConnectivity) SilentFor(id view.MemberID) time.Duration { return l.silent[id] }
 
 func (l fakeConnectivity) Hears(by, of view.MemberID) bool {
-	if l.silent[by] >= view.SuspectAfter || l.silent[of] >= view.SuspectAfter {
+	if l.silent[by] >= view.SuspectTimeout || l.silent[of] >= view.SuspectTimeout {
 		return false
 	}
 	if slices.Contains(l.heardOnlyBySelf, by) || slices.Contains(l.heardOnlyBySelf, of) {
@@ -66,7 +66,7 @@
 	threeMembers = view.First(members(1, 2, 3))
 	fourMembers  = view.View{Epoch: 7, Initial: 3, Members: members(1, 2, 3, 4), Chain: ids{1, 2, 3, 4}}
 	shortChain   = view.View{Epoch: 7, Initial: 3, Members: members(1, 2, 3), Chain: ids{1, 2}}
-	suspectAfter = view.SuspectAfter
+	suspectAfter = view.SuspectTimeout
 	replaceAfter = view.ReplaceAfter
 )
 
--- a/internal/tier/controlplane/plane.go
+++ b/internal/tier/controlplane/plane.go
@@ -3,7 +3,7 @@
 //
 //	plane, err := controlplane.Start(node, logger)
 //	...
-//	plane.Shutdown(ctx, signalled)
+//	plane.Shutdown(ctx, signalledAt)
 //
 // A Plane owns the table of the receivers that send their heartbeats to this machine. The control state is owned by the
 // replica, and the published entries by the cluster.
--- a/internal/tier/lifecycle/lifecycle.go
+++ b/internal/tier/lifecycle/lifecycle.go
@@ -1,6 +1,6 @@
 // Package lifecycle runs a plane from its start until the platform stops it.
 //
-//	return lifecycle.Run(node, logger, func() (lifecycle.Plane, error) { return store.Start(node, logger) })
+//	return lifecycle.Run(settingsPath, node, logger, func() (lifecycle.Plane, error) { return store.Start(node, logger) })
 //
 // SIGTERM and SIGINT stop the plane within the platform's grace period, which starts at the signal, whatever the process
 // is doing then. SIGHUP reloads the settings file; the file may also change without a signal, so it is checked
--- a/internal/tier/proxy/doc.go
+++ b/internal/tier/proxy/doc.go
@@ -12,7 +12,7 @@
 //	p.SetReceivers(receivers)
 //	p.SetReady(true)
 //	...
-//	p.Shutdown(ctx, signalled) // completes requests already read; then Run returns
+//	p.Shutdown(ctx, signalledAt) // completes requests already read; then Run returns
 //
 // Invariants:
 //   - A request uses one configuration snapshot, taken on arrival and never older than one already used.
--- a/internal/tier/proxy/stop.go
+++ b/internal/tier/proxy/stop.go
@@ -38,10 +38,10 @@
 
 // Shutdown stops the proxy: readiness fails at once, connections are accepted until the shutdown delay is over, and
 // requests already read are completed. It returns when no request is in flight or when ctx ends; Run returns then. The
-// schedule counts from signalled, the time at which the process was told to stop.
-func (p *Proxy) Shutdown(ctx context.Context, signalled time.Time) {
+// schedule counts from signalledAt, the time at which the process was told to stop.
+func (p *Proxy) Shutdown(ctx context.Context, signalledAt time.Time) {
 	p.stopping.Store(true)
-	p.schedule.Store(p.newShutdownSchedule(ctx, signalled))
+	p.schedule.Store(p.newShutdownSchedule(ctx, signalledAt))
 	p.awaitShutdownDelay(ctx)
 	p.frontend.stopAccepting()
 	p.clients.drain()
@@ -57,16 +57,16 @@
 }
 
 // newShutdownSchedule computes the schedule and passes drainEnd to the dispatcher.
-func (p *Proxy) newShutdownSchedule(ctx context.Context, signalled time.Time) *shutdownSchedule {
+func (p *Proxy) newShutdownSchedule(ctx context.Context, signalledAt time.Time) *shutdownSchedule {
 	deadline, bounded := ctx.Deadline()
 	if !bounded {
-		return &shutdownSchedule{delayEnd: signalled.Add(p.options.ShutdownDelay)}
+		return &shutdownSchedule{delayEnd: signalledAt.Add(p.options.ShutdownDelay)}
 	}
-	total := max(0, deadline.Sub(signalled))
+	total := max(0, deadline.Sub(signalledAt))
 	drainEnd := deadline.Add(-min(finalResponseTime, scaled(total, finalResponseShare)))
 	p.admission.enqueue(stopByCommand{end: p.admission.instant(drainEnd)})
 	return &shutdownSchedule{
-		delayEnd: signalled.Add(min(p.options.ShutdownDelay, scaled(drainEnd.Sub(signalled), shutdownDelayShare))),
+		delayEnd: signalledAt.Add(min(p.options.ShutdownDelay, scaled(drainEnd.Sub(signalledAt), shutdownDelayShare))),
 		drainEnd: drainEnd,
 	}
 }
--- a/internal/tier/storeplane/plane.go
+++ b/internal/tier/storeplane/plane.go
@@ -3,7 +3,7 @@
 //
 //	plane, err := storeplane.Start(node, logger)
 //	...
-//	plane.Shutdown(ctx, signalled)
+//	plane.Shutdown(ctx, signalledAt)
 //
 // The store's disk is a member of the store view, which the control state holds. A disk that is not in the view
 // registers until it is. The view is distributed through the cluster's table.
@@ -83,7 +83,7 @@
 func (p *Plane) applyView(entry cluster.Entry) {
 	view, err := storewire.DecodeViewEntry(entry)
 	if err != nil {
-		p.base.Log.WithError(err).Error("store view cannot be read")
+		p.base.Log.WithError(err).Error("cannot decode the store view")
 		return
 	}
 	p.inView.Store(viewContains(view, p.store.ID()))
